--- a/pkg/advisory/advice.go
+++ b/pkg/advisory/advice.go
@@ -14,26 +14,26 @@
 	// Leaving says that the target takes no more requests than those under way.
 	Leaving bool
 	// Rest is for how long the target wants no request from this entry; 0 if it does not ask for that.
-	Rest clock.Millis
+	Backoff clock.Millis
 	// Said is when the answer was sent, by the clock of the target's VM and to the second; 0 if it does not say.
-	Said ids.Start
+	SentAt ids.Start
 	// Limit is how many requests a second the target takes, and Asked when the request was sent.
-	Limit ratelimit.Named
-	Asked clock.Millis
+	Limit       ratelimit.ParsedLimit
+	RequestedAt clock.Millis
 }
 
 // Empty reports whether the answer says nothing of its target.
-func (a Advice) Empty() bool { return !a.Leaving && a.Rest <= 0 && !a.Limit.Given }
+func (a Advice) Empty() bool { return !a.Leaving && a.Backoff <= 0 && !a.Limit.Given }
 
 // Standing is what is known of one life of a target by its own word.
-type Standing struct {
-	Life    ids.Life
-	Leaving bool
+type Status struct {
+	Incarnation ids.TargetIncarnation
+	Leaving     bool
 	// Rest is what is left of the time in which it wants no request from this entry.
-	Rest clock.Millis
+	Backoff clock.Millis
 	// Limit is how many requests a second it takes from all entries.
-	Limit ratelimit.Word
+	Limit ratelimit.Report
 }
 
 // Bars reports whether a request must not be sent.
-func (s Standing) Bars() bool { return s.Leaving || s.Rest > 0 }
+func (s Status) Blocks() bool { return s.Leaving || s.Backoff > 0 }
--- a/pkg/advisory/book_test.go
+++ b/pkg/advisory/book_test.go
@@ -15,11 +15,11 @@
 	"quaydock/pkg/routing"
 )
 
-func newBook() *advisory.Book {
-	return advisory.NewBook(commontest.New(network.NewMemory(nil)))
+func newBook() *advisory.Tracker {
+	return advisory.NewTracker(commontest.New(network.NewMemory(nil)))
 }
 
-var life = ids.Life{Target: "t", Start: 5000}
+var life = ids.TargetIncarnation{Target: "t", Start: 5000}
 
 // TestWhatTargetsSayHolds has a life of a target say something, and looks a while later at what stands.
 func TestWhatTargetsSayHolds(t *testing.T) {
@@ -28,22 +28,22 @@
 		name    string
 		said    []advisory.Advice // half a second apart
 		after   time.Duration     // from the last
-		of      ids.Life
+		of      ids.TargetIncarnation
 		leaving bool
 		rest    clock.Millis
 	}{
 		{"nothing", nil, 0, life, false, 0},
 		{"leaving", []advisory.Advice{{Leaving: true}}, time.Hour, life, true, 0},
 		{"leaving, and an answer without the word", []advisory.Advice{{Leaving: true}, {}}, 0, life, true, 0},
-		{"rest", []advisory.Advice{{Rest: 3 * second}}, time.Second, life, false, 2 * second},
-		{"rest that is over", []advisory.Advice{{Rest: 3 * second}}, 3 * time.Second, life, false, 0},
-		{"an answer without rest does not end it", []advisory.Advice{{Rest: 3 * second}, {}}, 0, life, false, 2500},
-		{"a shorter rest does not shorten it", []advisory.Advice{{Rest: 3 * second}, {Rest: second}}, 0, life, false, 2500},
-		{"a longer one lengthens it", []advisory.Advice{{Rest: second}, {Rest: 3 * second}}, 0, life, false, 3 * second},
-		{"both", []advisory.Advice{{Leaving: true, Rest: 3 * second}}, 0, life, true, 3 * second},
-		{"another life", []advisory.Advice{{Leaving: true, Rest: 3 * second}}, 0, ids.Life{Target: "t", Start: 4000}, false, 0},
-		{"a life of which the start is not known may be the same", []advisory.Advice{{Leaving: true}}, 0, ids.Life{Target: "t"}, true, 0},
-		{"another target", []advisory.Advice{{Leaving: true, Rest: 3 * second}}, 0, ids.Life{Target: "u", Start: 5000}, false, 0},
+		{"rest", []advisory.Advice{{Backoff: 3 * second}}, time.Second, life, false, 2 * second},
+		{"rest that is over", []advisory.Advice{{Backoff: 3 * second}}, 3 * time.Second, life, false, 0},
+		{"an answer without rest does not end it", []advisory.Advice{{Backoff: 3 * second}, {}}, 0, life, false, 2500},
+		{"a shorter rest does not shorten it", []advisory.Advice{{Backoff: 3 * second}, {Backoff: second}}, 0, life, false, 2500},
+		{"a longer one lengthens it", []advisory.Advice{{Backoff: second}, {Backoff: 3 * second}}, 0, life, false, 3 * second},
+		{"both", []advisory.Advice{{Leaving: true, Backoff: 3 * second}}, 0, life, true, 3 * second},
+		{"another life", []advisory.Advice{{Leaving: true, Backoff: 3 * second}}, 0, ids.TargetIncarnation{Target: "t", Start: 4000}, false, 0},
+		{"a life of which the start is not known may be the same", []advisory.Advice{{Leaving: true}}, 0, ids.TargetIncarnation{Target: "t"}, true, 0},
+		{"another target", []advisory.Advice{{Leaving: true, Backoff: 3 * second}}, 0, ids.TargetIncarnation{Target: "u", Start: 5000}, false, 0},
 	}
 	for _, s := range scenarios {
 		synctest.Test(t, func(t *testing.T) {
@@ -52,11 +52,11 @@
 				if i > 0 {
 					time.Sleep(500 * time.Millisecond)
 				}
-				b.Hear(life, 0, "r", a)
+				b.Observe(life, 0, "r", a)
 			}
 			time.Sleep(s.after)
-			got := b.Of(s.of)
-			if got.Leaving != s.leaving || got.Rest != s.rest || got.Bars() != (s.leaving || s.rest > 0) {
+			got := b.Status(s.of)
+			if got.Leaving != s.leaving || got.Backoff != s.rest || got.Blocks() != (s.leaving || s.rest > 0) {
 				t.Errorf("%s: %+v, want leaving %t, rest %d ms", s.name, got, s.leaving, s.rest)
 			}
 		})
@@ -74,7 +74,7 @@
 		doubt = 4 * clock.Second
 		long  = 30 * clock.Second
 	)
-	before, next := ids.Life{Target: "t", Start: 1_000_000}, ids.Life{Target: "t", Start: start}
+	before, next := ids.TargetIncarnation{Target: "t", Start: 1_000_000}, ids.TargetIncarnation{Target: "t", Start: start}
 	scenarios := []struct {
 		name            string
 		connected, said ids.Start
@@ -98,23 +98,23 @@
 	for _, s := range scenarios {
 		synctest.Test(t, func(t *testing.T) {
 			leaves, rests := newBook(), newBook()
-			leaves.Hear(before, s.connected, "r", advisory.Advice{Leaving: true, Said: s.said})
-			rests.Hear(before, s.connected, "r", advisory.Advice{Rest: long, Said: s.said})
+			leaves.Observe(before, s.connected, "r", advisory.Advice{Leaving: true, SentAt: s.said})
+			rests.Observe(before, s.connected, "r", advisory.Advice{Backoff: long, SentAt: s.said})
 			check := func(when string, leavingRests, rest clock.Millis) {
 				t.Helper()
-				if got, want := leaves.Of(next), (advisory.Standing{Life: next, Leaving: s.leaving, Rest: leavingRests}); got != want {
+				if got, want := leaves.Status(next), (advisory.Status{Incarnation: next, Leaving: s.leaving, Backoff: leavingRests}); got != want {
 					t.Errorf("%s, %s: leaves %+v, want %+v", s.name, when, got, want)
 				}
-				if got, want := rests.Of(next), (advisory.Standing{Life: next, Rest: rest}); got != want {
+				if got, want := rests.Status(next), (advisory.Status{Incarnation: next, Backoff: rest}); got != want {
 					t.Errorf("%s, %s: rests %+v, want %+v", s.name, when, got, want)
 				}
 			}
-			leaves.Follow(listed(next))
-			rests.Follow(listed(next))
+			leaves.SetDirectory(listed(next))
+			rests.SetDirectory(listed(next))
 			check("at once", s.leavingRests, s.rests)
 			time.Sleep(time.Second)
-			leaves.Follow(listed(next)) // a list of something else that is new
-			rests.Follow(listed(next))
+			leaves.SetDirectory(listed(next)) // a list of something else that is new
+			rests.SetDirectory(listed(next))
 			check("a second later", max(0, s.leavingRests-1000), max(0, s.rests-1000))
 			time.Sleep(3 * time.Second)
 			check("four seconds later", 0, max(0, s.rests-4000))
@@ -136,22 +136,22 @@
 func TestAShorterRestOfALifeThatWasNotReadYet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBook()
-		before, next := ids.Life{Target: "t", Start: 1_000_000}, ids.Life{Target: "t", Start: 2_000_000}
-		b.Hear(before, 1_500_000, "r", advisory.Advice{Rest: clock.Minute})
+		before, next := ids.TargetIncarnation{Target: "t", Start: 1_000_000}, ids.TargetIncarnation{Target: "t", Start: 2_000_000}
+		b.Observe(before, 1_500_000, "r", advisory.Advice{Backoff: clock.Minute})
 		for range 10 {
-			b.Hear(before, 2_010_000, "r", advisory.Advice{Rest: 3 * clock.Second})
+			b.Observe(before, 2_010_000, "r", advisory.Advice{Backoff: 3 * clock.Second})
 			time.Sleep(10 * time.Millisecond)
 		}
-		if got := b.Of(before).Rest; got != clock.Minute-100 {
+		if got := b.Status(before).Backoff; got != clock.Minute-100 {
 			t.Errorf("before it is read: %d ms", got)
 		}
-		if got := b.Of(next).Rest; got != 3*clock.Second-10 {
+		if got := b.Status(next).Backoff; got != 3*clock.Second-10 {
 			t.Errorf("of the new life: %d ms", got)
 		}
 	})
 }
 
-func listed(lives ...ids.Life) *routing.Directory {
+func listed(lives ...ids.TargetIncarnation) *routing.Directory {
 	var targets []*routing.Target
 	for _, l := range lives {
 		targets = append(targets, &routing.Target{ID: l.Target, Start: l.Start, Service: "s"})
@@ -165,24 +165,24 @@
 func TestTheWordOutlastsALapsedRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBook()
-		b.Hear(life, 0, "r", advisory.Advice{Leaving: true})
+		b.Observe(life, 0, "r", advisory.Advice{Leaving: true})
 		for range 60 {
 			time.Sleep(time.Second)
 			b.Prune(listed())
 		}
 		b.Prune(listed(life))
-		if !b.Of(life).Leaving {
+		if !b.Status(life).Leaving {
 			t.Error("forgotten while its row had lapsed for a minute")
 		}
-		next := ids.Life{Target: "t", Start: 6000}
+		next := ids.TargetIncarnation{Target: "t", Start: 6000}
 		time.Sleep(11 * time.Minute)
 		b.Prune(listed(life))
-		if !b.Of(life).Leaving {
+		if !b.Status(life).Leaving {
 			t.Error("forgotten while it is listed")
 		}
 		time.Sleep(11 * time.Minute)
 		b.Prune(listed(next))
-		if b.Of(life).Leaving || len(b.All()) > 0 {
+		if b.Status(life).Leaving || len(b.All()) > 0 {
 			t.Error("kept for ever")
 		}
 	})
@@ -192,18 +192,18 @@
 func TestWhatIsNewIsTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBook()
-		var told []advisory.Standing
-		b.OnHeard(func(s advisory.Standing) { told = append(told, s) })
+		var told []advisory.Status
+		b.OnChange(func(s advisory.Status) { told = append(told, s) })
 		for range 3 {
-			b.Hear(life, 0, "r", advisory.Advice{Leaving: true})
+			b.Observe(life, 0, "r", advisory.Advice{Leaving: true})
 		}
-		b.Hear(life, 0, "r", advisory.Advice{Rest: 3 * clock.Second})
-		b.Hear(life, 0, "r", advisory.Advice{Rest: clock.Second})
-		b.Hear(life, 0, "r", advisory.Advice{Rest: 4 * clock.Second})
-		want := []advisory.Standing{
-			{Life: life, Leaving: true},
-			{Life: life, Leaving: true, Rest: 3 * clock.Second},
-			{Life: life, Leaving: true, Rest: 4 * clock.Second},
+		b.Observe(life, 0, "r", advisory.Advice{Backoff: 3 * clock.Second})
+		b.Observe(life, 0, "r", advisory.Advice{Backoff: clock.Second})
+		b.Observe(life, 0, "r", advisory.Advice{Backoff: 4 * clock.Second})
+		want := []advisory.Status{
+			{Incarnation: life, Leaving: true},
+			{Incarnation: life, Leaving: true, Backoff: 3 * clock.Second},
+			{Incarnation: life, Leaving: true, Backoff: 4 * clock.Second},
 		}
 		if !slices.Equal(told, want) {
 			t.Errorf("told %+v, want %+v", told, want)
@@ -213,9 +213,9 @@
 
 // TestAnEntryWithoutABook: parts that are built without one hear nothing and forbid nothing.
 func TestAnEntryWithoutABook(t *testing.T) {
-	var b *advisory.Book
-	b.Hear(life, 0, "r", advisory.Advice{Leaving: true})
-	if b.Of(life).Bars() || b.All() != nil {
+	var b *advisory.Tracker
+	b.Observe(life, 0, "r", advisory.Advice{Leaving: true})
+	if b.Status(life).Blocks() || b.All() != nil {
 		t.Error("a book that is not there knows something")
 	}
 }
@@ -226,8 +226,8 @@
 	book := newBook()
 	b.ReportAllocs()
 	for b.Loop() {
-		book.Hear(life, 0, "r", advisory.Advice{})
-		if book.Of(life).Bars() {
+		book.Observe(life, 0, "r", advisory.Advice{})
+		if book.Status(life).Blocks() {
 			b.Fatal("barred")
 		}
 	}
@@ -237,11 +237,11 @@
 func BenchmarkAmongAHundred(b *testing.B) {
 	book := newBook()
 	for n := range 100 {
-		book.Hear(ids.Life{Target: ids.Target(fmt.Sprint("other", n))}, 0, "r", advisory.Advice{Leaving: true})
+		book.Observe(ids.TargetIncarnation{Target: ids.Target(fmt.Sprint("other", n))}, 0, "r", advisory.Advice{Leaving: true})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if book.Of(life).Bars() {
+		if book.Status(life).Blocks() {
 			b.Fatal("barred")
 		}
 	}
@@ -252,9 +252,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newBook()
 		for _, id := range []ids.Target{"again", "gone", "leaving", "ready"} {
-			b.Hear(ids.Life{Target: id, Start: 5000}, 0, "r", advisory.Advice{Leaving: true})
+			b.Observe(ids.TargetIncarnation{Target: id, Start: 5000}, 0, "r", advisory.Advice{Leaving: true})
 		}
-		b.Hear(ids.Life{Target: "resting", Start: 5000}, 0, "r", advisory.Advice{Rest: clock.Second})
+		b.Observe(ids.TargetIncarnation{Target: "resting", Start: 5000}, 0, "r", advisory.Advice{Backoff: clock.Second})
 		directory := routing.NewDirectory([]*routing.Target{
 			{ID: "again", Start: 6000, Service: "s"}, {ID: "leaving", Start: 5000, Service: "s", Leaving: true},
 			{ID: "ready", Start: 5000, Service: "s"}, {ID: "resting", Start: 5000, Service: "s"},
@@ -264,7 +264,7 @@
 			{Target: "gone", Start: 5000, Listed: "not listed", Leaving: true},
 			{Target: "leaving", Start: 5000, Service: "s", Listed: "leaving", Leaving: true},
 			{Target: "ready", Start: 5000, Service: "s", Listed: "ready", Leaving: true},
-			{Target: "resting", Start: 5000, Service: "s", Listed: "ready", Rest: clock.Second},
+			{Target: "resting", Start: 5000, Service: "s", Listed: "ready", Backoff: clock.Second},
 		}
 		if got := b.Reports(directory); !slices.Equal(got, want) {
 			t.Errorf("%+v, want %+v", got, want)
--- a/pkg/advisory/record.go
+++ b/pkg/advisory/record.go
@@ -14,19 +14,19 @@
 
 // record is the word of one life of a target, and, as long as its next one was not read, of that.
 type record struct {
-	life     ids.Life
+	life     ids.TargetIncarnation
 	leaving  bool
 	leftWith word // when leaving was last heard
 	// rests are the times of rest, the longest first. A shorter one that was asked for later may be the next life's, which
 	// the longer one says nothing of.
 	rests []rest
 	// limit is how many requests a second it takes, since when that stands, and when it last named a limit.
-	limit       ratelimit.Word
+	limit       ratelimit.Report
 	limitAt     clock.Millis
 	limitedWith word
 	listedAt    clock.Millis // when it was last listed, or heard
 	// next is the life that is listed in its place, and nextAt since when.
-	next   ids.Life
+	next   ids.TargetIncarnation
 	nextAt clock.Millis
 }
 
@@ -44,8 +44,8 @@
 }
 
 // takeLimit takes a word on the limit, which was another one before, and reports whether it changes that.
-func (r *record) takeLimit(now clock.Millis, before, w ratelimit.Word) bool {
-	r.limit = before.With(w)
+func (r *record) takeLimit(now clock.Millis, before, w ratelimit.Report) bool {
+	r.limit = before.Merge(w)
 	changed := r.limit.Differs(before)
 	if changed {
 		r.limitAt = now
@@ -76,14 +76,14 @@
 	return max(0, r.rests[0].until-now)
 }
 
-func (r *record) standing(now clock.Millis) Standing {
-	return Standing{Life: r.life, Leaving: r.leaving, Rest: r.restLeft(now), Limit: r.limit}
+func (r *record) standing(now clock.Millis) Status {
+	return Status{Incarnation: r.life, Leaving: r.leaving, Backoff: r.restLeft(now), Limit: r.limit}
 }
 
 // of returns what the record says of a life. An entry that had not read of a target's new start took its word for the
 // former life's. What may be either's is heeded for a short time, as a rest: without this a new life that leaves or rests
 // gets requests as soon as its row is read, and for longer it would keep a sound one from its work.
-func (r *record) of(life ids.Life, now clock.Millis) (leaving bool, left clock.Millis) {
+func (r *record) of(life ids.TargetIncarnation, now clock.Millis) (leaving bool, left clock.Millis) {
 	if r.life.Same(life) {
 		return r.leaving, r.restLeft(now)
 	}
@@ -108,7 +108,7 @@
 }
 
 // doubtLeft is for how long the word is heeded that may be a life's or its former one's.
-func (r *record) doubtLeft(life ids.Life, now clock.Millis) clock.Millis {
+func (r *record) doubtLeft(life ids.TargetIncarnation, now clock.Millis) clock.Millis {
 	if r.next != life {
 		return doubtFor
 	}
@@ -120,19 +120,19 @@
 	if listed == nil {
 		return
 	}
-	life := listed.Life()
+	life := listed.Incarnation()
 	if !r.life.Same(life) && r.next != life {
 		r.next, r.nextAt = life, now
 	}
 	leaving, _ := r.of(life, now)
-	if leaving || r.life.Same(life) && r.limit.Limits() {
+	if leaving || r.life.Same(life) && r.limit.IsLimited() {
 		r.listedAt = now
 	}
 }
 
 // over reports whether the record says nothing any more.
 func (r *record) over(now clock.Millis) bool {
-	stands := r.leaving || r.limit.Limits()
+	stands := r.leaving || r.limit.IsLimited()
 	fresh := r.limit.Known && now-r.limitAt <= keepLifted
 	return r.restLeft(now) <= 0 && !fresh && (!stands || now-r.listedAt > keepUnlisted)
 }
--- a/pkg/advisory/report.go
+++ b/pkg/advisory/report.go
@@ -18,25 +18,25 @@
 	// Listed is "ready", "leaving", "started again" or "not listed".
 	Listed  string       `json:"listed"`
 	Leaving bool         `json:"leaving"`
-	Rest    clock.Millis `json:"rest_ms"`
+	Backoff clock.Millis `json:"rest_ms"`
 	// Limit is how many requests a second it takes from all entries, 0 with Limited false if it names no limit.
 	Limited bool    `json:"limited,omitempty"`
 	Limit   float64 `json:"limit_per_second,omitempty"`
 }
 
 // Reports describes all targets that leave, rest or are limited by their own word, by their ids.
-func (b *Book) Reports(listed *routing.Directory) []Report {
+func (b *Tracker) Reports(listed *routing.Directory) []Report {
 	reports := []Report{}
 	for _, s := range b.All() {
-		if !s.Bars() && !s.Limit.Limits() {
+		if !s.Blocks() && !s.Limit.IsLimited() {
 			continue
 		}
-		r := Report{Target: s.Life.Target, Start: s.Life.Start, Listed: "not listed", Leaving: s.Leaving, Rest: s.Rest, Limited: s.Limit.Limits()}
+		r := Report{Target: s.Incarnation.Target, Start: s.Incarnation.Start, Listed: "not listed", Leaving: s.Leaving, Backoff: s.Backoff, Limited: s.Limit.IsLimited()}
 		if r.Limited {
 			r.Limit = float64(s.Limit.Rate)
 		}
-		if t := listed.Target(s.Life.Target); t != nil {
-			r.Service, r.Listed = t.Service, stateOf(t, s.Life)
+		if t := listed.Target(s.Incarnation.Target); t != nil {
+			r.Service, r.Listed = t.Service, stateOf(t, s.Incarnation)
 		}
 		reports = append(reports, r)
 	}
@@ -46,9 +46,9 @@
 	return reports
 }
 
-func stateOf(t *routing.Target, life ids.Life) string {
+func stateOf(t *routing.Target, life ids.TargetIncarnation) string {
 	switch {
-	case !t.Life().Same(life):
+	case !t.Incarnation().Same(life):
 		return "started again"
 	case t.Leaving:
 		return "leaving"
--- a/pkg/advisory/rest.go
+++ b/pkg/advisory/rest.go
@@ -19,7 +19,7 @@
 
 // ReadRest reads from the header of an answer for how long its target wants no requests, in ms: the longest time, if
 // there are several. The field is that of HTTP, with fractions of seconds besides.
-func ReadRest(h http.Header) clock.Millis {
+func ReadBackoff(h http.Header) clock.Millis {
 	var longest clock.Millis
 	for _, value := range h[headerRest] {
 		longest = max(longest, readRest(strings.TrimSpace(value), h))
--- a/pkg/agent/agent.go
+++ b/pkg/agent/agent.go
@@ -70,11 +70,11 @@
 	}
 	a.target = newTargetClient(c, a.rest)
 	a.gate = gate.New(incarnation, gate.Limits{
-		QueueTime: s.QueueTimeMS,
-		QueueMin:  s.QueueMinTokens,
-		GrantLife: s.GrantLifeMS,
-		FloorHold: s.FloorHoldMS,
-		Remember:  s.RememberMS,
+		QueueTime:     s.QueueTimeMS,
+		QueueMin:      s.QueueMinTokens,
+		GrantLifetime: s.GrantLifetimeMS,
+		FloorHold:     s.FloorHoldMS,
+		FateRetention: s.RememberMS,
 	}, c.Check)
 	a.server = &http.Server{Handler: a.handler(), ReadHeaderTimeout: headerTimeout.Duration()}
 	return a
@@ -83,7 +83,7 @@
 const headerTimeout = 10 * clock.Second
 
 // Apply takes a new configuration into force.
-func (a *Agent) Apply(book *declaration.Book) {
+func (a *Agent) Apply(book *declaration.Index) {
 	declared := book.Target(a.settings.Target)
 	var services []ids.Service
 	slots := 0
@@ -206,7 +206,7 @@
 	a.Log.WithField("rest_ms", int64(left)).Info("the target asks for rest")
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.gate.Rest(a.Clock.Now(), left)
+	a.gate.BackOff(a.Clock.Now(), left)
 	a.settle()
 }
 
@@ -216,7 +216,7 @@
 	now := a.Clock.Now()
 	for i, r := range args.Withdrawn {
 		if i < len(args.WithdrawnTurns) {
-			a.gate.WithdrawTurn(now, session, r, args.WithdrawnTurns[i])
+			a.gate.WithdrawUpTo(now, session, r, args.WithdrawnTurns[i])
 		} else {
 			a.gate.Withdraw(now, session, r)
 		}
--- a/pkg/agent/control_session.go
+++ b/pkg/agent/control_session.go
@@ -57,7 +57,7 @@
 }
 
 // Cancel stops the work of a grant whose caller has gone.
-func (s *controlSession) Cancel(args *control.OutcomeArgs, _ *control.Nothing) error {
+func (s *controlSession) Cancel(args *control.OutcomeArgs, _ *control.EmptyReply) error {
 	s.agent.cancel(args)
 	return nil
 }
--- a/pkg/agent/target_client.go
+++ b/pkg/agent/target_client.go
@@ -116,7 +116,7 @@
 		return fmt.Errorf("target not declared: %w", errNotReached)
 	}
 	p := &progress{log: log, closing: c.model}
-	row := resume.NewRow(maxResumes, t.Clock.Now())
+	row := resume.NewBreakStreak(maxResumes, t.Clock.Now())
 	response, err := t.send(ctx, target, c)
 	if errors.Is(err, errNotReached) {
 		return err
@@ -176,7 +176,7 @@
 	if response.StatusCode != http.StatusServiceUnavailable && response.StatusCode != http.StatusTooManyRequests {
 		return
 	}
-	if rest := advisory.ReadRest(response.Header); rest > 0 {
+	if rest := advisory.ReadBackoff(response.Header); rest > 0 {
 		t.rests(rest)
 	}
 }
--- a/pkg/app/advice_size_test.go
+++ b/pkg/app/advice_size_test.go
@@ -51,7 +51,7 @@
 			links := b.links("requests_withheld", "grants_withheld", "grants_declined", "placed_alone")
 			t.Logf("seed %d: %d entries, %d targets: served %.4f of %d, 95 in 100 within %v; %d turned away; %v; advice %.0f bytes a second and entry, asks %.0f",
 				1+seed, *adviceEntries, *adviceTargets, share, len(answers), ninetyFifth(answers), b.declined, links,
-				b.perSecond(packets.KindAdvice, length), b.perSecond(packets.KindAsk, length))
+				b.perSecond(packets.KindAdvice, length), b.perSecond(packets.KindJobSubmit, length))
 			if share < 0.97 {
 				t.Errorf("served %.3f", share)
 			}
--- a/pkg/app/configuration_handler.go
+++ b/pkg/app/configuration_handler.go
@@ -15,7 +15,7 @@
 	view    *view.View
 	applied func(*routing.Catalog)
 	orders  orderTaker // nil if roll-outs are no part of the deployment
-	domains *domains.Screen
+	domains *domains.Filter
 	faults  *follow.Faults
 	// faulty says that the newest row of the configuration cannot be used.
 	faulty bool
@@ -23,21 +23,21 @@
 
 // orderTaker takes the operators' rows with orders of roll-outs.
 type orderTaker interface {
-	take(rows []follow.Row, all bool, proof follow.Proof)
+	take(rows []follow.Row, all bool, proof follow.Freshness)
 }
 
 // Whole takes the configuration from the operators' rows.
-func (h *configurationHandler) Whole(rows []follow.Row, proof follow.Proof) {
+func (h *configurationHandler) Snapshot(rows []follow.Row, proof follow.Freshness) {
 	h.faults.Retain(rows)
 	h.change(rows, true, proof)
 }
 
 // Changed takes a newer configuration, if there is one.
-func (h *configurationHandler) Changed(rows []follow.Row, proof follow.Proof) {
+func (h *configurationHandler) Changed(rows []follow.Row, proof follow.Freshness) {
 	h.change(rows, false, proof)
 }
 
-func (h *configurationHandler) change(rows []follow.Row, all bool, proof follow.Proof) {
+func (h *configurationHandler) change(rows []follow.Row, all bool, proof follow.Freshness) {
 	if h.orders != nil {
 		h.orders.take(rows, all, proof)
 	}
@@ -46,7 +46,7 @@
 		switch {
 		case row.Key != platform.KeyConfiguration:
 		case row.Gone:
-			h.faults.Sound(row.Key)
+			h.faults.Clear(row.Key)
 		default:
 			h.take(row)
 		}
@@ -54,16 +54,16 @@
 	// A faulty row may stand over one that took a key away: what is in force stays so, but
 	// nothing proves it the newest, as while the store is away.
 	if !h.faulty {
-		h.view.Proven(proof.CurrentAt)
+		h.view.Confirmed(proof.CurrentAt)
 	}
 }
 
 // takeDrained takes the operators' rows that drain failure domains.
 func (h *configurationHandler) takeDrained(rows []follow.Row, all bool) {
-	var orders []domains.Order
+	var orders []domains.DrainOrder
 	for _, row := range rows {
 		if domain, is := platform.DrainedOf(row.Key); is {
-			orders = append(orders, domains.Order{Domain: domain, Drained: !row.Gone})
+			orders = append(orders, domains.DrainOrder{Domain: domain, Drained: !row.Gone})
 		}
 	}
 	if all {
@@ -78,10 +78,10 @@
 	catalog, err := platform.ParseConfiguration(row.Value)
 	h.faulty = err != nil
 	if err != nil {
-		h.faults.Note(row, err)
+		h.faults.Add(row, err)
 		return
 	}
-	h.faults.Sound(row.Key)
+	h.faults.Clear(row.Key)
 	if h.view.SetCatalog(catalog) {
 		h.Log.WithField("revision", int64(catalog.Revision)).Info("configuration in force")
 		h.applied(catalog)
@@ -89,4 +89,4 @@
 }
 
 // Lost does nothing: the configuration stays, and its proof grows old.
-func (h *configurationHandler) Lost(error) {}
+func (h *configurationHandler) ReadFailed(error) {}
--- a/pkg/app/crash_bed_test.go
+++ b/pkg/app/crash_bed_test.go
@@ -195,7 +195,7 @@
 		c.Log = bedLog().WithField("entry", i)
 	}
 	s := platform.Settings{
-		Node: ids.Process(fmt.Sprint("entry-", i)), IP: crashIP(i), Domain: b.entryDomain(i), Internal: []int{7600, 7615},
+		Process: ids.Process(fmt.Sprint("entry-", i)), IP: crashIP(i), Domain: b.entryDomain(i), Internal: []int{7600, 7615},
 		Listen: platform.Listen{Callers: crashIP(i) + ":80", Ready: crashIP(i) + ":81"},
 		Bounds: bounds,
 		Store:  platform.StoreSettings{Address: storeAddress(i)},
--- a/pkg/app/descriptor_limit.go
+++ b/pkg/app/descriptor_limit.go
@@ -18,7 +18,7 @@
 
 // descriptorLimit is how many descriptors the process may have for connections: what the
 // system and the VM's settings say, whichever is less.
-func descriptorLimit(c common.Common, limits platform.MachineLimits) int {
+func descriptorLimit(c common.Common, limits platform.VMLimits) int {
 	limit := usualDescriptors
 	var system syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &system); err != nil {
--- a/pkg/app/entries_handler.go
+++ b/pkg/app/entries_handler.go
@@ -24,10 +24,10 @@
 }
 
 // Whole takes all rows.
-func (h *entriesHandler) Whole(rows []follow.Row, proof follow.Proof) {
+func (h *entriesHandler) Snapshot(rows []follow.Row, proof follow.Freshness) {
 	d := h.divide(rows)
 	h.faults.Retain(d.requests)
-	h.members.Whole(d.entries, proof)
+	h.members.Snapshot(d.entries, proof)
 	h.takeRequests(d.requests, true)
 	if h.rollouts != nil {
 		h.rollouts.recordFaults.Retain(d.rollouts)
@@ -36,7 +36,7 @@
 }
 
 // Changed takes rows that have changed.
-func (h *entriesHandler) Changed(rows []follow.Row, proof follow.Proof) {
+func (h *entriesHandler) Changed(rows []follow.Row, proof follow.Freshness) {
 	d := h.divide(rows)
 	h.members.Changed(d.entries, proof)
 	h.takeRequests(d.requests, false)
@@ -46,7 +46,7 @@
 }
 
 // Lost tells of the loss; what is known of roll-outs and requests stays.
-func (h *entriesHandler) Lost(err error) { h.members.Lost(err) }
+func (h *entriesHandler) ReadFailed(err error) { h.members.ReadFailed(err) }
 
 // divided are the rows of the table by what they are about.
 type divided struct{ entries, rollouts, requests []follow.Row }
@@ -77,19 +77,19 @@
 	var gone []quarantine.Digest
 	for _, row := range rows {
 		if row.Gone {
-			h.faults.Sound(row.Key)
+			h.faults.Clear(row.Key)
 			gone = append(gone, goneDigest(row.Key)...)
 			continue
 		}
 		record, err := platform.ParseQuarantine(row)
 		if err != nil {
-			h.faults.Note(row, err)
+			h.faults.Add(row, err)
 			continue
 		}
-		h.faults.Sound(row.Key)
+		h.faults.Clear(row.Key)
 		records = append(records, record)
 	}
-	h.guard.TakeRows(records, gone, all)
+	h.guard.ApplyRows(records, gone, all)
 }
 
 // goneDigest returns the digest of a row that is gone, if its key has one.
--- a/pkg/app/entry_bounds.go
+++ b/pkg/app/entry_bounds.go
@@ -21,16 +21,16 @@
 	p.bounds.Store(&s.Bounds)
 	p.grace.Store(int64(seconds(s.Bounds.GraceSeconds)))
 	keys := p.keyTrust(s.Bounds)
-	p.controller.SetKeyTrust(keys)
-	p.members.SetTrust(keys.Most)
+	p.controller.SetKeyGrace(keys)
+	p.members.SetGrace(keys.Max)
 	p.retries.SetBounds(retryBounds(s.Bounds))
 	p.meter.SetBounds(quotaBounds(s.Bounds))
 }
 
-func (p *entryProcess) keyTrust(b platform.Bounds) ingress.KeyTrust {
-	keys := ingress.KeyTrust{Bound: b.Revoke, Strict: b.RevokeStrict}
+func (p *entryProcess) keyTrust(b platform.Bounds) ingress.KeyGrace {
+	keys := ingress.KeyGrace{Limit: b.Revoke, Strict: b.RevokeStrict}
 	if !keys.Strict && !p.Ablation.Off(ablation.KeyTrust) {
-		keys.Most = p.assuredTrust
+		keys.Max = p.assuredTrust
 	}
 	return keys
 }
@@ -38,7 +38,7 @@
 // exposure is what a version on trial may get.
 func (p *entryProcess) exposure() rollout.Bounds {
 	b := p.bounds.Load()
-	return rollout.Bounds{Share: b.ExposeShare, Slack: b.ExposeSlack, Stop: b.Rollback}
+	return rollout.Bounds{Fraction: b.ExposeFraction, Slack: b.ExposeSlack, Stop: b.Rollback}
 }
 
 // coldBounds bound what cold targets get.
--- a/pkg/app/entry_drain_test.go
+++ b/pkg/app/entry_drain_test.go
@@ -63,11 +63,15 @@
 	return ingress.Call{ID: h.Get("Id"), Deadline: clock.Millis(wait)}
 }
 
-func (drainDialect) Onward(h http.Header, _ ingress.Onward) http.Header { return h.Clone() }
+func (drainDialect) TargetHeaders(h http.Header, _ ingress.TargetCall) http.Header { return h.Clone() }
 
-func (drainDialect) Marks(h http.Header) forward.Marks { return forward.Marks{ID: h.Get("Id")} }
+func (drainDialect) AnswerMetadata(h http.Header) forward.AnswerMetadata {
+	return forward.AnswerMetadata{ID: h.Get("Id")}
+}
 
-func (drainDialect) Answer(from, to http.Header) { to.Set("Content-Type", from.Get("Content-Type")) }
+func (drainDialect) CopyAnswer(from, to http.Header) {
+	to.Set("Content-Type", from.Get("Content-Type"))
+}
 
 // noBounds bounds nothing.
 type noBounds struct{}
@@ -78,7 +82,7 @@
 func (noBounds) Return(*routing.Account, float64, clock.Millis) {}
 
 // Acquire gives the only target after a while.
-func (b *drainBed) Acquire(ctx context.Context, ask schedule.Ask) (schedule.Place, *schedule.Refused, error) {
+func (b *drainBed) Acquire(ctx context.Context, ask schedule.Request) (schedule.Assignment, *schedule.Refused, error) {
 	b.mu.Lock()
 	hold := b.holds[ask.Route]
 	b.mu.Unlock()
@@ -95,9 +99,9 @@
 func (drainPlace) Target() *routing.Target {
 	return &routing.Target{ID: "t", Service: "s", Address: drainTarget, Slots: 4}
 }
-func (drainPlace) Began(*planner.Load)                {}
-func (drainPlace) Moved() <-chan struct{}             { return nil }
-func (drainPlace) Done(planner.Outcome, planner.Flow) {}
+func (drainPlace) Began(*planner.Load)                       {}
+func (drainPlace) Moved() <-chan struct{}                    { return nil }
+func (drainPlace) Done(planner.Outcome, planner.StreamStats) {}
 
 func newDrainBed(t *testing.T, grace time.Duration) *drainBed {
 	b := &drainBed{t: t, reach: network.NewMemory(nil), drained: make(chan struct{}), takes: make(map[string]time.Duration), holds: make(map[ids.Route]time.Duration)}
@@ -108,14 +112,14 @@
 	p.grace.Store(grace.Milliseconds())
 	p.link = packets.NewLink(c, packets.NewMemory().Socket(address))
 	p.members = membership.New(c, membership.Self{Name: "entry-0", Address: address, Weight: 1, Domain: "d"}, commontest.NoRows{}, p.link)
-	p.members.Whole(drainListing(4), follow.Proof{})
+	p.members.Snapshot(drainListing(4), follow.Freshness{})
 	p.view.SetDirectory(routing.NewDirectory([]*routing.Target{drainPlace{}.Target()}))
 	p.view.SetCatalog(routing.NewCatalog(1, routing.Limits{BodyBytes: 1 << 16}, drainRoutes(), nil, nil))
-	p.view.Proven(c.Clock.Now())
-	p.pool = forward.NewPool(c, func(h map[string][]string) forward.Marks { return drainDialect{}.Marks(h) }, nil)
-	p.controller = ingress.NewController(ingress.Parts{
-		Common: c, View: p.view, Dialect: drainDialect{}, Scheduler: b, Pool: p.pool, Meter: noBounds{}, Entries: p.members,
-		Retries: quota.NewRetryBudget(quota.RetryBounds{Ratio: 0.2, Slack: 100, Window: 10 * clock.Second}, c.Clock.Now()-10*clock.Second), Keys: ingress.KeyTrust{Bound: clock.Minute},
+	p.view.Confirmed(c.Clock.Now())
+	p.pool = forward.NewPool(c, func(h map[string][]string) forward.AnswerMetadata { return drainDialect{}.AnswerMetadata(h) }, nil)
+	p.controller = ingress.NewController(ingress.Dependencies{
+		Common: c, View: p.view, HeaderCodec: drainDialect{}, Scheduler: b, Pool: p.pool, Meter: noBounds{}, Entries: p.members,
+		Retries: quota.NewRetryBudget(quota.RetryBounds{Ratio: 0.2, Slack: 100, Window: 10 * clock.Second}, c.Clock.Now()-10*clock.Second), Keys: ingress.KeyGrace{Limit: clock.Minute},
 	})
 	p.callers = ingress.NewServer(c, ingress.Handlers{Serve: p.controller, Context: p.controller.Context()}, descriptors.Divide(1024))
 	b.process = p
@@ -138,7 +142,7 @@
 		if name == "draft" {
 			r.Kind = routing.Stream
 		}
-		r.Split = []routing.Share{{Service: "s", Weight: 1}}
+		r.Split = []routing.WeightedService{{Service: "s", Weight: 1}}
 		routes = append(routes, r)
 	}
 	return routes
--- a/pkg/app/entry_figures.go
+++ b/pkg/app/entry_figures.go
@@ -18,7 +18,7 @@
 
 // metrics serves the figures as text, and the expvar counters.
 func (p *entryProcess) metrics() http.Handler {
-	f := p.Metrics.Figures
+	f := p.Metrics.Prometheus
 	f.Gauge("configuration_proof_age_seconds", func() float64 { return p.view.Age(p.Clock.Now()).Duration().Seconds() })
 	f.Gauge("configuration_revision", func() float64 {
 		if c := p.view.Catalog(); c != nil {
@@ -32,9 +32,9 @@
 		}
 		return 0
 	})
-	f.Gauge("targets_leaving_by_their_word", func() float64 { return p.advised(func(s advisory.Standing) bool { return s.Leaving }) })
-	f.Gauge("targets_resting_from_this_entry", func() float64 { return p.advised(func(s advisory.Standing) bool { return s.Rest > 0 }) })
-	f.Gauge("targets_limited_by_their_word", func() float64 { return p.advised(func(s advisory.Standing) bool { return s.Limit.Limits() }) })
+	f.Gauge("targets_leaving_by_their_word", func() float64 { return p.advised(func(s advisory.Status) bool { return s.Leaving }) })
+	f.Gauge("targets_resting_from_this_entry", func() float64 { return p.advised(func(s advisory.Status) bool { return s.Backoff > 0 }) })
+	f.Gauge("targets_limited_by_their_word", func() float64 { return p.advised(func(s advisory.Status) bool { return s.Limit.IsLimited() }) })
 	f.Gauge("targets_cold", p.coldTargets)
 	f.Gauge("entries_listed", func() float64 {
 		entries, _ := p.members.Entries()
@@ -46,7 +46,7 @@
 		}
 		return 0
 	})
-	f.Gauge("entries_backing", p.members.Backing)
+	f.Gauge("entries_backing", p.members.Agreement)
 	f.Gauge("requests_running", func() float64 { return float64(p.controller.Running()) })
 	f.Gauge("planner_waiting", func() float64 { waiting, _ := p.dispatcher.Planned(); return float64(waiting) })
 	f.Gauge("planner_running", func() float64 { _, running := p.dispatcher.Planned(); return float64(running) })
@@ -93,7 +93,7 @@
 }
 
 // advised is for how many targets something holds by their own word.
-func (p *entryProcess) advised(holds func(advisory.Standing) bool) float64 {
+func (p *entryProcess) advised(holds func(advisory.Status) bool) float64 {
 	count := 0.0
 	for _, s := range p.advice.All() {
 		if holds(s) {
--- a/pkg/app/entry_follow.go
+++ b/pkg/app/entry_follow.go
@@ -22,7 +22,7 @@
 // are: these may have read them already.
 func (p *entryProcess) followRest(ctx context.Context) {
 	select {
-	case <-p.members.Peopled():
+	case <-p.members.FirstListed():
 	case <-time.After(membersFirst.Duration()):
 		p.Log.WithField("read", p.members.Known()).Warn("no entry seen on the list yet; reading the other tables without it")
 	case <-ctx.Done():
@@ -40,7 +40,7 @@
 func (p *entryProcess) follower(table string, handler follow.Handler, options follow.Options) *follow.Follower {
 	c := p.Common
 	c.Log = c.Log.WithField("table", table)
-	return follow.NewFollower(c, p.board.Share(table, p.store.Table(table)), handler, options)
+	return follow.NewFollower(c, p.board.Source(table, p.store.Table(table)), handler, options)
 }
 
 // applied puts a configuration's limits in force and forgets what belongs to
--- a/pkg/app/entry_process.go
+++ b/pkg/app/entry_process.go
@@ -75,7 +75,7 @@
 	link       *packets.Link
 	meter      *metering.Meter
 	dispatcher *dispatch.Dispatcher
-	board      *bulletin.Board
+	board      *bulletin.Relay
 	callers    *ingress.Server
 	readiness  *http.Server
 	figures    *http.Server
@@ -83,9 +83,9 @@
 	grace      atomic.Int64 // from SIGTERM to the kill, in clock.Millis
 	bounds     atomic.Pointer[platform.Bounds]
 	guard      *quarantine.Guard
-	advice     *advisory.Book
+	advice     *advisory.Tracker
 	rollouts   *rollouts // nil if they are no part of the deployment
-	domains    *domains.Screen
+	domains    *domains.Filter
 	// assuredTrust is that of entryOptions.
 	assuredTrust clock.Millis
 	// descriptors is how many the process may have.
@@ -111,9 +111,9 @@
 	limitMemory(s.Limits.MemoryMB)
 	lines := telemetry.NewQueuedWriter(logs)
 	defer lines.Close()
-	c := newCommon(s.Node, lines)
+	c := newCommon(s.Process, lines)
 	c.Ablation = o.ablation
-	tracing, err := telemetry.NewTracing(context.Background(), o.trace, s.Node)
+	tracing, err := telemetry.NewTracing(context.Background(), o.trace, s.Process)
 	if err != nil {
 		return fmt.Errorf("tracing: %w", err)
 	}
@@ -187,19 +187,19 @@
 	p := &entryProcess{Common: c, settings: s, view: view.New(c.Check), assuredTrust: o.assuredTrust}
 	p.link = link
 	p.store = platform.NewStore(c.Network, s.Store.Address, func(call, outcome string) {
-		c.Metrics.Figures.Add("store_calls", "outcome", call+" "+outcome)
+		c.Metrics.Prometheus.Add("store_calls", "outcome", call+" "+outcome)
 	})
-	p.members = membership.New(c, membership.Self{Name: s.Node, Address: address, Weight: max(s.Limits.CPUShare, leastWeight), Domain: s.Domain}, p.store.Table(platform.TableMembers), link)
-	p.advice = advisory.NewBook(c)
-	p.view.Watch(p.advice.Follow)
-	p.pool = forward.NewPool(c, func(h map[string][]string) forward.Marks { return platform.Dialect{}.Marks(h) }, p.advice)
+	p.members = membership.New(c, membership.Self{Name: s.Process, Address: address, Weight: max(s.Limits.CPUShare, leastWeight), Domain: s.Domain}, p.store.Table(platform.TableMembers), link)
+	p.advice = advisory.NewTracker(c)
+	p.view.Watch(p.advice.SetDirectory)
+	p.pool = forward.NewPool(c, func(h map[string][]string) forward.AnswerMetadata { return platform.HeaderCodec{}.AnswerMetadata(h) }, p.advice)
 	p.meter = metering.New(c, quotaBounds(s.Bounds), p.view, p.members, link)
-	p.guard = quarantine.New(quarantine.Parts{Common: c, Address: address, Peers: p.members, Link: link, Store: p.store.Quarantine(), Leaves: p.leaves})
-	p.board = bulletin.NewBoard(c, p.members, link)
+	p.guard = quarantine.New(quarantine.Dependencies{Common: c, Address: address, Peers: p.members, Link: link, Store: p.store.Quarantine(), Leaves: p.leaves})
+	p.board = bulletin.NewRelay(c, p.members, link)
 	p.bounds.Store(&s.Bounds)
-	parts := dispatch.Parts{
+	parts := dispatch.Dependencies{
 		Common: c, Address: address, Domain: s.Domain, View: p.view, Members: p.members, Link: link,
-		Notes: p.store.Table(platform.TableNotes), Local: schedule.NewLocal(c, p.view, p.advice), Advice: p.advice,
+		Estimates: p.store.Table(platform.TableEstimates), Local: schedule.NewLocal(c, p.view, p.advice), Advice: p.advice,
 		ColdBounds: p.coldBounds,
 	}
 	listed := p.view.SetDirectory
@@ -208,20 +208,20 @@
 		listed = p.rollouts.screen.SetDirectory
 		parts.Rollouts = p.rollouts.parts(p.exposure, p.store.Rollouts(), p.guard)
 	}
-	p.domains = domains.NewScreen(c, listed)
+	p.domains = domains.NewFilter(c, listed)
 	p.dispatcher = dispatch.New(parts)
-	p.advice.OnHeard(p.dispatcher.Advise)
+	p.advice.OnChange(p.dispatcher.Advise)
 	p.retries = quota.NewRetryBudget(retryBounds(s.Bounds), c.Clock.Now())
 	p.grace.Store(int64(seconds(s.Bounds.GraceSeconds)))
 	p.descriptors = descriptorLimit(c, s.Limits)
 	shares := descriptors.Divide(p.descriptors)
-	p.controller = ingress.NewController(ingress.Parts{
-		Common: c, View: p.view, Dialect: platform.Dialect{}, Scheduler: p.scheduler(o.policy),
+	p.controller = ingress.NewController(ingress.Dependencies{
+		Common: c, View: p.view, HeaderCodec: platform.HeaderCodec{}, Scheduler: p.scheduler(o.policy),
 		Pool: p.pool, Meter: p.meter, Entries: p.members, Keys: p.keyTrust(s.Bounds),
-		Retries: p.retries, Guard: p.guard, Advice: p.advice, MostExtra: shares.Extra,
+		Retries: p.retries, Guard: p.guard, Advice: p.advice, MaxExtra: shares.Extra,
 	})
-	p.members.SetTrust(p.keyTrust(s.Bounds).Most)
-	handlers := ingress.Handlers{Serve: p.controller, TurnAway: http.HandlerFunc(p.controller.TurnAway), Context: p.controller.Context()}
+	p.members.SetGrace(p.keyTrust(s.Bounds).Max)
+	handlers := ingress.Handlers{Serve: p.controller, Reject: http.HandlerFunc(p.controller.Reject), Context: p.controller.Context()}
 	p.callers = ingress.NewServer(c, handlers, shares)
 	p.figures = &http.Server{Handler: p.metrics(), ReadHeaderTimeout: headerTimeout.Duration(), ErrorLog: ingress.NewServerLog(c)}
 	p.readiness = &http.Server{Handler: p.ready(http.StatusOK), ReadHeaderTimeout: headerTimeout.Duration(), ErrorLog: ingress.NewServerLog(c)}
@@ -229,7 +229,7 @@
 }
 
 // leaves reports whether a life of a target has said that it leaves.
-func (p *entryProcess) leaves(life ids.Life) bool { return p.advice.Of(life).Leaving }
+func (p *entryProcess) leaves(life ids.TargetIncarnation) bool { return p.advice.Status(life).Leaving }
 
 func (p *entryProcess) scheduler(policy schedule.Policy) schedule.Scheduler {
 	switch {
--- a/pkg/app/entry_stop.go
+++ b/pkg/app/entry_stop.go
@@ -45,7 +45,7 @@
 // everything.
 func stopAt(now, grace clock.Millis) ingress.Stop {
 	end := max(0, grace-endMargin)
-	return ingress.Stop{Narrows: now + min(leaveTime, end/2), Ends: now + end}
+	return ingress.Stop{RestrictsFrom: now + min(leaveTime, end/2), EndsAt: now + end}
 }
 
 // drain stops the entry without cutting a request: it is not ready any more,
@@ -56,13 +56,13 @@
 	stop := stopAt(p.Clock.Now(), clock.Millis(p.grace.Load()))
 	p.controller.Leave(stop)
 	p.members.Leave()
-	p.Clock.PauseUntil(context.Background(), stop.Narrows)
-	for p.door(stop.Ends).open() {
+	p.Clock.PauseUntil(context.Background(), stop.RestrictsFrom)
+	for p.door(stop.EndsAt).open() {
 		clock.Pause(context.Background(), doorEvery)
 	}
 	limited, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go p.end(limited, cancel, stop.Ends)
+	go p.end(limited, cancel, stop.EndsAt)
 	// Shutdown closes the listener and what rests, so that no request is taken
 	// that could not be ended in time.
 	err := p.callers.Shutdown(limited)
@@ -82,5 +82,5 @@
 }
 
 func (p *entryProcess) door(end clock.Millis) door {
-	return door{few: p.members.FewStay(), running: p.controller.RunningFromBefore(), left: end - p.Clock.Now()}
+	return door{few: p.members.MinorityRemains(), running: p.controller.RunningUnrestricted(), left: end - p.Clock.Now()}
 }
--- a/pkg/app/entry_stop_test.go
+++ b/pkg/app/entry_stop_test.go
@@ -41,8 +41,8 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			got := stopAt(now, s.grace)
-			if got.Narrows != now+s.wantNarrows || got.Ends != now+s.wantEnds {
-				t.Errorf("less is taken after %d ms, ends after %d ms; want %d, %d", got.Narrows-now, got.Ends-now, s.wantNarrows, s.wantEnds)
+			if got.RestrictsFrom != now+s.wantNarrows || got.EndsAt != now+s.wantEnds {
+				t.Errorf("less is taken after %d ms, ends after %d ms; want %d, %d", got.RestrictsFrom-now, got.EndsAt-now, s.wantNarrows, s.wantEnds)
 			}
 		})
 	}
--- a/pkg/app/foreign_rows_test.go
+++ b/pkg/app/foreign_rows_test.go
@@ -48,25 +48,25 @@
 		t.Run(d.name, func(t *testing.T) {
 			c := commontest.New(network.NewMemory(nil))
 			v := view.New(c.Check)
-			h := &configurationHandler{Common: c, view: v, applied: func(*routing.Catalog) {}, domains: domains.NewScreen(c, v.SetDirectory), faults: follow.NewFaults(c, "configuration")}
-			h.Whole([]follow.Row{soundConfiguration(7)}, follow.Proof{CurrentAt: 100})
-			for i, take := range []func([]follow.Row, follow.Proof){h.Changed, h.Whole} {
+			h := &configurationHandler{Common: c, view: v, applied: func(*routing.Catalog) {}, domains: domains.NewFilter(c, v.SetDirectory), faults: follow.NewFaults(c, "configuration")}
+			h.Snapshot([]follow.Row{soundConfiguration(7)}, follow.Freshness{CurrentAt: 100})
+			for i, take := range []func([]follow.Row, follow.Freshness){h.Changed, h.Snapshot} {
 				now := clock.Millis(200 * (i + 1))
-				take([]follow.Row{configurationRow(8, d.document)}, follow.Proof{CurrentAt: now})
+				take([]follow.Row{configurationRow(8, d.document)}, follow.Freshness{CurrentAt: now})
 				if v.Catalog().Revision != 7 || v.Catalog().Route("h", "/x") == nil {
 					t.Errorf("revision %d is in force", v.Catalog().Revision)
 				}
-				h.Changed(nil, follow.Proof{CurrentAt: now})
+				h.Changed(nil, follow.Freshness{CurrentAt: now})
 				// The row may have taken the place of one that took a key away.
 				if age := v.Age(now); age != now-100 {
 					t.Errorf("what is in force was proven %d ms ago", age)
 				}
-				if h.faults.Standing() != 1 {
+				if h.faults.Count() != 1 {
 					t.Error("it is not shown")
 				}
 			}
-			h.Changed([]follow.Row{soundConfiguration(9)}, follow.Proof{CurrentAt: 500})
-			if v.Catalog().Revision != 9 || h.faults.Standing() != 0 || v.Age(500) != 0 {
+			h.Changed([]follow.Row{soundConfiguration(9)}, follow.Freshness{CurrentAt: 500})
+			if v.Catalog().Revision != 9 || h.faults.Count() != 0 || v.Age(500) != 0 {
 				t.Errorf("revision %d is in force after the next one", v.Catalog().Revision)
 			}
 		})
@@ -87,18 +87,18 @@
 			row := func(document string, version int64) []follow.Row {
 				return []follow.Row{{Key: platform.RecordKey("s"), Value: []byte(document), Version: version}}
 			}
-			r.take(row(`{"service":"s","target_version":"v1","duration_s":9}`, 5), true, follow.Proof{Version: 5})
+			r.take(row(`{"service":"s","target_version":"v1","duration_s":9}`, 5), true, follow.Freshness{Version: 5})
 			for _, whole := range []bool{false, true, true} {
-				r.take(row(document, 6), whole, follow.Proof{Version: 6})
+				r.take(row(document, 6), whole, follow.Freshness{Version: 6})
 				if o, known := r.book.Order("s"); !known || o.Version != "v1" || o.Placed != 5 {
 					t.Errorf("order %+v, known %t, after a whole read %t", o, known, whole)
 				}
 			}
-			if r.orderFaults.Standing() != 1 {
+			if r.orderFaults.Count() != 1 {
 				t.Error("it is not shown")
 			}
-			r.take(row(`{"target_version":"v3","duration_s":9}`, 7), false, follow.Proof{Version: 7})
-			if o, _ := r.book.Order("s"); o.Version != "v3" || r.orderFaults.Standing() != 0 {
+			r.take(row(`{"target_version":"v3","duration_s":9}`, 7), false, follow.Freshness{Version: 7})
+			if o, _ := r.book.Order("s"); o.Version != "v3" || r.orderFaults.Count() != 0 {
 				t.Errorf("the next order is %+v", o)
 			}
 		})
@@ -114,16 +114,16 @@
 		t.Run(document, func(t *testing.T) {
 			c := commontest.New(network.NewMemory(nil))
 			r := newRollouts(c, view.New(c.Check))
-			r.takeRecords([]follow.Row{{Key: platform.RecordKey("s"), Value: []byte(document), Version: 6}}, follow.Proof{Version: 6})
+			r.takeRecords([]follow.Row{{Key: platform.RecordKey("s"), Value: []byte(document), Version: 6}}, follow.Freshness{Version: 6})
 			for _, service := range r.book.Services() {
 				t.Errorf("a record of service %s", service)
 			}
-			if r.recordFaults.Standing() != 1 {
+			if r.recordFaults.Count() != 1 {
 				t.Error("it is not shown")
 			}
 			sound := `{"service":"s","version":"v2","order":5,"state":1}`
-			r.takeRecords([]follow.Row{{Key: platform.RecordKey("s"), Value: []byte(sound), Version: 7}}, follow.Proof{Version: 7})
-			r.takeRecords([]follow.Row{{Key: platform.RecordKey("s"), Value: []byte(document), Version: 8}}, follow.Proof{Version: 8})
+			r.takeRecords([]follow.Row{{Key: platform.RecordKey("s"), Value: []byte(sound), Version: 7}}, follow.Freshness{Version: 7})
+			r.takeRecords([]follow.Row{{Key: platform.RecordKey("s"), Value: []byte(document), Version: 8}}, follow.Freshness{Version: 8})
 			// The next state is written under the condition that the row has its revision.
 			if known, _ := r.book.Record("s"); known.Version != "v2" || known.State != rollout.Running || known.Written != 8 {
 				t.Errorf("decided is %+v", known)
--- a/pkg/app/process.go
+++ b/pkg/app/process.go
@@ -98,7 +98,7 @@
 	return nil
 }
 
-func (p *Process) apply(book *declaration.Book) {
+func (p *Process) apply(book *declaration.Index) {
 	for _, a := range p.agents {
 		a.Apply(book)
 	}
@@ -111,7 +111,7 @@
 	if p.entry != nil {
 		return p.entry.Ready()
 	}
-	if p.follower.Book() == nil {
+	if p.follower.Index() == nil {
 		return refusal.Starting()
 	}
 	return nil
--- a/pkg/app/rollout_bed_test.go
+++ b/pkg/app/rollout_bed_test.go
@@ -173,7 +173,7 @@
 	now := p.Clock.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
 	defer cancel()
-	ask := schedule.Ask{Service: bedService, Job: planner.Job{
+	ask := schedule.Request{Service: bedService, Job: planner.Job{
 		Arrived: now, Objective: clock.Second, Deadline: now + 15*clock.Second, Events: guess, Gap: 400, Movable: route.movable, Route: route.name, Tier: ids.TierRank(n),
 	}}
 	place, refused, err := p.dispatcher.Acquire(ctx, ask)
@@ -190,13 +190,13 @@
 }
 
 // run is a request at its target.
-func (b *rolloutBed) run(entry int, place schedule.Place, route ids.Route, errors float64, events int, movable bool, random *rand.Rand) {
+func (b *rolloutBed) run(entry int, place schedule.Assignment, route ids.Route, errors float64, events int, movable bool, random *rand.Rand) {
 	b.mu.Lock()
 	e := b.engines[place.Target().ID]
 	select {
 	case <-e.stopped:
 		b.mu.Unlock()
-		place.Done(planner.Unreached, planner.Flow{})
+		place.Done(planner.Unreached, planner.StreamStats{})
 		return
 	default:
 	}
@@ -243,7 +243,7 @@
 	if failed {
 		outcome = planner.Failed
 	}
-	place.Done(outcome, planner.Flow{Events: events})
+	place.Done(outcome, planner.StreamStats{Events: events})
 }
 
 // arrive counts a request that has reached a target; the lock is held.
--- a/pkg/app/rollout_crash_test.go
+++ b/pkg/app/rollout_crash_test.go
@@ -75,7 +75,7 @@
 		entry := b.entries[random.IntN(len(b.entries))]
 		b.mu.Unlock()
 		b.startAgain(e.id, newVersion)
-		entry.process.guard.Ended(quarantine.Run{Request: request, Life: ids.Life{Target: e.id, Start: e.start}, Again: ended > 0})
+		entry.process.guard.Ended(quarantine.Run{Request: request, Incarnation: ids.TargetIncarnation{Target: e.id, Start: e.start}, Again: ended > 0})
 		ended++
 	}
 	if ended < 3 {
--- a/pkg/app/rollout_entries_test.go
+++ b/pkg/app/rollout_entries_test.go
@@ -52,15 +52,15 @@
 	ctx, stop := context.WithCancel(context.Background())
 	link := packets.NewLink(c, scatteredSocket{Socket: b.datagrams.Socket(entryAddress(i)), by: b.scattered, at: entryAddress(i)})
 	p := &entryProcess{Common: c, view: view.New(c.Check), link: link}
-	p.bounds.Store(&platform.Bounds{ExposeShare: exposeShare, ExposeSlack: exposeSlack, Rollback: rollbackTime})
+	p.bounds.Store(&platform.Bounds{ExposeFraction: exposeShare, ExposeSlack: exposeSlack, Rollback: rollbackTime})
 	p.store = platform.NewStore(scatteredNetwork{Network: b.net, by: b.scattered, name: name}, storeAddress(i), func(string, string) {})
 	p.members = membership.New(c, membership.Self{Name: ids.Process(fmt.Sprint("entry-", i)), Address: entryAddress(i), Weight: 1, Domain: "d"}, p.store.Table(platform.TableMembers), link)
-	p.board = bulletin.NewBoard(c, p.members, link)
+	p.board = bulletin.NewRelay(c, p.members, link)
 	p.rollouts = newRollouts(c, p.view)
-	p.domains = domains.NewScreen(c, p.rollouts.screen.SetDirectory)
-	p.guard = quarantine.New(quarantine.Parts{Common: c, Address: entryAddress(i), Peers: p.members, Link: link, Store: p.store.Quarantine()})
-	p.dispatcher = dispatch.New(dispatch.Parts{
-		Common: c, Address: entryAddress(i), Domain: "d", View: p.view, Members: p.members, Link: link, Notes: p.store.Table(platform.TableNotes),
+	p.domains = domains.NewFilter(c, p.rollouts.screen.SetDirectory)
+	p.guard = quarantine.New(quarantine.Dependencies{Common: c, Address: entryAddress(i), Peers: p.members, Link: link, Store: p.store.Quarantine()})
+	p.dispatcher = dispatch.New(dispatch.Dependencies{
+		Common: c, Address: entryAddress(i), Domain: "d", View: p.view, Members: p.members, Link: link, Estimates: p.store.Table(platform.TableEstimates),
 		Local: schedule.NewLocal(c, p.view, nil), Rollouts: p.rollouts.parts(p.exposure, p.store.Rollouts(), p.guard),
 	})
 	peers, err := others.Listen(entryAddress(i).String())
--- a/pkg/app/rollout_play_test.go
+++ b/pkg/app/rollout_play_test.go
@@ -148,7 +148,7 @@
 		if e == nil {
 			continue
 		}
-		home, _ := e.process.members.HeavyHome("targets/" + bedService)
+		home, _ := e.process.members.HeavyOwner("targets/" + bedService)
 		for i := range b.entries {
 			if entryAddress(i) == home {
 				return i
--- a/pkg/app/rollouts.go
+++ b/pkg/app/rollouts.go
@@ -16,28 +16,28 @@
 // rollouts keeps what an entry knows of roll-outs, and sorts the list of targets by it.
 type rollouts struct {
 	common.Common
-	book   *rollout.Book
-	screen *rollout.Screen
+	book   *rollout.Tracker
+	screen *rollout.Filter
 	// orderFaults and recordFaults are about the rows of the two tables that tell of roll-outs.
 	orderFaults  *follow.Faults
 	recordFaults *follow.Faults
 }
 
 func newRollouts(c common.Common, v *view.View) *rollouts {
-	book := rollout.NewBook()
+	book := rollout.NewTracker()
 	return &rollouts{
-		Common: c, book: book, screen: rollout.NewScreen(book, v.SetDirectory),
+		Common: c, book: book, screen: rollout.NewFilter(book, v.SetDirectory),
 		orderFaults: follow.NewFaults(c, "orders of roll-outs"), recordFaults: follow.NewFaults(c, "records of roll-outs"),
 	}
 }
 
 // parts is what the dispatcher needs of it.
 func (r *rollouts) parts(bounds func() rollout.Bounds, store dispatch.RolloutStore, g *quarantine.Guard) *dispatch.Rollouts {
-	return &dispatch.Rollouts{Book: r.book, Bounds: bounds, Store: store, Changed: r.screen.Changed, Excused: g.EndedLives}
+	return &dispatch.Rollouts{Tracker: r.book, Bounds: bounds, Store: store, Changed: r.screen.Changed, Excused: g.EndedIncarnations}
 }
 
 // take takes the operators' orders.
-func (r *rollouts) take(rows []follow.Row, all bool, proof follow.Proof) {
+func (r *rollouts) take(rows []follow.Row, all bool, proof follow.Freshness) {
 	var orders []rollout.Order
 	var gone []ids.Service
 	if all {
@@ -49,16 +49,16 @@
 		case !is:
 		case row.Gone:
 			gone = append(gone, service)
-			r.orderFaults.Sound(row.Key)
+			r.orderFaults.Clear(row.Key)
 			r.Log.WithField("service", string(service)).Info("order of a roll-out gone")
 		default:
 			o, err := platform.ParseOrder(row)
 			if err != nil {
-				r.orderFaults.Note(row, err)
+				r.orderFaults.Add(row, err)
 				orders = append(orders, r.standing(service)...)
 				continue
 			}
-			r.orderFaults.Sound(row.Key)
+			r.orderFaults.Clear(row.Key)
 			orders = append(orders, o)
 			r.logOrder(o)
 		}
@@ -68,7 +68,7 @@
 		r.screen.Changed()
 		return
 	}
-	r.screen.Proven()
+	r.screen.Confirmed()
 }
 
 // standing returns the order of a service that stays in force while its row cannot be used.
@@ -86,19 +86,19 @@
 	}
 }
 
-func (r *rollouts) proved(p follow.Proof) rollout.Proof {
-	return rollout.Proof{Read: r.Clock.Now(), At: p.CurrentAt, Store: p.StoreTime, Up: rollout.Revision(p.Version)}
+func (r *rollouts) proved(p follow.Freshness) rollout.Freshness {
+	return rollout.Freshness{ReadAt: r.Clock.Now(), At: p.CurrentAt, StoreTime: p.StoreTime, Revision: rollout.Revision(p.Version)}
 }
 
 // errOtherKey is the fault of a record that stands under the key of another service.
 var errOtherKey = errors.New("record of a roll-out: of another service than its row")
 
 // takeRecords takes what has been decided. A record that is gone stays decided.
-func (r *rollouts) takeRecords(rows []follow.Row, proof follow.Proof) {
+func (r *rollouts) takeRecords(rows []follow.Row, proof follow.Freshness) {
 	var records []rollout.Record
 	for _, row := range rows {
 		if row.Gone {
-			r.recordFaults.Sound(row.Key)
+			r.recordFaults.Clear(row.Key)
 			continue
 		}
 		record, err := rollout.DecodeRecord(row.Value, rollout.Revision(row.Version))
@@ -106,11 +106,11 @@
 			err = errOtherKey
 		}
 		if err != nil {
-			r.recordFaults.Note(row, err)
+			r.recordFaults.Add(row, err)
 			records = append(records, r.overwriting(row)...)
 			continue
 		}
-		r.recordFaults.Sound(row.Key)
+		r.recordFaults.Clear(row.Key)
 		r.logState(record)
 		records = append(records, record)
 	}
--- a/pkg/balance/affinity.go
+++ b/pkg/balance/affinity.go
@@ -29,12 +29,12 @@
 	costs := make([]float64, len(candidates))
 	held := false
 	for i := range candidates {
-		blocks := c.holdings.Held(candidates[i].Target, job.Prefix)
+		blocks := c.holdings.CachedBlocks(candidates[i].Target, job.Prefix)
 		held = held || blocks > 0
 		costs[i] = candidates[i].affineCost(job) - candidates[i].saved(float64(blocks))
 	}
 	if !held {
-		home := prefix.Home(job.Prefix[0], placesOf(candidates))
+		home := prefix.Owner(job.Prefix[0], placesOf(candidates))
 		costs[home] -= candidates[home].saved(float64(len(job.Prefix)))
 	}
 	slices.SortStableFunc(order, func(i, j int) int {
@@ -54,11 +54,11 @@
 
 // placesOf lists the candidates as homes of prompts, the faster ones with more
 // room for them.
-func placesOf(candidates []Candidate) []prefix.Place {
-	places := make([]prefix.Place, len(candidates))
+func placesOf(candidates []Candidate) []prefix.WeightedTarget {
+	places := make([]prefix.WeightedTarget, len(candidates))
 	for i := range candidates {
 		unit := max(1, candidates[i].Load.UnitMicros)
-		places[i] = prefix.Place{Target: candidates[i].Target, Weight: 1 / float64(unit)}
+		places[i] = prefix.WeightedTarget{Target: candidates[i].Target, Weight: 1 / float64(unit)}
 	}
 	return places
 }
--- a/pkg/balance/chooser.go
+++ b/pkg/balance/chooser.go
@@ -18,7 +18,7 @@
 	asked  int
 	lag    clock.Millis
 	// holdings is what this entry has lately sent where.
-	holdings *prefix.Holdings
+	holdings *prefix.CacheEstimate
 
 	mu      sync.Mutex
 	turns   map[ids.Service]int
@@ -35,7 +35,7 @@
 // lag is how old the load is that a baseline decides on.
 func NewChooser(policy Policy, asked int, lag clock.Millis) *Chooser {
 	return &Chooser{
-		policy: policy, asked: asked, lag: lag, holdings: prefix.NewHoldings(),
+		policy: policy, asked: asked, lag: lag, holdings: prefix.NewCacheEstimate(),
 		turns: make(map[ids.Service]int), reports: make(map[ids.Target]report),
 	}
 }
@@ -70,8 +70,8 @@
 }
 
 // Bound notes that a job with the given prefix was bound to a target.
-func (c *Chooser) Bound(target ids.Target, chain []prefix.Fingerprint) {
-	c.holdings.Note(target, chain)
+func (c *Chooser) RecordBinding(target ids.Target, chain []prefix.Fingerprint) {
+	c.holdings.Record(target, chain)
 }
 
 func (c *Chooser) inTurn(service ids.Service, n int) []int {
--- a/pkg/balance/chooser_test.go
+++ b/pkg/balance/chooser_test.go
@@ -59,7 +59,7 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			c := balance.NewChooser(balance.LateBinding{}, 2, 0)
-			c.Bound(s.held, s.job.Prefix)
+			c.RecordBinding(s.held, s.job.Prefix)
 			for seed := range uint64(20) {
 				order := c.Order(0, rand.New(rand.NewPCG(seed, 0)), s.job, s.candidates)
 				if got := s.candidates[order[0]].Target; got != s.first {
--- a/pkg/bulletin/bed_test.go
+++ b/pkg/bulletin/bed_test.go
@@ -88,7 +88,7 @@
 	}
 }
 
-func (c client) Whole(ctx context.Context) (follow.Batch, error) {
+func (c client) Snapshot(ctx context.Context) (follow.Batch, error) {
 	b, _ := c.since(0)
 	return b, c.call(ctx)
 }
@@ -141,9 +141,9 @@
 	return known
 }
 
-func (e *entry) Whole(rows []follow.Row, p follow.Proof) { e.Changed(rows, p) }
+func (e *entry) Snapshot(rows []follow.Row, p follow.Freshness) { e.Changed(rows, p) }
 
-func (e *entry) Changed(rows []follow.Row, p follow.Proof) {
+func (e *entry) Changed(rows []follow.Row, p follow.Freshness) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, r := range rows {
@@ -155,7 +155,7 @@
 	e.provenAt = max(e.provenAt, p.CurrentAt)
 }
 
-func (e *entry) Lost(error) {}
+func (e *entry) ReadFailed(error) {}
 
 func (e *entry) proven() clock.Millis {
 	e.mu.Lock()
@@ -288,17 +288,17 @@
 func (b *bed) run(t *testing.T, i int) {
 	t.Helper()
 	m, board := b.build(t, i)
-	m.Whole(b.listed, follow.Proof{})
+	m.Snapshot(b.listed, follow.Freshness{})
 	b.follow(i, m, board)
 }
 
 // build starts an entry that knows nothing and follows nothing.
-func (b *bed) build(t *testing.T, i int) (*membership.Members, *bulletin.Board) {
+func (b *bed) build(t *testing.T, i int) (*membership.Members, *bulletin.Relay) {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	link := packets.NewLink(b.Common, b.net.Socket(address(i)))
 	m := membership.New(b.Common, membership.Self{Name: ids.Process(fmt.Sprint("entry-", i)), Address: address(i), Weight: 1}, commontest.NoRows{}, link)
-	board := bulletin.NewBoard(b.Common, m, link)
+	board := bulletin.NewRelay(b.Common, m, link)
 	go link.Run(ctx)
 	listener, err := b.Network.Listen(address(i).String())
 	if err != nil {
@@ -311,10 +311,10 @@
 }
 
 // follow has an entry take part and follow the table.
-func (b *bed) follow(i int, m *membership.Members, board *bulletin.Board) {
+func (b *bed) follow(i int, m *membership.Members, board *bulletin.Relay) {
 	ctx := b.contexts[i]
 	e := newEntry()
-	f := follow.NewFollower(b.Common, board.Share("t", client{b.store, i}), e, follow.Options{Wait: 1200, Answer: 800})
+	f := follow.NewFollower(b.Common, board.Source("t", client{b.store, i}), e, follow.Options{Wait: 1200, Answer: 800})
 	b.entries[i] = e
 	go m.Run(ctx)
 	go board.Run(ctx)
@@ -322,7 +322,7 @@
 }
 
 func (b *bed) reader() int {
-	at, _ := b.members[0].Home("store")
+	at, _ := b.members[0].Owner("store")
 	for i := range b.members {
 		if at == address(i) {
 			return i
--- a/pkg/bulletin/bulletin.go
+++ b/pkg/bulletin/bulletin.go
@@ -25,10 +25,10 @@
 	// may be lost.
 	silentAfter = 850 * clock.Millisecond
 	// ReaderWait is how long the reader lets the store hold a question.
-	ReaderWait = 1000 * clock.Millisecond
+	MaxStoreWait = 1000 * clock.Millisecond
 	// oldAfter is from what age on the reader's news are not relied on: it has
 	// lost the store, which others may still reach.
-	oldAfter = ReaderWait + 300*clock.Millisecond
+	oldAfter = MaxStoreWait + 300*clock.Millisecond
 	// repeatFor is for how long a change is repeated with each message.
 	repeatFor = 700 * clock.Millisecond
 	// maxRows bounds the bytes of changes in one message. Larger changes are
@@ -64,7 +64,7 @@
 }
 
 // Board is an entry's part: it tells as the reader, and listens otherwise.
-type Board struct {
+type Relay struct {
 	common.Common
 	members *membership.Members
 	link    *packets.Link
@@ -94,16 +94,16 @@
 }
 
 // NewBoard returns a board without news.
-func NewBoard(c common.Common, members *membership.Members, link *packets.Link) *Board {
-	b := &Board{Common: c, members: members, link: link, tables: make(map[string]*table), answering: make(chan struct{})}
-	link.Handle(packets.KindBulletin, packets.Receive(link, b.hear))
-	link.Handle(packets.KindInquiry, packets.Receive(link, b.inquired))
+func NewRelay(c common.Common, members *membership.Members, link *packets.Link) *Relay {
+	b := &Relay{Common: c, members: members, link: link, tables: make(map[string]*table), answering: make(chan struct{})}
+	link.Handle(packets.KindFeedState, packets.Receive(link, b.hear))
+	link.Handle(packets.KindFeedQuery, packets.Receive(link, b.inquired))
 	return b
 }
 
 // Run tells the others how things stand, as long as this entry is the reader or stands
 // in for it, and asks a few of them while it hears nothing, until ctx ends.
-func (b *Board) Run(ctx context.Context) {
+func (b *Relay) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Pause(ctx, every)
 		b.tellAll()
@@ -112,17 +112,17 @@
 }
 
 // reads reports whether this entry is the reader.
-func (b *Board) reads() bool {
+func (b *Relay) reads() bool {
 	if b.Ablation.Off(ablation.OneReader) {
 		return true
 	}
-	rank, _ := b.members.ReaderOrder(matter)
+	rank, _ := b.members.FeedReaderRank(matter)
 	return rank == 0
 }
 
 // noteStore notes whether the store has answered a question.
-func (b *Board) noteStore(answered bool) {
-	b.members.NoteStore(answered)
+func (b *Relay) noteStore(answered bool) {
+	b.members.RecordStoreReply(answered)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if answered && b.failing {
@@ -132,7 +132,7 @@
 	b.failing = !answered
 }
 
-func (b *Board) table(name string) *table {
+func (b *Relay) table(name string) *table {
 	t := b.tables[name]
 	if t == nil {
 		t = &table{news: make(chan struct{}), begunAt: b.Clock.Now()}
@@ -165,7 +165,7 @@
 	return t.readAt > 0 && now-t.readAt <= oldAfter
 }
 
-func (b *Board) tellAll() {
+func (b *Relay) tellAll() {
 	reads := b.reads()
 	now := b.Clock.Now()
 	var messages []message
@@ -189,18 +189,18 @@
 	return m
 }
 
-func (b *Board) send(messages []message) {
+func (b *Relay) send(messages []message) {
 	if len(messages) == 0 {
 		return
 	}
 	for _, to := range b.members.Others() {
 		for _, m := range messages {
-			b.link.Send(to, packets.KindBulletin, m)
+			b.link.Send(to, packets.KindFeedState, m)
 		}
 	}
 }
 
-func (b *Board) hear(from netip.AddrPort, m *message) {
+func (b *Relay) hear(from netip.AddrPort, m *message) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.table(m.Table)
@@ -215,7 +215,7 @@
 }
 
 // publish notes an answer of the store, and tells a change at once.
-func (b *Board) publish(name string, after int64, batch follow.Batch) {
+func (b *Relay) publish(name string, after int64, batch follow.Batch) {
 	reads := b.reads()
 	now := b.Clock.Now()
 	b.mu.Lock()
@@ -227,7 +227,7 @@
 }
 
 // whole notes that the whole table was read.
-func (b *Board) whole(name string, batch follow.Batch) {
+func (b *Relay) whole(name string, batch follow.Batch) {
 	reads := b.reads()
 	now := b.Clock.Now()
 	b.mu.Lock()
@@ -255,7 +255,7 @@
 }
 
 // learned notes what was heard of others, to pass it on.
-func (b *Board) learned(name string, after int64, batch follow.Batch, currentAt clock.Millis) {
+func (b *Relay) learned(name string, after int64, batch follow.Batch, currentAt clock.Millis) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.table(name)
@@ -264,7 +264,7 @@
 }
 
 // adopted notes a whole table that another entry passed on.
-func (b *Board) adopted(name string, batch follow.Batch, currentAt clock.Millis) {
+func (b *Relay) adopted(name string, batch follow.Batch, currentAt clock.Millis) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.table(name)
--- a/pkg/bulletin/bulletin_test.go
+++ b/pkg/bulletin/bulletin_test.go
@@ -48,7 +48,7 @@
 			b.net.Lose(func(_, _ netip.AddrPort, _ packets.Kind) bool { return n.Add(1)%3 == 0 })
 		}, nil, 1500 * time.Millisecond},
 		{"all bulletins are lost", func(b *bed, _ int) {
-			b.net.Lose(func(_, _ netip.AddrPort, kind packets.Kind) bool { return kind == packets.KindBulletin })
+			b.net.Lose(func(_, _ netip.AddrPort, kind packets.Kind) bool { return kind == packets.KindFeedState })
 		}, nil, 2 * time.Second},
 		{"the reader dies", func(b *bed, reader int) {
 			b.stops[reader]()
@@ -151,10 +151,10 @@
 		}
 		turn(false)
 		time.Sleep(25 * time.Second)
-		if at, _ := b.members[0].Reader("store"); at != address(reader) {
+		if at, _ := b.members[0].FeedReader("store"); at != address(reader) {
 			for i, m := range b.members {
-				r, self := m.Reader("store")
-				h, _ := m.Home("store")
+				r, self := m.FeedReader("store")
+				h, _ := m.Owner("store")
 				t.Log(i, r, self, h)
 			}
 			t.Error("the first reader does not read again")
--- a/pkg/bulletin/inquiry.go
+++ b/pkg/bulletin/inquiry.go
@@ -29,7 +29,7 @@
 
 // inquire asks a few others about the tables of which nobody tells: whoever is in reach
 // of the reader passes on what it says, also to those that the reader does not reach.
-func (b *Board) inquire() {
+func (b *Relay) inquire() {
 	now := b.Clock.Now()
 	var question inquiry
 	b.mu.Lock()
@@ -43,15 +43,15 @@
 		return
 	}
 	for _, to := range b.some(b.Random, asksAtOnce) {
-		b.link.Send(to, packets.KindInquiry, question)
+		b.link.Send(to, packets.KindFeedQuery, question)
 	}
 }
 
 // some draws a few of the other entries.
-func (b *Board) some(by *random.Source, n int) []netip.AddrPort {
+func (b *Relay) some(by *random.Source, n int) []netip.AddrPort {
 	others := b.members.Others()
 	if len(others) == 0 {
-		others = b.members.Strangers()
+		others = b.members.UnlistedPeers()
 	}
 	return draw(by, others, n)
 }
@@ -64,7 +64,7 @@
 }
 
 // inquired tells how the asker's tables stand, where more is known here.
-func (b *Board) inquired(from netip.AddrPort, question *inquiry) {
+func (b *Relay) inquired(from netip.AddrPort, question *inquiry) {
 	now := b.Clock.Now()
 	b.mu.Lock()
 	var messages []message
@@ -76,6 +76,6 @@
 	}
 	b.mu.Unlock()
 	for _, m := range messages {
-		b.link.Send(from, packets.KindBulletin, m)
+		b.link.Send(from, packets.KindFeedState, m)
 	}
 }
--- a/pkg/bulletin/listen.go
+++ b/pkg/bulletin/listen.go
@@ -58,7 +58,7 @@
 	if s.resort == 0 {
 		s.resort = lastResort + s.random.Within(resortSpan(entries))
 	}
-	rank, seniority := s.board.members.ReaderOrder(matter)
+	rank, seniority := s.board.members.FeedReaderRank(matter)
 	return turn{
 		rank: rank, seniority: seniority, entries: entries,
 		quiet: silence, asked: s.board.Clock.Now() - s.asked, sound: s.sound, unproven: unproven, resort: s.resort,
--- a/pkg/bulletin/peer_conn.go
+++ b/pkg/bulletin/peer_conn.go
@@ -16,7 +16,7 @@
 	client *rpc.Client
 }
 
-func (b *Board) dial(ctx context.Context, peer netip.AddrPort) (*peerConn, error) {
+func (b *Relay) dial(ctx context.Context, peer netip.AddrPort) (*peerConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTime.Duration())
 	defer cancel()
 	conn, err := b.Network.Dial(ctx, peer.String())
@@ -28,10 +28,10 @@
 
 func (c *peerConn) close() { _ = c.client.Close() }
 
-func (c *peerConn) ask(ctx context.Context, method string, question Question, within clock.Millis) (*News, error) {
+func (c *peerConn) ask(ctx context.Context, method string, question FeedQuery, within clock.Millis) (*FeedState, error) {
 	ctx, cancel := context.WithTimeout(ctx, within.Duration())
 	defer cancel()
-	news := &News{}
+	news := &FeedState{}
 	call := c.client.Go(method, &question, news, make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
@@ -48,7 +48,7 @@
 }
 
 // batch unpacks what a peer told.
-func (n *News) batch() (follow.Batch, error) {
+func (n *FeedState) batch() (follow.Batch, error) {
 	rows, err := unpack(n.Rows)
 	if err != nil {
 		return follow.Batch{}, err
@@ -64,7 +64,7 @@
 		return follow.Batch{}, err
 	}
 	defer c.close()
-	news, err := c.ask(ctx, changesMethod, Question{Table: s.name, After: after}, peerTime)
+	news, err := c.ask(ctx, changesMethod, FeedQuery{Table: s.name, After: after}, peerTime)
 	if err != nil {
 		return follow.Batch{}, err
 	}
@@ -82,7 +82,7 @@
 		return follow.Batch{}, err
 	}
 	defer c.close()
-	question := Question{Table: s.name}
+	question := FeedQuery{Table: s.name}
 	has, err := c.ask(ctx, hasMethod, question, nextPeer)
 	if err != nil {
 		return follow.Batch{}, err
--- a/pkg/bulletin/peers.go
+++ b/pkg/bulletin/peers.go
@@ -41,13 +41,13 @@
 )
 
 // Question asks a peer for a table, or for its changes after a version.
-type Question struct {
+type FeedQuery struct {
 	Table string
 	After int64
 }
 
 // News is the answer to a Question.
-type News struct {
+type FeedState struct {
 	// Known is false if the peer does not hold what was asked for.
 	Known bool
 	// Rows are the changes up to Version, or all rows at that version, which was the
@@ -124,7 +124,7 @@
 	b.mu.Lock()
 	from := b.table(s.name).heardFrom
 	b.mu.Unlock()
-	head, self := b.members.DomainHead(matter)
+	head, self := b.members.DomainOwner(matter)
 	var peers []netip.AddrPort
 	add := func(list ...netip.AddrPort) {
 		for _, peer := range list {
@@ -141,7 +141,7 @@
 	default:
 		add(head)
 	}
-	add(draw(s.random, b.members.Neighbours(), 1)...)
+	add(draw(s.random, b.members.DomainPeers(), 1)...)
 	if self || round > 0 {
 		add(b.some(s.random, mostPeers)...)
 	}
--- a/pkg/bulletin/size_test.go
+++ b/pkg/bulletin/size_test.go
@@ -102,7 +102,7 @@
 				time.Sleep(5 * time.Second)
 				reader := b.reader()
 				b.net.Lose(func(from, to netip.AddrPort, kind packets.Kind) bool {
-					return kind == packets.KindBulletin && from == address(reader) && to.Addr().As4()[3]%4 > 0
+					return kind == packets.KindFeedState && from == address(reader) && to.Addr().As4()[3]%4 > 0
 				})
 				before := b.calls()
 				time.Sleep(6 * time.Second)
--- a/pkg/bulletin/source.go
+++ b/pkg/bulletin/source.go
@@ -14,7 +14,7 @@
 // Source reads one table through the board: as the reader from the store, else
 // from what the reader tells. It is for one follower.
 type Source struct {
-	board  *Board
+	board  *Relay
 	name   string
 	direct follow.Source
 	// random draws for this table alone: followers that begin together would draw in any order.
@@ -63,12 +63,12 @@
 var errQuiet = errors.New("no news of the store")
 
 // Share returns a source of a table that shares what direct reads.
-func (b *Board) Share(name string, direct follow.Source) *Source {
+func (b *Relay) Source(name string, direct follow.Source) *Source {
 	return &Source{board: b, name: name, direct: direct, random: random.NewSource(b.Random.Fork().Uint64())}
 }
 
 // Answering is closed when the store answers a question of any table after one has failed.
-func (s *Source) Answering() <-chan struct{} {
+func (s *Source) Recovered() <-chan struct{} {
 	s.board.mu.Lock()
 	defer s.board.mu.Unlock()
 	return s.board.answering
@@ -84,7 +84,7 @@
 // Changes returns what has changed since a version.
 func (s *Source) Changes(ctx context.Context, after int64, wait clock.Millis) (follow.Batch, error) {
 	if s.board.reads() {
-		return s.ask(ctx, after, min(wait, ReaderWait))
+		return s.ask(ctx, after, min(wait, MaxStoreWait))
 	}
 	batch, found := s.listen(ctx, after)
 	switch found {
@@ -94,7 +94,7 @@
 	case missed:
 		return s.fetch(ctx, after)
 	case ours:
-		return s.ask(ctx, after, min(wait, ReaderWait))
+		return s.ask(ctx, after, min(wait, MaxStoreWait))
 	default:
 		return follow.Batch{}, errQuiet
 	}
@@ -127,7 +127,7 @@
 
 // answered notes what a question to the store came to.
 func (s *Source) answered(after int64, batch follow.Batch, err error) error {
-	s.forgotten = errors.Is(err, follow.ErrForgotten)
+	s.forgotten = errors.Is(err, follow.ErrTrimmed)
 	s.sound = err == nil || s.forgotten
 	s.board.noteStore(s.sound)
 	if err != nil {
--- a/pkg/bulletin/whole.go
+++ b/pkg/bulletin/whole.go
@@ -12,9 +12,9 @@
 
 // Whole reads the table: as the reader from the store, else from another entry, if one
 // has it. An entry that follows the table has it already.
-func (s *Source) Whole(ctx context.Context) (follow.Batch, error) {
-	rank, _ := s.board.members.ReaderOrder(matter)
-	_, head := s.board.members.DomainHead(matter)
+func (s *Source) Snapshot(ctx context.Context) (follow.Batch, error) {
+	rank, _ := s.board.members.FeedReaderRank(matter)
+	_, head := s.board.members.DomainOwner(matter)
 	reads := rank == 0 || s.board.Ablation.Off(ablation.OneReader)
 	if !reads && !s.forgotten {
 		if batch, has := s.held(); has {
@@ -57,7 +57,7 @@
 	atLeast := s.version
 	go func() {
 		asked := s.board.Clock.Now()
-		batch, err := s.direct.Whole(ctx)
+		batch, err := s.direct.Snapshot(ctx)
 		if err != nil {
 			close(storeFailed)
 		}
@@ -146,7 +146,7 @@
 	default:
 		return false
 	}
-	_, seniority := s.board.members.ReaderOrder(matter)
-	_, head := s.board.members.DomainHead(matter)
+	_, seniority := s.board.members.FeedReaderRank(matter)
+	_, head := s.board.members.DomainOwner(matter)
 	return seniority < readFirst || head
 }
--- a/pkg/bulletin/whole_test.go
+++ b/pkg/bulletin/whole_test.go
@@ -96,7 +96,7 @@
 				b.store.put("k", "v")
 				b.outage(false, true)
 				var others []*entry
-				boards := make([]*bulletin.Board, entryCount)
+				boards := make([]*bulletin.Relay, entryCount)
 				for i := range entryCount {
 					m, board := b.build(t, i)
 					b.follow(i, m, board)
@@ -107,7 +107,7 @@
 				for i, board := range boards {
 					e := newEntry()
 					others = append(others, e)
-					other := follow.NewFollower(b.Common, board.Share("other", client{b.store, i}), e, follow.Options{Wait: 1200, Answer: 800})
+					other := follow.NewFollower(b.Common, board.Source("other", client{b.store, i}), e, follow.Options{Wait: 1200, Answer: 800})
 					go other.Run(b.contexts[i])
 				}
 				time.Sleep(40 * time.Millisecond)
--- a/pkg/capacity/page.go
+++ b/pkg/capacity/page.go
@@ -21,16 +21,16 @@
 
 // Measured is all that the page is made of.
 type Measured struct {
-	Path     PathCosts
-	Choose   Slope
-	Decide   Slope
-	Tickets  Slope
-	Fates    Slope
-	Book     Slope
-	BookSent Slope
-	BookTime Slope
-	Change   float64 // bytes
-	Sessions sessionCosts
+	Path        PathCosts
+	Choose      Slope
+	Decide      Slope
+	Tickets     Slope
+	Fates       Slope
+	IndexMemory Slope
+	IndexBytes  Slope
+	IndexTime   Slope
+	Change      float64 // bytes
+	Sessions    sessionCosts
 }
 
 // Measure takes all slopes. It takes about a minute.
@@ -42,7 +42,7 @@
 	return Measured{
 		Path: path, Sessions: sessions,
 		Choose: chooseSlope(), Decide: decideSlope(), Tickets: ticketSlope(), Fates: fateSlope(),
-		Book: bookMemorySlope(), BookSent: bookBytesSlope(), BookTime: bookTimeSlope(), Change: changeBytes(),
+		IndexMemory: bookMemorySlope(), IndexBytes: bookBytesSlope(), IndexTime: bookTimeSlope(), Change: changeBytes(),
 	}, nil
 }
 
@@ -65,7 +65,7 @@
 	if !found {
 		return errors.NotFoundf("mark %q in %s", endMark, path)
 	}
-	text := head + beginMark + "\n\n" + m.tables(Users()) + "\n" + endMark + tail
+	text := head + beginMark + "\n\n" + m.tables(RequiredSize()) + "\n" + endMark + tail
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 		return fmt.Errorf("writing the page: %w", err)
 	}
@@ -73,12 +73,12 @@
 }
 
 // tables are the measured part of the page.
-func (m Measured) tables(size TargetSize) string {
+func (m Measured) tables(size DeploymentSize) string {
 	return m.fleetTable(size) + "\n" + m.roleTables(size) + "\n" + m.slopeTable()
 }
 
 func (m Measured) slopes() []Slope {
-	return []Slope{m.Choose, m.Decide, m.Tickets, m.Fates, m.Book, m.BookSent, m.BookTime, m.Sessions.Tickets, m.Sessions.Memory}
+	return []Slope{m.Choose, m.Decide, m.Tickets, m.Fates, m.IndexMemory, m.IndexBytes, m.IndexTime, m.Sessions.Tickets, m.Sessions.Memory}
 }
 
 func (m Measured) slopeTable() string {
--- a/pkg/capacity/roles.go
+++ b/pkg/capacity/roles.go
@@ -26,9 +26,9 @@
 }
 
 // fleetTable lists what grows with the whole fleet in a single node.
-func (m Measured) fleetTable(t TargetSize) string {
+func (m Measured) fleetTable(t DeploymentSize) string {
 	engines := float64(t.Engines)
-	processes := engines + float64(t.Nodes)
+	processes := engines + float64(t.VMs)
 	perSession := m.Sessions.Memory.Each / 2
 	reads := processes * (1/pollSeconds + t.ChangesPerSecond())
 	var b strings.Builder
@@ -40,18 +40,18 @@
 	row("| the same, memory | %.0f MB | %.0f MB | %.0f targets | the same |\n",
 		engines*perSession/megabyte, t.ControlMB, t.ControlMB*megabyte/perSession)
 	row("| sessions of an agent with every entry, memory | %.1f MB for %d | %.0f MB | not within the size | the same subsets: an agent then sees about a tenth of the entries |\n",
-		float64(t.Nodes)*perSession/megabyte, t.Nodes, t.ControlMB)
+		float64(t.VMs)*perSession/megabyte, t.VMs, t.ControlMB)
 	row("| each change goes to each process (a row a change) | %.2f KB/s | %.0f KB/s | not with the fleet: at %.0f changes a day | none needed |\n",
 		m.Change*t.ChangesPerSecond()/kilobyte, t.ControlBytes/kilobyte, t.ControlBytes/m.Change*secondsPerDay)
 	row("| polls of the head by each process | %.2f KB/s | %.0f KB/s | not with the fleet | push along the sessions |\n",
 		(m.Sessions.Poll+frameBytes)/pollSeconds/kilobyte, t.ControlBytes/kilobyte)
-	row("| the snapshot that a new process reads | %.1f MB | | | a process holds what it serves |\n", m.BookSent.At(engines)/megabyte)
+	row("| the snapshot that a new process reads | %.1f MB | | | a process holds what it serves |\n", m.IndexBytes.At(engines)/megabyte)
 	row("| reading a change | %.2f %% of a core | %.1f %% | %.0f targets | the same |\n",
-		m.BookTime.At(engines)*nanosecond*t.ChangesPerSecond()*percent, t.ControlCore*percent, t.ControlCore/(m.BookTime.Each*nanosecond*t.ChangesPerSecond()))
+		m.IndexTime.At(engines)*nanosecond*t.ChangesPerSecond()*percent, t.ControlCore*percent, t.ControlCore/(m.IndexTime.Each*nanosecond*t.ChangesPerSecond()))
 	row("| every process polls the table | %.0f reads/s | about %.0f for all uses | %.0f processes | one poller for each failure domain, the rest by push |\n",
 		reads, tableReads, tableReads/(1/pollSeconds+t.ChangesPerSecond()))
 	row("| the configuration itself, memory | %.1f MB | %.0f MB | not within the size | none needed |\n",
-		m.Book.At(engines)/megabyte, t.ControlMB)
+		m.IndexMemory.At(engines)/megabyte, t.ControlMB)
 	perModel := engines / float64(t.Models)
 	row("| ordering the targets of a service for one request | %.0f µs for %.0f, %.0f µs for all %d | | | only a sample is drawn from the subset |\n",
 		m.Choose.At(perModel)*nanosecond/microsec, perModel, m.Choose.At(engines)*nanosecond/microsec, t.Engines)
@@ -59,13 +59,13 @@
 }
 
 // roleTables give state, messages, processor time and memory of each role.
-func (m Measured) roleTables(t TargetSize) string {
+func (m Measured) roleTables(t DeploymentSize) string {
 	return m.entryTable(t) + "\n" + m.agentTable(t) + "\n" + m.platformTable(t)
 }
 
 const roleHead = "| what | figure | mechanism |\n| --- | --- | --- |\n"
 
-func (m Measured) entryTable(t TargetSize) string {
+func (m Measured) entryTable(t DeploymentSize) string {
 	requests, tokens := t.EntryRequests(), t.EntryTokens()
 	ticketBytes := m.Sessions.Tickets.Each * ticketsOut
 	var b strings.Builder
@@ -81,7 +81,7 @@
 	return b.String()
 }
 
-func (m Measured) agentTable(t TargetSize) string {
+func (m Measured) agentTable(t DeploymentSize) string {
 	const rememberSeconds = 30
 	requests, tokens := t.AgentRequests(), t.AgentTokens()
 	var b strings.Builder
@@ -98,8 +98,8 @@
 	return b.String()
 }
 
-func (m Measured) platformTable(t TargetSize) string {
-	processes := float64(t.Engines + t.Nodes)
+func (m Measured) platformTable(t DeploymentSize) string {
+	processes := float64(t.Engines + t.VMs)
 	var b strings.Builder
 	b.WriteString("## The platform's table\n\n" + roleHead)
 	fmt.Fprintf(&b, "| reads | %.0f/s for polls, %.0f/s for changes | every process polls the head every 2 s |\n", processes/pollSeconds, processes*t.ChangesPerSecond())
--- a/pkg/capacity/slopes.go
+++ b/pkg/capacity/slopes.go
@@ -104,7 +104,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	check := invariant.NewChecker(logrus.NewEntry(log), new(expvar.Map).Init(), false)
-	g := gate.New(1, gate.Limits{QueueTime: clock.Minute, QueueMin: 1 << 40, GrantLife: clock.Minute, FloorHold: clock.Second, Remember: clock.Minute}, check)
+	g := gate.New(1, gate.Limits{QueueTime: clock.Minute, QueueMin: 1 << 40, GrantLifetime: clock.Minute, FloorHold: clock.Second, FateRetention: clock.Minute}, check)
 	g.SetServices([]ids.Service{service}, 1)
 	return g
 }
@@ -194,8 +194,8 @@
 
 var bookSizes = []int{100, 400, 1600}
 
-func mustBook(set declaration.Set) *declaration.Book {
-	book, err := declaration.NewBook(1, set)
+func mustBook(set declaration.Set) *declaration.Index {
+	book, err := declaration.NewIndex(1, set)
 	if err != nil {
 		panic(err) // the set is made above
 	}
--- a/pkg/commontest/no_notes.go
+++ b/pkg/commontest/no_notes.go
@@ -7,10 +7,10 @@
 )
 
 // NoNotes is a table in a store that keeps nothing.
-type NoNotes struct{}
+type NoEstimates struct{}
 
 // Put takes a row.
-func (NoNotes) Put(context.Context, string, []byte) error { return nil }
+func (NoEstimates) Put(context.Context, string, []byte) error { return nil }
 
 // Whole returns no rows.
-func (NoNotes) Whole(context.Context) (follow.Batch, error) { return follow.Batch{}, nil }
+func (NoEstimates) Snapshot(context.Context) (follow.Batch, error) { return follow.Batch{}, nil }
--- a/pkg/control/client.go
+++ b/pkg/control/client.go
@@ -63,11 +63,11 @@
 
 // Cancel stops the work of a grant whose caller has gone.
 func (c *Client) Cancel(ctx context.Context, args *OutcomeArgs) error {
-	return c.call(ctx, methodCancel, args, &Nothing{})
+	return c.call(ctx, methodCancel, args, &EmptyReply{})
 }
 
 // Nothing is the reply of a message that needs none.
-type Nothing struct{}
+type EmptyReply struct{}
 
 func (c *Client) call(ctx context.Context, method string, args, reply any) error {
 	call := c.rpc.Go(method, args, reply, make(chan *rpc.Call, 1))
--- a/pkg/ctl/bound.go
+++ b/pkg/ctl/bound.go
@@ -38,7 +38,7 @@
 	if *seed != 0 {
 		load.Seed = *seed
 	}
-	return writeBound(out, loadmodel.Play(load, loadmodel.Observer{}), loadmodel.Bound(load))
+	return writeBound(out, loadmodel.Play(load, loadmodel.Observer{}), loadmodel.UpperBound(load))
 }
 
 func writeBound(out io.Writer, played, bound loadmodel.Result) error {
--- a/pkg/ctl/explain.go
+++ b/pkg/ctl/explain.go
@@ -19,7 +19,7 @@
 	if err != nil {
 		return err
 	}
-	told := story.Of(args[0], lines)
+	told := story.ForRequest(args[0], lines)
 	if len(told) == 0 {
 		return fmt.Errorf("no line of request %s: it was answered in time and is not in the sample, or another process had it", args[0])
 	}
--- a/pkg/ctl/quarantine.go
+++ b/pkg/ctl/quarantine.go
@@ -65,7 +65,7 @@
 		r := &reports[i]
 		var targets []string
 		for _, e := range r.Ends {
-			targets = append(targets, string(e.Life.Target))
+			targets = append(targets, string(e.Incarnation.Target))
 		}
 		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%.0f s\t%.0f s\t%s\n", r.Digest, r.Account, r.Route,
 			r.For.Duration().Seconds(), r.RetryIn.Duration().Seconds(), strings.Join(targets, " "))
--- a/pkg/ctl/quarantine_test.go
+++ b/pkg/ctl/quarantine_test.go
@@ -16,7 +16,7 @@
 func TestRequestsHeldBackAreShownAndLetGo(t *testing.T) {
 	digest := quarantine.Identify("acme", "/chat/q", []byte("question"))
 	held := []quarantine.Report{{
-		Record: quarantine.Record{Digest: digest, Account: "acme", Route: "chat", Ends: []quarantine.End{{Life: ids.Life{Target: "t1"}}, {Life: ids.Life{Target: "t2"}, Again: true}}},
+		Record: quarantine.Record{Digest: digest, Account: "acme", Route: "chat", Ends: []quarantine.TargetEnd{{Incarnation: ids.TargetIncarnation{Target: "t1"}}, {Incarnation: ids.TargetIncarnation{Target: "t2"}, Again: true}}},
 		For:    61_000, RetryIn: 4000,
 	}}
 	scenarios := []struct {
--- a/pkg/ctl/rollout.go
+++ b/pkg/ctl/rollout.go
@@ -48,18 +48,18 @@
 	if r.EndsIn != 0 {
 		line("time left", "%.1f s", r.EndsIn.Duration().Seconds())
 	}
-	line("answers", "%d, %d bad; %d targets, %d suspect", r.Evidence.Requests, r.Evidence.Bad, r.Evidence.Targets, r.Evidence.Suspect)
+	line("answers", "%d, %d bad; %d targets, %d suspect", r.Evidence.Requests, r.Evidence.Bad, r.Evidence.Targets, r.Evidence.WorseTargets)
 	for _, route := range r.Evidence.Routes {
 		line("route "+string(route.Route), "%d answers, %d bad; old version %d, %d bad", route.Requests, route.Bad, route.Old, route.OldBad)
 	}
 	if r.Judges {
-		line("judged here", "%.1f%% of requests go to it", 100*r.Share)
-		line("speaks against it", "%s", orNothing(r.Doubt))
+		line("judged here", "%.1f%% of requests go to it", 100*r.Fraction)
+		line("speaks against it", "%s", orNothing(r.Suspicion))
 		line("still missing", "%s", orNothing(strings.Join(r.Missing, "; ")))
 	} else {
 		line("judged", "at another entry, which knows what is still missing")
 	}
-	line("this entry", "%d requests since the order, %d to the new version; news %.1f s old", r.Reached, r.Sent, r.NewsAge.Duration().Seconds())
+	line("this entry", "%d requests since the order, %d to the new version; news %.1f s old", r.Reached, r.Sent, r.FeedAge.Duration().Seconds())
 	if len(r.Barred) > 0 {
 		line("barred", "%v", r.Barred)
 	}
--- a/pkg/ctl/status.go
+++ b/pkg/ctl/status.go
@@ -108,8 +108,8 @@
 	if t.Leaving {
 		words = append(words, "leaves")
 	}
-	if t.Rest > 0 {
-		words = append(words, fmt.Sprintf("rests for %.1f s", t.Rest.Duration().Seconds()))
+	if t.Backoff > 0 {
+		words = append(words, fmt.Sprintf("rests for %.1f s", t.Backoff.Duration().Seconds()))
 	}
 	if t.Limited {
 		words = append(words, fmt.Sprintf("takes %g requests a second", t.Limit))
--- a/pkg/ctl/status_test.go
+++ b/pkg/ctl/status_test.go
@@ -24,7 +24,7 @@
 		{"a process without targets", nil, []string{" ready", `{"links":{}}`}, "own word"},
 		{"nothing said", []advisory.Report{}, []string{"no target leaves or rests"}, "in the list"},
 		{"some", []advisory.Report{
-			{Target: "t1", Service: "s", Listed: "ready", Leaving: true}, {Target: "t2", Service: "s", Listed: "leaving", Leaving: true, Rest: 2500},
+			{Target: "t1", Service: "s", Listed: "ready", Leaving: true}, {Target: "t2", Service: "s", Listed: "leaving", Leaving: true, Backoff: 2500},
 		}, []string{"t1      s        ready        leaves", "t2      s        leaving      leaves, rests for 2.5 s"}, "no target"},
 	}
 	for _, s := range scenarios {
--- a/pkg/declaration/book.go
+++ b/pkg/declaration/book.go
@@ -15,7 +15,7 @@
 
 // Book is a set that has passed its checks, indexed for look-ups. It is not
 // changed after it is made, so that any goroutine may read it.
-type Book struct {
+type Index struct {
 	Revision Revision
 	set      Set
 	ranks    map[ids.Tier]ids.TierRank
@@ -27,11 +27,11 @@
 }
 
 // NewBook checks set and indexes it.
-func NewBook(revision Revision, set Set) (*Book, error) {
+func NewIndex(revision Revision, set Set) (*Index, error) {
 	if err := set.Check(); err != nil {
 		return nil, err
 	}
-	b := &Book{
+	b := &Index{
 		Revision: revision,
 		set:      set,
 		ranks:    make(map[ids.Tier]ids.TierRank),
@@ -45,7 +45,7 @@
 	return b, nil
 }
 
-func (b *Book) index() {
+func (b *Index) index() {
 	for i, t := range b.set.Tiers {
 		b.ranks[t.Name] = ids.TierRank(i)
 	}
@@ -66,7 +66,7 @@
 	}
 }
 
-func (b *Book) indexKeys(a *Account) {
+func (b *Index) indexKeys(a *Account) {
 	for _, h := range a.KeyHashes {
 		sum, _ := hex.DecodeString(h) // checked by Set.Check
 		b.accounts[[keySumBytes]byte(sum)] = a
@@ -74,57 +74,57 @@
 }
 
 // Set returns what was declared. It must not be changed.
-func (b *Book) Set() Set {
+func (b *Index) Set() Set {
 	return b.set
 }
 
 // Account returns the account that key belongs to, or nil.
-func (b *Book) Account(key string) *Account {
+func (b *Index) Account(key string) *Account {
 	return b.accounts[sha256.Sum256([]byte(key))]
 }
 
 // Service returns the service called name, or nil.
-func (b *Book) Service(name ids.Service) *Service {
+func (b *Index) Service(name ids.Service) *Service {
 	return b.services[name]
 }
 
 // Services lists the services in declared order.
-func (b *Book) Services() []Service {
+func (b *Index) Services() []Service {
 	return b.set.Services
 }
 
 // Target returns the target called name, or nil.
-func (b *Book) Target(name ids.Target) *Target {
+func (b *Index) Target(name ids.Target) *Target {
 	return b.targets[name]
 }
 
 // Targets lists the targets in declared order.
-func (b *Book) Targets() []Target {
+func (b *Index) Targets() []Target {
 	return b.set.Targets
 }
 
 // Serving lists the targets that service is placed on.
-func (b *Book) Serving(service ids.Service) []*Target {
+func (b *Index) Serving(service ids.Service) []*Target {
 	return b.serving[service]
 }
 
 // Placements lists what target is to serve.
-func (b *Book) Placements(target ids.Target) []Placement {
+func (b *Index) Placements(target ids.Target) []Placement {
 	return b.placed[target]
 }
 
 // Rank returns the rank of a tier, and whether the tier is known.
-func (b *Book) Rank(tier ids.Tier) (ids.TierRank, bool) {
+func (b *Index) Rank(tier ids.Tier) (ids.TierRank, bool) {
 	rank, known := b.ranks[tier]
 	return rank, known
 }
 
 // Deadline returns the usual time for an answer in a tier.
-func (b *Book) Deadline(rank ids.TierRank) clock.Millis {
+func (b *Index) Deadline(rank ids.TierRank) clock.Millis {
 	return b.set.Tiers[rank].DeadlineMS
 }
 
 // TierCount returns how many tiers are declared.
-func (b *Book) TierCount() int {
+func (b *Index) TierCount() int {
 	return len(b.set.Tiers)
 }
--- a/pkg/descriptors/book.go
+++ b/pkg/descriptors/book.go
@@ -6,12 +6,12 @@
 import "quaydock/pkg/clock"
 
 // Shares is how the descriptors of a process are divided.
-type Shares struct {
+type Limits struct {
 	// Callers is how many connections callers may hold.
 	Callers int
 	// Turned is how many more connections may be there whose callers are being told to come
 	// back.
-	Turned int
+	Rejecting int
 	// Extra is how many of the Turned may be served instead of turned away, each while a request
 	// of a lower tier is being served.
 	Extra int
@@ -38,10 +38,10 @@
 )
 
 // Divide divides the descriptors that a process may have.
-func Divide(limit int) Shares {
+func Divide(limit int) Limits {
 	own := min(max(int(ownPart*float64(limit)), leastOwn), mostOwn)
 	turned := max(int(turnedPart*float64(limit)), leastTurned)
-	return Shares{Callers: max(1, int(callersPart*float64(limit-own-turned))), Turned: turned, Extra: int(extraPart * float64(turned))}
+	return Limits{Callers: max(1, int(callersPart*float64(limit-own-turned))), Rejecting: turned, Extra: int(extraPart * float64(turned))}
 }
 
 // Step is what becomes of a new connection.
@@ -74,27 +74,27 @@
 	Began clock.Millis
 	// Replaced counts the connections that were closed for another, Turned those turned away.
 	Replaced int
-	Turned   int
+	Rejected int
 	// last is when a connection last found the share used up.
 	last clock.Millis
 }
 
 // Book counts callers' connections against their share.
-type Book struct {
-	shares   Shares
+type Limiter struct {
+	shares   Limits
 	taken    int
 	turned   int
 	shortage *Shortage
 }
 
 // NewBook returns a book without connections.
-func NewBook(shares Shares) *Book {
-	return &Book{shares: shares}
+func NewLimiter(shares Limits) *Limiter {
+	return &Limiter{shares: shares}
 }
 
 // Arrive decides on a new connection, and counts it. Resting is whether one can be closed in
 // its place. It reports whether a shortage begins with it.
-func (b *Book) Arrive(now clock.Millis, resting bool) (step Step, begins bool) {
+func (b *Limiter) Arrive(now clock.Millis, resting bool) (step Step, begins bool) {
 	switch {
 	case !b.AtLimit():
 		b.taken++
@@ -103,17 +103,17 @@
 		begins = b.short(now)
 		b.shortage.Replaced++
 		return StepReplace, begins
-	case b.turned < b.shares.Turned:
+	case b.turned < b.shares.Rejecting:
 		begins = b.short(now)
 		b.turned++
-		b.shortage.Turned++
+		b.shortage.Rejected++
 		return StepTurnAway, begins
 	}
 	return StepWait, b.short(now)
 }
 
 // short notes a shortage and reports whether it begins.
-func (b *Book) short(now clock.Millis) bool {
+func (b *Limiter) short(now clock.Millis) bool {
 	begins := b.shortage == nil
 	if begins {
 		b.shortage = &Shortage{Began: now}
@@ -123,13 +123,13 @@
 }
 
 // Ended notes that a connection that was taken has ended.
-func (b *Book) Ended() { b.taken-- }
+func (b *Limiter) Ended() { b.taken-- }
 
 // TurnedAway notes that a connection that was turned away has ended.
-func (b *Book) TurnedAway() { b.turned-- }
+func (b *Limiter) RejectionEnded() { b.turned-- }
 
 // Over returns the shortage that is over by now, or nil. It returns each one once.
-func (b *Book) Over(now clock.Millis) *Shortage {
+func (b *Limiter) EndedShortage(now clock.Millis) *Shortage {
 	s := b.shortage
 	if s == nil || now-s.last < calmFor || float64(b.taken) > calmPart*float64(b.shares.Callers) {
 		return nil
@@ -139,10 +139,10 @@
 }
 
 // AtLimit reports whether callers hold their whole share.
-func (b *Book) AtLimit() bool { return b.taken >= b.shares.Callers }
+func (b *Limiter) AtLimit() bool { return b.taken >= b.shares.Callers }
 
 // Taken is how many connections callers hold.
-func (b *Book) Taken() int { return b.taken }
+func (b *Limiter) Taken() int { return b.taken }
 
 // Turned is how many connections are being turned away.
-func (b *Book) Turned() int { return b.turned }
+func (b *Limiter) Rejecting() int { return b.turned }
--- a/pkg/descriptors/book_test.go
+++ b/pkg/descriptors/book_test.go
@@ -10,12 +10,12 @@
 func TestDivide(t *testing.T) {
 	scenarios := []struct {
 		limit int
-		want  descriptors.Shares
+		want  descriptors.Limits
 	}{
-		{64, descriptors.Shares{Callers: 20, Turned: 4, Extra: 2}},
-		{1024, descriptors.Shares{Callers: 416, Turned: 64, Extra: 32}},
-		{4000, descriptors.Shares{Callers: 1747, Turned: 250, Extra: 125}},
-		{10, descriptors.Shares{Callers: 1, Turned: 4, Extra: 2}},
+		{64, descriptors.Limits{Callers: 20, Rejecting: 4, Extra: 2}},
+		{1024, descriptors.Limits{Callers: 416, Rejecting: 64, Extra: 32}},
+		{4000, descriptors.Limits{Callers: 1747, Rejecting: 250, Extra: 125}},
+		{10, descriptors.Limits{Callers: 1, Rejecting: 4, Extra: 2}},
 	}
 	for _, s := range scenarios {
 		if got := descriptors.Divide(s.limit); got != s.want {
@@ -46,7 +46,7 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			b := descriptors.NewBook(descriptors.Shares{Callers: 2, Turned: 1})
+			b := descriptors.NewLimiter(descriptors.Limits{Callers: 2, Rejecting: 1})
 			for n, a := range s.arrivals {
 				if step, begins := b.Arrive(0, a.resting); step != a.want || begins != a.begins {
 					t.Errorf("arrival %d: %v, a shortage begins: %t, want %v, %t", n, step, begins, a.want, a.begins)
@@ -57,24 +57,24 @@
 }
 
 func TestAShortageIsToldOnceWhenItIsOver(t *testing.T) {
-	b := descriptors.NewBook(descriptors.Shares{Callers: 2, Turned: 1})
+	b := descriptors.NewLimiter(descriptors.Limits{Callers: 2, Rejecting: 1})
 	for range 2 {
 		b.Arrive(0, false)
 	}
 	b.Arrive(100, true)
 	b.Arrive(200, false)
-	if !b.AtLimit() || b.Over(5*clock.Second) != nil {
+	if !b.AtLimit() || b.EndedShortage(5*clock.Second) != nil {
 		t.Error("over while callers hold their share")
 	}
 	b.Ended()
-	if b.Over(900) != nil {
+	if b.EndedShortage(900) != nil {
 		t.Error("over within a second")
 	}
-	s := b.Over(1200)
-	if s == nil || s.Began != 100 || s.Replaced != 1 || s.Turned != 1 {
+	s := b.EndedShortage(1200)
+	if s == nil || s.Began != 100 || s.Replaced != 1 || s.Rejected != 1 {
 		t.Fatalf("shortage %+v", s)
 	}
-	if b.Over(1300) != nil {
+	if b.EndedShortage(1300) != nil {
 		t.Error("told twice")
 	}
 	if _, begins := b.Arrive(1400, false); begins {
--- a/pkg/dispatch/advice_test.go
+++ b/pkg/dispatch/advice_test.go
@@ -22,7 +22,7 @@
 		advice advisory.Advice
 	}{
 		{"leaves", advisory.Advice{Leaving: true}},
-		{"rests", advisory.Advice{Rest: 60 * clock.Second}},
+		{"rests", advisory.Advice{Backoff: 60 * clock.Second}},
 	}
 	scenarios := []struct {
 		name string
@@ -51,7 +51,7 @@
 					home := b.home(-1)
 					asker := (home + 1) % entryCount
 					for _, id := range []ids.Target{"t0", "t1", "t2"} {
-						b.advice[asker].Hear(ids.Life{Target: id}, 0, "r", a.advice)
+						b.advice[asker].Observe(ids.TargetIncarnation{Target: id}, 0, "r", a.advice)
 					}
 					s.hurt(b, home, asker)
 					b.load([]int{asker}, 40, 100*time.Millisecond, 50*time.Millisecond)
@@ -76,7 +76,7 @@
 			home := b.home(-1)
 			told, other := (home+1)%entryCount, (home+2)%entryCount
 			for _, id := range []ids.Target{"t0", "t1", "t2"} {
-				b.advice[told].Hear(ids.Life{Target: id}, 0, "r", advisory.Advice{Leaving: leaving, Rest: 60 * clock.Second})
+				b.advice[told].Observe(ids.TargetIncarnation{Target: id}, 0, "r", advisory.Advice{Leaving: leaving, Backoff: 60 * clock.Second})
 			}
 			time.Sleep(10 * time.Millisecond)
 			b.load([]int{other}, 40, 100*time.Millisecond, 50*time.Millisecond)
@@ -112,14 +112,14 @@
 			b := newBed(t)
 			asker := (b.home(-1) + 1) % entryCount
 			for _, target := range b.targets {
-				b.advice[asker].Hear(target.Life(), 0, "r", advisory.Advice{Rest: 3 * clock.Second})
+				b.advice[asker].Observe(target.Incarnation(), 0, "r", advisory.Advice{Backoff: 3 * clock.Second})
 			}
 			if alone {
 				b.net.Lose(func(_, _ netip.AddrPort, _ packets.Kind) bool { return true })
 			}
 			began := b.Clock.Now()
 			place, refused, err := b.entries[asker].Acquire(context.Background(), b.ask())
-			if place != nil || err != nil || refused == nil || !refused.Resting || refused.RetryAfter < 2900 || refused.RetryAfter > 4000 {
+			if place != nil || err != nil || refused == nil || !refused.BackedOff || refused.RetryAfter < 2900 || refused.RetryAfter > 4000 {
 				t.Errorf("alone %t: refused %+v, %v", alone, refused, err)
 			}
 			if took := b.Clock.Now() - began; took > 150 {
--- a/pkg/dispatch/dispatcher.go
+++ b/pkg/dispatch/dispatcher.go
@@ -39,10 +39,10 @@
 	link    *packets.Link
 	address netip.AddrPort
 	domain  ids.FailureDomain
-	home    *Home
+	home    *Owner
 	local   schedule.Scheduler
 	trials  *trials
-	advice  *advisory.Book
+	advice  *advisory.Tracker
 
 	mu      gosync.Mutex
 	number  uint64
@@ -55,19 +55,19 @@
 var _ schedule.Scheduler = (*Dispatcher)(nil)
 
 // Parts is what a dispatcher is built of.
-type Parts struct {
+type Dependencies struct {
 	common.Common
 	// Address is that of the entry, in a failure domain.
-	Address netip.AddrPort
-	Domain  ids.FailureDomain
-	View    *view.View
-	Members *membership.Members
-	Link    *packets.Link
-	Notes   Notes
+	Address   netip.AddrPort
+	Domain    ids.FailureDomain
+	View      *view.View
+	Members   *membership.Members
+	Link      *packets.Link
+	Estimates EstimateStore
 	// Local places while there is no home.
 	Local schedule.Scheduler
 	// Advice is what targets have told this entry of themselves.
-	Advice *advisory.Book
+	Advice *advisory.Tracker
 	// ColdBounds are those in force on what cold targets get.
 	ColdBounds func() planner.ColdBounds
 	// Rollouts is what roll-outs need, nil if they are no part of the deployment.
@@ -75,7 +75,7 @@
 }
 
 // New returns a dispatcher of an entry.
-func New(parts Parts) *Dispatcher {
+func New(parts Dependencies) *Dispatcher {
 	c := parts.Common
 	d := &Dispatcher{
 		Common: c, view: parts.View, members: parts.Members, link: parts.Link, address: parts.Address, domain: parts.Domain, local: parts.Local,
@@ -86,11 +86,11 @@
 	}
 	link := parts.Link
 	d.home = newHome(c, parts, d.sendAnswer)
-	link.Handle(packets.KindAsk, packets.Receive(link, d.home.asked))
-	link.Handle(packets.KindStep, packets.Receive(link, d.home.stepped))
-	link.Handle(packets.KindSync, packets.Receive(link, d.home.synced))
+	link.Handle(packets.KindJobSubmit, packets.Receive(link, d.home.asked))
+	link.Handle(packets.KindJobProgress, packets.Receive(link, d.home.stepped))
+	link.Handle(packets.KindJobSync, packets.Receive(link, d.home.synced))
 	link.Handle(packets.KindAdvice, packets.Receive(link, d.home.advised))
-	link.Handle(packets.KindAnswer, packets.Receive(link, d.answered))
+	link.Handle(packets.KindJobDecision, packets.Receive(link, d.answered))
 	return d
 }
 
@@ -108,13 +108,13 @@
 		d.answered(to, &a)
 		return
 	}
-	d.link.Send(to, packets.KindAnswer, a)
+	d.link.Send(to, packets.KindJobDecision, a)
 }
 
 // toHome sends a message to the home of a service, or hands it over if that is
 // here.
 func toHome[M any](d *Dispatcher, service ids.Service, kind packets.Kind, take func(netip.AddrPort, *M), message *M) netip.AddrPort {
-	home, self := d.members.HeavyHome(matter(service))
+	home, self := d.members.HeavyOwner(matter(service))
 	if self {
 		take(d.address, message)
 	} else {
@@ -124,7 +124,7 @@
 }
 
 func (d *Dispatcher) step(s step) {
-	toHome(d, s.Service, packets.KindStep, d.home.stepped, &s)
+	toHome(d, s.Service, packets.KindJobProgress, d.home.stepped, &s)
 }
 
 // answered takes a home's answer.
@@ -150,10 +150,10 @@
 // offered returns a target if a request may go there as far as this entry knows, or
 // nil. A home that is cut off from the store may not have heard that it leaves, or has started
 // again: the request would then be counted in another life than the one that runs it.
-func (d *Dispatcher) offered(p *pending, life ids.Life) *routing.Target {
+func (d *Dispatcher) offered(p *pending, life ids.TargetIncarnation) *routing.Target {
 	t := d.view.Directory().Target(life.Target)
 	switch {
-	case t == nil, !t.Life().Same(life), t.Service != p.want.Service:
+	case t == nil, !t.Incarnation().Same(life), t.Service != p.want.Service:
 		return nil
 	case t.Leaving, t.Drained, t.Admission == routing.Withheld:
 		return nil
@@ -194,7 +194,7 @@
 	for _, p := range d.running {
 		w := p.want
 		lists[w.Service] = append(lists[w.Service], item{
-			Number: p.number, Life: p.target.Life(), Begun: p.begun,
+			Number: p.number, Life: p.target.Incarnation(), Begun: p.begun,
 			Tier: w.Tier, Prompt: w.Prompt, Events: w.Events, Account: w.Account, Movable: w.Movable,
 		})
 	}
@@ -208,7 +208,7 @@
 			byPage[it.Number%pages] = append(byPage[it.Number%pages], it)
 		}
 		for page, list := range byPage {
-			toHome(d, service, packets.KindSync, d.home.synced, &sync{Service: service, Page: uint64(page), Pages: pages, Items: list})
+			toHome(d, service, packets.KindJobSync, d.home.synced, &sync{Service: service, Page: uint64(page), Pages: pages, Items: list})
 		}
 	}
 }
--- a/pkg/dispatch/dispatcher_test.go
+++ b/pkg/dispatch/dispatcher_test.go
@@ -36,7 +36,7 @@
 	targets []*routing.Target
 	members []*membership.Members
 	stops   []context.CancelFunc
-	advice  []*advisory.Book
+	advice  []*advisory.Tracker
 
 	slow map[ids.Target]time.Duration // how many times as long they take
 
@@ -59,10 +59,10 @@
 }
 
 func newBed(t *testing.T) *bed {
-	return newBedWith(t, commontest.NoNotes{})
+	return newBedWith(t, commontest.NoEstimates{})
 }
 
-func newBedWith(t *testing.T, notes dispatch.Notes) *bed {
+func newBedWith(t *testing.T, notes dispatch.EstimateStore) *bed {
 	b := &bed{Common: commontest.New(network.NewMemory(nil)), net: packets.NewMemory(), running: make(map[ids.Target]int), total: make(map[ids.Target]int)}
 	var rows []follow.Row
 	for i := range entryCount {
@@ -75,15 +75,15 @@
 		ctx, stop := context.WithCancel(context.Background())
 		link := packets.NewLink(b.Common, b.net.Socket(address(i)))
 		m := membership.New(b.Common, membership.Self{Name: ids.Process(fmt.Sprint("entry-", i)), Address: address(i), Weight: 1}, commontest.NoRows{}, link)
-		m.Whole(rows, follow.Proof{})
+		m.Snapshot(rows, follow.Freshness{})
 		v := view.New(b.Check)
 		v.SetDirectory(routing.NewDirectory(b.targets))
-		book := advisory.NewBook(b.Common)
-		d := dispatch.New(dispatch.Parts{
-			Common: b.Common, Address: address(i), Domain: "d", View: v, Members: m, Link: link, Notes: notes,
+		book := advisory.NewTracker(b.Common)
+		d := dispatch.New(dispatch.Dependencies{
+			Common: b.Common, Address: address(i), Domain: "d", View: v, Members: m, Link: link, Estimates: notes,
 			Local: schedule.NewLocal(b.Common, v, book), Advice: book,
 		})
-		book.OnHeard(d.Advise)
+		book.OnChange(d.Advise)
 		b.advice = append(b.advice, book)
 		go link.Run(ctx)
 		go m.Run(ctx)
@@ -109,7 +109,7 @@
 		if i == except {
 			continue
 		}
-		at, _ := m.Home("targets/s")
+		at, _ := m.Owner("targets/s")
 		for j := range entryCount {
 			if at == address(j) {
 				return j
@@ -120,9 +120,9 @@
 }
 
 // ask is a request that bears no wait.
-func (b *bed) ask() schedule.Ask {
+func (b *bed) ask() schedule.Request {
 	now := b.Clock.Now()
-	return schedule.Ask{Service: "s", Job: planner.Job{Arrived: now, Objective: 500, Deadline: now + 3*clock.Second}}
+	return schedule.Request{Service: "s", Job: planner.Job{Arrived: now, Objective: 500, Deadline: now + 3*clock.Second}}
 }
 
 // withheld is how many places entries gave back since their targets had told them to send nothing.
@@ -137,7 +137,7 @@
 // request runs one request that takes a while at its target.
 func (b *bed) request(ctx context.Context, entry int, length time.Duration) {
 	now := b.Clock.Now()
-	ask := schedule.Ask{Service: "s", Job: planner.Job{Arrived: now, Objective: 200 * clock.Second, Deadline: now + 400*clock.Second}}
+	ask := schedule.Request{Service: "s", Job: planner.Job{Arrived: now, Objective: 200 * clock.Second, Deadline: now + 400*clock.Second}}
 	p, refused, err := b.entries[entry].Acquire(ctx, ask)
 	if refused != nil || err != nil {
 		b.mu.Lock()
@@ -159,7 +159,7 @@
 	b.running[id]--
 	b.served++
 	b.mu.Unlock()
-	p.Done(planner.Served, planner.Flow{Events: 1})
+	p.Done(planner.Served, planner.StreamStats{Events: 1})
 }
 
 // load runs n requests from the given entries, one each pause, and waits.
@@ -211,7 +211,9 @@
 		asker := (b.home(-1) + 1) % entryCount
 		var losing atomic.Bool
 		losing.Store(true)
-		b.net.Lose(func(_, _ netip.AddrPort, kind packets.Kind) bool { return losing.Load() && kind == packets.KindStep })
+		b.net.Lose(func(_, _ netip.AddrPort, kind packets.Kind) bool {
+			return losing.Load() && kind == packets.KindJobProgress
+		})
 		for range targetCount * slots {
 			b.request(t.Context(), asker, 10*time.Millisecond)
 		}
@@ -225,7 +227,7 @@
 			if refused != nil {
 				refusals++
 			} else {
-				place.Done(planner.Served, planner.Flow{})
+				place.Done(planner.Served, planner.StreamStats{})
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
@@ -331,7 +333,7 @@
 	return nil
 }
 
-func (k *kept) Whole(context.Context) (follow.Batch, error) {
+func (k *kept) Snapshot(context.Context) (follow.Batch, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var b follow.Batch
--- a/pkg/dispatch/home.go
+++ b/pkg/dispatch/home.go
@@ -40,7 +40,7 @@
 }
 
 // Home runs the planners that this entry is in charge of.
-type Home struct {
+type Owner struct {
 	common.Common
 	view    *view.View
 	members *membership.Members
@@ -65,9 +65,9 @@
 	readNotes gosync.Once
 }
 
-func newHome(c common.Common, parts Parts, send func(netip.AddrPort, answer)) *Home {
-	return &Home{
-		Common: c, view: parts.View, members: parts.Members, memory: newMemory(c, parts.Members, parts.Link, parts.Notes),
+func newHome(c common.Common, parts Dependencies, send func(netip.AddrPort, answer)) *Owner {
+	return &Owner{
+		Common: c, view: parts.View, members: parts.Members, memory: newMemory(c, parts.Members, parts.Link, parts.Estimates),
 		rollouts: parts.Rollouts, coldBounds: parts.ColdBounds, id: c.Random.Fork().Uint64(), send: send, sampler: telemetry.NewSampler(c.Clock, c.Log, linesASecond), groups: make(map[ids.Service]*hosted),
 	}
 }
@@ -78,7 +78,7 @@
 
 // group returns the planner of a service, brought up to date, or nil if
 // another entry is in charge of it. The lock is held.
-func (h *Home) group(now clock.Millis, service ids.Service, from netip.AddrPort) *hosted {
+func (h *Owner) group(now clock.Millis, service ids.Service, from netip.AddrPort) *hosted {
 	g := h.planning(now, service)
 	if g != nil {
 		g.heard[from.String()] = now
@@ -87,15 +87,15 @@
 }
 
 // planning is group without a message of an entry; the lock is held.
-func (h *Home) planning(now clock.Millis, service ids.Service) *hosted {
+func (h *Owner) planning(now clock.Millis, service ids.Service) *hosted {
 	directory := h.view.Directory()
-	if _, self := h.members.HeavyHome(matter(service)); !self || directory == nil {
+	if _, self := h.members.HeavyOwner(matter(service)); !self || directory == nil {
 		return nil
 	}
 	g := h.groups[service]
 	if g == nil {
 		g = &hosted{planner: planner.New(h.Random.Fork()), heard: make(map[string]clock.Millis), beganAt: now}
-		g.planner.Without(h.Ablation)
+		g.planner.Disable(h.Ablation)
 		h.groups[service] = g
 		h.bound(now, g, service)
 		h.Log.WithField("service", string(service)).Info("planning for a service")
@@ -105,7 +105,7 @@
 }
 
 // refresh brings a planner up to the list of targets; the lock is held.
-func (h *Home) refresh(now clock.Millis, g *hosted, service ids.Service, directory *routing.Directory) {
+func (h *Owner) refresh(now clock.Millis, g *hosted, service ids.Service, directory *routing.Directory) {
 	closed := h.closed(now, service)
 	if g.directory == directory && g.closed == closed {
 		return
@@ -121,22 +121,22 @@
 
 // bound says what cold and limited targets of a service may get from here; the lock is held. An entry that was cut off may go
 // on as the home until it has missed this one for as long as it takes anybody for alive.
-func (h *Home) bound(now clock.Millis, g *hosted, service ids.Service) {
+func (h *Owner) bound(now clock.Millis, g *hosted, service ids.Service) {
 	s := h.view.Catalog().Service(service)
 	bearsFewCold := s != nil && s.ColdPerSecond > 0
 	perSecond := 0.0
 	if bearsFewCold || g.planner.Limited() { // else nothing is given out by parts
-		backing := planner.Backing{Part: h.members.Backing(), Fresh: now < g.beganAt+2*h.members.MissedAfter()}
-		g.planner.SetBacking(backing)
+		backing := planner.Agreement{Fraction: h.members.Agreement(), JustStarted: now < g.beganAt+2*h.members.SilenceLimit()}
+		g.planner.SetAgreement(backing)
 		if bearsFewCold {
 			perSecond = h.coldBounds().Rate(s, backing)
 		}
 	}
-	g.planner.SetCold(s, perSecond)
+	g.planner.SetColdLimit(s, perSecond)
 }
 
 // run looks after the planners until ctx ends.
-func (h *Home) run(ctx context.Context) {
+func (h *Owner) run(ctx context.Context) {
 	var told clock.Millis
 	for ctx.Err() == nil {
 		due := h.Clock.Now() + tickEvery
@@ -144,7 +144,7 @@
 		clock.Pause(ctx, tickEvery)
 		now := h.Clock.Now()
 		h.stalls.Fired(now)
-		h.members.NoteLag(now - due)
+		h.members.RecordLag(now - due)
 		h.tell(h.tick(ctx))
 		if now := h.Clock.Now(); now-told >= tellEvery {
 			told = now
@@ -153,14 +153,14 @@
 	}
 }
 
-func (h *Home) tick(ctx context.Context) []planner.Decision {
+func (h *Owner) tick(ctx context.Context) []planner.Decision {
 	now := h.Clock.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.takeUpOrders(now)
 	var decided []planner.Decision
 	for service, g := range h.groups {
-		if _, self := h.members.HeavyHome(matter(service)); !self {
+		if _, self := h.members.HeavyOwner(matter(service)); !self {
 			delete(h.groups, service)
 			h.Log.WithField("service", string(service)).Info("another entry plans for a service")
 			continue
@@ -168,7 +168,7 @@
 		for entry, at := range g.heard {
 			if now-at > silentAfter {
 				delete(g.heard, entry)
-				g.planner.Drop(now, entry)
+				g.planner.DropEntry(now, entry)
 			}
 		}
 		h.bound(now, g, service)
--- a/pkg/dispatch/home_answers.go
+++ b/pkg/dispatch/home_answers.go
@@ -9,7 +9,7 @@
 )
 
 // asked takes an ask and answers it, at once or later.
-func (h *Home) asked(from netip.AddrPort, a *ask) {
+func (h *Owner) asked(from netip.AddrPort, a *ask) {
 	now := h.Clock.Now()
 	h.mu.Lock()
 	g := h.group(now, a.Service, from)
@@ -57,20 +57,20 @@
 	return false
 }
 
-func (h *Home) tell(decided []planner.Decision) {
+func (h *Owner) tell(decided []planner.Decision) {
 	for _, d := range decided {
 		switch d := d.(type) {
 		case planner.Grant:
 			if d.Counted {
 				h.Metrics.Links.Add("grants_by_limits", 1)
 			}
-			h.answer(d.ID, answer{Verdict: granted, Life: d.Life, Takes: d.Takes.Aged(h.Clock.Now()), Counted: d.Counted})
+			h.answer(d.ID, answer{Verdict: granted, Life: d.Incarnation, Takes: d.RateLimit.Aged(h.Clock.Now()), Counted: d.Counted})
 		case planner.Refuse:
 			kind := refused
 			switch {
-			case d.Empty:
+			case d.NoTargets:
 				kind = noTarget
-			case d.Resting:
+			case d.BackedOff:
 				kind = resting
 			}
 			h.answer(d.ID, answer{Verdict: kind, RetryAfter: d.RetryAfter, Ahead: d.Ahead, Wait: d.Wait})
@@ -82,7 +82,7 @@
 	}
 }
 
-func (h *Home) answer(id planner.JobID, a answer) {
+func (h *Owner) answer(id planner.JobID, a answer) {
 	to, err := netip.ParseAddrPort(id.Entry)
 	if err != nil {
 		h.Log.WithError(err).Error("an entry without an address")
@@ -93,7 +93,7 @@
 }
 
 // stepped takes the progress of a request.
-func (h *Home) stepped(from netip.AddrPort, s *step) {
+func (h *Owner) stepped(from netip.AddrPort, s *step) {
 	now := h.Clock.Now()
 	id := planner.JobID{Entry: from.String(), Number: s.Number}
 	h.with(now, s.Service, from, func(p *planner.Planner) {
@@ -114,7 +114,7 @@
 }
 
 // synced compares what an entry has with what is known here.
-func (h *Home) synced(from netip.AddrPort, s *sync) {
+func (h *Owner) synced(from netip.AddrPort, s *sync) {
 	now := h.Clock.Now()
 	h.with(now, s.Service, from, func(p *planner.Planner) {
 		listed := make(map[uint64]bool, len(s.Items))
@@ -127,14 +127,14 @@
 				p.Begin(now, id, nil)
 			}
 		}
-		p.Keep(now, from.String(), func(id planner.JobID) bool {
+		p.RetainJobs(now, from.String(), func(id planner.JobID) bool {
 			return id.Number%max(1, s.Pages) != s.Page || listed[id.Number]
 		})
 	})
 }
 
 // with runs do on the planner of a service and tells what it decided.
-func (h *Home) with(now clock.Millis, service ids.Service, from netip.AddrPort, do func(*planner.Planner)) {
+func (h *Owner) with(now clock.Millis, service ids.Service, from netip.AddrPort, do func(*planner.Planner)) {
 	h.mu.Lock()
 	g := h.group(now, service, from)
 	if g == nil {
--- a/pkg/dispatch/home_notes.go
+++ b/pkg/dispatch/home_notes.go
@@ -10,7 +10,7 @@
 
 // adopt has a planner begin with what an earlier home has learned; the lock is
 // held. What no earlier home has told this entry is read from the store, once.
-func (h *Home) adopt(g *hosted, service ids.Service) {
+func (h *Owner) adopt(g *hosted, service ids.Service) {
 	if l := h.memory.of(service); l != nil {
 		g.planner.Adopt(l)
 		return
@@ -19,7 +19,7 @@
 }
 
 // noted takes what was read of a service.
-func (h *Home) noted(service ids.Service, _ *planner.Learned) {
+func (h *Owner) noted(service ids.Service, _ *planner.Estimates) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if g := h.groups[service]; g != nil {
@@ -28,11 +28,11 @@
 }
 
 // teach passes on what this home has learned.
-func (h *Home) teach(ctx context.Context, now clock.Millis) {
-	lessons := make(map[ids.Service]*planner.Learned)
+func (h *Owner) teach(ctx context.Context, now clock.Millis) {
+	lessons := make(map[ids.Service]*planner.Estimates)
 	h.mu.Lock()
 	for service, g := range h.groups {
-		if l := g.planner.Learned(); l != nil {
+		if l := g.planner.Estimates(); l != nil {
 			lessons[service] = l
 		}
 	}
--- a/pkg/dispatch/home_report.go
+++ b/pkg/dispatch/home_report.go
@@ -12,18 +12,18 @@
 // reportEvery is how often a planner's beliefs are logged.
 const reportEvery = 5 * clock.Second
 
-func (h *Home) report(now clock.Millis, service ids.Service, g *hosted) {
+func (h *Owner) report(now clock.Millis, service ids.Service, g *hosted) {
 	if now-g.reported < reportEvery {
 		return
 	}
 	g.reported = now
 	s := g.planner.Summary(now)
 	h.Log.WithFields(logrus.Fields{
-		"service": string(service), "targets": s.Targets, "aside": s.Aside, "slots": s.Slots, "running": s.Running,
+		"service": string(service), "targets": s.Targets, "aside": s.Ejected, "slots": s.Slots, "running": s.Running,
 		"waiting": s.Waiting, "per_second": round(s.PerSecond),
 		"limited": s.Limited, "limited_per_second": round(s.LimitedPerSecond),
 		"first_ms": round(s.FirstBase), "first_per_1000_tokens_ms": round(s.FirstPerThousand),
-		"pause_ms": round(s.PauseBase), "pause_per_run_ms": round(s.PausePerRun), "hold_ms": round(s.Hold), "factors": factors(s.Factors),
+		"pause_ms": round(s.PauseBase), "pause_per_run_ms": round(s.PausePerRun), "hold_ms": round(s.PrefillStall), "factors": factors(s.Factors),
 	}).Info("planning")
 }
 
@@ -42,7 +42,7 @@
 }
 
 // planned is how many requests wait and run in the planners of this entry.
-func (h *Home) planned() (waiting, running int) {
+func (h *Owner) planned() (waiting, running int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, g := range h.groups {
--- a/pkg/dispatch/home_trials.go
+++ b/pkg/dispatch/home_trials.go
@@ -35,30 +35,30 @@
 
 // takeUpOrders begins to plan for services of which there is an order but no request yet; the
 // lock is held.
-func (h *Home) takeUpOrders(now clock.Millis) {
+func (h *Owner) takeUpOrders(now clock.Millis) {
 	if h.rollouts == nil {
 		return
 	}
-	for _, service := range h.rollouts.Book.Services() {
-		if _, _, open := h.rollouts.Book.Open(service); open && h.groups[service] == nil {
+	for _, service := range h.rollouts.Tracker.Services() {
+		if _, _, open := h.rollouts.Tracker.OpenOrder(service); open && h.groups[service] == nil {
 			h.planning(now, service)
 		}
 	}
 }
 
 // stepTrial takes the next step of a service's roll-out; the lock is held.
-func (h *Home) stepTrial(ctx context.Context, now clock.Millis, service ids.Service, g *hosted) {
+func (h *Owner) stepTrial(ctx context.Context, now clock.Millis, service ids.Service, g *hosted) {
 	if h.rollouts == nil {
 		return
 	}
-	order, record, open := h.rollouts.Book.Open(service)
+	order, record, open := h.rollouts.Tracker.OpenOrder(service)
 	if !open {
 		if g.trial != nil {
 			h.Log.WithFields(rolloutFields(&record)).Info("roll-out ended")
 		}
 		g.trial, g.planned = nil, rollout.Plan{}
-		opens, _ := h.rollouts.Book.Opens(service, h.id, now)
-		g.planner.SetTrial(planner.Trial{Opens: opens}, false)
+		opens, _ := h.rollouts.Tracker.OpensAt(service, h.id, now)
+		g.planner.SetTrial(planner.Trial{OpensAt: opens}, false)
 		return
 	}
 	if g.trial == nil || g.trial.Order.Placed != order.Placed || g.trial.Order.Withdrawn() != order.Withdrawn() {
@@ -66,42 +66,42 @@
 	}
 	h.hear(g, &record)
 	for _, o := range g.planner.Observations() {
-		g.trial.Evidence.Note(o.Trial, rollout.Observation{At: now, Life: o.Life, Route: o.Route, Failed: o.Failed, Ratio: o.Ratio, Factor: o.Factor, Loaded: o.Loaded})
+		g.trial.Evidence.Add(o.Trial, rollout.Observation{At: now, Incarnation: o.Incarnation, Route: o.Route, Failed: o.Failed, Ratio: o.Ratio, Factor: o.Factor, Loaded: o.Loaded})
 	}
 	if h.rollouts.Excused != nil {
 		g.trial.Evidence.Excuse(h.rollouts.Excused())
 	}
 	plan := g.trial.Step(h.situation(now, g, record))
-	if plan.Share != g.planned.Share || plan.Write != g.planned.Write {
+	if plan.Fraction != g.planned.Fraction || plan.Write != g.planned.Write {
 		h.Log.WithFields(rolloutFields(&record)).WithFields(logrus.Fields{
-			"share": plan.Share, "write": plan.Write.String(), "why": plan.Why, "news_age_ms": int64(h.rollouts.Book.Age(now)),
+			"share": plan.Fraction, "write": plan.Write.String(), "why": plan.Why, "news_age_ms": int64(h.rollouts.Tracker.Age(now)),
 		}).Info("roll-out: next step")
 	}
 	g.planned = plan
-	g.planner.SetTrial(planner.Trial{Share: plan.Share, Leave: plan.Leave, Close: plan.Close}, true)
+	g.planner.SetTrial(planner.Trial{Fraction: plan.Fraction, UnrepeatableUntil: plan.UnrepeatableUntil, NoUnrepeatable: plan.NoUnrepeatable}, true)
 	h.write(ctx, now, g, record)
 }
 
 // hear takes the evidence of a record that is new here. What this home wrote itself it knows,
 // whether the store's answer or the row came first, or only the row did.
-func (h *Home) hear(g *hosted, record *rollout.Record) {
+func (h *Owner) hear(g *hosted, record *rollout.Record) {
 	if record.State != rollout.Running || record.Written <= g.writer.last {
 		return
 	}
 	g.writer.last = record.Written
-	if record.By == h.id {
-		g.trial.Noted(record.Evidence)
+	if record.Owner == h.id {
+		g.trial.SummarySaved(record.Evidence)
 		return
 	}
-	g.trial.Heard(record.Evidence)
+	g.trial.MergeSummary(record.Evidence)
 }
 
 // closed reports whether a completed version of a service does not get all requests yet.
-func (h *Home) closed(now clock.Millis, service ids.Service) bool {
+func (h *Owner) closed(now clock.Millis, service ids.Service) bool {
 	if h.rollouts == nil {
 		return false
 	}
-	_, closed := h.rollouts.Book.Opens(service, h.id, now)
+	_, closed := h.rollouts.Tracker.OpensAt(service, h.id, now)
 	return closed
 }
 
@@ -117,24 +117,24 @@
 }
 
 // takeUp begins the trial of an order at this home, with what an earlier one has noted.
-func (h *Home) takeUp(now clock.Millis, g *hosted, order rollout.Order, record *rollout.Record) {
-	book := h.rollouts.Book
+func (h *Owner) takeUp(now clock.Millis, g *hosted, order rollout.Order, record *rollout.Record) {
+	book := h.rollouts.Tracker
 	times := book.Times(order, *record)
 	g.writer.last = record.Written
 	g.trial = rollout.NewTrial(order, h.rollouts.Bounds(), record.Evidence, now, times)
 	h.Log.WithFields(rolloutFields(record)).WithFields(logrus.Fields{
-		"started_ms_ago": int64(now - times.Started), "ends_in_ms": int64(times.Ends - now), "over_in_ms": int64(times.Over - now), "withdrawn": order.Withdrawn(),
+		"started_ms_ago": int64(now - times.Started), "ends_in_ms": int64(times.EarliestEnd - now), "over_in_ms": int64(times.LatestEnd - now), "withdrawn": order.Withdrawn(),
 	}).Info("roll-out taken up")
 }
 
 // situation gathers what the next step depends on.
-func (h *Home) situation(now clock.Millis, g *hosted, record rollout.Record) rollout.Situation {
+func (h *Owner) situation(now clock.Millis, g *hosted, record rollout.Record) rollout.Situation {
 	onTrial, others := g.planner.TrialTargets()
 	return rollout.Situation{
 		Now: now, Record: record, Targets: onTrial, Old: others, Factors: g.planner.Factors,
-		Fresh:        h.rollouts.Book.Age(now) <= h.rollouts.Bounds().Trust(),
-		Unrepeatable: g.planner.Unrepeatable(), Backing: h.members.Backing(),
-		Usual: onTrial == 0 && runsOnly(g.directory.Serving(record.Service), record.Version) && h.rollouts.Book.Usual(record.Service, record.Version),
+		Fresh:        h.rollouts.Tracker.Age(now) <= h.rollouts.Bounds().Grace(),
+		Unrepeatable: g.planner.Unrepeatable(), Agreement: h.members.Agreement(),
+		Established: onTrial == 0 && runsOnly(g.directory.Serving(record.Service), record.Version) && h.rollouts.Tracker.Established(record.Service, record.Version),
 	}
 }
 
@@ -149,7 +149,7 @@
 }
 
 // write writes the state that a trial wants, or its evidence now and then.
-func (h *Home) write(ctx context.Context, now clock.Millis, g *hosted, record rollout.Record) {
+func (h *Owner) write(ctx context.Context, now clock.Millis, g *hosted, record rollout.Record) {
 	state := g.planned.Write
 	if state == rollout.Pending && record.State == rollout.Running && now-g.writer.noted >= evidenceEvery {
 		state = rollout.Running
@@ -159,17 +159,17 @@
 	}
 	g.writer.busy = true
 	g.writer.noted = now
-	next := g.trial.Record(record, state, g.planned.Why, h.rollouts.Book.StoreTime)
-	next.By = h.id
+	next := g.trial.Record(record, state, g.planned.Why, h.rollouts.Tracker.StoreTime)
+	next.Owner = h.id
 	if record.State == rollout.Pending {
-		next.TimedBy = h.id
+		next.TimedByOwner = h.id
 	}
 	go h.writeRecord(ctx, g, next, record.State != state)
 }
 
 // writeRecord makes one call to the store. If its outcome is unknown, what the store's table
 // shows later settles it.
-func (h *Home) writeRecord(ctx context.Context, g *hosted, r rollout.Record, news bool) {
+func (h *Owner) writeRecord(ctx context.Context, g *hosted, r rollout.Record, news bool) {
 	limited, cancel := context.WithTimeout(ctx, recordTime.Duration())
 	defer cancel()
 	began := time.Now()
@@ -177,7 +177,7 @@
 	switch {
 	case err == nil:
 		r.Written = written
-		h.rollouts.Book.PutRecords([]rollout.Record{r}, rollout.Proof{})
+		h.rollouts.Tracker.PutRecords([]rollout.Record{r}, rollout.Freshness{})
 		h.rollouts.Changed()
 	case errors.Is(err, rollout.ErrOvertaken):
 		h.Log.WithError(err).WithFields(rolloutFields(&r)).Info("roll-out: another entry has written")
@@ -185,7 +185,7 @@
 		h.Log.WithError(err).WithFields(rolloutFields(&r)).Warn("roll-out: not known to be written")
 	}
 	if news && err == nil {
-		h.Metrics.Figures.Add("rollouts", "state", r.State.String())
+		h.Metrics.Prometheus.Add("rollouts", "state", r.State.String())
 		h.Log.WithFields(rolloutFields(&r)).WithField("took_ms", time.Since(began).Milliseconds()).Info("roll-out: state written")
 	}
 	h.mu.Lock()
@@ -195,7 +195,7 @@
 }
 
 // describe adds to a report what is known here as the home of its service.
-func (h *Home) describe(r *rollout.Report) {
+func (h *Owner) describe(r *rollout.Report) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if g := h.groups[r.Service]; g != nil && g.trial != nil {
@@ -207,6 +207,6 @@
 func rolloutFields(r *rollout.Record) logrus.Fields {
 	return logrus.Fields{
 		"service": string(r.Service), "version": string(r.Version), "state": r.State.String(), "why": r.Why,
-		"requests": r.Evidence.Requests, "bad": r.Evidence.Bad, "targets": r.Evidence.Targets, "suspect": r.Evidence.Suspect,
+		"requests": r.Evidence.Requests, "bad": r.Evidence.Bad, "targets": r.Evidence.Targets, "suspect": r.Evidence.WorseTargets,
 	}
 }
--- a/pkg/dispatch/lives_test.go
+++ b/pkg/dispatch/lives_test.go
@@ -111,12 +111,12 @@
 // again: its connection is closed.
 func (b *bed) untilReplaced(entry int, length time.Duration) {
 	now := b.Clock.Now()
-	ask := schedule.Ask{Service: "s", Job: planner.Job{Arrived: now, Objective: 200 * clock.Second, Deadline: now + 400*clock.Second}}
+	ask := schedule.Request{Service: "s", Job: planner.Job{Arrived: now, Objective: 200 * clock.Second, Deadline: now + 400*clock.Second}}
 	p, refused, err := b.entries[entry].Acquire(context.Background(), ask)
 	if refused != nil || err != nil {
 		return
 	}
-	life := p.Target().Life()
+	life := p.Target().Incarnation()
 	b.note(life.Target, 1)
 	outcome := planner.Served
 	const step = 5 * time.Millisecond
@@ -128,7 +128,7 @@
 		}
 	}
 	b.note(life.Target, -1)
-	p.Done(outcome, planner.Flow{})
+	p.Done(outcome, planner.StreamStats{})
 }
 
 // note counts what runs on a target, whichever life it is.
--- a/pkg/dispatch/messages.go
+++ b/pkg/dispatch/messages.go
@@ -52,14 +52,14 @@
 	_          struct{} `cbor:",toarray"`
 	Number     uint64
 	Verdict    verdict
-	Life       ids.Life // of the target that is granted
+	Life       ids.TargetIncarnation // of the target that is granted
 	RetryAfter clock.Millis
 	// Ahead and Wait are what a refusal stands on.
 	Ahead int
 	Wait  clock.Millis
 	// Takes is what the home knows of how many requests a second the target takes, nil if nothing, and Counted says
 	// that the grant is one of these.
-	Takes   *ratelimit.Aged
+	Takes   *ratelimit.AgedReport
 	Counted bool
 }
 
@@ -79,8 +79,8 @@
 	Service  ids.Service
 	Progress progress
 	Outcome  planner.Outcome
-	Flow     planner.Flow  // with done
-	Load     *planner.Load // with begun, if the target told it
+	Flow     planner.StreamStats // with done
+	Load     *planner.Load       // with begun, if the target told it
 }
 
 // sync lists what an entry has on the targets of a service; a request whose
@@ -97,7 +97,7 @@
 type item struct {
 	_       struct{} `cbor:",toarray"`
 	Number  uint64
-	Life    ids.Life // of its target
+	Life    ids.TargetIncarnation // of its target
 	Begun   bool
 	Tier    ids.TierRank
 	Prompt  ids.Tokens
--- a/pkg/dispatch/notes.go
+++ b/pkg/dispatch/notes.go
@@ -19,9 +19,9 @@
 
 // Notes is the table of the platform's store in which homes note what they have
 // learned, one row a service.
-type Notes interface {
+type EstimateStore interface {
 	Put(ctx context.Context, key string, value []byte) error
-	Whole(ctx context.Context) (follow.Batch, error)
+	Snapshot(ctx context.Context) (follow.Batch, error)
 }
 
 const (
@@ -42,7 +42,7 @@
 	_       struct{} `cbor:",toarray"`
 	Service ids.Service
 	Page    int
-	Learned planner.Learned
+	Learned planner.Estimates
 }
 
 // memory keeps what homes have learned, at the home itself and at the entry that
@@ -51,17 +51,17 @@
 	common.Common
 	members *membership.Members
 	link    *packets.Link
-	notes   Notes
+	notes   EstimateStore
 	faults  *follow.Faults
 
 	mu    gosync.Mutex
-	heard map[ids.Service]*planner.Learned // of homes
-	noted map[ids.Service]clock.Millis     // when it was last noted here
+	heard map[ids.Service]*planner.Estimates // of homes
+	noted map[ids.Service]clock.Millis       // when it was last noted here
 }
 
-func newMemory(c common.Common, members *membership.Members, link *packets.Link, notes Notes) *memory {
-	m := &memory{Common: c, members: members, link: link, notes: notes, faults: follow.NewFaults(c, "notes"), heard: make(map[ids.Service]*planner.Learned), noted: make(map[ids.Service]clock.Millis)}
-	link.Handle(packets.KindLearned, packets.Receive(link, m.hear))
+func newMemory(c common.Common, members *membership.Members, link *packets.Link, notes EstimateStore) *memory {
+	m := &memory{Common: c, members: members, link: link, notes: notes, faults: follow.NewFaults(c, "notes"), heard: make(map[ids.Service]*planner.Estimates), noted: make(map[ids.Service]clock.Millis)}
+	link.Handle(packets.KindEstimates, packets.Receive(link, m.hear))
 	return m
 }
 
@@ -78,7 +78,7 @@
 }
 
 // of returns what is known of a service, or nil.
-func (m *memory) of(service ids.Service) *planner.Learned {
+func (m *memory) of(service ids.Service) *planner.Estimates {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.heard[service]
@@ -87,16 +87,16 @@
 // tell tells the entry that would follow what this home has learned, and notes it in
 // the store now and then. One message a second for some two dozen targets does not grow with
 // the number of entries.
-func (m *memory) tell(ctx context.Context, now clock.Millis, service ids.Service, l *planner.Learned) {
+func (m *memory) tell(ctx context.Context, now clock.Millis, service ids.Service, l *planner.Estimates) {
 	for id := range l.Factors {
 		if len(l.Factors) <= mostFactors {
 			break
 		}
 		delete(l.Factors, id)
 	}
-	if next, others := m.members.HeavyNext(matter(service)); others {
+	if next, others := m.members.HeavySuccessor(matter(service)); others {
 		for i, page := range pages(l) {
-			m.link.Send(next, packets.KindLearned, lesson{Service: service, Page: i, Learned: page})
+			m.link.Send(next, packets.KindEstimates, lesson{Service: service, Page: i, Learned: page})
 		}
 	}
 	m.mu.Lock()
@@ -115,21 +115,21 @@
 const mostFactors = 1700
 
 // pages divides what was learned so that each part fits into a datagram.
-func pages(l *planner.Learned) []planner.Learned {
+func pages(l *planner.Estimates) []planner.Estimates {
 	page := *l
-	page.Factors = make(map[ids.Life]float64)
-	var list []planner.Learned
+	page.Factors = make(map[ids.TargetIncarnation]float64)
+	var list []planner.Estimates
 	for id, f := range l.Factors {
 		page.Factors[id] = f
 		if len(page.Factors) == factorsAPage {
 			list = append(list, page)
-			page.Factors = make(map[ids.Life]float64)
+			page.Factors = make(map[ids.TargetIncarnation]float64)
 		}
 	}
 	return append(list, page)
 }
 
-func (m *memory) note(ctx context.Context, service ids.Service, l *planner.Learned) {
+func (m *memory) note(ctx context.Context, service ids.Service, l *planner.Estimates) {
 	ctx, cancel := context.WithTimeout(ctx, noteTime.Duration())
 	defer cancel()
 	value, err := cbor.Marshal(l)
@@ -143,22 +143,22 @@
 
 // read reads the notes of all services, as when this entry has just started, and
 // calls done with what they say.
-func (m *memory) read(ctx context.Context, done func(ids.Service, *planner.Learned)) {
+func (m *memory) read(ctx context.Context, done func(ids.Service, *planner.Estimates)) {
 	ctx, cancel := context.WithTimeout(ctx, noteTime.Duration())
 	defer cancel()
-	batch, err := m.notes.Whole(ctx)
+	batch, err := m.notes.Snapshot(ctx)
 	if err != nil {
 		m.Log.WithError(err).Info("what was learned before is not read")
 		return
 	}
 	for _, row := range batch.Rows {
-		l := &planner.Learned{}
+		l := &planner.Estimates{}
 		err := cbor.Unmarshal(row.Value, l)
 		if err == nil {
 			err = l.Check()
 		}
 		if err != nil {
-			m.faults.Note(row, err)
+			m.faults.Add(row, err)
 			continue
 		}
 		service := ids.Service(row.Key)
--- a/pkg/dispatch/notes_test.go
+++ b/pkg/dispatch/notes_test.go
@@ -35,7 +35,7 @@
 	return nil
 }
 
-func (*rowOf) Whole(context.Context) (follow.Batch, error) { return follow.Batch{}, nil }
+func (*rowOf) Snapshot(context.Context) (follow.Batch, error) { return follow.Batch{}, nil }
 
 // startOfAll is when the targets of these tests started.
 const startOfAll ids.Start = 1_764_673_891_234
@@ -58,16 +58,16 @@
 		for i := range 2 {
 			link := packets.NewLink(c, net.Socket(address(i)))
 			m := membership.New(c, membership.Self{Name: ids.Process(fmt.Sprint("entry-", i)), Address: address(i), Weight: 1}, commontest.NoRows{}, link)
-			m.Whole(listed, follow.Proof{})
+			m.Snapshot(listed, follow.Freshness{})
 			entries = append(entries, newMemory(c, m, link, row))
 			go link.Run(ctx)
 			go m.Run(ctx)
 		}
 		time.Sleep(time.Second)
 		for _, targets := range []int{70, 70, 5000, 40} {
-			l := &planner.Learned{Factors: make(map[ids.Life]float64)}
+			l := &planner.Estimates{Factors: make(map[ids.TargetIncarnation]float64)}
 			for n := range targets {
-				l.Factors[ids.Life{Target: ids.Target(fmt.Sprintf("i-%d-%010x", targets, n)), Start: startOfAll}] = 1.5
+				l.Factors[ids.TargetIncarnation{Target: ids.Target(fmt.Sprintf("i-%d-%010x", targets, n)), Start: startOfAll}] = 1.5
 			}
 			entries[0].tell(ctx, c.Clock.Now(), "s", l)
 			time.Sleep(noteEvery.Duration() + time.Second)
@@ -92,26 +92,26 @@
 
 func (foreignNotes) Put(context.Context, string, []byte) error { return nil }
 
-func (n foreignNotes) Whole(context.Context) (follow.Batch, error) {
+func (n foreignNotes) Snapshot(context.Context) (follow.Batch, error) {
 	return follow.Batch{Rows: n.rows}, nil
 }
 
 // TestAForeignNoteTeachesNothing has a table of notes hold what no planner has learned: a factor that
 // is no number would have a target never placed on, or always.
 func TestAForeignNoteTeachesNothing(t *testing.T) {
-	line := planner.Line{N: 9, X: 1, Y: 1, XX: 1, XY: 1}
+	line := planner.LineFit{N: 9, X: 1, Y: 1, XX: 1, XY: 1}
 	notes := []struct {
 		service string
-		learned planner.Learned
+		learned planner.Estimates
 		sound   bool
 	}{
-		{"sound", planner.Learned{First: line, Pause: line, Factors: map[ids.Life]float64{{Target: "a"}: 1.5}}, true},
-		{"nan", planner.Learned{First: line, Factors: map[ids.Life]float64{{Target: "a"}: math.NaN()}}, false},
-		{"nothing", planner.Learned{First: line, Factors: map[ids.Life]float64{{Target: "a"}: 0}}, false},
-		{"below", planner.Learned{First: line, Factors: map[ids.Life]float64{{Target: "a"}: -1}}, false},
-		{"endless", planner.Learned{First: planner.Line{N: 9, X: math.Inf(1)}}, false},
-		{"points", planner.Learned{First: planner.Line{N: -9}}, false},
-		{"hold", planner.Learned{First: line, Hold: math.Inf(1)}, false},
+		{"sound", planner.Estimates{First: line, Pause: line, Factors: map[ids.TargetIncarnation]float64{{Target: "a"}: 1.5}}, true},
+		{"nan", planner.Estimates{First: line, Factors: map[ids.TargetIncarnation]float64{{Target: "a"}: math.NaN()}}, false},
+		{"nothing", planner.Estimates{First: line, Factors: map[ids.TargetIncarnation]float64{{Target: "a"}: 0}}, false},
+		{"below", planner.Estimates{First: line, Factors: map[ids.TargetIncarnation]float64{{Target: "a"}: -1}}, false},
+		{"endless", planner.Estimates{First: planner.LineFit{N: 9, X: math.Inf(1)}}, false},
+		{"points", planner.Estimates{First: planner.LineFit{N: -9}}, false},
+		{"hold", planner.Estimates{First: line, PrefillStall: math.Inf(1)}, false},
 	}
 	table := foreignNotes{rows: []follow.Row{{Key: "bytes", Value: []byte{0xff}}, {Key: "empty"}}}
 	for _, n := range notes {
@@ -124,13 +124,13 @@
 	c := commontest.New(network.NewMemory(nil))
 	m := newMemory(c, nil, packets.NewLink(c, packets.NewMemory().Socket(netip.MustParseAddrPort("10.0.0.1:7600"))), table)
 	learned := make(map[ids.Service]bool)
-	m.read(context.Background(), func(service ids.Service, _ *planner.Learned) { learned[service] = true })
+	m.read(context.Background(), func(service ids.Service, _ *planner.Estimates) { learned[service] = true })
 	for _, n := range notes {
 		if learned[ids.Service(n.service)] != n.sound {
 			t.Errorf("%s was taken: %t", n.service, !n.sound)
 		}
 	}
-	if got := m.faults.Standing(); got != 8 {
+	if got := m.faults.Count(); got != 8 {
 		t.Errorf("%d faulty rows are shown", got)
 	}
 }
--- a/pkg/dispatch/pending.go
+++ b/pkg/dispatch/pending.go
@@ -14,7 +14,7 @@
 
 // pending is a request that has no place yet.
 type pending struct {
-	want    schedule.Ask
+	want    schedule.Request
 	number  uint64
 	answers chan answer
 	home    netip.AddrPort // whom it was last asked of
@@ -28,7 +28,7 @@
 }
 
 // Acquire waits for a place.
-func (d *Dispatcher) Acquire(ctx context.Context, want schedule.Ask) (schedule.Place, *schedule.Refused, error) {
+func (d *Dispatcher) Acquire(ctx context.Context, want schedule.Request) (schedule.Assignment, *schedule.Refused, error) {
 	p := &pending{want: want}
 	d.enter(p)
 	defer func() { d.leave(p.number) }()
@@ -44,7 +44,7 @@
 			return d.alone(ctx, p)
 		case a == nil:
 		case a.Verdict == refused, a.Verdict == noTarget, a.Verdict == resting:
-			return nil, &schedule.Refused{Overloaded: a.Verdict == refused, Resting: a.Verdict == resting, RetryAfter: a.RetryAfter, Ahead: a.Ahead, Wait: a.Wait}, nil
+			return nil, &schedule.Refused{Overloaded: a.Verdict == refused, BackedOff: a.Verdict == resting, RetryAfter: a.RetryAfter, Ahead: a.Ahead, Wait: a.Wait}, nil
 		case a.Verdict == granted && d.barred(a):
 			d.withhold(p, a.Life)
 		case a.Verdict == granted:
@@ -114,12 +114,12 @@
 	message.Job.Arrived, message.Job.Deadline = 0, 0
 	message.Job.Domain = d.domain
 	message.Job.Trial = p.trial
-	return toHome(d, w.Service, packets.KindAsk, d.home.asked, &message)
+	return toHome(d, w.Service, packets.KindJobSubmit, d.home.asked, &message)
 }
 
 // decline gives back a grant for a target that is not to be used. The request
 // goes on under a new number.
-func (d *Dispatcher) decline(p *pending, life ids.Life) {
+func (d *Dispatcher) decline(p *pending, life ids.TargetIncarnation) {
 	d.Metrics.Links.Add("grants_declined", 1)
 	p.want.Exclude = append(slices.Clone(p.want.Exclude), life)
 	d.giveBack(p, planner.Moved)
@@ -135,9 +135,9 @@
 
 // alone places a request by this entry's own counts. The home learns of it by
 // the next sync.
-func (d *Dispatcher) alone(ctx context.Context, p *pending) (schedule.Place, *schedule.Refused, error) {
+func (d *Dispatcher) alone(ctx context.Context, p *pending) (schedule.Assignment, *schedule.Refused, error) {
 	d.Metrics.Links.Add("placed_alone", 1)
-	d.members.Doubt(p.home)
+	d.members.Suspect(p.home)
 	d.step(step{Number: p.number, Service: p.want.Service, Progress: withdrawn})
 	own, refused, err := d.local.Acquire(ctx, p.want)
 	if own == nil {
--- a/pkg/dispatch/place.go
+++ b/pkg/dispatch/place.go
@@ -10,7 +10,7 @@
 	"quaydock/pkg/schedule"
 )
 
-func (d *Dispatcher) begin(number uint64, want *schedule.Ask, t *routing.Target, own schedule.Place) *place {
+func (d *Dispatcher) begin(number uint64, want *schedule.Request, t *routing.Target, own schedule.Assignment) *place {
 	p := &place{dispatcher: d, number: number, target: t, want: want, own: own, sentAt: d.Clock.Now(), moved: make(chan struct{}), order: d.trials.order(want.Service)}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -23,9 +23,9 @@
 	dispatcher *Dispatcher
 	number     uint64
 	target     *routing.Target
-	want       *schedule.Ask
-	own        schedule.Place   // if it was placed by the entry's own counts
-	order      rollout.Revision // of the roll-out during which it was sent, or 0
+	want       *schedule.Request
+	own        schedule.Assignment // if it was placed by the entry's own counts
+	order      rollout.Revision    // of the roll-out during which it was sent, or 0
 	sentAt     clock.Millis
 	begun      bool // guarded by the dispatcher's lock
 	moved      chan struct{}
@@ -44,7 +44,7 @@
 	p.dispatcher.step(step{Number: p.number, Service: p.want.Service, Progress: begun, Load: load})
 }
 
-func (p *place) Done(outcome planner.Outcome, flow planner.Flow) {
+func (p *place) Done(outcome planner.Outcome, flow planner.StreamStats) {
 	p.dispatcher.mu.Lock()
 	delete(p.dispatcher.running, p.number)
 	p.dispatcher.lists[p.want.Service] = emptyLists
--- a/pkg/dispatch/trials.go
+++ b/pkg/dispatch/trials.go
@@ -14,7 +14,7 @@
 
 // Rollouts is what roll-outs of versions need.
 type Rollouts struct {
-	Book *rollout.Book
+	Tracker *rollout.Tracker
 	// Bounds returns those in force.
 	Bounds func() rollout.Bounds
 	Store  RolloutStore
@@ -22,7 +22,7 @@
 	Changed func()
 	// Excused lists lives of targets that ended under requests that end targets of any version; nil
 	// if that is not known.
-	Excused func() []ids.Life
+	Excused func() []ids.TargetIncarnation
 }
 
 // RolloutStore writes what has been decided of roll-outs.
@@ -56,12 +56,12 @@
 	if t.rollouts == nil || !t.open(service) || !t.fresh() {
 		return
 	}
-	p.trial = t.exposure.Ask(service, t.rollouts.Bounds())
+	p.trial = t.exposure.Reserve(service, t.rollouts.Bounds())
 }
 
 // open opens or closes the account of a service's order; it reports whether there is one.
 func (t *trials) open(service ids.Service) bool {
-	order, record, open := t.rollouts.Book.Open(service)
+	order, record, open := t.rollouts.Tracker.OpenOrder(service)
 	if !open || order.Withdrawn() {
 		t.exposure.End(service)
 		return false
@@ -76,32 +76,32 @@
 // for the first of all, as each of them would.
 func (t *trials) credit(order rollout.Order) int {
 	entries, known := t.members.Entries()
-	if !known || !t.rollouts.Book.Witnessed(order) {
+	if !known || !t.rollouts.Tracker.FollowedBefore(order) {
 		return 0
 	}
-	_, nth := t.members.ReaderOrder(rolloutMatter(order.Service))
-	return rollout.Credit(t.rollouts.Bounds(), nth, entries)
+	_, nth := t.members.FeedReaderRank(rolloutMatter(order.Service))
+	return rollout.SlackCredit(t.rollouts.Bounds(), nth, entries)
 }
 
 // fresh reports whether this entry would have heard of a verdict.
 func (t *trials) fresh() bool {
-	return t.rollouts.Book.Age(t.Clock.Now()) <= t.rollouts.Bounds().Trust()
+	return t.rollouts.Tracker.Age(t.Clock.Now()) <= t.rollouts.Bounds().Grace()
 }
 
 func (t *trials) give(p *pending) {
 	if p.trial {
 		p.trial = false
-		t.exposure.Give(p.want.Service)
+		t.exposure.Release(p.want.Service)
 	}
 }
 
 // send uses what was set aside for a request that is to go to a target on trial.
 func (t *trials) send(p *pending, target *routing.Target) bool {
-	if !p.trial || !t.fresh() || !t.exposure.Send(target.Service, target.Version) {
+	if !p.trial || !t.fresh() || !t.exposure.Commit(target.Service, target.Version) {
 		return false
 	}
 	p.trial = false
-	t.Metrics.Figures.Add("trial_requests", "version", string(target.Version))
+	t.Metrics.Prometheus.Add("trial_requests", "version", string(target.Version))
 	return true
 }
 
@@ -110,7 +110,7 @@
 	if d.trials.rollouts == nil {
 		return nil
 	}
-	book := d.trials.rollouts.Book
+	book := d.trials.rollouts.Tracker
 	now := d.Clock.Now()
 	var reports []rollout.Report
 	for _, service := range book.Services() {
--- a/pkg/domains/screen.go
+++ b/pkg/domains/screen.go
@@ -16,7 +16,7 @@
 
 // Screen marks the targets of drained failure domains in the list of targets, anew whenever the list
 // or what is drained changes.
-type Screen struct {
+type Filter struct {
 	common.Common
 	marked func(*routing.Directory)
 
@@ -28,14 +28,14 @@
 }
 
 // NewScreen returns a screen without targets; marked is told of each new list.
-func NewScreen(c common.Common, marked func(*routing.Directory)) *Screen {
-	s := &Screen{Common: c, marked: marked, drained: make(map[ids.FailureDomain]bool), backAt: make(map[ids.FailureDomain]clock.Millis)}
-	c.Metrics.Figures.Gauge("failure_domains_drained", func() float64 { return float64(len(s.Drained())) })
+func NewFilter(c common.Common, marked func(*routing.Directory)) *Filter {
+	s := &Filter{Common: c, marked: marked, drained: make(map[ids.FailureDomain]bool), backAt: make(map[ids.FailureDomain]clock.Millis)}
+	c.Metrics.Prometheus.Gauge("failure_domains_drained", func() float64 { return float64(len(s.Drained())) })
 	return s
 }
 
 // SetDirectory takes a new list.
-func (s *Screen) SetDirectory(d *routing.Directory) {
+func (s *Filter) SetDirectory(d *routing.Directory) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.raw = d.All()
@@ -43,13 +43,13 @@
 }
 
 // Order is what operators want of a failure domain: that it is drained, or given back.
-type Order struct {
+type DrainOrder struct {
 	Domain  ids.FailureDomain
 	Drained bool
 }
 
 // Replace takes all orders that stand; domains without one are given back.
-func (s *Screen) Replace(standing []Order) {
+func (s *Filter) Replace(standing []DrainOrder) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	stands := make(map[ids.FailureDomain]bool, len(standing))
@@ -59,21 +59,21 @@
 	orders := slices.Clone(standing)
 	for domain := range s.drained {
 		if !stands[domain] {
-			orders = append(orders, Order{Domain: domain})
+			orders = append(orders, DrainOrder{Domain: domain})
 		}
 	}
 	s.change(orders)
 }
 
 // Change takes orders in the order in which they were given.
-func (s *Screen) Change(orders []Order) {
+func (s *Filter) Change(orders []DrainOrder) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.change(orders)
 }
 
 // change marks the list if anything is new; the lock is held.
-func (s *Screen) change(orders []Order) {
+func (s *Filter) change(orders []DrainOrder) {
 	isNew := false
 	for _, o := range orders {
 		if s.drained[o.Domain] == o.Drained {
@@ -95,7 +95,7 @@
 }
 
 // log is a line about a domain, with how many targets it concerns.
-func (s *Screen) log(domain ids.FailureDomain) *logrus.Entry {
+func (s *Filter) log(domain ids.FailureDomain) *logrus.Entry {
 	targets := 0
 	for _, t := range s.raw {
 		if t.Domain == domain {
@@ -106,12 +106,12 @@
 }
 
 // mark passes the list on; the lock is held, so that an older list never follows a newer one.
-func (s *Screen) mark() {
+func (s *Filter) mark() {
 	list := make([]*routing.Target, 0, len(s.raw))
 	for _, t := range s.raw {
 		if drained, back := s.drained[t.Domain], s.backAt[t.Domain]; drained || back > 0 {
 			marked := *t
-			marked.Drained, marked.BackAt = drained, back
+			marked.Drained, marked.RestoredAt = drained, back
 			t = &marked
 		}
 		list = append(list, t)
@@ -120,7 +120,7 @@
 }
 
 // Drained lists the failure domains that are drained, in no order.
-func (s *Screen) Drained() []ids.FailureDomain {
+func (s *Filter) Drained() []ids.FailureDomain {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []ids.FailureDomain
--- a/pkg/domains/screen_test.go
+++ b/pkg/domains/screen_test.go
@@ -21,36 +21,38 @@
 	{ID: "c", Service: "s", Domain: "d1", Admission: routing.OnTrial},
 })
 
-func drain(d ids.FailureDomain) domains.Order { return domains.Order{Domain: d, Drained: true} }
+func drain(d ids.FailureDomain) domains.DrainOrder {
+	return domains.DrainOrder{Domain: d, Drained: true}
+}
 
-func giveBack(d ids.FailureDomain) domains.Order { return domains.Order{Domain: d} }
+func giveBack(d ids.FailureDomain) domains.DrainOrder { return domains.DrainOrder{Domain: d} }
 
 func TestOrders(t *testing.T) {
 	scenarios := []struct {
 		name    string
-		do      func(s *domains.Screen)
+		do      func(s *domains.Filter)
 		serving int // targets of the service that may get requests, of two
 		onTrial int // and of those on trial, of one
 		back    bool
 	}{
-		{"none", func(*domains.Screen) {}, 2, 1, false},
-		{"drained", func(s *domains.Screen) { s.Change([]domains.Order{drain("d1")}) }, 1, 0, false},
-		{"given back", func(s *domains.Screen) { s.Change([]domains.Order{drain("d1"), giveBack("d1")}) }, 2, 1, true},
-		{"given back and drained again in one read", func(s *domains.Screen) {
-			s.Change([]domains.Order{drain("d1")})
-			s.Change([]domains.Order{giveBack("d1"), drain("d1")})
+		{"none", func(*domains.Filter) {}, 2, 1, false},
+		{"drained", func(s *domains.Filter) { s.Change([]domains.DrainOrder{drain("d1")}) }, 1, 0, false},
+		{"given back", func(s *domains.Filter) { s.Change([]domains.DrainOrder{drain("d1"), giveBack("d1")}) }, 2, 1, true},
+		{"given back and drained again in one read", func(s *domains.Filter) {
+			s.Change([]domains.DrainOrder{drain("d1")})
+			s.Change([]domains.DrainOrder{giveBack("d1"), drain("d1")})
 		}, 1, 0, true},
-		{"one that was never drained is given back", func(s *domains.Screen) { s.Change([]domains.Order{giveBack("d1")}) }, 2, 1, false},
-		{"all are read anew, and it stands", func(s *domains.Screen) {
-			s.Change([]domains.Order{drain("d1")})
-			s.Replace([]domains.Order{drain("d1")})
+		{"one that was never drained is given back", func(s *domains.Filter) { s.Change([]domains.DrainOrder{giveBack("d1")}) }, 2, 1, false},
+		{"all are read anew, and it stands", func(s *domains.Filter) {
+			s.Change([]domains.DrainOrder{drain("d1")})
+			s.Replace([]domains.DrainOrder{drain("d1")})
 		}, 1, 0, false},
-		{"all are read anew, and it is gone", func(s *domains.Screen) {
-			s.Change([]domains.Order{drain("d1")})
+		{"all are read anew, and it is gone", func(s *domains.Filter) {
+			s.Change([]domains.DrainOrder{drain("d1")})
 			s.Replace(nil)
 		}, 2, 1, true},
-		{"a newer list", func(s *domains.Screen) {
-			s.Change([]domains.Order{drain("d1")})
+		{"a newer list", func(s *domains.Filter) {
+			s.Change([]domains.DrainOrder{drain("d1")})
 			s.SetDirectory(listed)
 		}, 1, 0, false},
 	}
@@ -58,7 +60,7 @@
 		t.Run(sc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var got *routing.Directory
-				s := domains.NewScreen(commontest.New(network.NewMemory(nil)), func(d *routing.Directory) { got = d })
+				s := domains.NewFilter(commontest.New(network.NewMemory(nil)), func(d *routing.Directory) { got = d })
 				s.SetDirectory(listed)
 				time.Sleep(time.Second)
 				sc.do(s)
@@ -71,7 +73,7 @@
 				if got.Len() != listed.Len() {
 					t.Errorf("%d targets are known", got.Len())
 				}
-				if back := got.Target("b").BackAt > 0; back != sc.back {
+				if back := got.Target("b").RestoredAt > 0; back != sc.back {
 					t.Errorf("given back: %t", back)
 				}
 			})
@@ -82,8 +84,8 @@
 // TestOrdersBeforeTheList: the operators' rows may be read before the targets' are.
 func TestOrdersBeforeTheList(t *testing.T) {
 	var got *routing.Directory
-	s := domains.NewScreen(commontest.New(network.NewMemory(nil)), func(d *routing.Directory) { got = d })
-	s.Replace([]domains.Order{drain("d0"), drain("d1")})
+	s := domains.NewFilter(commontest.New(network.NewMemory(nil)), func(d *routing.Directory) { got = d })
+	s.Replace([]domains.DrainOrder{drain("d0"), drain("d1")})
 	if got != nil {
 		t.Error("a list before there is one")
 	}
@@ -103,10 +105,10 @@
 	var log bytes.Buffer
 	c := commontest.New(network.NewMemory(nil))
 	c.Log.Logger.SetOutput(&log)
-	s := domains.NewScreen(c, func(*routing.Directory) {})
+	s := domains.NewFilter(c, func(*routing.Directory) {})
 	s.SetDirectory(listed)
 	for range 3 {
-		s.Replace([]domains.Order{drain("d1")})
+		s.Replace([]domains.DrainOrder{drain("d1")})
 	}
 	s.Replace(nil)
 	s.Replace(nil)
@@ -118,7 +120,7 @@
 // TestATargetThatWasGivenBackMayBeCold: it need not have told yet that it became cold while it was drained.
 func TestATargetThatWasGivenBackMayBeCold(t *testing.T) {
 	service := &routing.Service{Name: "s", ColdPerSecond: 20, ColdTime: 3 * clock.Second}
-	target := &routing.Target{ID: "a", Service: "s", BackAt: 1000, ColdUntil: 2000}
+	target := &routing.Target{ID: "a", Service: "s", RestoredAt: 1000, ColdUntil: 2000}
 	scenarios := []struct {
 		at      clock.Millis
 		service *routing.Service
--- a/pkg/entry/admission.go
+++ b/pkg/entry/admission.go
@@ -45,7 +45,7 @@
 }
 
 // readTerms checks key and headers against the configuration.
-func readTerms(book *declaration.Book, h http.Header, limits settings.EntryLimits) (terms, *refusal.Refusal) {
+func readTerms(book *declaration.Index, h http.Header, limits settings.EntryLimits) (terms, *refusal.Refusal) {
 	account, bad := identify(book, h.Get("Authorization"))
 	if bad != nil {
 		return terms{}, bad
@@ -70,7 +70,7 @@
 	return terms{account: account, tier: tier, deadline: deadline, key: key}, nil
 }
 
-func identify(book *declaration.Book, authorization string) (*declaration.Account, *refusal.Refusal) {
+func identify(book *declaration.Index, authorization string) (*declaration.Account, *refusal.Refusal) {
 	if authorization == "" {
 		return nil, refusal.NoKey()
 	}
@@ -85,7 +85,7 @@
 	return account, nil
 }
 
-func readTier(book *declaration.Book, account *declaration.Account, asked ids.Tier) (ids.TierRank, *refusal.Refusal) {
+func readTier(book *declaration.Index, account *declaration.Account, asked ids.Tier) (ids.TierRank, *refusal.Refusal) {
 	if asked == "" {
 		asked = account.DefaultTier
 	}
--- a/pkg/entry/callers_controller.go
+++ b/pkg/entry/callers_controller.go
@@ -38,7 +38,7 @@
 // arrival is what every handler begins with.
 type arrival struct {
 	id    ids.Request
-	book  *declaration.Book
+	book  *declaration.Index
 	terms terms
 }
 
--- a/pkg/entry/dispatcher.go
+++ b/pkg/entry/dispatcher.go
@@ -116,7 +116,7 @@
 // send makes the one exchange that a binding allows. If it breaks, the agent's
 // word on the grant decides how to go on.
 func (d *dispatcher) send(ctx context.Context, r *request, bound granted, out *answerWriter) exchangeResult {
-	row := resume.NewRow(maxResumes, d.Clock.Now())
+	row := resume.NewBreakStreak(maxResumes, d.Clock.Now())
 	backoff := d.Random.NewBackoff(minBackoff, maxBackoff)
 	result := d.exchange.dispatch(ctx, r, bound, out)
 	for {
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -28,7 +28,7 @@
 type Entry struct {
 	common.Common
 	settings   settings.Entry
-	current    atomic.Pointer[declaration.Book]
+	current    atomic.Pointer[declaration.Index]
 	use        *accountUse
 	pool       *sessionPool
 	dispatcher *dispatcher
@@ -77,12 +77,12 @@
 	return policy
 }
 
-func (e *Entry) book() *declaration.Book {
+func (e *Entry) book() *declaration.Index {
 	return e.current.Load()
 }
 
 // Apply takes a new configuration into force.
-func (e *Entry) Apply(book *declaration.Book) {
+func (e *Entry) Apply(book *declaration.Index) {
 	e.pool.apply(book)
 	e.current.Store(book)
 }
--- a/pkg/entry/session_pool.go
+++ b/pkg/entry/session_pool.go
@@ -33,7 +33,7 @@
 
 // apply starts sessions for new targets and has those of targets that are no
 // longer declared or have moved end with their last answer.
-func (p *sessionPool) apply(book *declaration.Book) {
+func (p *sessionPool) apply(book *declaration.Index) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for name, kept := range p.sessions {
@@ -60,7 +60,7 @@
 }
 
 // serving lists the sessions of the targets that serve a service.
-func (p *sessionPool) serving(book *declaration.Book, service ids.Service) []*session {
+func (p *sessionPool) serving(book *declaration.Index, service ids.Service) []*session {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
 	var list []*session
--- a/pkg/entry/ticketing.go
+++ b/pkg/entry/ticketing.go
@@ -37,7 +37,7 @@
 	common.Common
 	pool   *sessionPool
 	choose *balance.Chooser
-	book   func() *declaration.Book
+	book   func() *declaration.Index
 	asked  int
 }
 
@@ -146,7 +146,7 @@
 		case event := <-r.events:
 			delete(current.out, event.session)
 			if result := current.take(t.Clock.Now(), event); result != nil {
-				t.choose.Bound(event.session.target, r.prefix)
+				t.choose.RecordBinding(event.session.target, r.prefix)
 				return result
 			}
 		case <-hedge:
--- a/pkg/fields/object.go
+++ b/pkg/fields/object.go
@@ -164,7 +164,7 @@
 }
 
 // Whole returns a whole number within bounds.
-func (o *Object) Whole(name string, least, most int64) int64 {
+func (o *Object) Integer(name string, least, most int64) int64 {
 	value, has := o.raw(name)
 	if !has {
 		return 0
--- a/pkg/fields/object_test.go
+++ b/pkg/fields/object_test.go
@@ -15,8 +15,8 @@
 		fmt.Println(err)
 		return
 	}
-	fmt.Println(o.Text("name", 100), o.Whole("places", 1, 100), o.Err())
-	o.Whole("weight", 0, 1)
+	fmt.Println(o.Text("name", 100), o.Integer("places", 1, 100), o.Err())
+	o.Integer("weight", 0, 1)
 	fmt.Println(o.Err())
 	// Output:
 	// s 12 <nil>
@@ -59,13 +59,13 @@
 		{"a text with a line break", func(o *fields.Object) any { return o.Text("line", 8) }, "", "line: out of range"},
 		{"an empty text", func(o *fields.Object) any { return o.Text("empty", 8) }, "", "empty: out of range"},
 		{"a number for a text", func(o *fields.Object) any { return o.Text("whole", 8) }, "", "whole: of another type"},
-		{"a whole number", func(o *fields.Object) any { return o.Whole("whole", 7, 7) }, int64(7), ""},
-		{"one that is too small", func(o *fields.Object) any { return o.Whole("whole", 8, 9) }, int64(0), "whole: out of range"},
-		{"one with a part", func(o *fields.Object) any { return o.Whole("half", 0, 9) }, int64(0), "half: of another type"},
-		{"one with an exponent", func(o *fields.Object) any { return o.Whole("power", 0, 900) }, int64(0), "power: of another type"},
-		{"one beyond 64 bits", func(o *fields.Object) any { return o.Whole("huge", 0, 9) }, int64(0), "huge: of another type"},
-		{"null for one", func(o *fields.Object) any { return o.Whole("null", 0, 9) }, int64(0), "null: of another type"},
-		{"a text for one", func(o *fields.Object) any { return o.Whole("text", 0, 9) }, int64(0), "text: of another type"},
+		{"a whole number", func(o *fields.Object) any { return o.Integer("whole", 7, 7) }, int64(7), ""},
+		{"one that is too small", func(o *fields.Object) any { return o.Integer("whole", 8, 9) }, int64(0), "whole: out of range"},
+		{"one with a part", func(o *fields.Object) any { return o.Integer("half", 0, 9) }, int64(0), "half: of another type"},
+		{"one with an exponent", func(o *fields.Object) any { return o.Integer("power", 0, 900) }, int64(0), "power: of another type"},
+		{"one beyond 64 bits", func(o *fields.Object) any { return o.Integer("huge", 0, 9) }, int64(0), "huge: of another type"},
+		{"null for one", func(o *fields.Object) any { return o.Integer("null", 0, 9) }, int64(0), "null: of another type"},
+		{"a text for one", func(o *fields.Object) any { return o.Integer("text", 0, 9) }, int64(0), "text: of another type"},
 		{"a number", func(o *fields.Object) any { return o.Number("number", -1, 1) }, -0.5, ""},
 		{"one out of range", func(o *fields.Object) any { return o.Number("number", 0, 1) }, 0.0, "number: out of range"},
 		{"a list for one", func(o *fields.Object) any { return o.Number("list", 0, 1) }, 0.0, "list: of another type"},
--- a/pkg/follow/faults.go
+++ b/pkg/follow/faults.go
@@ -34,26 +34,26 @@
 // NewFaults returns the account of a table, by the name that operators read.
 func NewFaults(c common.Common, table string) *Faults {
 	f := &Faults{Common: c, table: table, standing: make(map[string]int64)}
-	c.Metrics.Figures.LabelledGauge("faulty_rows", "table", table, func() float64 { return float64(f.Standing()) })
+	c.Metrics.Prometheus.LabelledGauge("faulty_rows", "table", table, func() float64 { return float64(f.Count()) })
 	return f
 }
 
 // Standing is how many rows cannot be used.
-func (f *Faults) Standing() int {
+func (f *Faults) Count() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.standing)
 }
 
 // Note notes a row that cannot be used, and why.
-func (f *Faults) Note(row Row, err error) {
+func (f *Faults) Add(row Row, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if revision, known := f.standing[row.Key]; known && revision == row.Version {
 		return
 	}
 	f.standing[row.Key] = row.Version
-	f.Metrics.Figures.Add("faulty_rows_seen", "table", f.table)
+	f.Metrics.Prometheus.Add("faulty_rows_seen", "table", f.table)
 	now := f.Clock.Now()
 	f.owed = max(f.owed, now-faultLines*faultPause)
 	if f.owed > now-faultPause {
@@ -69,7 +69,7 @@
 func quoted(text string) string { return fmt.Sprintf("%.*q", mostQuoted, text) }
 
 // Sound notes that a row can be used again, or is gone.
-func (f *Faults) Sound(key string) {
+func (f *Faults) Clear(key string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.standing, key)
--- a/pkg/follow/faults_test.go
+++ b/pkg/follow/faults_test.go
@@ -26,19 +26,19 @@
 		f := follow.NewFaults(c, "targets")
 		lines := func() int { return strings.Count(log.String(), "\n") }
 		for range 5 {
-			f.Note(follow.Row{Key: "a", Version: 7}, errFaulty)
+			f.Add(follow.Row{Key: "a", Version: 7}, errFaulty)
 			time.Sleep(time.Second)
 		}
 		if lines() != 1 || !strings.Contains(log.String(), "revision=7") {
 			t.Errorf("%d lines: %s", lines(), log.String())
 		}
-		f.Note(follow.Row{Key: "a", Version: 8}, errFaulty)
+		f.Add(follow.Row{Key: "a", Version: 8}, errFaulty)
 		if lines() != 2 {
 			t.Errorf("%d lines after another revision", lines())
 		}
 		time.Sleep(time.Minute)
 		for i := range 1000 {
-			f.Note(follow.Row{Key: strings.Repeat("k", i), Version: 9}, errors.New(strings.Repeat("long", i)))
+			f.Add(follow.Row{Key: strings.Repeat("k", i), Version: 9}, errors.New(strings.Repeat("long", i)))
 		}
 		if got := lines(); got != 2+10 {
 			t.Errorf("%d lines for 1,000 rows", got)
@@ -47,7 +47,7 @@
 			t.Errorf("%d bytes of log", got)
 		}
 		time.Sleep(time.Second)
-		f.Note(follow.Row{Key: "b"}, errFaulty)
+		f.Add(follow.Row{Key: "b"}, errFaulty)
 		if !strings.Contains(log.String(), "unlogged=990") {
 			t.Errorf("the end of the log is %s", log.String()[log.Len()-200:])
 		}
@@ -57,15 +57,15 @@
 func TestFaultyRowsThatStand(t *testing.T) {
 	f := follow.NewFaults(commontest.New(network.NewMemory(nil)), "targets")
 	for i := range 4 {
-		f.Note(follow.Row{Key: fmt.Sprint(i), Version: 1}, errFaulty)
+		f.Add(follow.Row{Key: fmt.Sprint(i), Version: 1}, errFaulty)
 	}
-	f.Sound("0")
-	f.Sound("unknown")
-	if got := f.Standing(); got != 3 {
+	f.Clear("0")
+	f.Clear("unknown")
+	if got := f.Count(); got != 3 {
 		t.Errorf("%d stand", got)
 	}
 	f.Retain([]follow.Row{{Key: "1"}, {Key: "unknown"}})
-	if got := f.Standing(); got != 1 {
+	if got := f.Count(); got != 1 {
 		t.Errorf("%d stand after a whole read", got)
 	}
 }
--- a/pkg/follow/follower.go
+++ b/pkg/follow/follower.go
@@ -16,7 +16,7 @@
 
 // ErrForgotten is returned by a source that no longer has the changes since the
 // version asked for.
-var ErrForgotten = errors.New("the store has forgotten these changes")
+var ErrTrimmed = errors.New("the store has forgotten these changes")
 
 // Row is one row of a table, or the mark of its end.
 type Row struct {
@@ -45,7 +45,7 @@
 // Source reads one table.
 type Source interface {
 	// Whole reads all rows.
-	Whole(ctx context.Context) (Batch, error)
+	Snapshot(ctx context.Context) (Batch, error)
 	// Changes returns the rows changed after a version as soon as there are
 	// any, or none after the wait.
 	Changes(ctx context.Context, after int64, wait clock.Millis) (Batch, error)
@@ -54,11 +54,11 @@
 // Waker is a Source that also tells when the store has answered a question about another table.
 type Waker interface {
 	// Answering is closed when the store answers somebody after it had failed.
-	Answering() <-chan struct{}
+	Recovered() <-chan struct{}
 }
 
 // Proof says when an answer of the store was true.
-type Proof struct {
+type Freshness struct {
 	// AskedAt is when the question was sent: the store was in reach from about
 	// then on.
 	AskedAt clock.Millis
@@ -74,11 +74,11 @@
 // goroutine.
 type Handler interface {
 	// Whole replaces all rows.
-	Whole(rows []Row, proof Proof)
+	Snapshot(rows []Row, proof Freshness)
 	// Changed applies changes; an empty list only renews the proof.
-	Changed(rows []Row, proof Proof)
+	Changed(rows []Row, proof Freshness)
 	// Lost says that the store could not be read.
-	Lost(err error)
+	ReadFailed(err error)
 }
 
 // Options are a follower's times.
@@ -147,12 +147,12 @@
 		backoff.Reset()
 		f.regained()
 	case ctx.Err() != nil:
-	case errors.Is(err, ErrForgotten):
+	case errors.Is(err, ErrTrimmed):
 		f.known = false
 		f.Log.WithError(err).Warn("reading the whole table")
 	default:
 		f.lost(err)
-		f.handler.Lost(err)
+		f.handler.ReadFailed(err)
 		pauseUntil(ctx, backoff, answering)
 	}
 }
@@ -161,7 +161,7 @@
 // cannot tell.
 func (f *Follower) answering() <-chan struct{} {
 	if w, tells := f.source.(Waker); tells {
-		return w.Answering()
+		return w.Recovered()
 	}
 	return nil
 }
@@ -227,32 +227,32 @@
 func (f *Follower) readWhole(ctx context.Context, asked clock.Millis) error {
 	ctx, cancel := context.WithTimeout(ctx, wholeAnswers*f.options.Answer.Duration())
 	defer cancel()
-	batch, err := f.source.Whole(ctx)
+	batch, err := f.source.Snapshot(ctx)
 	if err != nil {
 		return fmt.Errorf("reading the table: %w", err)
 	}
 	f.version = batch.Version
 	f.known = true
 	f.wholeAt = asked
-	f.handler.Whole(batch.Rows, f.wholeProof(asked, batch))
+	f.handler.Snapshot(batch.Rows, f.wholeProof(asked, batch))
 	return nil
 }
 
-func (f *Follower) wholeProof(asked clock.Millis, batch Batch) Proof {
+func (f *Follower) wholeProof(asked clock.Millis, batch Batch) Freshness {
 	if batch.Relayed {
 		return f.proof(asked, batch)
 	}
 	f.current(asked, batch.StoreTime)
-	return Proof{AskedAt: asked, CurrentAt: asked, Version: batch.Version, StoreTime: batch.StoreTime}
+	return Freshness{AskedAt: asked, CurrentAt: asked, Version: batch.Version, StoreTime: batch.StoreTime}
 }
 
 // relayTime is what a relayed answer's age may lack: the way of the message that told it
 // to the process that was asked.
 const relayTime = 200 * clock.Millisecond
 
-func (f *Follower) proof(asked clock.Millis, batch Batch) Proof {
+func (f *Follower) proof(asked clock.Millis, batch Batch) Freshness {
 	if batch.Relayed && !f.lagKnown && batch.Age == nil {
-		return Proof{Version: batch.Version} // the store's clock says nothing here yet
+		return Freshness{Version: batch.Version} // the store's clock says nothing here yet
 	}
 	if batch.Relayed && !f.lagKnown {
 		// Less than what the store itself would show, so that it proves no more.
@@ -262,9 +262,9 @@
 	}
 	if batch.Relayed {
 		at := min(f.Clock.Now(), batch.StoreTime+f.lag)
-		return Proof{AskedAt: at, CurrentAt: at, Version: batch.Version, StoreTime: batch.StoreTime}
+		return Freshness{AskedAt: at, CurrentAt: at, Version: batch.Version, StoreTime: batch.StoreTime}
 	}
-	return Proof{AskedAt: asked, CurrentAt: f.current(asked, batch.StoreTime), Version: batch.Version, StoreTime: batch.StoreTime}
+	return Freshness{AskedAt: asked, CurrentAt: f.current(asked, batch.StoreTime), Version: batch.Version, StoreTime: batch.StoreTime}
 }
 
 // current returns a moment, by our clock, at which an answer was current: the
--- a/pkg/follow/follower_test.go
+++ b/pkg/follow/follower_test.go
@@ -23,7 +23,7 @@
 	changes func(after int64, wait clock.Millis) (follow.Batch, error)
 }
 
-func (s *source) Whole(context.Context) (follow.Batch, error) { return s.whole() }
+func (s *source) Snapshot(context.Context) (follow.Batch, error) { return s.whole() }
 
 func (s *source) Changes(_ context.Context, after int64, wait clock.Millis) (follow.Batch, error) {
 	return s.changes(after, wait)
@@ -32,23 +32,23 @@
 type handler struct {
 	wholes  int
 	changed []string
-	proofs  []follow.Proof
+	proofs  []follow.Freshness
 	lost    int
 }
 
-func (h *handler) Whole(_ []follow.Row, p follow.Proof) {
+func (h *handler) Snapshot(_ []follow.Row, p follow.Freshness) {
 	h.wholes++
 	h.proofs = append(h.proofs, p)
 }
 
-func (h *handler) Changed(rows []follow.Row, p follow.Proof) {
+func (h *handler) Changed(rows []follow.Row, p follow.Freshness) {
 	for _, r := range rows {
 		h.changed = append(h.changed, r.Key)
 	}
 	h.proofs = append(h.proofs, p)
 }
 
-func (h *handler) Lost(error) { h.lost++ }
+func (h *handler) ReadFailed(error) { h.lost++ }
 
 func run(s *source, h *handler, options follow.Options, length time.Duration) {
 	ctx, stop := context.WithTimeout(context.Background(), length)
@@ -86,7 +86,7 @@
 				calls++
 				time.Sleep(time.Second)
 				if calls == 2 {
-					return follow.Batch{}, follow.ErrForgotten
+					return follow.Batch{}, follow.ErrTrimmed
 				}
 				return follow.Batch{Version: 1}, nil
 			},
@@ -127,8 +127,8 @@
 // heedingSource gives up when its caller's time is over, as a call to the store does.
 type heedingSource struct{ *source }
 
-func (s heedingSource) Whole(ctx context.Context) (follow.Batch, error) {
-	batch, err := s.source.Whole(ctx)
+func (s heedingSource) Snapshot(ctx context.Context) (follow.Batch, error) {
+	batch, err := s.source.Snapshot(ctx)
 	if ctx.Err() != nil {
 		return follow.Batch{}, ctx.Err()
 	}
--- a/pkg/forward/exchange.go
+++ b/pkg/forward/exchange.go
@@ -41,7 +41,7 @@
 	}
 	e := &exchange{pool: p, target: t, request: r, writeEnd: make(chan error, 1)}
 	e.ctx, e.cancel = context.WithCancelCause(ctx)
-	if !p.enter(t.Life(), e) {
+	if !p.enter(t.Incarnation(), e) {
 		e.cancel(nil)
 		return unreached(t, ErrReplaced)
 	}
@@ -64,7 +64,7 @@
 // withholds reports whether a target has told this entry to send nothing, or its failure domain is drained. It is
 // asked here, where each way to a target ends, since whoever gave the place may not have heard of it.
 func (p *Pool) withholds(t *routing.Target) bool {
-	if !p.advice.Of(t.Life()).Bars() && !p.drained(t.ID) {
+	if !p.advice.Status(t.Incarnation()).Blocks() && !p.drained(t.ID) {
 		return false
 	}
 	p.Metrics.Links.Add("requests_withheld", 1)
@@ -74,7 +74,7 @@
 // connect takes a connection. One that was made while the target started again may lead to its
 // new life, which is not to run what was counted in the former one.
 func (e *exchange) connect() error {
-	e.conn = e.pool.take(e.target.Life())
+	e.conn = e.pool.take(e.target.Incarnation())
 	if e.conn == nil {
 		var err error
 		if e.conn, err = e.pool.dial(e.ctx, e.target); err != nil {
@@ -90,7 +90,7 @@
 
 // leave takes the exchange off the pool's list and ends its context.
 func (e *exchange) leave() {
-	e.pool.leave(e.target.Life(), e)
+	e.pool.leave(e.target.Incarnation(), e)
 	e.cancel(nil)
 }
 
@@ -147,18 +147,18 @@
 
 // hear takes what an answer says of its target. One of another process at the address says nothing of the
 // target, and only one that turns a request away asks for rest: elsewhere the field has other meanings.
-func (e *exchange) hear(response *http.Response, marks *Marks) {
+func (e *exchange) hear(response *http.Response, marks *AnswerMetadata) {
 	if response.StatusCode == http.StatusMisdirectedRequest {
 		return
 	}
-	advice := advisory.Advice{Leaving: marks.Leaving, Limit: marks.Limit, Asked: e.sentAt}
+	advice := advisory.Advice{Leaving: marks.Leaving, Limit: marks.Limit, RequestedAt: e.sentAt}
 	if response.StatusCode == http.StatusServiceUnavailable {
-		advice.Rest = marks.Rest
+		advice.Backoff = marks.Backoff
 	}
 	if !advice.Empty() {
-		advice.Said = advisory.ReadDate(response.Header)
+		advice.SentAt = advisory.ReadDate(response.Header)
 	}
-	e.pool.advice.Hear(e.target.Life(), e.conn.madeAt, e.request.ID, advice)
+	e.pool.advice.Observe(e.target.Incarnation(), e.conn.madeAt, e.request.ID, advice)
 }
 
 // head reads the head of the next answer that is not an interim one.
@@ -200,13 +200,13 @@
 	return Broken{fmt.Errorf("target %s, reused connection %t: %w", e.target.ID, e.conn.reused, err)}
 }
 
-func (e *exchange) declined(response *http.Response, marks Marks) Result {
+func (e *exchange) declined(response *http.Response, marks AnswerMetadata) Result {
 	_, err := io.Copy(io.Discard, response.Body)
 	e.finish(response, err == nil)
 	return Declined{Status: response.StatusCode, Load: marks.Load}
 }
 
-func (e *exchange) answer(response *http.Response, marks Marks) Result {
+func (e *exchange) answer(response *http.Response, marks AnswerMetadata) Result {
 	return &Answer{
 		Status: response.StatusCode,
 		Header: response.Header,
@@ -230,7 +230,7 @@
 	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 	keep := keepFor(response.Header)
 	if whole && stopped && written && framed && !response.Close && keep > 0 {
-		e.pool.rest(e.target.Life(), e.conn, keep)
+		e.pool.rest(e.target.Incarnation(), e.conn, keep)
 		return
 	}
 	discard(e.conn)
--- a/pkg/forward/exchange_test.go
+++ b/pkg/forward/exchange_test.go
@@ -64,9 +64,9 @@
 	}
 }
 
-func marks(h map[string][]string) forward.Marks {
+func marks(h map[string][]string) forward.AnswerMetadata {
 	header := http.Header(h)
-	return forward.Marks{ID: header.Get("Id"), NotRun: header.Get("Not-Run") != ""}
+	return forward.AnswerMetadata{ID: header.Get("Id"), NotRun: header.Get("Not-Run") != ""}
 }
 
 func answer(id, body string) string {
@@ -261,8 +261,8 @@
 	}{
 		{advisory.Advice{}, "200 yes", 1},
 		{advisory.Advice{Leaving: true}, "withheld", 0},
-		{advisory.Advice{Rest: clock.Second}, "withheld", 0},
-		{advisory.Advice{Rest: 10}, "200 yes", 1}, // over by then
+		{advisory.Advice{Backoff: clock.Second}, "withheld", 0},
+		{advisory.Advice{Backoff: 10}, "200 yes", 1}, // over by then
 	}
 	for _, a := range advices {
 		synctest.Test(t, func(t *testing.T) {
@@ -273,9 +273,9 @@
 				_, _ = io.WriteString(c, answer(id, "yes"))
 			})
 			c := commontest.New(slowDial{memory, 300 * time.Millisecond})
-			book := advisory.NewBook(c)
+			book := advisory.NewTracker(c)
 			pool := forward.NewPool(c, marks, book)
-			time.AfterFunc(100*time.Millisecond, func() { book.Hear(target.Life(), 0, "other", a.advice) })
+			time.AfterFunc(100*time.Millisecond, func() { book.Observe(target.Incarnation(), 0, "other", a.advice) })
 			if got := outcome(pool.Send(context.Background(), target, request("r1"))); got != a.want || arrived.Load() != a.arrived {
 				t.Errorf("%+v: %s, arrived %d times; want %s, %d", a.advice, got, arrived.Load(), a.want, a.arrived)
 			}
--- a/pkg/forward/lives_test.go
+++ b/pkg/forward/lives_test.go
@@ -65,7 +65,7 @@
 				})
 				pool := forward.NewPool(commontest.New(slowDial{memory, 100 * time.Millisecond}), marks, nil)
 				defer pool.Close()
-				pool.Follow(routing.NewDirectory([]*routing.Target{former}))
+				pool.SetDirectory(routing.NewDirectory([]*routing.Target{former}))
 				restart := func() { follow(pool, next) }
 				if s.restart < 0 {
 					restart()
@@ -103,7 +103,7 @@
 		})
 		pool := forward.NewPool(commontest.New(reach), marks, nil)
 		defer pool.Close()
-		pool.Follow(routing.NewDirectory([]*routing.Target{former}))
+		pool.SetDirectory(routing.NewDirectory([]*routing.Target{former}))
 		a, ok := pool.Send(context.Background(), former, request("r1")).(*forward.Answer)
 		if !ok {
 			t.Fatal("no answer")
@@ -124,6 +124,6 @@
 // follow gives a pool a new list, as whoever reads it does.
 func follow(pool *forward.Pool, t *routing.Target) {
 	list := routing.NewDirectory([]*routing.Target{t})
-	pool.Follow(list)
-	pool.BreakOff(list)
+	pool.SetDirectory(list)
+	pool.AbortReplaced(list)
 }
--- a/pkg/forward/pool.go
+++ b/pkg/forward/pool.go
@@ -20,12 +20,12 @@
 // Pool keeps connections to targets.
 type Pool struct {
 	common.Common
-	marks  func(header map[string][]string) Marks
-	advice *advisory.Book
+	marks  func(header map[string][]string) AnswerMetadata
+	advice *advisory.Tracker
 
 	mu   sync.Mutex
-	idle map[ids.Life][]*connection
-	busy map[ids.Life]map[*exchange]struct{}
+	idle map[ids.TargetIncarnation][]*connection
+	busy map[ids.TargetIncarnation]map[*exchange]struct{}
 	// targets is the newest list, nil before the first.
 	targets *routing.Directory
 }
@@ -36,13 +36,13 @@
 
 // NewPool returns a pool without connections. The function marks reads the head
 // of an answer; what that says of its target goes into the book.
-func NewPool(c common.Common, marks func(header map[string][]string) Marks, advice *advisory.Book) *Pool {
-	return &Pool{Common: c, marks: marks, advice: advice, idle: make(map[ids.Life][]*connection), busy: make(map[ids.Life]map[*exchange]struct{})}
+func NewPool(c common.Common, marks func(header map[string][]string) AnswerMetadata, advice *advisory.Tracker) *Pool {
+	return &Pool{Common: c, marks: marks, advice: advice, idle: make(map[ids.TargetIncarnation][]*connection), busy: make(map[ids.TargetIncarnation]map[*exchange]struct{})}
 }
 
 // enter notes an exchange, so that it is broken off once its target has started again. It
 // reports false if that has happened already.
-func (p *Pool) enter(life ids.Life, e *exchange) bool {
+func (p *Pool) enter(life ids.TargetIncarnation, e *exchange) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.replaced(life) {
@@ -56,7 +56,7 @@
 }
 
 // leave takes back an exchange that enter has noted.
-func (p *Pool) leave(life ids.Life, e *exchange) {
+func (p *Pool) leave(life ids.TargetIncarnation, e *exchange) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.busy[life], e)
@@ -66,7 +66,7 @@
 }
 
 // replaced reports whether a life is over; the lock is held.
-func (p *Pool) replaced(life ids.Life) bool {
+func (p *Pool) replaced(life ids.TargetIncarnation) bool {
 	return p.targets != nil && p.targets.Replaced(life)
 }
 
@@ -83,7 +83,7 @@
 
 // Follow takes the newest list of targets: nothing more is sent to a former life of one. The list must come here
 // before anything is placed by it.
-func (p *Pool) Follow(targets *routing.Directory) {
+func (p *Pool) SetDirectory(targets *routing.Directory) {
 	var old []*connection
 	p.mu.Lock()
 	p.targets = targets
@@ -102,7 +102,7 @@
 // BreakOff breaks off what was sent to a former life of a target: a VM that was cut off and came back resets no
 // connection, so that callers would wait for answers that nobody works on. It is called once requests are placed by the list:
 // what may be repeated is to find the new life.
-func (p *Pool) BreakOff(*routing.Directory) {
+func (p *Pool) AbortReplaced(*routing.Directory) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for life, exchanges := range p.busy {
@@ -117,7 +117,7 @@
 }
 
 // take returns an idle connection to a target, or nil.
-func (p *Pool) take(life ids.Life) *connection {
+func (p *Pool) take(life ids.TargetIncarnation) *connection {
 	now := p.Clock.Now()
 	for {
 		c := p.pop(life)
@@ -132,7 +132,7 @@
 	}
 }
 
-func (p *Pool) pop(life ids.Life) *connection {
+func (p *Pool) pop(life ids.TargetIncarnation) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[life]
@@ -160,19 +160,19 @@
 func (p *Pool) Ended(ctx context.Context, t *routing.Target) bool {
 	ctx, cancel := context.WithTimeout(ctx, endedTimeout.Duration())
 	defer cancel()
-	return p.Reach(ctx, t) == Refused
+	return p.Probe(ctx, t) == Refused
 }
 
 // Reach is what asking a target for a connection shows.
-type Reach int
+type Reachability int
 
-//go:generate stringer -type=Reach -output=reach_string.go
+//go:generate stringer -type=Reachability -output=reach_string.go
 
 // What it may show.
 const (
 	// Reachable: its VM takes connections. Where it can't be told, as when the question ends or this end lacks descriptors,
 	// memory or ports, that counts as this.
-	Reachable Reach = iota
+	Reachable Reachability = iota
 	// Refused: its process has ended: the VM refuses connections, or another life of the target is listed.
 	Refused
 	// Unreachable: nobody answers, which may be this end's fault.
@@ -180,9 +180,9 @@
 )
 
 // Reach asks a target for a connection.
-func (p *Pool) Reach(ctx context.Context, t *routing.Target) Reach {
+func (p *Pool) Probe(ctx context.Context, t *routing.Target) Reachability {
 	p.mu.Lock()
-	replaced := p.replaced(t.Life())
+	replaced := p.replaced(t.Incarnation())
 	p.mu.Unlock()
 	if replaced {
 		return Refused
@@ -211,7 +211,7 @@
 }
 
 // rest keeps a connection for the next request to the same life of its target.
-func (p *Pool) rest(life ids.Life, c *connection, keep clock.Millis) {
+func (p *Pool) rest(life ids.TargetIncarnation, c *connection, keep clock.Millis) {
 	c.goodUntil = p.Clock.Now() + keep
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -258,7 +258,7 @@
 func (p *Pool) Close() {
 	p.mu.Lock()
 	idle := p.idle
-	p.idle = make(map[ids.Life][]*connection)
+	p.idle = make(map[ids.TargetIncarnation][]*connection)
 	p.mu.Unlock()
 	for _, list := range idle {
 		for _, c := range list {
--- a/pkg/forward/result.go
+++ b/pkg/forward/result.go
@@ -21,7 +21,7 @@
 }
 
 // Marks are what the head of an answer says about the exchange.
-type Marks struct {
+type AnswerMetadata struct {
 	// ID is the request that the answer belongs to; empty if it does not say.
 	ID string
 	// NotRun says that the target did not run the request and never will.
@@ -32,9 +32,9 @@
 	Leaving bool
 	// Rest is for how long a target that turns a request away wants no other one from here; 0 if it does not
 	// say.
-	Rest clock.Millis
+	Backoff clock.Millis
 	// Limit is how many requests a second the target takes from all entries.
-	Limit ratelimit.Named
+	Limit ratelimit.ParsedLimit
 }
 
 // Load is a target's report of its own load.
--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -16,11 +16,11 @@
 	// QueueMin is the work that may always wait, before a rate is measured.
 	QueueMin ids.Tokens
 	// GrantLife is the time in which a grant must be used.
-	GrantLife clock.Millis
+	GrantLifetime clock.Millis
 	// FloorHold is how long lower tiers stay refused after a tier was refused.
 	FloorHold clock.Millis
 	// Remember is how long the fate of a grant is kept after its end.
-	Remember clock.Millis
+	FateRetention clock.Millis
 }
 
 // Notice is a later verdict for the session that placed the ticket.
@@ -162,7 +162,7 @@
 }
 
 // Rest keeps the target from new dispatches for a while, as it has asked for that. Grants that are out stay good.
-func (g *Gate) Rest(now, left clock.Millis) {
+func (g *Gate) BackOff(now, left clock.Millis) {
 	g.restsUntil = max(g.restsUntil, now+left)
 }
 
--- a/pkg/gate/gate_test.go
+++ b/pkg/gate/gate_test.go
@@ -34,8 +34,8 @@
 	log.SetOutput(io.Discard)
 	check := invariant.NewChecker(logrus.NewEntry(log), new(expvar.Map).Init(), true)
 	g := gate.New(7, gate.Limits{
-		QueueTime: 10 * clock.Second, QueueMin: 100, GrantLife: 2 * clock.Second,
-		FloorHold: 2 * clock.Second, Remember: 30 * clock.Second,
+		QueueTime: 10 * clock.Second, QueueMin: 100, GrantLifetime: 2 * clock.Second,
+		FloorHold: 2 * clock.Second, FateRetention: 30 * clock.Second,
 	}, check)
 	g.SetServices([]ids.Service{service}, slots)
 	return g
--- a/pkg/gate/grants.go
+++ b/pkg/gate/grants.go
@@ -19,7 +19,7 @@
 		work:     ticket.Work(),
 		tier:     ticket.Tier,
 		open:     true,
-		deadline: now + g.limits.GrantLife,
+		deadline: now + g.limits.GrantLifetime,
 	}
 	g.grants[r.grant] = r
 	g.open = append(g.open, r)
@@ -77,7 +77,7 @@
 }
 
 func (g *Gate) retire(now clock.Millis, r *grantRecord) {
-	g.forget = append(g.forget, forgetting{grant: r.grant, at: now + g.limits.Remember})
+	g.forget = append(g.forget, forgetting{grant: r.grant, at: now + g.limits.FateRetention})
 }
 
 // bury closes an unused grant for good.
@@ -104,12 +104,12 @@
 
 // Withdraw takes back all tickets of a request, and its unused grants.
 func (g *Gate) Withdraw(now clock.Millis, session Session, request ids.Request) {
-	g.WithdrawTurn(now, session, request, math.MaxInt)
+	g.WithdrawUpTo(now, session, request, math.MaxInt)
 }
 
 // WithdrawTurn takes back the tickets of a request up to a turn, and unused grants for them. It spares what was placed since:
 // messages of a session may pass one another.
-func (g *Gate) WithdrawTurn(now clock.Millis, session Session, request ids.Request, turn int) {
+func (g *Gate) WithdrawUpTo(now clock.Millis, session Session, request ids.Request, turn int) {
 	if w := g.queue.byID[request]; w != nil && w.session == session && w.ticket.Turn <= turn {
 		g.queue.remove(w)
 		return
--- a/pkg/gate/rest_test.go
+++ b/pkg/gate/rest_test.go
@@ -13,7 +13,7 @@
 func TestATargetRests(t *testing.T) {
 	const rest = 3 * clock.Second
 	g := newGate(2)
-	g.Rest(0, rest)
+	g.BackOff(0, rest)
 	patient, short := ticket("patient", 1, "a", 10), ticket("short", 1, "a", 10)
 	patient.Remaining, short.Remaining = 10*clock.Second, 2*clock.Second
 	if v := g.Place(0, 1, patient); v.Kind != control.Queued {
@@ -46,7 +46,7 @@
 func TestAGrantThatIsOutIsUsedDuringARest(t *testing.T) {
 	g := newGate(1)
 	v := g.Place(0, 1, ticket("first", 1, "a", 10))
-	g.Rest(0, clock.Second)
+	g.BackOff(0, clock.Second)
 	if v.Kind != control.Granted || !g.Use(10, v.Grant, "first") {
 		t.Errorf("verdict %v, or its grant is not good", v.Kind)
 	}
--- a/pkg/gate/turns_test.go
+++ b/pkg/gate/turns_test.go
@@ -33,7 +33,7 @@
 
 func withdrawing(session gate.Session, turn int) arrival {
 	return arrival{fmt.Sprintf("withdrawal %d", turn), func(g *gate.Gate) control.Verdict {
-		g.WithdrawTurn(0, session, "moves", turn)
+		g.WithdrawUpTo(0, session, "moves", turn)
 		return control.Verdict{Kind: control.Queued}
 	}}
 }
@@ -79,7 +79,7 @@
 			case n.Verdict.Turn == newest:
 				return g.Use(clock.Second, n.Verdict.Grant, "moves")
 			default:
-				g.WithdrawTurn(clock.Second, n.Session, "moves", n.Verdict.Turn)
+				g.WithdrawUpTo(clock.Second, n.Session, "moves", n.Verdict.Turn)
 			}
 		}
 		g.Tick(clock.Second)
--- a/pkg/ids/life.go
+++ b/pkg/ids/life.go
@@ -13,7 +13,7 @@
 // Life is one incarnation of a target: the process that runs under its id from one start to its
 // end. A target that starts again under its id knows nothing of its former life, and whatever
 // is known of that one says nothing of the new.
-type Life struct {
+type TargetIncarnation struct {
 	_      struct{} `cbor:",toarray"`
 	Target Target
 	Start  Start
@@ -21,12 +21,12 @@
 
 // Same reports whether both may be the same life: those of one target are unless both starts are
 // known and differ. Processes that have read different rows of a target agree by it.
-func (l Life) Same(other Life) bool {
+func (l TargetIncarnation) Same(other TargetIncarnation) bool {
 	return l.Target == other.Target && (l.Start == other.Start || l.Start == UnknownStart || other.Start == UnknownStart)
 }
 
 // String gives the target, and its start if that is known.
-func (l Life) String() string {
+func (l TargetIncarnation) String() string {
 	if l.Start == UnknownStart {
 		return string(l.Target)
 	}
--- a/pkg/ids/life_test.go
+++ b/pkg/ids/life_test.go
@@ -7,9 +7,9 @@
 	"quaydock/pkg/ids"
 )
 
-func ExampleLife_Same() {
-	former := ids.Life{Target: "engine-1", Start: 1764673891234}
-	next := ids.Life{Target: "engine-1", Start: 1764673800000} // the clock was set back meanwhile
+func ExampleTargetIncarnation_Same() {
+	former := ids.TargetIncarnation{Target: "engine-1", Start: 1764673891234}
+	next := ids.TargetIncarnation{Target: "engine-1", Start: 1764673800000} // the clock was set back meanwhile
 	fmt.Println(former.Same(next))
 	// Output: false
 }
@@ -17,15 +17,15 @@
 func TestLifeSame(t *testing.T) {
 	scenarios := []struct {
 		name string
-		a, b ids.Life
+		a, b ids.TargetIncarnation
 		want bool
 	}{
-		{"equal", ids.Life{Target: "t", Start: 5}, ids.Life{Target: "t", Start: 5}, true},
-		{"another start", ids.Life{Target: "t", Start: 5}, ids.Life{Target: "t", Start: 7}, false},
-		{"another target", ids.Life{Target: "t", Start: 5}, ids.Life{Target: "u", Start: 5}, false},
-		{"one start unknown", ids.Life{Target: "t", Start: 5}, ids.Life{Target: "t"}, true},
-		{"both unknown", ids.Life{Target: "t"}, ids.Life{Target: "t"}, true},
-		{"unknown, of another target", ids.Life{Target: "t"}, ids.Life{Target: "u"}, false},
+		{"equal", ids.TargetIncarnation{Target: "t", Start: 5}, ids.TargetIncarnation{Target: "t", Start: 5}, true},
+		{"another start", ids.TargetIncarnation{Target: "t", Start: 5}, ids.TargetIncarnation{Target: "t", Start: 7}, false},
+		{"another target", ids.TargetIncarnation{Target: "t", Start: 5}, ids.TargetIncarnation{Target: "u", Start: 5}, false},
+		{"one start unknown", ids.TargetIncarnation{Target: "t", Start: 5}, ids.TargetIncarnation{Target: "t"}, true},
+		{"both unknown", ids.TargetIncarnation{Target: "t"}, ids.TargetIncarnation{Target: "t"}, true},
+		{"unknown, of another target", ids.TargetIncarnation{Target: "t"}, ids.TargetIncarnation{Target: "u"}, false},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
--- a/pkg/ingress/admission.go
+++ b/pkg/ingress/admission.go
@@ -54,14 +54,14 @@
 	Share() float64
 	// Assured reports whether this entry has counted as one of them ever since a
 	// moment, and nobody can share out its part before it is told.
-	Assured(since clock.Millis) bool
+	HoldsLease(since clock.Millis) bool
 }
 
 // admission decides whether a request may pass.
 type admission struct {
 	common.Common
 	view     *view.View
-	dialect  Dialect
+	dialect  HeaderCodec
 	meter    Meter
 	tries    *firstTries
 	closing  *closing
@@ -71,11 +71,11 @@
 	assuredTrust atomic.Int64
 }
 
-func (a *admission) setKeyTrust(keys KeyTrust) {
-	trust := float64(keys.Bound) * revokePart
+func (a *admission) setKeyTrust(keys KeyGrace) {
+	trust := float64(keys.Limit) * revokePart
 	if !keys.Strict && !a.Ablation.Off(ablation.KeyTrust) {
 		trust = max(trust, float64(membership.ForgetAfter-forgetMargin))
-		a.assuredTrust.Store(int64(keys.Most))
+		a.assuredTrust.Store(int64(keys.Max))
 	} else {
 		a.assuredTrust.Store(0)
 	}
@@ -89,7 +89,7 @@
 	if age <= clock.Millis(a.keyTrust.Load()) {
 		return true
 	}
-	return age <= clock.Millis(a.assuredTrust.Load()) && a.entries.Assured(now-age)
+	return age <= clock.Millis(a.assuredTrust.Load()) && a.entries.HoldsLease(now-age)
 }
 
 // knows reports whether there is anything to decide by.
@@ -141,7 +141,7 @@
 		return q, notRun(CauseLeaving, a.closing.retryAfter(now))
 	}
 	if q.account != nil {
-		units := q.account.Units(q.Prompt + q.MostOut)
+		units := q.account.Units(q.Prompt + q.MaxOutput)
 		keep := keepFor(q, units)
 		if a.Ablation.Off(ablation.TierKeep) {
 			keep = 0
@@ -281,6 +281,6 @@
 // refund gives back the allowance of a request that has not run.
 func (a *admission) refund(q *request, account *routing.Account) {
 	if account != nil {
-		a.meter.Return(account, account.Units(q.Prompt+q.MostOut), q.takenAt)
+		a.meter.Return(account, account.Units(q.Prompt+q.MaxOutput), q.takenAt)
 	}
 }
--- a/pkg/ingress/advice_test.go
+++ b/pkg/ingress/advice_test.go
@@ -23,7 +23,7 @@
 	advice advisory.Advice
 }{
 	{"leaves", advisory.Advice{Leaving: true}},
-	{"rests", advisory.Advice{Rest: 10 * clock.Second}},
+	{"rests", advisory.Advice{Backoff: 10 * clock.Second}},
 }
 
 // TestNoWayLeadsToATargetThatHasSaidNo: whoever gives the places may not know what a target has told this
@@ -65,7 +65,7 @@
 				synctest.Test(t, func(t *testing.T) {
 					b := newBed(t, freely{}, s.engines...)
 					says := func() {
-						b.advice.Hear(ids.Life{Target: ids.Target(fmt.Sprint("t", s.said))}, 0, "earlier", said.advice)
+						b.advice.Observe(ids.TargetIncarnation{Target: ids.Target(fmt.Sprint("t", s.said))}, 0, "earlier", said.advice)
 					}
 					places := 0
 					b.scheduler.placed = func() {
@@ -142,8 +142,8 @@
 				defer leave()
 				b.call(ctx, s.path, nil)
 				time.Sleep(3 * time.Second)
-				standing := b.advice.Of(ids.Life{Target: "t1"})
-				if standing.Leaving != s.leaves || (standing.Rest > 0) != s.rests {
+				standing := b.advice.Status(ids.TargetIncarnation{Target: "t1"})
+				if standing.Leaving != s.leaves || (standing.Backoff > 0) != s.rests {
 					t.Errorf("known of it: %+v", standing)
 				}
 				before := len(b.arrived())
@@ -165,7 +165,7 @@
 			b := newBed(t, freely{}, silent)
 			b.list(func(t *routing.Target) { t.Start = formerStart })
 			time.AfterFunc(50*time.Millisecond, func() {
-				b.advice.Hear(ids.Life{Target: "t1", Start: formerStart}, 0, "other", advisory.Advice{Leaving: leaves})
+				b.advice.Observe(ids.TargetIncarnation{Target: "t1", Start: formerStart}, 0, "other", advisory.Advice{Leaving: leaves})
 			})
 			time.AfterFunc(100*time.Millisecond, b.restart)
 			b.call(context.Background(), "/unsafe/a", nil)
--- a/pkg/ingress/answer_writer.go
+++ b/pkg/ingress/answer_writer.go
@@ -17,10 +17,10 @@
 
 // head writes the head of a target's answer. A length of -1 is a body whose end
 // shows by its framing.
-func (o *answerWriter) head(d Dialect, a *forward.Answer, length int64) {
+func (o *answerWriter) head(d HeaderCodec, a *forward.Answer, length int64) {
 	o.started = true
 	h := o.writer.Header()
-	d.Answer(a.Header, h)
+	d.CopyAnswer(a.Header, h)
 	if h["Content-Type"] == nil {
 		h["Content-Type"] = nil // so that none is guessed
 	}
