--- a/pkg/ingress/bed_test.go
+++ b/pkg/ingress/bed_test.go
@@ -42,7 +42,7 @@
 	return ingress.Call{ID: h.Get("Id"), Key: h.Get("Key"), Deadline: clock.Millis(wait), LastEvent: h.Get("Last")}
 }
 
-func (dialect) Onward(h http.Header, to ingress.Onward) http.Header {
+func (dialect) TargetHeaders(h http.Header, to ingress.TargetCall) http.Header {
 	onward := h.Clone()
 	onward.Del("Key")
 	onward.Set("Account", string(to.Account))
@@ -54,12 +54,12 @@
 	return onward
 }
 
-func (dialect) Marks(h http.Header) forward.Marks {
+func (dialect) AnswerMetadata(h http.Header) forward.AnswerMetadata {
 	rest, _ := strconv.Atoi(h.Get("Rest")) // in ms; none is 0
-	return forward.Marks{ID: h.Get("Id"), NotRun: h.Get("Not-Run") != "", Leaving: h.Get("Leaving") != "", Rest: clock.Millis(rest)}
+	return forward.AnswerMetadata{ID: h.Get("Id"), NotRun: h.Get("Not-Run") != "", Leaving: h.Get("Leaving") != "", Backoff: clock.Millis(rest)}
 }
 
-func (dialect) Answer(from, to http.Header) {
+func (dialect) CopyAnswer(from, to http.Header) {
 	for _, name := range []string{"Id", "Seal", "Content-Type"} {
 		if v := from.Get(name); v != "" {
 			to.Set(name, v)
@@ -80,7 +80,7 @@
 	}
 	return 1
 }
-func (f freely) Assured(clock.Millis) bool { return f[assuredAlways] }
+func (f freely) HoldsLease(clock.Millis) bool { return f[assuredAlways] }
 
 // shareless stands among the accounts for an entry without a part of what all may spend.
 const shareless ids.Account = "shareless"
@@ -103,7 +103,7 @@
 	ends        []string // target and outcome of each place
 }
 
-func (s *inOrder) Acquire(ctx context.Context, ask schedule.Ask) (schedule.Place, *schedule.Refused, error) {
+func (s *inOrder) Acquire(ctx context.Context, ask schedule.Request) (schedule.Assignment, *schedule.Refused, error) {
 	s.mu.Lock()
 	s.asks++
 	later, delay := s.asks > 1, s.delay
@@ -122,7 +122,7 @@
 next:
 	for _, t := range s.b.listed() {
 		for _, x := range ask.Exclude {
-			if x == t.Life() {
+			if x == t.Incarnation() {
 				continue next
 			}
 		}
@@ -162,7 +162,7 @@
 	}
 	return nil
 }
-func (p *orderedPlace) Done(o planner.Outcome, _ planner.Flow) {
+func (p *orderedPlace) Done(o planner.Outcome, _ planner.StreamStats) {
 	p.s.mu.Lock()
 	defer p.s.mu.Unlock()
 	p.s.ends = append(p.s.ends, string(p.t.ID)+" "+o.String())
@@ -189,7 +189,7 @@
 	retries    *quota.RetryBudget
 	clock      clock.Clock
 	suspension *clock.Suspension
-	advice     *advisory.Book
+	advice     *advisory.Tracker
 	routes     []*routing.Route
 	accounts   []*routing.Account
 	spans      *tracetest.SpanRecorder
@@ -267,18 +267,18 @@
 		{Name: "open", Host: "h", Prefix: "/open/", Kind: routing.Safe, Timeout: 5000, Objective: 500, Attempts: 1, Anonymous: true},
 	}
 	for _, r := range b.routes {
-		r.Split = []routing.Share{{Service: "s", Weight: 1}}
+		r.Split = []routing.WeightedService{{Service: "s", Weight: 1}}
 	}
 	b.accounts = []*routing.Account{{Name: "acme", Keys: []string{"key"}}, {Name: "full", Keys: []string{"fullkey"}}}
 	b.configure(1)
-	b.view.Proven(b.clock.Now())
-	b.advice = advisory.NewBook(c)
-	pool := forward.NewPool(c, func(h map[string][]string) forward.Marks { return dialect{}.Marks(h) }, b.advice)
+	b.view.Confirmed(b.clock.Now())
+	b.advice = advisory.NewTracker(c)
+	pool := forward.NewPool(c, func(h map[string][]string) forward.AnswerMetadata { return dialect{}.AnswerMetadata(h) }, b.advice)
 	b.retries = quota.NewRetryBudget(quota.RetryBounds{Ratio: 0.2, Slack: 100, Window: 10 * clock.Second}, c.Clock.Now()-10*clock.Second)
-	b.guard = quarantine.New(quarantine.Parts{Common: c})
-	b.controller = ingress.NewController(ingress.Parts{
-		Common: c, View: b.view, Dialect: dialect{}, Scheduler: b.scheduler, Pool: pool, Meter: meter, Entries: meter,
-		Retries: b.retries, Keys: ingress.KeyTrust{Bound: 5000, Strict: true}, MostExtra: places,
+	b.guard = quarantine.New(quarantine.Dependencies{Common: c})
+	b.controller = ingress.NewController(ingress.Dependencies{
+		Common: c, View: b.view, HeaderCodec: dialect{}, Scheduler: b.scheduler, Pool: pool, Meter: meter, Entries: meter,
+		Retries: b.retries, Keys: ingress.KeyGrace{Limit: 5000, Strict: true}, MaxExtra: places,
 		Advice: b.advice, Guard: b.guard,
 	})
 	server := &http.Server{Handler: b.controller, BaseContext: func(net.Listener) context.Context { return b.controller.Context() }}
--- a/pkg/ingress/broken_off.go
+++ b/pkg/ingress/broken_off.go
@@ -9,14 +9,14 @@
 )
 
 // Ender is who ended an answer that had begun before it was whole.
-type Ender int
+type EndedBy int
 
-//go:generate stringer -type=Ender -trimprefix=Ender -output=ender_string.go
+//go:generate stringer -type=EndedBy -trimprefix=Ender -output=ender_string.go
 
 // The enders.
 const (
 	// EnderTarget: its target broke it off, and no other one could go on.
-	EnderTarget Ender = iota
+	EnderTarget EndedBy = iota
 	// EnderNewStart: its target has started again.
 	EnderNewStart
 	// EnderGivenUp: this entry gave its target up, as its VM did not answer, and the next one failed.
@@ -44,7 +44,7 @@
 }
 
 // ender tells who ended the answer to a request.
-func (r *request) ender(cause Cause) Ender {
+func (r *request) ender(cause Cause) EndedBy {
 	switch {
 	case cause == CauseLeft:
 		return EnderCaller
@@ -64,7 +64,7 @@
 // brokenOff counts and logs an answer that had begun and was broken off.
 func (c *Controller) brokenOff(q *request, refusal *Refusal) {
 	by := q.ender(refusal.Cause)
-	c.Metrics.Figures.Add("answers_broken_off", "by", by.String())
+	c.Metrics.Prometheus.Add("answers_broken_off", "by", by.String())
 	if !c.sampler.Allow("broken off") {
 		return
 	}
--- a/pkg/ingress/broken_off_test.go
+++ b/pkg/ingress/broken_off_test.go
@@ -189,7 +189,7 @@
 		b.t.Errorf("%d lines, want %d", lines, want)
 	}
 	figures := httptest.NewRecorder()
-	b.metrics.Figures.ServeHTTP(figures, nil)
+	b.metrics.Prometheus.ServeHTTP(figures, nil)
 	if count := fmt.Sprintf("quaydock_answers_broken_off_total{by=%q} 1\n", by); by != "" && !strings.Contains(figures.Body.String(), count) {
 		b.t.Errorf("no %s", count)
 	}
--- a/pkg/ingress/caller_conns.go
+++ b/pkg/ingress/caller_conns.go
@@ -21,7 +21,7 @@
 	freed chan struct{}
 
 	mu      sync.Mutex
-	book    *descriptors.Book
+	book    *descriptors.Limiter
 	open    map[net.Conn]*callerConn
 	resting *list.List // of net.Conn, the longest at rest first
 }
@@ -32,9 +32,9 @@
 	resting *list.Element // nil while it does not rest
 }
 
-func newCallerConns(c common.Common, shares descriptors.Shares) *callerConns {
+func newCallerConns(c common.Common, shares descriptors.Limits) *callerConns {
 	return &callerConns{
-		Common: c, freed: make(chan struct{}, 1), book: descriptors.NewBook(shares),
+		Common: c, freed: make(chan struct{}, 1), book: descriptors.NewLimiter(shares),
 		open: make(map[net.Conn]*callerConn), resting: list.New(),
 	}
 }
@@ -63,7 +63,7 @@
 	case descriptors.StepWait:
 		return step
 	}
-	cc.Metrics.Figures.Add("caller_connections", "step", step.String())
+	cc.Metrics.Prometheus.Add("caller_connections", "step", step.String())
 	return step
 }
 
@@ -118,7 +118,7 @@
 func (cc *callerConns) ended(c net.Conn, known *callerConn) {
 	cc.forget(c)
 	if known.turned {
-		cc.book.TurnedAway()
+		cc.book.RejectionEnded()
 		select {
 		case cc.freed <- struct{}{}:
 		default: // there is one already
@@ -138,7 +138,7 @@
 func (cc *callerConns) counts() (taken, turned int) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	return cc.book.Taken(), cc.book.Turned()
+	return cc.book.Taken(), cc.book.Rejecting()
 }
 
 // tellOver logs a shortage that is over.
@@ -146,12 +146,12 @@
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	now := cc.Clock.Now()
-	over := cc.book.Over(now)
+	over := cc.book.EndedShortage(now)
 	if over == nil {
 		return
 	}
 	cc.Log.WithFields(map[string]any{
-		"for_ms": int64(now - over.Began), "replaced": over.Replaced, "turned_away": over.Turned,
+		"for_ms": int64(now - over.Began), "replaced": over.Replaced, "turned_away": over.Rejected,
 	}).Info("callers' share of the descriptors is enough again")
 }
 
--- a/pkg/ingress/caller_conns_test.go
+++ b/pkg/ingress/caller_conns_test.go
@@ -30,8 +30,8 @@
 			time.Sleep(b.serves)
 			_, _ = io.WriteString(w, "yes")
 		}),
-		TurnAway: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }),
-	}, descriptors.Shares{Callers: 2, Turned: 1})
+		Reject: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }),
+	}, descriptors.Limits{Callers: 2, Rejecting: 1})
 	listener, err := b.reach.Listen(serverAt)
 	if err != nil {
 		t.Fatal(err)
--- a/pkg/ingress/closing.go
+++ b/pkg/ingress/closing.go
@@ -11,9 +11,9 @@
 // Stop is the course of an entry's stop, known from the moment of its signal.
 type Stop struct {
 	// Narrows is from when on only requests are taken that will surely have ended in time.
-	Narrows clock.Millis
+	RestrictsFrom clock.Millis
 	// Ends is when the process ends.
-	Ends clock.Millis
+	EndsAt clock.Millis
 }
 
 // closing decides what an entry still takes while it is being stopped and too few others
@@ -58,7 +58,7 @@
 // while requests come in.
 func (c *closing) narrowing(now clock.Millis) *Stop {
 	stop := c.stop.Load()
-	if stop == nil || now < stop.Narrows {
+	if stop == nil || now < stop.RestrictsFrom {
 		return nil
 	}
 	return stop
@@ -72,7 +72,7 @@
 	if stop == nil {
 		return true
 	}
-	if deadline+deadlineSpare > stop.Ends {
+	if deadline+deadlineSpare > stop.EndsAt {
 		return false
 	}
 	return c.fits(now, route, stop, endDoubt)
@@ -83,7 +83,7 @@
 // run: sent, it ends without an answer, and may have run.
 func (c *closing) sends(now, deadline clock.Millis, route *routing.Route) bool {
 	stop := c.narrowing(now)
-	return stop == nil || deadline+deadlineSpare <= stop.Ends || c.fits(now, route, stop, 1)
+	return stop == nil || deadline+deadlineSpare <= stop.EndsAt || c.fits(now, route, stop, 1)
 }
 
 // fits reports whether several times the longest recent answer of a route fits into the time left.
@@ -91,7 +91,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m := c.longest[route.Name]
-	return m != nil && now+clock.Millis(times)*m.get(now)+endSpare <= stop.Ends
+	return m != nil && now+clock.Millis(times)*m.get(now)+endSpare <= stop.EndsAt
 }
 
 // retryAfter is when to come back: when this entry will surely have ended, and the ones
@@ -102,7 +102,7 @@
 	if stop == nil {
 		return leastLeavingRetry
 	}
-	return max(leastLeavingRetry, stop.Ends-now)
+	return max(leastLeavingRetry, stop.EndsAt-now)
 }
 
 // forget drops routes that are gone.
--- a/pkg/ingress/controller.go
+++ b/pkg/ingress/controller.go
@@ -31,36 +31,36 @@
 )
 
 // Parts are what a controller works with.
-type Parts struct {
+type Dependencies struct {
 	common.Common
-	View      *view.View
-	Dialect   Dialect
-	Scheduler schedule.Scheduler
-	Pool      *forward.Pool
-	Meter     Meter
-	Retries   *quota.RetryBudget
-	Entries   Entries
-	Keys      KeyTrust
+	View        *view.View
+	HeaderCodec HeaderCodec
+	Scheduler   schedule.Scheduler
+	Pool        *forward.Pool
+	Meter       Meter
+	Retries     *quota.RetryBudget
+	Entries     Entries
+	Keys        KeyGrace
 	// Guard keeps requests that end their targets from running; nil has the controller go by what
 	// it sees itself.
 	Guard *quarantine.Guard
 	// Advice is what targets have told this entry of themselves.
-	Advice *advisory.Book
+	Advice *advisory.Tracker
 	// MostExtra is how many requests on connections beyond callers' share may be served at once,
 	// those of a higher tier than some request that is being served.
-	MostExtra int
+	MaxExtra int
 }
 
 // KeyTrust says how long a key may still be used after its removal.
-type KeyTrust struct {
+type KeyGrace struct {
 	// Bound is that time, above 0, at an entry that hears of the removal.
-	Bound clock.Millis
+	Limit clock.Millis
 	// Strict is true if the bound holds also at one that is cut off from all that
 	// could tell it. If not, such an entry goes on serving with the keys that it
 	// knows, until the others may count it as gone.
 	Strict bool
 	// Most is for how long that goes on at the most, while they surely do not.
-	Most clock.Millis
+	Max clock.Millis
 }
 
 // Controller serves callers.
@@ -84,30 +84,30 @@
 }
 
 // NewController returns a controller over its parts.
-func NewController(p Parts) *Controller {
-	a := &admission{Common: p.Common, view: p.View, dialect: p.Dialect, meter: p.Meter, entries: p.Entries, tries: newFirstTries(), closing: newClosing()}
+func NewController(p Dependencies) *Controller {
+	a := &admission{Common: p.Common, view: p.View, dialect: p.HeaderCodec, meter: p.Meter, entries: p.Entries, tries: newFirstTries(), closing: newClosing()}
 	a.setKeyTrust(p.Keys)
 	d := &delivery{
-		Common: p.Common, admission: a, dialect: p.Dialect, scheduler: p.Scheduler,
+		Common: p.Common, admission: a, dialect: p.HeaderCodec, scheduler: p.Scheduler,
 		pool: p.Pool, retries: p.Retries, entries: p.Entries, guard: p.Guard, advice: p.Advice,
 		sampler: telemetry.NewSampler(p.Clock, p.Log, linesASecond),
 	}
 	if d.guard == nil {
-		d.guard = quarantine.New(quarantine.Parts{Common: p.Common})
+		d.guard = quarantine.New(quarantine.Dependencies{Common: p.Common})
 	}
-	p.View.Watch(p.Pool.Follow)
-	p.View.WatchAfter(p.Pool.BreakOff)
-	p.View.Watch(d.guard.Follow)
+	p.View.Watch(p.Pool.SetDirectory)
+	p.View.WatchAfter(p.Pool.AbortReplaced)
+	p.View.Watch(d.guard.SetDirectory)
 	c := &Controller{
 		Common: p.Common, admission: a, delivery: d, sampler: d.sampler,
-		underWay: newTierCounts(), mostExtra: int64(p.MostExtra),
+		underWay: newTierCounts(), mostExtra: int64(p.MaxExtra),
 	}
 	c.ended, c.end = context.WithCancelCause(context.Background())
 	return c
 }
 
 // SetKeyTrust changes how long after its removal a key may still be used.
-func (c *Controller) SetKeyTrust(keys KeyTrust) {
+func (c *Controller) SetKeyGrace(keys KeyGrace) {
 	c.admission.setKeyTrust(keys)
 }
 
@@ -144,7 +144,7 @@
 
 // RunningFromBefore is how many requests are being served that came before the stop's
 // narrowing.
-func (c *Controller) RunningFromBefore() int {
+func (c *Controller) RunningUnrestricted() int {
 	return int(c.running.Load() - c.late.Load())
 }
 
@@ -216,7 +216,7 @@
 	if q.firstAt > 0 {
 		r.First = q.firstAt - q.arrived
 	}
-	c.Metrics.Figures.Count(r)
+	c.Metrics.Prometheus.Count(r)
 }
 
 // sampleEvery is how many ordinary answers go by for each that is logged.
--- a/pkg/ingress/controller_test.go
+++ b/pkg/ingress/controller_test.go
@@ -268,7 +268,7 @@
 		if !b.controller.Ready() {
 			t.Error("not ready with a configuration")
 		}
-		b.controller.Leave(ingress.Stop{Narrows: b.clock.Now() + clock.Second, Ends: b.clock.Now() + clock.Minute})
+		b.controller.Leave(ingress.Stop{RestrictsFrom: b.clock.Now() + clock.Second, EndsAt: b.clock.Now() + clock.Minute})
 		if b.controller.Ready() {
 			t.Error("ready while leaving")
 		}
--- a/pkg/ingress/deliver_bench_test.go
+++ b/pkg/ingress/deliver_bench_test.go
@@ -20,22 +20,22 @@
 // refusing refuses all requests at once.
 type refusing struct{}
 
-func (refusing) Acquire(context.Context, schedule.Ask) (schedule.Place, *schedule.Refused, error) {
+func (refusing) Acquire(context.Context, schedule.Request) (schedule.Assignment, *schedule.Refused, error) {
 	return nil, &schedule.Refused{Overloaded: true, RetryAfter: clock.Second}, nil
 }
 
 // assured is one entry that is all there are.
 type assured struct{}
 
-func (assured) Share() float64            { return 1 }
-func (assured) Assured(clock.Millis) bool { return true }
+func (assured) Share() float64               { return 1 }
+func (assured) HoldsLease(clock.Millis) bool { return true }
 
 // BenchmarkDeliver is what a request pays between its admission and its place: 4.3 µs and 18 allocations while each request had a context and a
 // function of its own for the end of the process, 2.2 µs and 10 allocations with one for all.
 func BenchmarkDeliver(b *testing.B) {
 	c := commontest.New(network.NewMemory(nil))
 	v := view.New(c.Check)
-	controller := NewController(Parts{
+	controller := NewController(Dependencies{
 		Common: c, View: v, Scheduler: refusing{}, Pool: forward.NewPool(c, nil, nil), Entries: assured{},
 		Retries: quota.NewRetryBudget(quota.RetryBounds{Ratio: 0.2, Slack: 100, Window: 10 * clock.Second}, c.Clock.Now()),
 	})
--- a/pkg/ingress/delivery.go
+++ b/pkg/ingress/delivery.go
@@ -24,13 +24,13 @@
 type delivery struct {
 	common.Common
 	admission *admission
-	dialect   Dialect
+	dialect   HeaderCodec
 	scheduler schedule.Scheduler
 	pool      *forward.Pool
 	retries   *quota.RetryBudget
 	entries   Entries
 	guard     *quarantine.Guard
-	advice    *advisory.Book
+	advice    *advisory.Tracker
 	sampler   *telemetry.Sampler
 }
 
@@ -98,7 +98,7 @@
 }
 
 func (d *delivery) tries(ctx context.Context, q *request, out *answerWriter) *Refusal {
-	var pass *quarantine.Pass
+	var pass *quarantine.Permit
 	defer func() { pass.Release(false) }()
 	for {
 		place, entered, refusal := d.enter(ctx, q, pass)
@@ -123,7 +123,7 @@
 			return d.goneAway(q, result.err)
 		case withheld:
 			// Nothing has reached the target, so that this is no repeat.
-			q.passOver(target.Life())
+			q.passOver(target.Incarnation())
 		case declined:
 			q.declines++
 			if !d.again(q) {
@@ -141,13 +141,13 @@
 
 // acquire waits for a place on a target. What the request was admitted under
 // is looked up again once there is one.
-func (d *delivery) acquire(ctx context.Context, q *request) (schedule.Place, *Refusal) {
+func (d *delivery) acquire(ctx context.Context, q *request) (schedule.Assignment, *Refusal) {
 	ctx, span := d.Tracer.Start(ctx, "entry.place")
 	defer span.End()
-	place, refused, err := d.scheduler.Acquire(ctx, schedule.Ask{Service: q.service, Job: planner.Job{
+	place, refused, err := d.scheduler.Acquire(ctx, schedule.Request{Service: q.service, Job: planner.Job{
 		Account: q.accountName(), Tier: q.tier(),
 		Prompt: q.Prompt, Events: d.admission.events(q), Gap: q.route.EventGap,
-		Arrived: q.arrived, Before: q.before, Objective: q.route.Objective, Deadline: q.deadline, Patience: q.patience(),
+		Arrived: q.arrived, SinceFirstTry: q.before, Objective: q.route.Objective, Deadline: q.deadline, Patience: q.patience(),
 		Returned: q.returned(), Movable: d.movable(q), Exclude: q.tried,
 		Route: ids.Route(q.route.Name),
 	}})
@@ -161,7 +161,7 @@
 	case refused != nil && refused.Overloaded:
 		q.note(now, fmt.Sprintf("refused: %d ahead, a wait of %d ms", refused.Ahead, refused.Wait), "")
 		return nil, notRun(CauseOverloaded, refused.RetryAfter)
-	case refused != nil && refused.Resting:
+	case refused != nil && refused.BackedOff:
 		q.note(now, fmt.Sprintf("all targets rest from here, the first for %d ms more", refused.Wait), "")
 		return nil, notRun(CauseResting, refused.RetryAfter)
 	case refused != nil:
@@ -169,25 +169,25 @@
 	}
 	q.note(now, "placed on", place.Target().ID)
 	if hasLeft(ctx) {
-		place.Done(planner.Abandoned, planner.Flow{})
+		place.Done(planner.Abandoned, planner.StreamStats{})
 		return nil, &Refusal{Cause: CauseLeft, Err: errEndSeen}
 	}
 	if refusal := d.recheck(q, place); refusal != nil {
 		q.note(now, "not sent after all: "+refusal.Cause.String(), "")
-		place.Done(planner.Abandoned, planner.Flow{})
+		place.Done(planner.Abandoned, planner.StreamStats{})
 		return nil, refusal
 	}
 	return place, nil
 }
 
 // recheck looks up route, key and the end of a stop once more before a request is sent.
-func (d *delivery) recheck(q *request, place schedule.Place) *Refusal {
+func (d *delivery) recheck(q *request, place schedule.Assignment) *Refusal {
 	account := q.account
 	if refusal := d.admission.resolve(q); refusal != nil {
 		// It was allowed when it came: it may come back and be judged anew.
 		return notRun(refusal.Cause, comeBack)
 	}
-	if account != nil && q.account == nil || !q.route.Leads(place.Target().Service) {
+	if account != nil && q.account == nil || !q.route.LeadsTo(place.Target().Service) {
 		return notRun(CauseNoRoute, comeBack)
 	}
 	if q.sent > 0 && !d.repeats(q) {
@@ -235,7 +235,7 @@
 // untried reports whether there is a target that the request was not sent to in its present life, and may be.
 func (d *delivery) untried(q *request) bool {
 	for _, t := range d.admission.view.Directory().Serving(q.service) {
-		if !slices.Contains(q.tried, t.Life()) && !d.advice.Of(t.Life()).Bars() {
+		if !slices.Contains(q.tried, t.Incarnation()) && !d.advice.Status(t.Incarnation()).Blocks() {
 			return true
 		}
 	}
@@ -244,8 +244,8 @@
 
 // afterDeclined is when to come back after targets have declined a request.
 func (d *delivery) afterDeclined(q *request) clock.Millis {
-	rest := d.advice.AllRest(d.admission.view.Directory().Serving(q.service))
-	return max(retryDeclined, planner.AfterRest(rest, d.Random.Fork().Float64()))
+	rest := d.advice.AllBackoff(d.admission.view.Directory().Serving(q.service))
+	return max(retryDeclined, planner.AfterBackoff(rest, d.Random.Fork().Float64()))
 }
 
 // goneAway is the final word on a request whose caller can't be written to.
--- a/pkg/ingress/descriptors_test.go
+++ b/pkg/ingress/descriptors_test.go
@@ -104,16 +104,16 @@
 	target := &routing.Target{ID: "t", Service: "s", Address: address, Slots: 4}
 	v.SetDirectory(routing.NewDirectory([]*routing.Target{target}))
 	routes := []*routing.Route{
-		{Name: "call", Host: "h", Prefix: "/call/", Kind: routing.Safe, Timeout: 5000, Objective: 500, Attempts: 1, Split: []routing.Share{{Service: "s", Weight: 1}}},
-		{Name: "stream", Host: "h", Prefix: "/stream/", Kind: routing.Stream, Timeout: 10_000, Objective: 500, Attempts: 1, Split: []routing.Share{{Service: "s", Weight: 1}}},
+		{Name: "call", Host: "h", Prefix: "/call/", Kind: routing.Safe, Timeout: 5000, Objective: 500, Attempts: 1, Split: []routing.WeightedService{{Service: "s", Weight: 1}}},
+		{Name: "stream", Host: "h", Prefix: "/stream/", Kind: routing.Stream, Timeout: 10_000, Objective: 500, Attempts: 1, Split: []routing.WeightedService{{Service: "s", Weight: 1}}},
 	}
 	v.SetCatalog(routing.NewCatalog(1, routing.Limits{}, routes, nil, []*routing.Account{{Name: "acme", Keys: []string{"key"}}}))
-	v.Proven(c.Clock.Now())
+	v.Confirmed(c.Clock.Now())
 	scheduler := &inOrder{b: &bed{targets: []*routing.Target{target}}, stuck: ids.Target("none")}
-	return ingress.NewController(ingress.Parts{
-		Common: c, View: v, Dialect: dialect{}, Scheduler: scheduler, Meter: meter, Entries: freely{},
-		Pool:    forward.NewPool(c, func(h map[string][]string) forward.Marks { return dialect{}.Marks(h) }, nil),
-		Retries: quota.NewRetryBudget(quota.RetryBounds{Ratio: 0.2, Slack: 100, Window: 10 * clock.Second}, c.Clock.Now()-10*clock.Second), Keys: ingress.KeyTrust{Bound: clock.Minute},
+	return ingress.NewController(ingress.Dependencies{
+		Common: c, View: v, HeaderCodec: dialect{}, Scheduler: scheduler, Meter: meter, Entries: freely{},
+		Pool:    forward.NewPool(c, func(h map[string][]string) forward.AnswerMetadata { return dialect{}.AnswerMetadata(h) }, nil),
+		Retries: quota.NewRetryBudget(quota.RetryBounds{Ratio: 0.2, Slack: 100, Window: 10 * clock.Second}, c.Clock.Now()-10*clock.Second), Keys: ingress.KeyGrace{Limit: clock.Minute},
 	})
 }
 
@@ -314,7 +314,7 @@
 }
 
 func newScarceServer(c common.Common, controller *ingress.Controller, limit int) *ingress.Server {
-	handlers := ingress.Handlers{Serve: controller, TurnAway: http.HandlerFunc(controller.TurnAway), Context: controller.Context()}
+	handlers := ingress.Handlers{Serve: controller, Reject: http.HandlerFunc(controller.Reject), Context: controller.Context()}
 	return ingress.NewServer(c, handlers, descriptors.Divide(limit))
 }
 
--- a/pkg/ingress/dialect.go
+++ b/pkg/ingress/dialect.go
@@ -16,25 +16,25 @@
 	// Deadline is how long the caller will wait; 0 if it does not say.
 	Deadline clock.Millis
 	// Prompt and MostOut are the sizes of a generation, 0 if not told.
-	Prompt  ids.Tokens
-	MostOut ids.Tokens
+	Prompt    ids.Tokens
+	MaxOutput ids.Tokens
 	// OutputGuess is the caller's guess at the length of the output.
-	OutputGuess ids.Tokens
+	OutputEstimate ids.Tokens
 	// Parts are the parts of the prompt in order; a target that keeps them all
 	// up to one need not read those again.
-	Parts []Part
+	PromptParts []PromptPart
 	// LastEvent is the last event that the caller has of a stream.
 	LastEvent string
 }
 
 // Part is a part of a prompt that other requests may share.
-type Part struct {
+type PromptPart struct {
 	ID     uint64
 	Tokens ids.Tokens
 }
 
 // Onward is what changes in a request's headers on its way to a target.
-type Onward struct {
+type TargetCall struct {
 	Target    ids.Target
 	Account   ids.Account // empty on routes without keys
 	Remaining clock.Millis
@@ -42,13 +42,13 @@
 }
 
 // Dialect is the language of callers and targets in the headers of requests.
-type Dialect interface {
+type HeaderCodec interface {
 	// Describe reads a caller's request.
 	Describe(h http.Header) Call
 	// Onward returns the headers that a target gets.
-	Onward(h http.Header, to Onward) http.Header
+	TargetHeaders(h http.Header, to TargetCall) http.Header
 	// Marks reads the head of a target's answer.
-	Marks(h http.Header) forward.Marks
+	AnswerMetadata(h http.Header) forward.AnswerMetadata
 	// Answer copies the headers of a target's answer that the caller gets.
-	Answer(from, to http.Header)
+	CopyAnswer(from, to http.Header)
 }
--- a/pkg/ingress/endings_table_test.go
+++ b/pkg/ingress/endings_table_test.go
@@ -168,13 +168,13 @@
 func (b *bed) endUnder(path string, targets int) {
 	request := quarantine.Request{Digest: quarantine.Identify("acme", path, []byte("question")), Account: "acme", Route: ids.Route(strings.Split(path, "/")[1])}
 	for n := range targets {
-		b.guard.Ended(quarantine.Run{Request: request, Life: ids.Life{Target: ids.Target(fmt.Sprint("ended", n))}, Again: n > 0})
+		b.guard.Ended(quarantine.Run{Request: request, Incarnation: ids.TargetIncarnation{Target: ids.Target(fmt.Sprint("ended", n))}, Again: n > 0})
 	}
 }
 
 var happenings = []happening{
 	{"nothing", nil, func(*bed) {}, whole},
-	{"settings with a shorter bound on keys", nil, func(b *bed) { b.controller.SetKeyTrust(ingress.KeyTrust{Bound: 1, Strict: true}) }, notSent},
+	{"settings with a shorter bound on keys", nil, func(b *bed) { b.controller.SetKeyGrace(ingress.KeyGrace{Limit: 1, Strict: true}) }, notSent},
 	{"settings without leave to repeat", nil, func(b *bed) { b.retries.SetBounds(quota.RetryBounds{Window: 10 * clock.Second}) }, whole},
 	{"its key is taken away", nil, func(b *bed) {
 		b.accounts = []*routing.Account{{Name: "acme", Keys: []string{"another"}}}
@@ -187,7 +187,7 @@
 	}, whole},
 	{"its route is taken away", nil, func(b *bed) { b.routes = nil; b.configure(2) }, notSent},
 	{"its route leads elsewhere", nil, func(b *bed) {
-		b.eachRoute(func(r *routing.Route) { r.Split = []routing.Share{{Service: "other", Weight: 1}} })
+		b.eachRoute(func(r *routing.Route) { r.Split = []routing.WeightedService{{Service: "other", Weight: 1}} })
 	}, notSent},
 	{"the time-out of its route is shortened", nil, func(b *bed) { b.eachRoute(func(r *routing.Route) { r.Timeout = 100 }) }, whole},
 	{"its route may not be repeated any more", nil, func(b *bed) {
@@ -206,10 +206,10 @@
 	{"its target's version may get nothing any more", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Admission = routing.Withheld }) }, whole},
 	{"its target has started again", nil, (*bed).restart, anotherLife},
 	{"its target says that it leaves", nil, func(b *bed) {
-		b.advice.Hear(ids.Life{Target: "t1", Start: formerStart}, 0, "other", advisory.Advice{Leaving: true})
+		b.advice.Observe(ids.TargetIncarnation{Target: "t1", Start: formerStart}, 0, "other", advisory.Advice{Leaving: true})
 	}, whole},
 	{"its target asks for rest", nil, func(b *bed) {
-		b.advice.Hear(ids.Life{Target: "t1", Start: formerStart}, 0, "other", advisory.Advice{Rest: 10 * clock.Second})
+		b.advice.Observe(ids.TargetIncarnation{Target: "t1", Start: formerStart}, 0, "other", advisory.Advice{Backoff: 10 * clock.Second})
 	}, whole},
 	{"the VM was suspended for 3 s", nil, func(b *bed) { b.suspension.Add(3 * clock.Second) }, whole},
 	{"the VM was suspended for 20 s", nil, func(b *bed) { b.suspension.Add(20 * clock.Second) }, notSent},
@@ -217,10 +217,10 @@
 	{"the home of the service refuses all further", nil, func(b *bed) { b.scheduler.later(true, 0) }, whole},
 	{"the home of the service is gone", nil, func(b *bed) { b.scheduler.later(false, time.Minute) }, whole},
 	{"the entry is stopped", nil, func(b *bed) {
-		b.controller.Leave(ingress.Stop{Narrows: b.clock.Now() + clock.Second, Ends: b.clock.Now() + 8*clock.Second})
+		b.controller.Leave(ingress.Stop{RestrictsFrom: b.clock.Now() + clock.Second, EndsAt: b.clock.Now() + 8*clock.Second})
 	}, whole},
 	{"the entry is stopped, with a short grace", nil, func(b *bed) {
-		b.controller.Leave(ingress.Stop{Narrows: b.clock.Now(), Ends: b.clock.Now() + 3*clock.Second})
+		b.controller.Leave(ingress.Stop{RestrictsFrom: b.clock.Now(), EndsAt: b.clock.Now() + 3*clock.Second})
 	}, notSent},
 	{"the entry ends", nil, func(b *bed) { b.controller.End() }, theEnd},
 	{"no descriptor is left", nil, func(b *bed) { b.dialling.set(0, syscall.EMFILE) }, notSent},
--- a/pkg/ingress/endings_test.go
+++ b/pkg/ingress/endings_test.go
@@ -116,8 +116,8 @@
 }
 
 // serveCallers has a server with real connections of callers before the controller.
-func (b *bed) serveCallers(shares descriptors.Shares) *ingress.Server {
-	handlers := ingress.Handlers{Serve: b.controller, TurnAway: http.HandlerFunc(b.controller.TurnAway), Context: b.controller.Context()}
+func (b *bed) serveCallers(shares descriptors.Limits) *ingress.Server {
+	handlers := ingress.Handlers{Serve: b.controller, Reject: http.HandlerFunc(b.controller.Reject), Context: b.controller.Context()}
 	server := ingress.NewServer(commontest.New(b.reach), handlers, shares)
 	listener, err := b.reach.Listen(serverAt)
 	if err != nil {
@@ -158,7 +158,7 @@
 			}
 		}},
 		{"the entry is stopped", func(b *bed, s *ingress.Server) {
-			b.controller.Leave(ingress.Stop{Narrows: b.clock.Now(), Ends: b.clock.Now() + 8*clock.Second})
+			b.controller.Leave(ingress.Stop{RestrictsFrom: b.clock.Now(), EndsAt: b.clock.Now() + 8*clock.Second})
 			b.stopped = true
 			go func() { _ = s.Shutdown(context.Background()) }()
 		}},
@@ -172,7 +172,7 @@
 			t.Run(fmt.Sprintf("step %d, %s", at, s.name), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					b := newBed(t, freely{}, pausesAt(at, 3*time.Second))
-					server := b.serveCallers(descriptors.Shares{Callers: 2, Turned: 2, Extra: 1})
+					server := b.serveCallers(descriptors.Limits{Callers: 2, Rejecting: 2, Extra: 1})
 					time.AfterFunc(300*time.Millisecond, func() { s.do(b, server) })
 					if got := bodyOn(dial(t, b.reach), path); got != answerTo(at, path) {
 						t.Errorf("%d bytes", len(got))
--- a/pkg/ingress/exchange.go
+++ b/pkg/ingress/exchange.go
@@ -12,7 +12,7 @@
 
 // exchange sends the request to the target of a place and relays the answer. If the target falls
 // silent meanwhile, another one may take over.
-func (d *delivery) exchange(ctx context.Context, q *request, out *answerWriter, place schedule.Place) attempt {
+func (d *delivery) exchange(ctx context.Context, q *request, out *answerWriter, place schedule.Assignment) attempt {
 	q.placedAt = d.Clock.Now()
 	ctx, span := d.Tracer.Start(ctx, "entry.exchange")
 	defer span.End()
@@ -42,31 +42,31 @@
 
 // send sends the request to the target of a place. It returns the head of the answer, or else how the
 // exchange ended; the place has then been given back.
-func (d *delivery) send(ctx context.Context, q *request, place schedule.Place) (*forward.Answer, attempt) {
+func (d *delivery) send(ctx context.Context, q *request, place schedule.Assignment) (*forward.Answer, attempt) {
 	target := place.Target()
-	onward := Onward{Target: target.ID, Account: q.accountName(), Remaining: q.deadline - d.Clock.Now(), LastEvent: q.resumeAt()}
+	onward := TargetCall{Target: target.ID, Account: q.accountName(), Remaining: q.deadline - d.Clock.Now(), LastEvent: q.resumeAt()}
 	result := d.pool.Send(ctx, target, &forward.Request{
 		ID: q.ID, Method: q.http.Method, Path: q.http.RequestURI, Host: q.http.Host,
-		Header: d.dialect.Onward(q.http.Header, onward), Body: q.body,
+		Header: d.dialect.TargetHeaders(q.http.Header, onward), Body: q.body,
 	})
 	if _, kept := result.(forward.Withheld); kept {
 		q.note(d.Clock.Now(), "not sent, by its own word, to", target.ID)
-		place.Done(planner.Withheld, planner.Flow{})
+		place.Done(planner.Withheld, planner.StreamStats{})
 		return nil, withheld{}
 	}
-	q.tried = append(q.tried, target.Life())
+	q.tried = append(q.tried, target.Incarnation())
 	switch result := result.(type) {
 	case forward.NotSent:
 		q.note(d.Clock.Now(), "not reached", target.ID)
-		place.Done(unreached(ctx), planner.Flow{})
+		place.Done(unreached(ctx), planner.StreamStats{})
 		return nil, declined{result.Err}
 	case forward.Declined:
 		q.note(d.Clock.Now(), "not run, by its own word, at", target.ID)
 		q.sends++
 		if result.Status == http.StatusMisdirectedRequest {
-			place.Done(planner.Moved, planner.Flow{})
+			place.Done(planner.Moved, planner.StreamStats{})
 		} else {
-			place.Done(planner.Full, planner.Flow{})
+			place.Done(planner.Full, planner.StreamStats{})
 		}
 		return nil, declined{}
 	case *forward.Answer:
@@ -75,7 +75,7 @@
 	default:
 		q.note(d.Clock.Now(), "broken off without an answer at", target.ID)
 		q.sends++
-		place.Done(failure(ctx), planner.Flow{})
+		place.Done(failure(ctx), planner.StreamStats{})
 		return nil, lost{err: result.(forward.Broken).Err}
 	}
 }
--- a/pkg/ingress/guarded.go
+++ b/pkg/ingress/guarded.go
@@ -18,7 +18,7 @@
 // account, the permission costs nothing. One under which the request did not run yet still holds.
 // The permission comes first: what acquire checks has to hold when the request is sent, and it may
 // have to wait for its turn.
-func (d *delivery) enter(ctx context.Context, q *request, pass *quarantine.Pass) (schedule.Place, *quarantine.Pass, *Refusal) {
+func (d *delivery) enter(ctx context.Context, q *request, pass *quarantine.Permit) (schedule.Assignment, *quarantine.Permit, *Refusal) {
 	for {
 		var refusal *Refusal
 		if pass, refusal = d.permit(ctx, q, pass); refusal != nil {
@@ -33,15 +33,15 @@
 			return place, pass, nil
 		}
 		// Targets have ended under it while it waited for the place.
-		place.Done(planner.Abandoned, planner.Flow{})
+		place.Done(planner.Abandoned, planner.StreamStats{})
 		pass.Release(false)
 		pass = nil
 	}
 }
 
 // permit returns the permission to run a request, nil if it needs none.
-func (d *delivery) permit(ctx context.Context, q *request, pass *quarantine.Pass) (*quarantine.Pass, *Refusal) {
-	if pass != nil || !d.guard.Watches(q.accountName()) {
+func (d *delivery) permit(ctx context.Context, q *request, pass *quarantine.Permit) (*quarantine.Permit, *Refusal) {
+	if pass != nil || !d.guard.HasRecord(q.accountName()) {
 		return pass, nil
 	}
 	pass, refused := d.guard.Enter(ctx, q.suspect())
@@ -53,8 +53,8 @@
 }
 
 // permitted reports whether a request may still run with what permit returned.
-func (d *delivery) permitted(q *request, pass *quarantine.Pass) bool {
-	return !d.guard.Watches(q.accountName()) || d.guard.Allows(q.suspect(), pass)
+func (d *delivery) permitted(q *request, pass *quarantine.Permit) bool {
+	return !d.guard.HasRecord(q.accountName()) || d.guard.Allows(q.suspect(), pass)
 }
 
 // heldBack refuses a request under which targets have ended. It is told to come back when it may run
@@ -73,12 +73,12 @@
 
 // observe tells the guard what a run says for or against its request, and returns the permission if
 // there was no run.
-func (d *delivery) observe(ctx context.Context, q *request, target *routing.Target, pass *quarantine.Pass, result attempt) *quarantine.Pass {
+func (d *delivery) observe(ctx context.Context, q *request, target *routing.Target, pass *quarantine.Permit, result attempt) *quarantine.Permit {
 	switch result := result.(type) {
 	case declined, withheld:
 		return pass
 	case completed:
-		if d.guard.Watches(q.accountName()) {
+		if d.guard.HasRecord(q.accountName()) {
 			d.guard.Succeeded(q.suspect())
 		}
 	case lost:
@@ -104,14 +104,14 @@
 }
 
 // suspected is a run that a target broke off, nil if that says nothing of the request.
-func (d *delivery) suspected(ctx context.Context, q *request, target *routing.Target, pass *quarantine.Pass) *brokenRun {
+func (d *delivery) suspected(ctx context.Context, q *request, target *routing.Target, pass *quarantine.Permit) *brokenRun {
 	if ctx.Err() != nil {
 		return nil // this end broke off
 	}
-	if listed := d.admission.view.Directory().Target(target.ID); listed != nil && listed.Leaving || d.advice.Of(target.Life()).Leaving {
+	if listed := d.admission.view.Directory().Target(target.ID); listed != nil && listed.Leaving || d.advice.Status(target.Incarnation()).Leaving {
 		return nil // it was to end
 	}
-	run := quarantine.Run{Request: q.suspect(), Life: target.Life(), Again: pass != nil && pass.Again}
+	run := quarantine.Run{Request: q.suspect(), Incarnation: target.Incarnation(), Again: pass != nil && pass.Again}
 	return &brokenRun{Run: run, id: q.ID, target: target, began: q.placedAt}
 }
 
@@ -119,7 +119,7 @@
 // was reset, or an answer that is cut short, says nothing of that.
 func (d *delivery) ended(ctx context.Context, run *brokenRun) bool {
 	if !d.pool.Ended(ctx, run.target) {
-		d.guard.Doubt(run.Run)
+		d.guard.PossibleEnd(run.Run)
 		return false
 	}
 	d.Log.WithFields(logrus.Fields{
--- a/pkg/ingress/keys_test.go
+++ b/pkg/ingress/keys_test.go
@@ -31,7 +31,7 @@
 		time.AfterFunc(500*time.Millisecond, func() {
 			b.accounts = []*routing.Account{{Name: "acme", Keys: []string{"another"}}}
 			b.configure(2)
-			b.view.Proven(b.clock.Now())
+			b.view.Confirmed(b.clock.Now())
 		})
 		got := b.call(context.Background(), "/unsafe/a", nil)
 		if got.status != http.StatusServiceUnavailable || len(b.arrived()) != 0 {
@@ -76,7 +76,7 @@
 		t.Run(fmt.Sprint(s.strict, s.assured, s.after), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newBed(t, freely{assuredAlways: s.assured}, says(200, "", "yes"))
-				b.controller.SetKeyTrust(ingress.KeyTrust{Bound: 5000, Strict: s.strict, Most: 20 * clock.Second})
+				b.controller.SetKeyGrace(ingress.KeyGrace{Limit: 5000, Strict: s.strict, Max: 20 * clock.Second})
 				time.Sleep(s.after)
 				if got := b.call(context.Background(), "/unsafe/a", nil); got.status != s.want {
 					t.Errorf("status %d, want %d", got.status, s.want)
--- a/pkg/ingress/lives_test.go
+++ b/pkg/ingress/lives_test.go
@@ -132,7 +132,7 @@
 					go func() { replies <- b.call(context.Background(), s.path, nil) }()
 					time.Sleep(100 * time.Millisecond)
 					if stopping {
-						b.controller.Leave(ingress.Stop{Narrows: b.clock.Now() + clock.Second, Ends: b.clock.Now() + clock.Minute})
+						b.controller.Leave(ingress.Stop{RestrictsFrom: b.clock.Now() + clock.Second, EndsAt: b.clock.Now() + clock.Minute})
 					}
 					b.restart()
 					got := <-replies
--- a/pkg/ingress/moves_test.go
+++ b/pkg/ingress/moves_test.go
@@ -88,7 +88,7 @@
 			b.during(func() {
 				for i, r := range b.routes {
 					moved := *r
-					moved.Split = []routing.Share{{Service: "other", Weight: 1}}
+					moved.Split = []routing.WeightedService{{Service: "other", Weight: 1}}
 					b.routes[i] = &moved
 				}
 			})
@@ -262,7 +262,7 @@
 func TestASearchPassesOverATargetThatWantsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, freely{}, hesitates(4*time.Second), streams(0), streams(0))
-		b.advice.Hear(ids.Life{Target: "t2"}, 0, "r", advisory.Advice{Leaving: true})
+		b.advice.Observe(ids.TargetIncarnation{Target: "t2"}, 0, "r", advisory.Advice{Leaving: true})
 		got := b.call(context.Background(), "/resume/a", nil)
 		if !got.whole || got.took > 1300*time.Millisecond {
 			t.Errorf("status %d, whole %t after %v", got.status, got.whole, got.took)
--- a/pkg/ingress/relay.go
+++ b/pkg/ingress/relay.go
@@ -28,10 +28,10 @@
 }
 
 // relay hands a target's answer to the caller.
-func (d *delivery) relay(w *watch, q *request, out *answerWriter, place schedule.Place, a *forward.Answer) attempt {
+func (d *delivery) relay(w *watch, q *request, out *answerWriter, place schedule.Assignment, a *forward.Answer) attempt {
 	defer a.Close()
 	if isEncoded(a) {
-		place.Done(planner.Failed, planner.Flow{})
+		place.Done(planner.Failed, planner.StreamStats{})
 		return lost{err: errEncoded, answered: true}
 	}
 	if q.streams(a) {
@@ -40,7 +40,7 @@
 	body, err := readWhole(a)
 	if err != nil {
 		q.note(d.Clock.Now(), "answer "+w.ending()+" at", place.Target().ID)
-		place.Done(failure(w.exchangeCtx), planner.Flow{})
+		place.Done(failure(w.exchangeCtx), planner.StreamStats{})
 		return lost{err: err}
 	}
 	return d.passWhole(w, q, out, place, a, body)
@@ -64,16 +64,16 @@
 }
 
 // passWhole hands over an answer that is not a stream, of which the body was read up to wholeLimit.
-func (d *delivery) passWhole(w *watch, q *request, out *answerWriter, place schedule.Place, a *forward.Answer, body []byte) attempt {
+func (d *delivery) passWhole(w *watch, q *request, out *answerWriter, place schedule.Assignment, a *forward.Answer, body []byte) attempt {
 	failed := a.Status >= http.StatusInternalServerError
 	if failed && !out.started && w.searches() {
 		q.note(d.Clock.Now(), "status "+strconv.Itoa(a.Status)+", while another target is asked, from", place.Target().ID)
 		q.hold(a, body)
-		place.Done(planner.Failed, planner.Flow{})
+		place.Done(planner.Failed, planner.StreamStats{})
 		return lost{err: fmt.Errorf("target %s answered with status %d", place.Target().ID, a.Status), answered: true}
 	}
 	if !w.answered(q) {
-		place.Done(planner.Failed, planner.Flow{})
+		place.Done(planner.Failed, planner.StreamStats{})
 		return lost{err: errMoved}
 	}
 	place.Began(load(a))
@@ -82,23 +82,23 @@
 	// Without leave to try elsewhere, the caller gets this target's own answer.
 	if failed && !out.started && d.movable(q) && d.again(q) {
 		q.hold(a, body)
-		place.Done(planner.Failed, planner.Flow{})
+		place.Done(planner.Failed, planner.StreamStats{})
 		return lost{err: fmt.Errorf("target %s answered with status %d", place.Target().ID, a.Status), again: true, answered: true}
 	}
 	if out.started {
-		place.Done(planner.Failed, planner.Flow{})
+		place.Done(planner.Failed, planner.StreamStats{})
 		return lost{err: fmt.Errorf("status %d in the middle of a stream", a.Status), answered: true}
 	}
 	out.head(d.dialect, a, a.Length)
 	if result := d.relayBody(q, out, a, body); result != nil {
-		place.Done(failure(w.exchangeCtx), planner.Flow{})
+		place.Done(failure(w.exchangeCtx), planner.StreamStats{})
 		return result
 	}
 	q.sent++
 	if failed {
-		place.Done(planner.Failed, planner.Flow{})
+		place.Done(planner.Failed, planner.StreamStats{})
 	} else {
-		place.Done(planner.Served, planner.Flow{})
+		place.Done(planner.Served, planner.StreamStats{})
 	}
 	return completed{}
 }
@@ -138,8 +138,8 @@
 
 // relayStream hands over a stream event by event. Only whole events go out, so
 // that a resumable stream can go on elsewhere behind the last one.
-func (d *delivery) relayStream(w *watch, q *request, out *answerWriter, place schedule.Place, a *forward.Answer, events *eventReader) attempt {
-	var flow planner.Flow
+func (d *delivery) relayStream(w *watch, q *request, out *answerWriter, place schedule.Assignment, a *forward.Answer, events *eventReader) attempt {
+	var flow planner.StreamStats
 	last := q.placedAt
 	for ; ; flow.Events++ {
 		e, err := events.next()
--- a/pkg/ingress/request.go
+++ b/pkg/ingress/request.go
@@ -27,7 +27,7 @@
 	declines int // exchanges that surely did not
 	sends    int // all exchanges that reached a target
 	withheld int // places that were not used, by their targets' own word
-	tried    []ids.Life
+	tried    []ids.TargetIncarnation
 	// held is a failure of a target's own, for the caller if no other target does better.
 	held      *heldAnswer
 	lastEvent int64
@@ -110,9 +110,9 @@
 	if q.route.Kind != routing.Stream {
 		return 0
 	}
-	tokens := q.OutputGuess
+	tokens := q.OutputEstimate
 	if tokens <= 0 {
-		tokens = q.MostOut
+		tokens = q.MaxOutput
 	}
 	perEvent := 1
 	if s := a.view.Catalog().Service(q.service); s != nil && s.Engine != nil {
@@ -122,7 +122,7 @@
 }
 
 // passOver notes that a place on a target was not used, by the target's own word.
-func (r *request) passOver(life ids.Life) {
+func (r *request) passOver(life ids.TargetIncarnation) {
 	if r.withheld++; r.withheld > mostWithheld {
 		r.tried = append(r.tried, life)
 	}
--- a/pkg/ingress/search.go
+++ b/pkg/ingress/search.go
@@ -73,7 +73,7 @@
 
 // takeover is an answer as far as it had to come for its target to take over.
 type takeover struct {
-	place  schedule.Place
+	place  schedule.Assignment
 	answer *forward.Answer
 	events *eventReader // of a stream; the next event is at hand
 	body   []byte       // of another answer, up to wholeLimit
@@ -129,7 +129,7 @@
 // has one at a time.
 func (s *search) mayTry() bool {
 	d := s.delivery
-	return s.q.sent < s.q.route.Attempts && !d.guard.Watches(s.q.accountName()) && d.again(s.q)
+	return s.q.sent < s.q.route.Attempts && !d.guard.HasRecord(s.q.accountName()) && d.again(s.q)
 }
 
 // tryOne tries one other target, and reports whether the request has reached it. Leave that was not used is given back.
@@ -137,9 +137,9 @@
 	d := s.delivery
 	leaveAt, service := d.Clock.Now(), s.q.service
 	place, refusal := d.acquire(s.ctx, s.q)
-	if refusal == nil && (!d.permitted(s.q, nil) || slices.Contains(s.q.tried, place.Target().Life())) {
+	if refusal == nil && (!d.permitted(s.q, nil) || slices.Contains(s.q.tried, place.Target().Incarnation())) {
 		// Its turn has yet to come, or there is no target any more but those that it was sent to.
-		place.Done(planner.Abandoned, planner.Flow{})
+		place.Done(planner.Abandoned, planner.StreamStats{})
 		refusal = notRun(CauseNoTurn, comeBack)
 	}
 	if refusal != nil {
@@ -166,7 +166,7 @@
 		}
 		return result.err == nil
 	case withheld:
-		s.q.passOver(target.Life())
+		s.q.passOver(target.Incarnation())
 		return false
 	default:
 		s.q.sent++
@@ -176,7 +176,7 @@
 
 // open sends the request to the target of a place, and has it take over with its answer. It returns how the exchange
 // ended if it does not.
-func (s *search) open(place schedule.Place) attempt {
+func (s *search) open(place schedule.Assignment) attempt {
 	d := s.delivery
 	ctx, end := context.WithCancelCause(s.watch.requestCtx)
 	detach := context.AfterFunc(s.ctx, func() { end(context.Cause(s.ctx)) })
@@ -209,7 +209,7 @@
 
 // heedHome ends an attempt once the home of the service tells that its target gives no sign of life, and the
 // first one is gone. While that may go on, the time for both is the bound.
-func (s *search) heedHome(place schedule.Place, opened <-chan struct{}, end context.CancelCauseFunc) {
+func (s *search) heedHome(place schedule.Assignment, opened <-chan struct{}, end context.CancelCauseFunc) {
 	moved := place.Moved()
 	if moved == nil {
 		return
@@ -244,7 +244,7 @@
 	}
 	s.q.note(s.delivery.Clock.Now(), "no sign of life from", t.place.Target().ID)
 	a.Close()
-	t.place.Done(failure(t.ctx), planner.Flow{})
+	t.place.Done(failure(t.ctx), planner.StreamStats{})
 	return lost{err: err}
 }
 
@@ -280,7 +280,7 @@
 	}
 	again, control := s.ask(s.watch.target), s.ask(other)
 	for range cap(first) + cap(again) {
-		var reach forward.Reach
+		var reach forward.Reachability
 		select {
 		case reach = <-first:
 		case reach = <-again:
@@ -296,16 +296,16 @@
 }
 
 // noteReach notes what a target that answered a question for a connection has shown.
-func (s *search) noteReach(reach forward.Reach) {
+func (s *search) noteReach(reach forward.Reachability) {
 	if reach == forward.Refused {
 		s.firstGone.Store(true)
 	}
 }
 
 // ask asks a target for a connection.
-func (s *search) ask(t *routing.Target) <-chan forward.Reach {
-	answer := make(chan forward.Reach, 1)
-	go func() { answer <- s.delivery.pool.Reach(s.watch.requestCtx, t) }()
+func (s *search) ask(t *routing.Target) <-chan forward.Reachability {
+	answer := make(chan forward.Reachability, 1)
+	go func() { answer <- s.delivery.pool.Probe(s.watch.requestCtx, t) }()
 	return answer
 }
 
@@ -313,7 +313,7 @@
 func (t *takeover) drop() {
 	t.answer.Close()
 	t.end(errNotNeeded)
-	t.place.Done(planner.Abandoned, planner.Flow{})
+	t.place.Done(planner.Abandoned, planner.StreamStats{})
 }
 
 // drop ends the answer of a target that has taken over, if it is not being relayed, and reports whether it has.
--- a/pkg/ingress/server.go
+++ b/pkg/ingress/server.go
@@ -24,7 +24,7 @@
 // Handlers are what a Server hands requests to.
 type Handlers struct {
 	// Serve serves them; TurnAway those on connections beyond callers' share.
-	Serve, TurnAway http.Handler
+	Serve, Reject http.Handler
 	// Context is that from which the contexts of all requests are derived.
 	Context context.Context
 }
@@ -57,7 +57,7 @@
 }
 
 // NewServer returns a server that takes nothing yet.
-func NewServer(c common.Common, handlers Handlers, shares descriptors.Shares) *Server {
+func NewServer(c common.Common, handlers Handlers, shares descriptors.Limits) *Server {
 	return &Server{
 		Common: c, handlers: handlers, conns: newCallerConns(c, shares), log: newServerLog(c),
 		accepted: make(chan net.Conn), turned: make(chan net.Conn), closed: make(chan struct{}),
@@ -125,7 +125,7 @@
 // connection.
 func (s *Server) serveTurned() {
 	server := &http.Server{
-		Handler: s.handlers.TurnAway, MaxHeaderBytes: firstHeaderBytes, ReadTimeout: turnTime.Duration(), WriteTimeout: turnTime.Duration(),
+		Handler: s.handlers.Reject, MaxHeaderBytes: firstHeaderBytes, ReadTimeout: turnTime.Duration(), WriteTimeout: turnTime.Duration(),
 		BaseContext: s.handlers.base, ConnContext: withConn, ConnState: s.conns.note, ErrorLog: s.log.standard(),
 	}
 	server.SetKeepAlivesEnabled(false)
--- a/pkg/ingress/starting_test.go
+++ b/pkg/ingress/starting_test.go
@@ -34,16 +34,16 @@
 				b := newBed(t, freely{}, says(200, "", "yes"))
 				c := commontest.New(b.reach)
 				v := view.New(c.Check)
-				pool := forward.NewPool(c, func(h map[string][]string) forward.Marks { return dialect{}.Marks(h) }, nil)
+				pool := forward.NewPool(c, func(h map[string][]string) forward.AnswerMetadata { return dialect{}.AnswerMetadata(h) }, nil)
 				defer pool.Close()
-				started := ingress.NewController(ingress.Parts{
-					Common: c, View: v, Dialect: dialect{}, Scheduler: b.scheduler, Pool: pool, Meter: freely{}, Entries: freely{},
-					Retries: quota.NewRetryBudget(quota.RetryBounds{Window: clock.Second}, c.Clock.Now()), Keys: ingress.KeyTrust{Bound: 5000, Strict: true},
+				started := ingress.NewController(ingress.Dependencies{
+					Common: c, View: v, HeaderCodec: dialect{}, Scheduler: b.scheduler, Pool: pool, Meter: freely{}, Entries: freely{},
+					Retries: quota.NewRetryBudget(quota.RetryBounds{Window: clock.Second}, c.Clock.Now()), Keys: ingress.KeyGrace{Limit: 5000, Strict: true},
 				})
 				learn := func() {
 					v.SetDirectory(b.view.Directory())
 					v.SetCatalog(b.view.Catalog())
-					v.Proven(c.Clock.Now())
+					v.Confirmed(c.Clock.Now())
 				}
 				if s.after == 0 {
 					learn()
--- a/pkg/ingress/stop_test.go
+++ b/pkg/ingress/stop_test.go
@@ -30,7 +30,7 @@
 		for prefix := range takes {
 			b.call(context.Background(), prefix+"a", nil)
 		}
-		b.controller.Leave(ingress.Stop{Narrows: b.clock.Now(), Ends: b.clock.Now() + 6*clock.Second})
+		b.controller.Leave(ingress.Stop{RestrictsFrom: b.clock.Now(), EndsAt: b.clock.Now() + 6*clock.Second})
 		scenarios := []struct {
 			path string
 			want int
@@ -56,7 +56,7 @@
 		// request's 5 s, and would be cut.
 		takes["/unsafe/"] = 4900 * time.Millisecond
 		time.Sleep(200 * time.Millisecond)
-		b.view.Proven(b.clock.Now())
+		b.view.Confirmed(b.clock.Now())
 		if got := b.call(context.Background(), "/unsafe/a", nil); got.status != http.StatusServiceUnavailable {
 			t.Errorf("with less time left than it may take: status %d", got.status)
 		}
@@ -68,7 +68,7 @@
 func TestLessIsTakenFromAMomentOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, freely{}, says(200, "", "yes"))
-		b.controller.Leave(ingress.Stop{Narrows: b.clock.Now() + clock.Second, Ends: b.clock.Now() + 3*clock.Second})
+		b.controller.Leave(ingress.Stop{RestrictsFrom: b.clock.Now() + clock.Second, EndsAt: b.clock.Now() + 3*clock.Second})
 		scenarios := []struct {
 			after time.Duration
 			want  int
@@ -86,7 +86,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, freely{}, says(200, "", "yes"))
 		b.keep = true // or the caller itself would have them closed
-		b.controller.Leave(ingress.Stop{Narrows: b.clock.Now() + clock.Second, Ends: b.clock.Now() + clock.Minute})
+		b.controller.Leave(ingress.Stop{RestrictsFrom: b.clock.Now() + clock.Second, EndsAt: b.clock.Now() + clock.Minute})
 		if got := b.call(context.Background(), "/unsafe/a", nil); got.status != 200 || !got.closes {
 			t.Errorf("status %d, closes %t", got.status, got.closes)
 		}
--- a/pkg/ingress/suspension_test.go
+++ b/pkg/ingress/suspension_test.go
@@ -71,7 +71,7 @@
 		b := newBed(t, freely{}, says(200, "", "whole"))
 		b.routes = append(b.routes, &routing.Route{
 			Name: "long", Host: "h", Prefix: "/long/", Kind: routing.Safe, Timeout: 30 * clock.Second, Objective: 500, Attempts: 1, Anonymous: true,
-			Split: []routing.Share{{Service: "s", Weight: 1}},
+			Split: []routing.WeightedService{{Service: "s", Weight: 1}},
 		})
 		b.configure(2)
 		b.scheduler.placed = func() { b.suspension.Add(3 * clock.Second) }
--- a/pkg/ingress/turn_away.go
+++ b/pkg/ingress/turn_away.go
@@ -20,7 +20,7 @@
 // TurnAway answers a request on a connection beyond callers' share. Its caller is told to come
 // back, unless a request of a lower tier is under way here: the share is used in the order in
 // which callers came, and without this a higher tier would be shed while a lower one is served.
-func (c *Controller) TurnAway(w http.ResponseWriter, r *http.Request) {
+func (c *Controller) Reject(w http.ResponseWriter, r *http.Request) {
 	if c.takeExtra(r) {
 		defer c.extra.Add(-1)
 		// The deadlines of this server are for callers that are turned away. A writer without any, as
--- a/pkg/ingress/turn_away_test.go
+++ b/pkg/ingress/turn_away_test.go
@@ -23,7 +23,7 @@
 	r.Header.Set("Id", "r1")
 	r.Header.Set("Key", "key")
 	w := httptest.NewRecorder()
-	b.controller.TurnAway(w, r)
+	b.controller.Reject(w, r)
 	return w
 }
 
@@ -86,8 +86,8 @@
 		})
 		b.routes[1].Tier = 2
 		b.configure(2)
-		handlers := ingress.Handlers{Serve: b.controller, TurnAway: http.HandlerFunc(b.controller.TurnAway), Context: b.controller.Context()}
-		server := ingress.NewServer(commontest.New(b.reach), handlers, descriptors.Shares{Callers: 1, Turned: 2, Extra: 1})
+		handlers := ingress.Handlers{Serve: b.controller, Reject: http.HandlerFunc(b.controller.Reject), Context: b.controller.Context()}
+		server := ingress.NewServer(commontest.New(b.reach), handlers, descriptors.Limits{Callers: 1, Rejecting: 2, Extra: 1})
 		listener, err := b.reach.Listen(serverAt)
 		if err != nil {
 			t.Fatal(err)
--- a/pkg/ingress/watch.go
+++ b/pkg/ingress/watch.go
@@ -70,19 +70,19 @@
 // spent is what searches have used of what a request may use.
 type spent struct {
 	sends, sent, declines int
-	tried                 []ids.Life
+	tried                 []ids.TargetIncarnation
 	trail                 []mark
 }
 
 // watch begins an exchange of a request with the target of a place.
-func (d *delivery) watch(ctx context.Context, q *request, place schedule.Place) *watch {
+func (d *delivery) watch(ctx context.Context, q *request, place schedule.Assignment) *watch {
 	if !d.movable(q) || d.Ablation.Off(ablation.Moves) {
 		return &watch{delivery: d, target: place.Target(), exchangeCtx: ctx, endExchange: func(error) {}}
 	}
 	exchangeCtx, end := context.WithCancelCause(ctx)
 	w := d.newWatch(ctx, exchangeCtx, end, q, place)
 	w.began.sends++
-	w.began.tried = append(w.began.tried, place.Target().Life())
+	w.began.tried = append(w.began.tried, place.Target().Incarnation())
 	if moved := place.Moved(); moved != nil {
 		go w.heedHome(moved)
 	}
@@ -97,7 +97,7 @@
 	return d.newWatch(ctx, t.ctx, t.end, q, t.place)
 }
 
-func (d *delivery) newWatch(requestCtx, exchangeCtx context.Context, end context.CancelCauseFunc, q *request, place schedule.Place) *watch {
+func (d *delivery) newWatch(requestCtx, exchangeCtx context.Context, end context.CancelCauseFunc, q *request, place schedule.Assignment) *watch {
 	w := &watch{
 		delivery: d, target: place.Target(), movable: true, requestCtx: requestCtx, exchangeCtx: exchangeCtx, endExchange: end,
 		closed: make(chan struct{}), began: *q, signAt: q.placedAt,
--- a/pkg/loadmodel/bound.go
+++ b/pkg/loadmodel/bound.go
@@ -17,7 +17,7 @@
 // back, runs that end in another window and the time to begin them cost it nothing; but what
 // comes at the end of a window finds no place in the next, by which a play may earn half a
 // hundredth more.
-func Bound(load Load) Result {
+func UpperBound(load Load) Result {
 	p := newPlay(&load, Observer{})
 	p.drawAll()
 	var waiting []*caller
--- a/pkg/loadmodel/caller.go
+++ b/pkg/loadmodel/caller.go
@@ -42,7 +42,7 @@
 	return planner.Job{
 		ID: c.id, Tier: c.kind.Tier, Prompt: c.prompt, Events: c.events,
 		Arrived: c.asked, Objective: c.kind.Objective, Deadline: c.first + c.kind.Deadline,
-		Patience: c.kind.Patience, Before: c.asked - c.first, Returned: c.tries > 1,
+		Patience: c.kind.Patience, SinceFirstTry: c.asked - c.first, Returned: c.tries > 1,
 	}
 }
 
--- a/pkg/loadmodel/load.go
+++ b/pkg/loadmodel/load.go
@@ -39,7 +39,7 @@
 }
 
 // Targets are some alike.
-type Targets struct {
+type TargetGroup struct {
 	Count int `json:"count"`
 	Slots int `json:"slots"`
 	// Factor is how much slower than the others they are.
@@ -72,7 +72,7 @@
 type Load struct {
 	Length   clock.Millis   `json:"length_ms"`
 	Kinds    []Kind         `json:"kinds"`
-	Targets  []Targets      `json:"targets"`
+	Targets  []TargetGroup  `json:"targets"`
 	Speed    Speed          `json:"speed"`
 	Bursts   []Burst        `json:"bursts"`
 	Outages  []Outage       `json:"outages"`
--- a/pkg/loadmodel/load_test.go
+++ b/pkg/loadmodel/load_test.go
@@ -47,15 +47,15 @@
 	}
 }
 
-func ExampleBound() {
+func ExampleUpperBound() {
 	load := loadmodel.Load{
 		Length:  4 * clock.Second,
 		Kinds:   []loadmodel.Kind{{Name: "tag", PerSecond: 20, Prompt: 1000, Events: 5, Objective: 500, Deadline: 2000, Worth: 1, Late: 0.3}},
-		Targets: []loadmodel.Targets{{Count: 1, Slots: 2, Factor: 1}}, // two places, half of what is asked for
+		Targets: []loadmodel.TargetGroup{{Count: 1, Slots: 2, Factor: 1}}, // two places, half of what is asked for
 		Speed:   loadmodel.Speed{First: 50, ThousandToken: 50, Event: 20},
 		Seed:    1,
 	}
-	most := loadmodel.Bound(load).All().Share()
+	most := loadmodel.UpperBound(load).All().Share()
 	fmt.Println(most > 0.4 && most < 0.65)
 	// Output: true
 }
--- a/pkg/loadmodel/play.go
+++ b/pkg/loadmodel/play.go
@@ -159,7 +159,7 @@
 		switch d := d.(type) {
 		case planner.Grant:
 			if c := p.waiting[d.ID]; c != nil {
-				p.run(now, c, p.byID[d.Life.Target])
+				p.run(now, c, p.byID[d.Incarnation.Target])
 			}
 		case planner.Refuse:
 			if c := p.waiting[d.ID]; c != nil {
@@ -203,7 +203,7 @@
 	p.begin(now)
 	for _, id := range inOrder(p.running) {
 		c := p.running[id]
-		p.planner.Restore(now, c.job(), c.target.Life(), c.begun > 0)
+		p.planner.Restore(now, c.job(), c.target.Incarnation(), c.begun > 0)
 	}
 	for _, id := range inOrder(p.waiting) {
 		p.planner.Submit(now, p.waiting[id].job())
--- a/pkg/loadmodel/targets.go
+++ b/pkg/loadmodel/targets.go
@@ -68,7 +68,7 @@
 		c.fate = inTime
 	}
 	p.free(c)
-	p.planner.Finish(now, id, planner.Served, planner.Flow{Events: c.events})
+	p.planner.Finish(now, id, planner.Served, planner.StreamStats{Events: c.events})
 	p.heed(now)
 }
 
@@ -94,7 +94,7 @@
 			c := t.running[id]
 			c.fate = lost
 			p.free(c)
-			p.planner.Finish(now, id, planner.Failed, planner.Flow{})
+			p.planner.Finish(now, id, planner.Failed, planner.StreamStats{})
 		}
 	}
 	p.offer(now)
--- a/pkg/membership/assurance.go
+++ b/pkg/membership/assurance.go
@@ -78,7 +78,7 @@
 
 // Assured reports whether this entry has been on the list without doubt ever since a
 // moment, and nobody can take it off before it stops on its own.
-func (m *Members) Assured(since clock.Millis) bool {
+func (m *Members) HoldsLease(since clock.Millis) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.hasPart() {
--- a/pkg/membership/assurance_test.go
+++ b/pkg/membership/assurance_test.go
@@ -19,7 +19,7 @@
 func trusting(t *testing.T, n int) *bed {
 	b := start(t, equal(n)...)
 	for _, m := range b.members {
-		m.SetTrust(trust)
+		m.SetGrace(trust)
 	}
 	return b
 }
@@ -71,7 +71,7 @@
 				})
 				time.Sleep(20 * time.Second)
 				for i, m := range b.members {
-					if got, want := m.Assured(proven), s.assured(i); got != want {
+					if got, want := m.HoldsLease(proven), s.assured(i); got != want {
 						t.Errorf("entry %d assured: %t, want %t", i, got, want)
 					}
 					_, removed := b.rows.count(fmt.Sprintf("entry-%03d", i))
@@ -95,7 +95,7 @@
 				n := 3 + random.IntN(4)
 				b := trusting(t, n)
 				for _, m := range b.members {
-					m.SetTrust(clock.Minute * 60) // longer than the test: only agreement takes one off
+					m.SetGrace(clock.Minute * 60) // longer than the test: only agreement takes one off
 				}
 				var mu sync.Mutex
 				lost := make(map[[2]netip.AddrPort]bool)
@@ -133,7 +133,7 @@
 					}
 					mu.Unlock()
 					for i, at := range moments {
-						if b.members[i].Assured(at) {
+						if b.members[i].HoldsLease(at) {
 							t.Fatalf("entry %d was taken off at %d and is assured since then", i, at)
 						}
 					}
@@ -173,7 +173,7 @@
 		b.net.Lose(func(from, _ netip.AddrPort, _ packets.Kind) bool { return from == address(3) })
 		b.restart(t, 3)
 		time.Sleep(time.Second)
-		if m := b.members[3]; m.Assured(m.Clock.Now()) {
+		if m := b.members[3]; m.HoldsLease(m.Clock.Now()) {
 			t.Error("assured")
 		}
 	})
--- a/pkg/membership/bed_test.go
+++ b/pkg/membership/bed_test.go
@@ -134,7 +134,7 @@
 // run starts one entry, in place of any earlier run of it.
 func (b *bed) run(i int) *membership.Members {
 	m := b.build(i)
-	m.Whole(b.listed, follow.Proof{})
+	m.Snapshot(b.listed, follow.Freshness{})
 	return m
 }
 
@@ -152,7 +152,7 @@
 func (b *bed) restart(t *testing.T, i int) {
 	t.Helper()
 	b.members[i] = b.run(i)
-	b.members[i].SetTrust(trust)
+	b.members[i].SetGrace(trust)
 }
 
 func (b *bed) cut(i int) {
--- a/pkg/membership/greetings.go
+++ b/pkg/membership/greetings.go
@@ -106,7 +106,7 @@
 	}
 	m.mu.Unlock()
 	for address, greeting := range greetings {
-		m.link.Send(address, packets.KindHello, greeting)
+		m.link.Send(address, packets.KindHeartbeat, greeting)
 	}
 }
 
@@ -179,7 +179,7 @@
 		m.changed()
 	}
 	if answer && !m.joins() {
-		m.link.Send(from, packets.KindHello, m.greetingTo(now, other))
+		m.link.Send(from, packets.KindHeartbeat, m.greetingTo(now, other))
 	}
 }
 
@@ -196,7 +196,7 @@
 
 // Strangers returns the addresses of entries that greeted this one before it had read
 // the list.
-func (m *Members) Strangers() []netip.AddrPort {
+func (m *Members) UnlistedPeers() []netip.AddrPort {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Collect(maps.Keys(m.strangers))
@@ -206,7 +206,7 @@
 // many entries, it counts as gone until it is heard again, and is asked to greet at once; if it
 // does not, all are told. Among few, greetings tell as soon. While this entry has just started, the other may
 // not have, and who takes it for gone would be alone with its idea of who lives.
-func (m *Members) Doubt(address netip.AddrPort) {
+func (m *Members) Suspect(address netip.AddrPort) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.Clock.Now()
@@ -236,7 +236,7 @@
 
 // FewStay reports whether less than half of the listed entries are heard of and are not
 // being stopped. This one counts as stopping.
-func (m *Members) FewStay() bool {
+func (m *Members) MinorityRemains() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.Clock.Now()
--- a/pkg/membership/heavy.go
+++ b/pkg/membership/heavy.go
@@ -24,7 +24,7 @@
 // HeavyHome is Home for a heavy matter: weak VMs and those that lag are passed over while
 // others live. Entries may differ on it for a moment longer than on Home, as each hears of
 // lags by itself, so that nothing may rest on there being one home only.
-func (m *Members) HeavyHome(matter string) (netip.AddrPort, bool) {
+func (m *Members) HeavyOwner(matter string) (netip.AddrPort, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.refresh(m.Clock.Now())
@@ -38,7 +38,7 @@
 
 // HeavyNext returns the entry that would be in charge of a heavy matter without this one,
 // if there is another.
-func (m *Members) HeavyNext(matter string) (netip.AddrPort, bool) {
+func (m *Members) HeavySuccessor(matter string) (netip.AddrPort, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.refresh(m.Clock.Now())
@@ -116,7 +116,7 @@
 
 // NoteLag takes by how much a timer of this process was late. One that lags says so in
 // its greetings, and hands heavy matters over.
-func (m *Members) NoteLag(late clock.Millis) {
+func (m *Members) RecordLag(late clock.Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.lag.note(m.Clock.Now(), late) {
--- a/pkg/membership/heavy_test.go
+++ b/pkg/membership/heavy_test.go
@@ -31,7 +31,7 @@
 		at[address(i)] = i
 	}
 	for n := range matters {
-		home, _ := b.members[asker].HeavyHome(fmt.Sprint("targets/", n))
+		home, _ := b.members[asker].HeavyOwner(fmt.Sprint("targets/", n))
 		shares[at[home]]++
 	}
 	return shares
@@ -98,7 +98,7 @@
 
 // heavyHome is the home of a heavy matter, as the first entry sees it, and which entry that is.
 func (b *bed) heavyHome(matter string) (netip.AddrPort, int) {
-	home, _ := b.members[0].HeavyHome(matter)
+	home, _ := b.members[0].HeavyOwner(matter)
 	for i := range b.members {
 		if address(i) == home {
 			return home, i
@@ -119,13 +119,13 @@
 		tick := func(late clock.Millis, n int) {
 			for range n {
 				time.Sleep(25 * time.Millisecond)
-				b.members[slow].NoteLag(late)
+				b.members[slow].RecordLag(late)
 			}
 		}
 		agreed := func() (netip.AddrPort, bool) {
-			first, _ := b.members[0].HeavyHome(matter)
+			first, _ := b.members[0].HeavyOwner(matter)
 			for _, m := range b.members {
-				if at, _ := m.HeavyHome(matter); at != first {
+				if at, _ := m.HeavyOwner(matter); at != first {
 					return first, false
 				}
 			}
@@ -157,15 +157,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := start(t, equal(4)...)
 		time.Sleep(time.Second)
-		before, _ := b.members[0].HeavyHome("targets/s")
+		before, _ := b.members[0].HeavyOwner("targets/s")
 		for range 40 {
 			time.Sleep(25 * time.Millisecond)
 			for _, m := range b.members {
-				m.NoteLag(100)
+				m.RecordLag(100)
 			}
 		}
 		time.Sleep(time.Second)
-		if after, _ := b.members[0].HeavyHome("targets/s"); after != before {
+		if after, _ := b.members[0].HeavyOwner("targets/s"); after != before {
 			t.Errorf("the matter went from %v to %v", before, after)
 		}
 	})
@@ -179,8 +179,8 @@
 		time.Sleep(time.Second)
 		for range 40 {
 			time.Sleep(25 * time.Millisecond)
-			b.members[6].NoteLag(100)
-			b.members[7].NoteLag(100)
+			b.members[6].RecordLag(100)
+			b.members[7].RecordLag(100)
 		}
 		time.Sleep(time.Second)
 		const matters = 100
@@ -199,16 +199,16 @@
 		const matter = "targets/s"
 		home, slow := b.heavyHome(matter)
 		b.net.Lose(func(from, _ netip.AddrPort, kind packets.Kind) bool {
-			return from == home && kind == packets.KindHello
+			return from == home && kind == packets.KindHeartbeat
 		})
 		for range 30 {
-			b.members[slow].NoteLag(150)
+			b.members[slow].RecordLag(150)
 		}
 		time.Sleep(150 * time.Millisecond)
 		b.net.Lose(nil)
 		time.Sleep(300 * time.Millisecond)
 		for i, m := range b.members {
-			if at, _ := m.HeavyHome(matter); at == home {
+			if at, _ := m.HeavyOwner(matter); at == home {
 				t.Errorf("entry %d still takes the one that lags for the home", i)
 			}
 		}
--- a/pkg/membership/homes.go
+++ b/pkg/membership/homes.go
@@ -58,7 +58,7 @@
 }
 
 // MissedAfter is after what silence, at the latest, an entry no longer counts as alive.
-func (m *Members) MissedAfter() clock.Millis {
+func (m *Members) SilenceLimit() clock.Millis {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.missedAfter()
@@ -81,7 +81,7 @@
 
 // Home returns the entry that is in charge of a matter, and whether it is this
 // one. All entries that take the same ones for alive agree on it.
-func (m *Members) Home(matter string) (netip.AddrPort, bool) {
+func (m *Members) Owner(matter string) (netip.AddrPort, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.refresh(m.Clock.Now())
@@ -104,7 +104,7 @@
 // DomainHead returns the entry that is in charge of a matter within this entry's failure
 // domain, and whether it is this one. What all entries need is fetched from other domains
 // by it, and from it by the rest of its domain.
-func (m *Members) DomainHead(matter string) (netip.AddrPort, bool) {
+func (m *Members) DomainOwner(matter string) (netip.AddrPort, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.refresh(m.Clock.Now())
@@ -139,7 +139,7 @@
 }
 
 // Neighbours returns the addresses of the others that live in this entry's failure domain.
-func (m *Members) Neighbours() []netip.AddrPort {
+func (m *Members) DomainPeers() []netip.AddrPort {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.refresh(m.Clock.Now())
@@ -157,7 +157,7 @@
 const noStoreFor = 10 * clock.Second
 
 // NoteStore notes whether this entry's last question to the store was answered.
-func (m *Members) NoteStore(answered bool) {
+func (m *Members) RecordStoreReply(answered bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.Clock.Now()
@@ -172,7 +172,7 @@
 
 // Reader is Home for a matter that needs the store: entries that do not reach it
 // are passed over, unless none does.
-func (m *Members) Reader(matter string) (netip.AddrPort, bool) {
+func (m *Members) FeedReader(matter string) (netip.AddrPort, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	eligible, _ := m.readers(m.Clock.Now())
@@ -182,7 +182,7 @@
 
 // ReaderOrder is how many entries go before this one as the reader of a matter: rank of
 // those that reach the store as far as is known, seniority of all that live.
-func (m *Members) ReaderOrder(matter string) (rank, seniority int) {
+func (m *Members) FeedReaderRank(matter string) (rank, seniority int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	eligible, alive := m.readers(m.Clock.Now())
@@ -238,7 +238,7 @@
 // of who is alive. A home gives out no more than this part of an allowance, so
 // that two homes on two sides of a cut never give out more than the whole. It is 0 where this
 // entry has no part.
-func (m *Members) Backing() float64 {
+func (m *Members) Agreement() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.hasPart() {
--- a/pkg/membership/homes_test.go
+++ b/pkg/membership/homes_test.go
@@ -21,10 +21,10 @@
 		homes := map[netip.AddrPort]int{}
 		for n := range 60 {
 			matter := fmt.Sprint("matter/", n)
-			home, _ := b.members[0].Home(matter)
+			home, _ := b.members[0].Owner(matter)
 			homes[home]++
 			for i, m := range b.members {
-				if got, self := m.Home(matter); got != home || self != (home == address(i)) {
+				if got, self := m.Owner(matter); got != home || self != (home == address(i)) {
 					t.Fatalf("entry %d: home of %s is %v, not %v", i, matter, got, home)
 				}
 			}
@@ -42,18 +42,18 @@
 		b := start(t, 1, 2, 3, 4, 5)
 		time.Sleep(time.Second)
 		const matter = "matter"
-		home, _ := b.members[0].HeavyHome(matter)
+		home, _ := b.members[0].HeavyOwner(matter)
 		for i, m := range b.members {
 			if address(i) != home {
 				continue
 			}
-			next, others := m.HeavyNext(matter)
+			next, others := m.HeavySuccessor(matter)
 			b.cut(i)
 			time.Sleep(2 * time.Second)
-			if got, _ := b.members[(i+1)%len(b.members)].HeavyHome(matter); !others || got != next {
+			if got, _ := b.members[(i+1)%len(b.members)].HeavyOwner(matter); !others || got != next {
 				t.Errorf("the next was to be %v, it is %v", next, got)
 			}
-			if _, others := m.HeavyNext(matter); others {
+			if _, others := m.HeavySuccessor(matter); others {
 				t.Error("one that hears nobody names a next")
 			}
 		}
@@ -67,7 +67,7 @@
 		weak := 0
 		const matters = 500
 		for n := range matters {
-			home, _ := b.members[0].Home(fmt.Sprint("matter/", n))
+			home, _ := b.members[0].Owner(fmt.Sprint("matter/", n))
 			if home != address(0) && home != address(1) {
 				weak++
 			}
@@ -82,19 +82,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := start(t, equal(80)...)
 		time.Sleep(10 * time.Second)
-		home, self := b.members[0].Home("matter")
+		home, self := b.members[0].Owner("matter")
 		if self {
-			home, _ = b.members[1].Home("another")
+			home, _ = b.members[1].Owner("another")
 		}
 		// An answer to the doubt could come before the next line.
 		b.net.Lose(func(from, to netip.AddrPort, _ packets.Kind) bool { return from == home || to == home })
-		b.members[0].Doubt(home)
-		if got, _ := b.members[0].Home("matter"); got == home {
+		b.members[0].Suspect(home)
+		if got, _ := b.members[0].Owner("matter"); got == home {
 			t.Error("a home that does not answer is asked on")
 		}
 		b.net.Lose(nil)
 		time.Sleep(5 * time.Second)
-		if got, _ := b.members[0].Home("matter"); got != home && !self {
+		if got, _ := b.members[0].Owner("matter"); got != home && !self {
 			t.Error("it is not taken for the home again once it was heard")
 		}
 	})
@@ -107,10 +107,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := start(t, equal(80)...)
 		time.Sleep(10 * time.Second)
-		b.members[0].Doubt(address(7))
+		b.members[0].Suspect(address(7))
 		time.Sleep(10 * time.Millisecond)
 		for i, m := range b.members {
-			if got := m.Backing(); got != 1 {
+			if got := m.Agreement(); got != 1 {
 				t.Fatalf("entry %d is backed by %v", i, got)
 			}
 		}
@@ -127,14 +127,14 @@
 		var matter string
 		for n := 0; ; n++ {
 			matter = fmt.Sprint("matter/", n)
-			if home, _ := asker.Home(matter); home == address(3) {
+			if home, _ := asker.Owner(matter); home == address(3) {
 				break
 			}
 		}
 		until := func(want bool) time.Duration {
 			began := time.Now()
 			for time.Since(began) < 3*time.Second {
-				if home, _ := asker.Home(matter); (home == address(3)) == want {
+				if home, _ := asker.Owner(matter); (home == address(3)) == want {
 					return time.Since(began)
 				}
 				time.Sleep(10 * time.Millisecond)
@@ -161,8 +161,8 @@
 	for i := range 30 {
 		listed = append(listed, follow.Row{Key: fmt.Sprintf("entry-%03d", i), Value: fmt.Appendf(nil, `{"address":%q,"weight":1}`, address(i).String())})
 	}
-	m.Whole(listed, follow.Proof{})
+	m.Snapshot(listed, follow.Freshness{})
 	for b.Loop() {
-		m.Home("targets/service")
+		m.Owner("targets/service")
 	}
 }
--- a/pkg/membership/joining_test.go
+++ b/pkg/membership/joining_test.go
@@ -26,14 +26,14 @@
 		time.Sleep(time.Second)
 		b.net.Lose(func(from, to netip.AddrPort, _ packets.Kind) bool { return from == address(3) || to == address(3) })
 		joining := b.run(3)
-		joining.Changed(list[3:], follow.Proof{})
+		joining.Changed(list[3:], follow.Freshness{})
 		time.Sleep(3 * time.Second)
-		if share, backing := joining.Share(), joining.Backing(); share > 0 || backing > 0 {
+		if share, backing := joining.Share(), joining.Agreement(); share > 0 || backing > 0 {
 			t.Errorf("one that nobody has heard has a share of %.2f and a backing of %.2f", share, backing)
 		}
 		b.net.Lose(nil)
 		for _, m := range b.members {
-			m.Whole(list, follow.Proof{})
+			m.Snapshot(list, follow.Freshness{})
 		}
 		time.Sleep(300 * time.Millisecond)
 		if got := joining.Share(); got != 0.25 {
--- a/pkg/membership/listing_test.go
+++ b/pkg/membership/listing_test.go
@@ -30,7 +30,7 @@
 		b := start(t, equal(2)...)
 		time.Sleep(2 * time.Second)
 		before, _ := b.rows.count("entry-001")
-		b.members[1].Changed([]follow.Row{{Key: "entry-001", Gone: true}}, follow.Proof{})
+		b.members[1].Changed([]follow.Row{{Key: "entry-001", Gone: true}}, follow.Freshness{})
 		time.Sleep(2 * time.Second)
 		if after, _ := b.rows.count("entry-001"); after <= before {
 			t.Error("its row was not written again")
@@ -38,7 +38,7 @@
 		if n, known := b.members[1].Entries(); n != 2 || known {
 			t.Errorf("%d entries, known %t", n, known)
 		}
-		if share, backing := b.members[1].Share(), b.members[1].Backing(); share != 0 || backing != 0 {
+		if share, backing := b.members[1].Share(), b.members[1].Agreement(); share != 0 || backing != 0 {
 			t.Errorf("share %g and backing %g without a row: the others may have shared them out", share, backing)
 		}
 	})
@@ -64,21 +64,21 @@
 			synctest.Test(t, func(t *testing.T) {
 				b := prepare(t, equal(4)...)
 				m := b.build(0)
-				m.SetTrust(trust)
+				m.SetGrace(trust)
 				if s.read != nil {
 					var listed []follow.Row
 					for _, i := range s.read {
 						listed = append(listed, b.listed[i])
 					}
-					m.Whole(listed, follow.Proof{})
+					m.Snapshot(listed, follow.Freshness{})
 				}
 				// Long enough for a lease to begin that nobody gives.
 				time.Sleep(20 * time.Second)
-				if m.Share() != s.share || m.Backing() != s.backing {
-					t.Errorf("share %g and backing %g, want %g and %g", m.Share(), m.Backing(), s.share, s.backing)
+				if m.Share() != s.share || m.Agreement() != s.backing {
+					t.Errorf("share %g and backing %g, want %g and %g", m.Share(), m.Agreement(), s.share, s.backing)
 				}
 				alone := s.share == 1
-				if got := m.Assured(b.Clock.Now() - clock.Second); got != alone {
+				if got := m.HoldsLease(b.Clock.Now() - clock.Second); got != alone {
 					t.Errorf("assured %t, want %t", got, alone)
 				}
 			})
@@ -95,7 +95,7 @@
 		for i, want := range []bool{false, false, true} {
 			b.members[i].Leave()
 			time.Sleep(100 * time.Millisecond)
-			if got := b.members[i].FewStay(); got != want {
+			if got := b.members[i].MinorityRemains(); got != want {
 				t.Errorf("%d of 4 are being stopped: few stay %t, want %t", i+1, got, want)
 			}
 		}
--- a/pkg/membership/members.go
+++ b/pkg/membership/members.go
@@ -17,7 +17,7 @@
 )
 
 // Rows writes rows of the table of members.
-type Rows interface {
+type RowWriter interface {
 	Put(ctx context.Context, key string, value []byte) error
 	// PutAll writes rows by their keys, all or none.
 	PutAll(ctx context.Context, rows map[string][]byte) error
@@ -69,7 +69,7 @@
 	address netip.AddrPort
 	weight  float64
 	domain  ids.FailureDomain
-	rows    Rows
+	rows    RowWriter
 	link    *packets.Link
 
 	mu      sync.Mutex
@@ -125,7 +125,7 @@
 }
 
 // New returns the list of entries before any row of it was read.
-func New(c common.Common, self Self, rows Rows, link *packets.Link) *Members {
+func New(c common.Common, self Self, rows RowWriter, link *packets.Link) *Members {
 	m := &Members{
 		Common: c, self: self.Name, address: self.Address, weight: self.Weight, domain: self.Domain, rows: rows, link: link,
 		list: make(map[ids.Process]*member), faults: follow.NewFaults(c, "entries"), sampler: telemetry.NewSampler(c.Clock, c.Log, linesASecond),
@@ -137,11 +137,11 @@
 		ready: make(chan struct{}), peopled: make(chan struct{}), strangers: make(map[netip.AddrPort]bool),
 	}
 	m.refresh(c.Clock.Now())
-	link.Handle(packets.KindHello, packets.Receive(link, m.greeted))
+	link.Handle(packets.KindHeartbeat, packets.Receive(link, m.greeted))
 	link.Handle(packets.KindProbe, packets.Receive(link, m.probed))
 	link.Handle(packets.KindSuspicion, packets.Receive(link, m.suspected))
 	link.Handle(packets.KindRegistration, packets.Receive(link, m.applied))
-	link.Handle(packets.KindTaken, packets.Receive(link, m.rowTaken))
+	link.Handle(packets.KindRegistrationTaken, packets.Receive(link, m.rowTaken))
 	link.Handle(packets.KindSilenceQuestion, packets.Receive(link, m.askedForSilence))
 	link.Handle(packets.KindSilenceAnswer, packets.Receive(link, m.toldOfSilence))
 	return m
@@ -149,7 +149,7 @@
 
 // SetTrust sets for how long after a proof from the store an entry may go on serving
 // on the word of the others alone; 0 if none does. It is the same at all entries.
-func (m *Members) SetTrust(trust clock.Millis) {
+func (m *Members) SetGrace(trust clock.Millis) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.trust = trust
@@ -191,7 +191,7 @@
 }
 
 // Whole replaces the list.
-func (m *Members) Whole(rows []follow.Row, _ follow.Proof) {
+func (m *Members) Snapshot(rows []follow.Row, _ follow.Freshness) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	before := m.list
@@ -223,7 +223,7 @@
 
 // Peopled is closed when an entry was first seen on the list, be it this one. Those that start when it is still empty
 // know nobody yet whom they could ask for what they need.
-func (m *Members) Peopled() <-chan struct{} { return m.peopled }
+func (m *Members) FirstListed() <-chan struct{} { return m.peopled }
 
 // Known reports whether a list was ever read, also one on which this entry does not stand.
 func (m *Members) Known() bool {
@@ -242,7 +242,7 @@
 }
 
 // Changed applies changes.
-func (m *Members) Changed(rows []follow.Row, _ follow.Proof) {
+func (m *Members) Changed(rows []follow.Row, _ follow.Freshness) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.aliveUntil = stale
@@ -254,7 +254,7 @@
 		name := ids.Process(row.Key)
 		if row.Gone {
 			delete(m.list, name)
-			m.faults.Sound(row.Key)
+			m.faults.Clear(row.Key)
 			m.logRow(row, "entry no longer listed")
 			continue
 		}
@@ -270,7 +270,7 @@
 		m.keep(row, before, err)
 		return
 	}
-	m.faults.Sound(row.Key)
+	m.faults.Clear(row.Key)
 	if before != nil && before.address == address && before.weight == listing.Weight && before.domain == listing.Domain {
 		m.list[before.name] = before
 		return
@@ -295,7 +295,7 @@
 // without it the others would share out its part of what all may spend. This entry's own row, if
 // it is the one, counts as missing, so that it is written again.
 func (m *Members) keep(row follow.Row, before *member, err error) {
-	m.faults.Note(row, err)
+	m.faults.Add(row, err)
 	switch name := ids.Process(row.Key); {
 	case name == m.self:
 		delete(m.list, name)
@@ -305,4 +305,4 @@
 }
 
 // Lost does nothing: the list stays.
-func (m *Members) Lost(error) {}
+func (m *Members) ReadFailed(error) {}
--- a/pkg/membership/probes.go
+++ b/pkg/membership/probes.go
@@ -201,7 +201,7 @@
 	}
 	now := m.Clock.Now()
 	m.refresh(now)
-	m.link.Send(from, packets.KindHello, m.greetingTo(now, other))
+	m.link.Send(from, packets.KindHeartbeat, m.greetingTo(now, other))
 }
 
 // probeAny begins a probe of some other entry; the lock is held.
--- a/pkg/membership/registration.go
+++ b/pkg/membership/registration.go
@@ -112,7 +112,7 @@
 		return // the others ask one that is listed
 	}
 	m.registrations.waiting[r.Name] = Listing{Address: from.String(), Weight: r.Weight, Domain: r.Domain}
-	m.link.Send(from, packets.KindTaken, taken{Name: r.Name})
+	m.link.Send(from, packets.KindRegistrationTaken, taken{Name: r.Name})
 	select {
 	case m.registrations.wake <- struct{}{}:
 	default: // it has been woken already
--- a/pkg/membership/registration_test.go
+++ b/pkg/membership/registration_test.go
@@ -23,7 +23,7 @@
 // joining starts an entry that stands on no list yet, beside those that are listed.
 func (b *bed) joining(i int, listed []follow.Row) {
 	m := b.build(i)
-	m.Whole(listed, follow.Proof{})
+	m.Snapshot(listed, follow.Freshness{})
 }
 
 // TestTheRowsOfManyAreWrittenTogether: 385 entries that started within 0.3 s each wrote their own row; the store took 200
@@ -57,7 +57,7 @@
 				b.revised()
 				for i := range there {
 					m := b.build(i)
-					m.Whole(b.listed[:there], follow.Proof{})
+					m.Snapshot(b.listed[:there], follow.Freshness{})
 				}
 				time.Sleep(2 * time.Second)
 				if s.hurt != nil {
@@ -99,7 +99,7 @@
 		b.rows.failLots(true)
 		for i := range there {
 			m := b.build(i)
-			m.Whole(b.listed[:there], follow.Proof{})
+			m.Snapshot(b.listed[:there], follow.Freshness{})
 		}
 		time.Sleep(2 * time.Second)
 		for i := there; i < all; i++ {
@@ -122,30 +122,30 @@
 		b.revised()
 		for i := range 3 {
 			b.members = append(b.members, b.build(i))
-			b.members[i].Whole(b.listed[:3], follow.Proof{})
+			b.members[i].Snapshot(b.listed[:3], follow.Freshness{})
 		}
 		time.Sleep(2 * time.Second)
 		joins := b.build(3)
-		joins.Whole(b.listed[:3], follow.Proof{})
+		joins.Snapshot(b.listed[:3], follow.Freshness{})
 		for _, m := range b.members {
-			m.Changed(b.listed[3:], follow.Proof{})
+			m.Changed(b.listed[3:], follow.Freshness{})
 		}
 		time.Sleep(500 * time.Millisecond)
-		if _, self := joins.Reader("store"); self {
+		if _, self := joins.FeedReader("store"); self {
 			t.Error("it is the reader")
 		}
-		if rank, seniority := joins.ReaderOrder("store"); rank != 3 || seniority != 3 {
+		if rank, seniority := joins.FeedReaderRank("store"); rank != 3 || seniority != 3 {
 			t.Errorf("rank %d, seniority %d", rank, seniority)
 		}
-		if _, self := joins.DomainHead("store"); self {
+		if _, self := joins.DomainOwner("store"); self {
 			t.Error("it is the head of its failure domain")
 		}
-		if home, _ := b.members[0].Home("m"); home == address(3) {
+		if home, _ := b.members[0].Owner("m"); home == address(3) {
 			t.Error("others take it for a home")
 		}
-		joins.Changed(b.listed[3:], follow.Proof{})
+		joins.Changed(b.listed[3:], follow.Freshness{})
 		time.Sleep(500 * time.Millisecond)
-		if home, _ := b.members[0].HeavyHome("m"); home != address(3) {
+		if home, _ := b.members[0].HeavyOwner("m"); home != address(3) {
 			t.Error("once it has read that it is listed, the strongest is not the home")
 		}
 	})
--- a/pkg/membership/size_test.go
+++ b/pkg/membership/size_test.go
@@ -54,7 +54,7 @@
 	living := f.living()
 	whole := float64(len(living)) / float64(len(f.members))
 	for _, m := range living {
-		if m.Backing() != whole {
+		if m.Agreement() != whole {
 			return false
 		}
 	}
@@ -122,12 +122,12 @@
 		time.Sleep(5 * time.Second)
 		f.kill(7)
 		time.Sleep(knownWithin)
-		if got := f.members[7].Backing(); got != 1.0/n {
+		if got := f.members[7].Agreement(); got != 1.0/n {
 			t.Errorf("one of %d, cut off for %v, is backed by %.3f", n, knownWithin, got)
 		}
 		f.net.Lose(nil)
 		time.Sleep(knownWithin)
-		if got := f.members[7].Backing(); got < 0.9 {
+		if got := f.members[7].Agreement(); got < 0.9 {
 			t.Errorf("back for %v, it is backed by %.3f", knownWithin, got)
 		}
 	})
@@ -155,8 +155,8 @@
 				for range 40 {
 					time.Sleep(250 * time.Millisecond)
 					for i, m := range f.members {
-						if i != 7 && m.Backing() < float64(n-2)/n-0.05 {
-							t.Fatalf("entry %d is backed by %.3f", i, m.Backing())
+						if i != 7 && m.Agreement() < float64(n-2)/n-0.05 {
+							t.Fatalf("entry %d is backed by %.3f", i, m.Agreement())
 						}
 					}
 				}
--- a/pkg/membership/starting_test.go
+++ b/pkg/membership/starting_test.go
@@ -19,7 +19,7 @@
 		b := start(t, equal(6)...)
 		time.Sleep(80 * time.Millisecond)
 		for i, m := range b.members {
-			if got := m.Backing(); got != 1 {
+			if got := m.Agreement(); got != 1 {
 				t.Errorf("entry %d is backed by %v", i, got)
 			}
 		}
@@ -39,7 +39,7 @@
 				for i := range n {
 					m := b.run(i)
 					b.members = append(b.members, m)
-					at, _ := m.Home(matter)
+					at, _ := m.Owner(matter)
 					if i == 0 {
 						home = at
 					}
@@ -51,7 +51,7 @@
 				time.Sleep(60 * time.Millisecond)
 				least := 1.0
 				for _, m := range b.members {
-					least = min(least, m.Backing())
+					least = min(least, m.Agreement())
 				}
 				if least < 1 {
 					t.Errorf("one is backed by %.2f", least)
@@ -95,8 +95,8 @@
 					t.Log(most, "datagrams")
 				}
 				for i, m := range b.members {
-					if m.Backing() < 1 {
-						t.Fatalf("entry %d is backed by %v", i, m.Backing())
+					if m.Agreement() < 1 {
+						t.Fatalf("entry %d is backed by %v", i, m.Agreement())
 					}
 				}
 			})
@@ -114,11 +114,11 @@
 		}
 		time.Sleep(1500 * time.Millisecond)
 		for i, m := range b.members {
-			if got, want := m.Backing(), 0.8; got != want {
+			if got, want := m.Agreement(), 0.8; got != want {
 				t.Errorf("entry %d is backed by %v, want %v", i, got, want)
 			}
 			for n := range 40 {
-				if home, _ := m.Home(fmt.Sprint("matter/", n)); home == address(4) {
+				if home, _ := m.Owner(fmt.Sprint("matter/", n)); home == address(4) {
 					t.Fatalf("entry %d takes the one that never started for a home", i)
 				}
 			}
--- a/pkg/metering/asking.go
+++ b/pkg/metering/asking.go
@@ -22,7 +22,7 @@
 	limited, cancel := context.WithTimeout(ctx, patience.Duration())
 	defer cancel()
 	for {
-		m.link.Send(home, packets.KindClaim, c)
+		m.link.Send(home, packets.KindQuotaTake, c)
 		again, stop := context.WithTimeout(limited, askAgain.Duration())
 		select {
 		case got := <-answer:
@@ -60,7 +60,7 @@
 	if ctx.Err() != nil {
 		return // the caller left first
 	}
-	m.members.Doubt(home)
+	m.members.Suspect(home)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.silent[home] = m.Clock.Now() + silentFor
--- a/pkg/metering/bed_test.go
+++ b/pkg/metering/bed_test.go
@@ -68,7 +68,7 @@
 // readList has all entries read the list of all.
 func (d *deployment) readList() {
 	for _, m := range d.members {
-		m.Whole(firstOf(len(d.members)), follow.Proof{})
+		m.Snapshot(firstOf(len(d.members)), follow.Freshness{})
 	}
 }
 
--- a/pkg/metering/booking.go
+++ b/pkg/metering/booking.go
@@ -30,7 +30,7 @@
 	widened.Burst = max(account.Burst, homePart*margin)
 	m.reports.set(account.Name, reporter{from, c.Run}, report{had: c.Had, at: now})
 	m.reports.learn(now, account.Name, m.run, c.Lives)
-	backing := m.members.Backing()
+	backing := m.members.Agreement()
 	if backing <= 0 {
 		return false, unlistedWait
 	}
@@ -39,7 +39,7 @@
 	if over >= 0 {
 		return false, clock.Millis(math.Ceil((over + c.Units/2) / widened.PerSecond * float64(clock.Second)))
 	}
-	taken, wait := m.books.Take(now, &widened, quota.Spending{Share: backing, Units: c.Units, Keep: c.Keep, Debt: debt(backing, margin)})
+	taken, wait := m.books.Take(now, &widened, quota.Spending{Share: backing, Units: c.Units, Reserve: c.Keep, Debt: debt(backing, margin)})
 	if taken {
 		m.reports.set(account.Name, reporter{from, c.Run}, report{had: c.Had + c.Units, at: now})
 	}
@@ -92,7 +92,7 @@
 
 func (m *Meter) claimed(from netip.AddrPort, message *claim) {
 	catalog := m.view.Catalog()
-	if catalog == nil || m.members.Backing() <= 0 {
+	if catalog == nil || m.members.Agreement() <= 0 {
 		return // the asker spends its own share meanwhile
 	}
 	answer, known := m.given[message.Number]
@@ -100,7 +100,7 @@
 		answer = m.answer(from, catalog.AccountNamed(message.Account), message)
 		m.remember(answer)
 	}
-	m.link.Send(from, packets.KindReply, answer)
+	m.link.Send(from, packets.KindQuotaReply, answer)
 }
 
 // answer books a claim. Only accounts with a limit are asked for, so a home that has none for one
--- a/pkg/metering/homes_test.go
+++ b/pkg/metering/homes_test.go
@@ -79,7 +79,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx := t.Context()
 				d := deployMany(ctx, entries, largeAccount(), largeBounds)
-				home, _ := d.members[0].Home("account/a")
+				home, _ := d.members[0].Owner("account/a")
 				for i, v := range d.views {
 					if address(i) == home {
 						v.SetCatalog(routing.NewCatalog(2, routing.Limits{}, nil, nil, s.accounts))
--- a/pkg/metering/meter.go
+++ b/pkg/metering/meter.go
@@ -171,9 +171,9 @@
 		agreedAt: c.Clock.Now(),
 	}
 	m.books = quota.NewFilledAllowance(m.fresh)
-	link.Handle(packets.KindClaim, packets.Receive(link, m.claimed))
-	link.Handle(packets.KindReply, packets.Receive(link, m.replied))
-	link.Handle(packets.KindReturn, packets.Receive(link, m.returned))
+	link.Handle(packets.KindQuotaTake, packets.Receive(link, m.claimed))
+	link.Handle(packets.KindQuotaReply, packets.Receive(link, m.replied))
+	link.Handle(packets.KindQuotaReturn, packets.Receive(link, m.returned))
 	return m
 }
 
@@ -217,7 +217,7 @@
 	if m.Ablation.Off(ablation.QuotaHomes) {
 		return m.spendOwn(account, units)
 	}
-	home, self := m.members.Home(matter(account.Name))
+	home, self := m.members.Owner(matter(account.Name))
 	had := m.had.Sum(m.Clock.Now(), account.Name, m.window())
 	if self {
 		return m.book(netip.AddrPort{}, account, claim{Units: units, Keep: keep, Had: had, Run: m.run})
@@ -243,12 +243,12 @@
 		return // their taking was not noted
 	}
 	m.had.Refund(m.Clock.Now(), taken, account.Name, m.window(), units)
-	home, self := m.members.Home(matter(account.Name))
+	home, self := m.members.Owner(matter(account.Name))
 	if self {
 		m.books.Return(account.Name, units)
 		return
 	}
-	m.link.Send(home, packets.KindReturn, giveBack{Account: account.Name, Units: units})
+	m.link.Send(home, packets.KindQuotaReturn, giveBack{Account: account.Name, Units: units})
 }
 
 // Forget drops the buckets of accounts that are gone.
--- a/pkg/metering/meter_test.go
+++ b/pkg/metering/meter_test.go
@@ -26,7 +26,7 @@
 		}, 0.6},
 		{"one way cut", func(from, _ netip.AddrPort, _ packets.Kind) bool { return from == address(1) }, 0.5},
 		{"nothing gets through", func(_, _ netip.AddrPort, _ packets.Kind) bool { return true }, 0.1},
-		{"claims are lost", func(_, _ netip.AddrPort, kind packets.Kind) bool { return kind == packets.KindClaim }, 0.1},
+		{"claims are lost", func(_, _ netip.AddrPort, kind packets.Kind) bool { return kind == packets.KindQuotaTake }, 0.1},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -61,7 +61,7 @@
 		// Every first answer is lost, so that each claim is sent again.
 		var replies atomic.Int64
 		d.net.Lose(func(_, _ netip.AddrPort, kind packets.Kind) bool {
-			return kind == packets.KindReply && replies.Add(1)%2 == 1
+			return kind == packets.KindQuotaReply && replies.Add(1)%2 == 1
 		})
 		all := d.demand(ctx, 5*time.Second)
 		if got, least := worst(all), 0.9*(perSecond*5); got < least {
@@ -77,10 +77,10 @@
 		dead := address(3)
 		d.net.Lose(func(from, to netip.AddrPort, _ packets.Kind) bool { return from == dead || to == dead })
 		time.Sleep(2 * time.Second)
-		if home, _ := d.members[0].Home("account/a"); home == dead {
+		if home, _ := d.members[0].Owner("account/a"); home == dead {
 			t.Error("a dead entry is still the home")
 		}
-		if got := d.members[0].Backing(); got != 0.75 {
+		if got := d.members[0].Agreement(); got != 0.75 {
 			t.Errorf("backing %.2f with three of four alive", got)
 		}
 	})
--- a/pkg/metering/series_bed_test.go
+++ b/pkg/metering/series_bed_test.go
@@ -219,7 +219,7 @@
 		}
 		time.AfterFunc(5*time.Millisecond, func() {
 			if l.ctx.Err() == nil {
-				l.members.Changed([]follow.Row{row}, follow.Proof{})
+				l.members.Changed([]follow.Row{row}, follow.Freshness{})
 			}
 		})
 	}
@@ -243,7 +243,7 @@
 // serves reports whether an entry knows enough to admit anything.
 func (s *series) serves(e *seriesEntry, l *life) bool {
 	proven := clock.Millis(e.proven.Load())
-	return !e.quiet.Load() && (!e.cut.Load() || s.Clock.Now()-proven <= alone || l.members.Assured(proven))
+	return !e.quiet.Load() && (!e.cut.Load() || s.Clock.Now()-proven <= alone || l.members.HoldsLease(proven))
 }
 
 // start has an entry live. It reads a list after a while; nil is that of the store.
@@ -253,7 +253,7 @@
 	link := packets.NewLink(s.Common, s.net.Socket(address(i)))
 	self := membership.Self{Name: ids.Process(fmt.Sprint("entry-", i)), Address: address(i), Weight: 1}
 	l := &life{ctx: ctx, end: end, view: view.New(s.Check), members: membership.New(s.Common, self, storeOf{s.store, e}, link), load: s.load}
-	l.members.SetTrust(trust)
+	l.members.SetGrace(trust)
 	l.view.SetCatalog(s.catalogOf(e.account.Load()))
 	l.meter = metering.New(s.Common, s.bounds, l.view, l.members, link)
 	e.life.Store(l)
@@ -270,9 +270,9 @@
 	switch {
 	case l.ctx.Err() != nil:
 	case list != nil:
-		l.members.Whole(list, follow.Proof{})
+		l.members.Snapshot(list, follow.Freshness{})
 	case !e.cut.Load():
-		l.members.Whole(s.store.list(), follow.Proof{})
+		l.members.Snapshot(s.store.list(), follow.Freshness{})
 	default:
 		time.AfterFunc(50*time.Millisecond, func() { s.read(l, e, nil) })
 	}
@@ -369,7 +369,7 @@
 	votes := make([]int, len(s.entries))
 	for _, e := range s.entries {
 		if l := e.life.Load(); l != nil {
-			at, _ := l.members.Home("account/a")
+			at, _ := l.members.Owner("account/a")
 			for i := range s.entries {
 				if at == address(i) {
 					votes[i]++
--- a/pkg/metering/series_test.go
+++ b/pkg/metering/series_test.go
@@ -216,7 +216,7 @@
 	s.net.Lose(func(_, _ netip.AddrPort, kind packets.Kind) bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return kind != packets.KindHello && r.Float64() < part
+		return kind != packets.KindHeartbeat && r.Float64() < part
 	})
 }
 
@@ -236,7 +236,7 @@
 	for range 3 + s.random.IntN(4) {
 		home := s.home()
 		s.net.Lose(func(from, _ netip.AddrPort, kind packets.Kind) bool {
-			return from == address(home) && kind == packets.KindReply
+			return from == address(home) && kind == packets.KindQuotaReply
 		})
 		s.pause(10, 300)
 		s.kill(home)
@@ -271,7 +271,7 @@
 	}
 	for _, i := range old {
 		if l := s.entries[i].life.Load(); l != nil {
-			l.members.Whole(s.store.list(), follow.Proof{})
+			l.members.Snapshot(s.store.list(), follow.Freshness{})
 		}
 	}
 	s.pause(1000, 4000)
--- a/pkg/metering/starting_test.go
+++ b/pkg/metering/starting_test.go
@@ -61,9 +61,9 @@
 		ctx := t.Context()
 		d := deployUnlisted(ctx, entries, largeAccount(), largeBounds)
 		for i, m := range d.members {
-			m.Whole(firstOf(i), follow.Proof{})
-			time.AfterFunc(100*time.Millisecond, func() { m.Changed([]follow.Row{row(i)}, follow.Proof{}) })
-			time.AfterFunc(600*time.Millisecond, func() { m.Changed(firstOf(entries)[i+1:], follow.Proof{}) })
+			m.Snapshot(firstOf(i), follow.Freshness{})
+			time.AfterFunc(100*time.Millisecond, func() { m.Changed([]follow.Row{row(i)}, follow.Freshness{}) })
+			time.AfterFunc(600*time.Millisecond, func() { m.Changed(firstOf(entries)[i+1:], follow.Freshness{}) })
 		}
 		all := d.demandUnits(ctx, 9*time.Second, largeUnits)
 		checkMost(t, all, largeKept)
--- a/pkg/planner/advice.go
+++ b/pkg/planner/advice.go
@@ -13,7 +13,7 @@
 
 // AfterRest says when a caller is to come back to targets that all rest: not before the first of them works
 // again, though it may not be able to wait for so long, and at a moment that a draw from 0 to 1 picks.
-func AfterRest(rest clock.Millis, draw float64) clock.Millis {
+func AfterBackoff(rest clock.Millis, draw float64) clock.Millis {
 	if rest <= 0 {
 		return 0
 	}
@@ -23,7 +23,7 @@
 // Advise takes what a target has told an entry of itself. That it leaves holds for all entries. Rest is asked
 // of the entry that was told alone, since a target may turn one away and serve the others, which only prefer other
 // targets meanwhile.
-func (p *Planner) Advise(now clock.Millis, entry string, at ids.Life, leaving bool, left clock.Millis) {
+func (p *Planner) Advise(now clock.Millis, entry string, at ids.TargetIncarnation, leaving bool, left clock.Millis) {
 	t := p.knownLife(at)
 	if t == nil {
 		return
@@ -90,7 +90,7 @@
 	}
 	least := clock.Millis(-1)
 	for _, t := range p.list {
-		if slices.Contains(job.Exclude, t.Life()) {
+		if slices.Contains(job.Exclude, t.Incarnation()) {
 			continue
 		}
 		left := t.rests[job.ID.Entry] - now
--- a/pkg/planner/advice_test.go
+++ b/pkg/planner/advice_test.go
@@ -27,14 +27,14 @@
 	return targets
 }
 
-var firstTarget = ids.Life{Target: "t0"}
+var firstTarget = ids.TargetIncarnation{Target: "t0"}
 
 // TestATargetThatLeavesIsGivenToNobody: one entry has been told, and all gain from it. A row that is older than the word
 // does not undo it; a new life of the target begins without it.
 func TestATargetThatLeavesIsGivenToNobody(t *testing.T) {
 	p := newPlanner()
 	p.SetTargets(start, reborn(formerStart, 4, 4))
-	p.Advise(start, "a", ids.Life{Target: "t0", Start: formerStart}, true, 0)
+	p.Advise(start, "a", ids.TargetIncarnation{Target: "t0", Start: formerStart}, true, 0)
 	p.SetTargets(start, reborn(formerStart, 4, 4))
 	for n := range uint64(2) {
 		p.Submit(start, of("a", n, start))
@@ -60,7 +60,7 @@
 	p.Decisions()
 	p.Advise(start, "a", firstTarget, true, 0)
 	got := refused(p.Decisions())
-	if len(got) != 1 || got[0].ID.Number != 2 || !got[0].Empty {
+	if len(got) != 1 || got[0].ID.Number != 2 || !got[0].NoTargets {
 		t.Errorf("refused %+v", got)
 	}
 }
@@ -108,11 +108,11 @@
 	if got := granted(p.Decisions()); !slices.Equal(got, []uint64{0}) {
 		t.Fatalf("granted %v when the rest was over", got)
 	}
-	p.Finish(now, of("a", 0, now).ID, planner.Full, planner.Flow{})
+	p.Finish(now, of("a", 0, now).ID, planner.Full, planner.StreamStats{})
 	if got := granted(p.Decisions()); !slices.Equal(got, []uint64{1}) {
 		t.Fatalf("granted %v after one more was turned away", got)
 	}
-	p.Finish(now, of("a", 1, now).ID, planner.Served, planner.Flow{})
+	p.Finish(now, of("a", 1, now).ID, planner.Served, planner.StreamStats{})
 	if got := granted(p.Decisions()); !slices.Equal(got, []uint64{2, 3}) {
 		t.Errorf("granted %v after one was served", got)
 	}
@@ -136,7 +136,7 @@
 			p := newPlanner(8, 8)
 			now := measure(p, 50, 100) + clock.Second
 			p.Advise(now, "a", firstTarget, false, s.rest+200)
-			p.Advise(now, "a", ids.Life{Target: "t1"}, false, s.rest)
+			p.Advise(now, "a", ids.TargetIncarnation{Target: "t1"}, false, s.rest)
 			backs := make(map[clock.Millis]bool)
 			for n := range uint64(20) {
 				p.Submit(now, of("a", n, now))
@@ -146,7 +146,7 @@
 				t.Fatalf("granted %v", granted(decided))
 			}
 			for _, r := range refused(decided) {
-				if !r.Resting || r.Empty || r.RetryAfter < s.rest || r.RetryAfter > max(s.rest+clock.Second, 10*clock.Second/3) {
+				if !r.BackedOff || r.NoTargets || r.RetryAfter < s.rest || r.RetryAfter > max(s.rest+clock.Second, 10*clock.Second/3) {
 					t.Errorf("refused %+v", r)
 				}
 				backs[r.RetryAfter] = true
@@ -174,7 +174,7 @@
 	p := newPlanner(2)
 	for n := range uint64(5) {
 		p.Submit(start, of("a", n, start))
-		p.Finish(start, of("a", n, start).ID, planner.Withheld, planner.Flow{})
+		p.Finish(start, of("a", n, start).ID, planner.Withheld, planner.StreamStats{})
 	}
 	p.Decisions()
 	p.Submit(start, of("b", 1, start))
@@ -188,8 +188,8 @@
 func TestAdviceOfUnknownLives(t *testing.T) {
 	p := newPlanner()
 	p.SetTargets(start, reborn(nextStart, 2))
-	p.Advise(start, "a", ids.Life{Target: "gone"}, true, clock.Second)
-	p.Advise(start, "a", ids.Life{Target: "t0", Start: formerStart}, true, clock.Second)
+	p.Advise(start, "a", ids.TargetIncarnation{Target: "gone"}, true, clock.Second)
+	p.Advise(start, "a", ids.TargetIncarnation{Target: "t0", Start: formerStart}, true, clock.Second)
 	p.Submit(start, of("a", 1, start))
 	if got := granted(p.Decisions()); !slices.Equal(got, []uint64{1}) {
 		t.Errorf("granted %v", got)
@@ -201,7 +201,7 @@
 	for _, leaving := range []bool{false, true} {
 		p := newPlanner()
 		p.SetTargets(start, []*routing.Target{{ID: "t0", Service: "s", Slots: 4, Admission: routing.OnTrial}})
-		p.SetTrial(planner.Trial{Share: 1}, true)
+		p.SetTrial(planner.Trial{Fraction: 1}, true)
 		p.Advise(start, "a", firstTarget, leaving, 3*clock.Second)
 		for n := range uint64(10) {
 			j := of("a", n, start)
--- a/pkg/planner/cold.go
+++ b/pkg/planner/cold.go
@@ -20,13 +20,13 @@
 )
 
 // Rate is how many jobs a second a home gives one cold target of a service.
-func (b ColdBounds) Rate(s *routing.Service, backing Backing) float64 {
+func (b ColdBounds) Rate(s *routing.Service, backing Agreement) float64 {
 	most := max(1, b.Over)*s.ColdPerSecond + b.Slack
 	part := coldPart
-	if backing.Fresh {
+	if backing.JustStarted {
 		part = coldFreshPart
 	}
-	return min(s.ColdPerSecond, part*most) * backing.Part
+	return min(s.ColdPerSecond, part*most) * backing.Fraction
 }
 
 // coldLimit is what a planner gives cold targets.
@@ -37,7 +37,7 @@
 
 // SetCold says of which service the targets are, nil if that is not known, and how many jobs a second a cold one
 // may get.
-func (p *Planner) SetCold(s *routing.Service, perSecond float64) {
+func (p *Planner) SetColdLimit(s *routing.Service, perSecond float64) {
 	p.cold = coldLimit{service: s, perSecond: perSecond}
 }
 
--- a/pkg/planner/cold_test.go
+++ b/pkg/planner/cold_test.go
@@ -26,14 +26,14 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			service := &routing.Service{Name: "s", ColdPerSecond: s.perSecond}
-			if got := s.bounds.Rate(service, planner.Backing{Part: 1}); math.Abs(got-s.rate) > 1e-9 {
+			if got := s.bounds.Rate(service, planner.Agreement{Fraction: 1}); math.Abs(got-s.rate) > 1e-9 {
 				t.Errorf("%.3f a second, want %.3f", got, s.rate)
 			}
 			most := max(1, s.bounds.Over)*s.perSecond + s.bounds.Slack
-			if both := s.bounds.Rate(service, planner.Backing{Part: 1}) + s.bounds.Rate(service, planner.Backing{Part: 1, Fresh: true}); both > 0.9*most {
+			if both := s.bounds.Rate(service, planner.Agreement{Fraction: 1}) + s.bounds.Rate(service, planner.Agreement{Fraction: 1, JustStarted: true}); both > 0.9*most {
 				t.Errorf("two homes give %.1f a second, allowed are %.1f", both, most)
 			}
-			if half := s.bounds.Rate(service, planner.Backing{Part: 0.5}); half > s.rate/2+1e-9 {
+			if half := s.bounds.Rate(service, planner.Agreement{Fraction: 0.5}); half > s.rate/2+1e-9 {
 				t.Errorf("%.3f a second, backed by half", half)
 			}
 		})
@@ -46,7 +46,7 @@
 	const warmAt = start + 3*clock.Second
 	service := &routing.Service{Name: "s", ColdPerSecond: 20}
 	p := newPlanner()
-	p.SetCold(service, 10)
+	p.SetColdLimit(service, 10)
 	p.SetTargets(start, []*routing.Target{
 		{ID: "cold", Service: "s", Slots: 4, ColdUntil: warmAt}, {ID: "warm", Service: "s", Slots: 4},
 	})
@@ -63,9 +63,9 @@
 				if now >= warmAt {
 					when = "warm "
 				}
-				given[when+string(g.Life.Target)]++
+				given[when+string(g.Incarnation.Target)]++
 				p.Begin(now, g.ID, nil)
-				p.Finish(now, g.ID, planner.Served, planner.Flow{})
+				p.Finish(now, g.ID, planner.Served, planner.StreamStats{})
 			}
 		}
 	}
--- a/pkg/planner/cost_test.go
+++ b/pkg/planner/cost_test.go
@@ -83,7 +83,7 @@
 			}
 			number := uint64(1 << 20)
 			for i := 0; b.Loop(); i++ {
-				p.Finish(now, runs[i%len(runs)], planner.Served, planner.Flow{})
+				p.Finish(now, runs[i%len(runs)], planner.Served, planner.StreamStats{})
 				for _, d := range p.Decisions() {
 					if g, granted := d.(planner.Grant); granted {
 						runs[i%len(runs)] = g.ID
@@ -127,7 +127,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				now++
-				p.Finish(now, running[0], planner.Served, planner.Flow{})
+				p.Finish(now, running[0], planner.Served, planner.StreamStats{})
 				running = running[1:]
 				n++
 				next(n)
--- a/pkg/planner/example_test.go
+++ b/pkg/planner/example_test.go
@@ -19,7 +19,7 @@
 	p.Submit(10, second)
 	show(p.Decisions())
 	p.Begin(50, first.ID, nil)
-	p.Finish(900, first.ID, planner.Served, planner.Flow{Events: 1})
+	p.Finish(900, first.ID, planner.Served, planner.StreamStats{Events: 1})
 	show(p.Decisions())
 	// Output:
 	// 1 decision
@@ -32,7 +32,7 @@
 	fmt.Println(len(decisions), "decision")
 	for _, d := range decisions {
 		if g, ok := d.(planner.Grant); ok {
-			fmt.Printf("granted: %d of %s to %v\n", g.ID.Number, g.ID.Entry, g.Life)
+			fmt.Printf("granted: %d of %s to %v\n", g.ID.Number, g.ID.Entry, g.Incarnation)
 		}
 	}
 }
--- a/pkg/planner/export_test.go
+++ b/pkg/planner/export_test.go
@@ -16,9 +16,9 @@
 }
 
 // Granted returns the life of the target that a job has been given, if any.
-func (p *Planner) Granted(id JobID) (ids.Life, bool) {
+func (p *Planner) Granted(id JobID) (ids.TargetIncarnation, bool) {
 	g, granted := p.GrantOf(id)
-	return g.Life, granted
+	return g.Incarnation, granted
 }
 
 // Lives is how many lives of targets are known.
--- a/pkg/planner/health.go
+++ b/pkg/planner/health.go
@@ -20,7 +20,7 @@
 )
 
 // Note takes the outcome of a request.
-func (h *Health) Note(now clock.Millis, o Outcome) {
+func (h *Health) Record(now clock.Millis, o Outcome) {
 	switch o {
 	case Served:
 		h.failures = 0
@@ -42,7 +42,7 @@
 }
 
 // Aside reports whether the target should get no request now.
-func (h *Health) Aside(now clock.Millis) bool {
+func (h *Health) Ejected(now clock.Millis) bool {
 	return now < h.until
 }
 
@@ -51,6 +51,6 @@
 const suspectTime = 600 * clock.Millisecond
 
 // Suspect sets a target aside for a short time without counting a failure.
-func (h *Health) Suspect(now clock.Millis) {
+func (h *Health) EjectBriefly(now clock.Millis) {
 	h.until = max(h.until, now+suspectTime)
 }
--- a/pkg/planner/hold_test.go
+++ b/pkg/planner/hold_test.go
@@ -34,7 +34,7 @@
 	e.p.Submit(e.now, j)
 	for _, d := range e.p.Decisions() {
 		if g, ok := d.(planner.Grant); ok && g.ID == j.ID {
-			return j.ID, g.Life.Target
+			return j.ID, g.Incarnation.Target
 		}
 	}
 	return j.ID, ""
@@ -48,7 +48,7 @@
 func (e *engines) finish(id planner.JobID, at ids.Target, heldBy ids.Tokens) {
 	longest := e.factors[at] * (playedEvent + min(playedMost, playedRead*float64(heldBy)))
 	e.now += clock.Millis(20 * playedEvent * e.factors[at])
-	e.p.Finish(e.now, id, planner.Served, planner.Flow{Events: 20, Longest: clock.Millis(longest)})
+	e.p.Finish(e.now, id, planner.Served, planner.StreamStats{Events: 20, Longest: clock.Millis(longest)})
 }
 
 // learn has each engine serve pairs of streams, the second of which holds up
@@ -131,7 +131,7 @@
 	if _, at := e.stream(long); at == "" {
 		t.Errorf("a long prompt waits, although it holds nothing up; believed: %+v", e.p.Summary(e.now))
 	}
-	if hold := e.p.Summary(e.now).Hold; hold < 0.7*playedMost || hold > 1.5*playedMost {
+	if hold := e.p.Summary(e.now).PrefillStall; hold < 0.7*playedMost || hold > 1.5*playedMost {
 		t.Errorf("the longest hold is taken for %.0f ms, it is %.0f", hold, playedMost)
 	}
 }
--- a/pkg/planner/job.go
+++ b/pkg/planner/job.go
@@ -43,7 +43,7 @@
 	// Before is how long before it came to its entry its caller first asked: what
 	// was refused and came back is in time by its first try. 0 if it did not ask
 	// before.
-	Before clock.Millis
+	SinceFirstTry clock.Millis
 	// Returned says that the request was refused once and has come back.
 	Returned bool
 	// Movable says that it may be sent to a second target although the first may
@@ -52,7 +52,7 @@
 	// Domain is the failure domain of its entry: bytes to others cost.
 	Domain ids.FailureDomain
 	// Exclude lists lives of targets that it is not to get again.
-	Exclude []ids.Life
+	Exclude []ids.TargetIncarnation
 	// Route is the one on which it came.
 	Route ids.Route
 	// Trial says that its entry may send it to a version on trial.
@@ -61,7 +61,7 @@
 
 // due is up to when the first event is in time for the caller.
 func (j *Job) due() clock.Millis {
-	return j.Arrived - j.Before + j.Objective
+	return j.Arrived - j.SinceFirstTry + j.Objective
 }
 
 // Decision is what the planner says of a job: Grant, Refuse or Move.
@@ -69,11 +69,11 @@
 
 // Grant gives a job a target, in the life that the planner knows.
 type Grant struct {
-	ID   JobID
-	Life ids.Life
+	ID          JobID
+	Incarnation ids.TargetIncarnation
 	// Takes is what is known of how many jobs a second the target takes, and Counted says that the job is one of these.
-	Takes   ratelimit.Word
-	Counted bool
+	RateLimit ratelimit.Report
+	Counted   bool
 }
 
 // Refuse sends a job away. It has not run.
@@ -85,9 +85,9 @@
 	Ahead int
 	Wait  clock.Millis
 	// Empty says that the group has no target at all.
-	Empty bool
+	NoTargets bool
 	// Resting says that all targets have asked the job's entry for rest.
-	Resting bool
+	BackedOff bool
 }
 
 // Move tells that the target of a job gives no sign of life: the job is better
@@ -101,7 +101,7 @@
 func (Move) decision()   {}
 
 // Flow tells of the events of a stream that has ended.
-type Flow struct {
+type StreamStats struct {
 	_      struct{} `cbor:",toarray"`
 	Events int
 	// Longest is the longest time between two of them.
--- a/pkg/planner/learned.go
+++ b/pkg/planner/learned.go
@@ -11,15 +11,15 @@
 // Learned is what a planner has learned of its targets, for one that takes over:
 // times and factors change slowly, while a planner that knows nothing places
 // long prompts on slow targets until each has answered a few times.
-type Learned struct {
+type Estimates struct {
 	_ struct{} `cbor:",toarray"`
 	// First and Pause are the lines of the times to the first event and between
 	// events, on a target of factor 1.
-	First, Pause Line
+	First, Pause LineFit
 	// Hold is the longest that prompts hold up one event, in ms; 0 if unknown.
-	Hold float64
+	PrefillStall float64
 	// Factors says how much slower than the others targets are, each in one life.
-	Factors map[ids.Life]float64
+	Factors map[ids.TargetIncarnation]float64
 }
 
 // mostFactor is beyond any factor that a planner learns, upwards and downwards.
@@ -29,25 +29,25 @@
 
 // Check reports what no planner tells, as of a row that another writer left: a factor that is
 // no number would have its target never placed on, or always.
-func (l *Learned) Check() error {
+func (l *Estimates) Check() error {
 	for _, f := range l.Factors {
 		if !(f >= 1.0/mostFactor && f <= mostFactor) {
 			return errLearned
 		}
 	}
-	for _, line := range []Line{l.First, l.Pause} {
+	for _, line := range []LineFit{l.First, l.Pause} {
 		if !line.sound() {
 			return errLearned
 		}
 	}
-	if !(l.Hold >= 0 && l.Hold <= math.MaxInt32) {
+	if !(l.PrefillStall >= 0 && l.PrefillStall <= math.MaxInt32) {
 		return errLearned
 	}
 	return nil
 }
 
 // sound reports whether all sums are numbers, of no points below none.
-func (l *Line) sound() bool {
+func (l *LineFit) sound() bool {
 	for _, sum := range []float64{l.X, l.Y, l.XX, l.XY} {
 		if math.IsNaN(sum) || math.IsInf(sum, 0) {
 			return false
@@ -57,7 +57,7 @@
 }
 
 // Line is a straight line through observed points.
-type Line struct {
+type LineFit struct {
 	_ struct{} `cbor:",toarray"`
 	// N counts the points, the newest most; the others are their sums, weighed so.
 	N, X, Y, XX, XY float64
@@ -69,11 +69,11 @@
 
 // Learned returns what has been learned, or nil as long as it is too little to be
 // of use.
-func (p *Planner) Learned() *Learned {
+func (p *Planner) Estimates() *Estimates {
 	if p.speeds.first.n < minKnown {
 		return nil
 	}
-	l := &Learned{First: p.speeds.first.told(), Pause: p.speeds.pause.told(), Hold: p.speeds.hold.most, Factors: make(map[ids.Life]float64)}
+	l := &Estimates{First: p.speeds.first.told(), Pause: p.speeds.pause.told(), PrefillStall: p.speeds.hold.most, Factors: make(map[ids.TargetIncarnation]float64)}
 	for life, t := range p.targets {
 		if t.factor.known {
 			l.Factors[life] = t.factor.value
@@ -83,7 +83,7 @@
 }
 
 // Adopt takes over what was learned elsewhere, where nothing is known yet.
-func (p *Planner) Adopt(l *Learned) {
+func (p *Planner) Adopt(l *Estimates) {
 	if p.off.Off(ablation.Learned) {
 		return
 	}
@@ -94,7 +94,7 @@
 		p.speeds.pause.adopt(l.Pause)
 	}
 	if p.speeds.hold.most == 0 {
-		p.speeds.hold.most = l.Hold
+		p.speeds.hold.most = l.PrefillStall
 	}
 	for life, f := range l.Factors {
 		if t := p.targets[life]; t != nil && !t.factor.known {
@@ -103,11 +103,11 @@
 	}
 }
 
-func (l *line) told() Line {
-	return Line{N: l.n, X: l.x, Y: l.y, XX: l.xx, XY: l.xy}
+func (l *line) told() LineFit {
+	return LineFit{N: l.n, X: l.x, Y: l.y, XX: l.xx, XY: l.xy}
 }
 
-func (l *line) adopt(t Line) {
+func (l *line) adopt(t LineFit) {
 	if t.N <= 0 {
 		return
 	}
--- a/pkg/planner/limit.go
+++ b/pkg/planner/limit.go
@@ -25,20 +25,20 @@
 )
 
 // Backing is how surely a planner is the only one of its targets.
-type Backing struct {
+type Agreement struct {
 	// Part is the part of the entries that surely takes no other one for the home.
-	Part float64
+	Fraction float64
 	// Fresh says that it has just begun.
-	Fresh bool
+	JustStarted bool
 }
 
 // most reports whether most entries back the planner, so that no other one is backed by as many.
-func (b Backing) most() bool { return b.Part > 0.5 }
+func (b Agreement) most() bool { return b.Fraction > 0.5 }
 
 // Rate is how many jobs a second a planner gives a target that takes so many.
-func (b Backing) Rate(takes ratelimit.Rate) float64 {
-	part := b.Part
-	if b.Fresh {
+func (b Agreement) Rate(takes ratelimit.Rate) float64 {
+	part := b.Fraction
+	if b.JustStarted {
 		part *= limitFreshPart
 	}
 	rate := part * float64(takes)
@@ -53,7 +53,7 @@
 }
 
 // saved is how many jobs a limited target may get at once.
-func (b Backing) saved() float64 {
+func (b Agreement) saved() float64 {
 	if b.most() {
 		return limitSaved
 	}
@@ -61,21 +61,21 @@
 }
 
 // SetBacking says how surely this planner is the only one.
-func (p *Planner) SetBacking(b Backing) { p.backing = b }
+func (p *Planner) SetAgreement(b Agreement) { p.backing = b }
 
 // SetLimit takes a word on how many jobs a second a target takes, and returns what stands then and whether
 // that is new.
-func (p *Planner) SetLimit(now clock.Millis, at ids.Life, w ratelimit.Word) (stands ratelimit.Word, changed bool) {
+func (p *Planner) SetLimit(now clock.Millis, at ids.TargetIncarnation, w ratelimit.Report) (stands ratelimit.Report, changed bool) {
 	t := p.knownLife(at)
 	if t == nil || !w.Known {
-		return ratelimit.Word{}, false
+		return ratelimit.Report{}, false
 	}
 	before := t.takes
-	t.takes = before.With(w)
-	if t.takes.Limits() && t.limited == nil {
+	t.takes = before.Merge(w)
+	if t.takes.IsLimited() && t.limited == nil {
 		t.limited = newBucket(now)
 	}
-	if !t.takes.Limits() {
+	if !t.takes.IsLimited() {
 		t.limited = nil
 	}
 	p.countBounded(now)
--- a/pkg/planner/limit_test.go
+++ b/pkg/planner/limit_test.go
@@ -18,18 +18,18 @@
 func TestBackingRate(t *testing.T) {
 	scenarios := []struct {
 		name    string
-		backing planner.Backing
+		backing planner.Agreement
 		takes   ratelimit.Rate
 		want    float64
 	}{
-		{"all entries back it", planner.Backing{Part: 1}, 6, 6},
-		{"most do", planner.Backing{Part: 0.75}, 6, 4.5},
-		{"it has just begun", planner.Backing{Part: 1, Fresh: true}, 6, 1.5},
-		{"a target that takes none is asked again", planner.Backing{Part: 1}, 0, 0.25},
-		{"by one that has just begun as well", planner.Backing{Part: 0.6, Fresh: true}, 0.3, 0.25},
-		{"a third does, two a window", planner.Backing{Part: 1.0 / 3}, 1.5, 0.5},
-		{"a third does, fewer", planner.Backing{Part: 1.0 / 3}, 1.4, 0},
-		{"nobody does", planner.Backing{}, 6, 0},
+		{"all entries back it", planner.Agreement{Fraction: 1}, 6, 6},
+		{"most do", planner.Agreement{Fraction: 0.75}, 6, 4.5},
+		{"it has just begun", planner.Agreement{Fraction: 1, JustStarted: true}, 6, 1.5},
+		{"a target that takes none is asked again", planner.Agreement{Fraction: 1}, 0, 0.25},
+		{"by one that has just begun as well", planner.Agreement{Fraction: 0.6, JustStarted: true}, 0.3, 0.25},
+		{"a third does, two a window", planner.Agreement{Fraction: 1.0 / 3}, 1.5, 0.5},
+		{"a third does, fewer", planner.Agreement{Fraction: 1.0 / 3}, 1.4, 0},
+		{"nobody does", planner.Agreement{}, 6, 0},
 	}
 	for _, s := range scenarios {
 		if got := s.backing.Rate(s.takes); got < s.want-1e-9 || got > s.want+1e-9 {
@@ -61,8 +61,8 @@
 		for i, part := range parts {
 			p := newPlanner()
 			p.SetTargets(start, []*routing.Target{{ID: "t", Service: "s", Slots: 100}})
-			p.SetBacking(planner.Backing{Part: part})
-			p.SetLimit(start, ids.Life{Target: "t"}, ratelimit.Word{Known: true, Rate: takes, From: start, To: start})
+			p.SetAgreement(planner.Agreement{Fraction: part})
+			p.SetLimit(start, ids.TargetIncarnation{Target: "t"}, ratelimit.Report{Known: true, Rate: takes, From: start, To: start})
 			given = append(given, grants(p, random, uint64(i), length)...)
 		}
 		slices.Sort(given)
@@ -94,7 +94,7 @@
 		for _, d := range p.Decisions() {
 			if g, ok := d.(planner.Grant); ok {
 				given = append(given, now)
-				p.Finish(now, g.ID, planner.Served, planner.Flow{})
+				p.Finish(now, g.ID, planner.Served, planner.StreamStats{})
 			}
 		}
 	}
@@ -104,18 +104,18 @@
 // TestGrantsTellWhetherTheyWereCounted: an entry that has heard of a limit uses no others.
 func TestGrantsTellWhetherTheyWereCounted(t *testing.T) {
 	p := newPlanner()
-	p.SetBacking(planner.Backing{Part: 1})
+	p.SetAgreement(planner.Agreement{Fraction: 1})
 	p.SetTargets(start, []*routing.Target{{ID: "t", Service: "s", Slots: 4}})
 	p.Submit(start, job(1, 0))
-	life := ids.Life{Target: "t"}
-	takes := ratelimit.Word{Known: true, Rate: 20, From: start, To: start + 10}
+	life := ids.TargetIncarnation{Target: "t"}
+	takes := ratelimit.Report{Known: true, Rate: 20, From: start, To: start + 10}
 	if _, changed := p.SetLimit(start+10, life, takes); !changed {
 		t.Error("the first limit is nothing new")
 	}
 	p.Submit(start+100, job(2, 0))
 	before, _ := p.GrantOf(job(1, 0).ID)
 	after, _ := p.GrantOf(job(2, 0).ID)
-	if before.Counted || before.Takes != takes {
+	if before.Counted || before.RateLimit != takes {
 		t.Errorf("granted before: %+v", before)
 	}
 	if !after.Counted {
@@ -150,10 +150,10 @@
 						return
 					}
 					limited[p] = true
-					p.SetBacking(planner.Backing{Part: 1})
+					p.SetAgreement(planner.Agreement{Fraction: 1})
 					for n := range s.targets {
-						life := ids.Life{Target: ids.Target(fmt.Sprint("t", n))}
-						p.SetLimit(now, life, ratelimit.Word{Known: true, Rate: s.takes, From: now, To: now})
+						life := ids.TargetIncarnation{Target: ids.Target(fmt.Sprint("t", n))}
+						p.SetLimit(now, life, ratelimit.Report{Known: true, Rate: s.takes, From: now, To: now})
 					}
 				},
 			})
--- a/pkg/planner/lives.go
+++ b/pkg/planner/lives.go
@@ -49,7 +49,7 @@
 
 // target returns what is known of a life of a target, and begins with nothing for a new one.
 func (p *Planner) target(o *routing.Target) *target {
-	if t := p.targets[o.Life()]; t != nil {
+	if t := p.targets[o.Incarnation()]; t != nil {
 		return t
 	}
 	of := p.lives[o.ID]
@@ -59,7 +59,7 @@
 	}
 	of.known++
 	t := &target{Target: o, lives: of, runs: make(map[JobID]*run)}
-	p.targets[o.Life()] = t
+	p.targets[o.Incarnation()] = t
 	return t
 }
 
@@ -68,7 +68,7 @@
 	if t.offered || len(t.runs) > 0 {
 		return
 	}
-	delete(p.targets, t.Life())
+	delete(p.targets, t.Incarnation())
 	if t.lives.listed == t {
 		t.lives.listed = nil
 	}
@@ -80,7 +80,7 @@
 
 // lifeAt returns the life that an entry names, or nil if its target is not known at all. An entry
 // that has not read of a new start names the former one, which is then known until its runs end.
-func (p *Planner) lifeAt(at ids.Life) *target {
+func (p *Planner) lifeAt(at ids.TargetIncarnation) *target {
 	if t := p.knownLife(at); t != nil {
 		return t
 	}
@@ -94,11 +94,11 @@
 }
 
 // knownLife returns a known life that may be the one that an entry names, or nil.
-func (p *Planner) knownLife(at ids.Life) *target {
+func (p *Planner) knownLife(at ids.TargetIncarnation) *target {
 	if t := p.targets[at]; t != nil {
 		return t
 	}
-	if of := p.lives[at.Target]; of != nil && of.listed != nil && of.listed.Life().Same(at) {
+	if of := p.lives[at.Target]; of != nil && of.listed != nil && of.listed.Incarnation().Same(at) {
 		return of.listed
 	}
 	return nil
--- a/pkg/planner/lives_test.go
+++ b/pkg/planner/lives_test.go
@@ -23,11 +23,11 @@
 }
 
 // placed lists the lives that were granted.
-func placed(list []planner.Decision) []ids.Life {
-	var lives []ids.Life
+func placed(list []planner.Decision) []ids.TargetIncarnation {
+	var lives []ids.TargetIncarnation
 	for _, d := range list {
 		if g, ok := d.(planner.Grant); ok {
-			lives = append(lives, g.Life)
+			lives = append(lives, g.Incarnation)
 		}
 	}
 	return lives
@@ -52,18 +52,18 @@
 	if got := granted(p.Decisions()); len(got) > 0 {
 		t.Fatalf("granted %v before the former runs have ended", got)
 	}
-	p.Finish(now, job(0, 0).ID, planner.Failed, planner.Flow{})
-	p.Finish(now, job(1, 0).ID, planner.Failed, planner.Flow{})
-	next := ids.Life{Target: "t0", Start: nextStart}
-	if got := placed(p.Decisions()); !slices.Equal(got, []ids.Life{next, next}) {
+	p.Finish(now, job(0, 0).ID, planner.Failed, planner.StreamStats{})
+	p.Finish(now, job(1, 0).ID, planner.Failed, planner.StreamStats{})
+	next := ids.TargetIncarnation{Target: "t0", Start: nextStart}
+	if got := placed(p.Decisions()); !slices.Equal(got, []ids.TargetIncarnation{next, next}) {
 		t.Errorf("granted %v, want both places of the new life", got)
 	}
 	// Late words on the former runs change nothing.
 	p.Begin(now, job(0, 0).ID, &planner.Load{Running: 50})
-	p.Finish(now, job(1, 0).ID, planner.Unreached, planner.Flow{})
-	p.Finish(now, job(2, 0).ID, planner.Served, planner.Flow{})
+	p.Finish(now, job(1, 0).ID, planner.Unreached, planner.StreamStats{})
+	p.Finish(now, job(2, 0).ID, planner.Served, planner.StreamStats{})
 	p.Submit(now, job(5, 0))
-	if got := placed(p.Decisions()); !slices.Equal(got, []ids.Life{next}) {
+	if got := placed(p.Decisions()); !slices.Equal(got, []ids.TargetIncarnation{next}) {
 		t.Errorf("granted %v after a run of the new life", got)
 	}
 }
@@ -78,18 +78,18 @@
 		{"set aside", func(p *planner.Planner, now clock.Millis) {
 			for n := range uint64(4) {
 				j := job(100+n, 0)
-				j.Exclude = []ids.Life{{Target: "t1"}}
+				j.Exclude = []ids.TargetIncarnation{{Target: "t1"}}
 				p.Submit(now, j)
-				p.Finish(now, j.ID, planner.Unreached, planner.Flow{})
+				p.Finish(now, j.ID, planner.Unreached, planner.StreamStats{})
 			}
 		}},
 		{"filled by others", func(p *planner.Planner, now clock.Millis) {
 			for n := range uint64(8) {
 				j := job(100+n, 0)
-				j.Exclude = []ids.Life{{Target: "t1"}}
+				j.Exclude = []ids.TargetIncarnation{{Target: "t1"}}
 				p.Submit(now, j)
 				p.Begin(now, j.ID, &planner.Load{Running: 40})
-				p.Finish(now, j.ID, planner.Served, planner.Flow{})
+				p.Finish(now, j.ID, planner.Served, planner.StreamStats{})
 			}
 		}},
 	}
@@ -99,7 +99,7 @@
 			p.SetTargets(start, reborn(formerStart, 2, 2))
 			s.do(p, start)
 			p.Decisions()
-			next := ids.Life{Target: "t0", Start: nextStart}
+			next := ids.TargetIncarnation{Target: "t0", Start: nextStart}
 			onFirst := func(from uint64) (n int) {
 				for i := range uint64(4) {
 					p.Submit(start, job(from+i, 0))
@@ -130,7 +130,7 @@
 func TestTheFactorOfAFormerLifeIsForgotten(t *testing.T) {
 	p := newPlanner()
 	p.SetTargets(start, reborn(nextStart, 2, 2))
-	p.Adopt(&planner.Learned{Factors: map[ids.Life]float64{{Target: "t0", Start: formerStart}: 8, {Target: "t1"}: 2}})
+	p.Adopt(&planner.Estimates{Factors: map[ids.TargetIncarnation]float64{{Target: "t0", Start: formerStart}: 8, {Target: "t1"}: 2}})
 	if got := p.Summary(start).Factors; got["t0"] != 1 || got["t1"] != 2 {
 		t.Errorf("factors %v", got)
 	}
@@ -142,7 +142,7 @@
 	p := newPlanner()
 	p.SetTargets(start, reborn(nextStart, 1))
 	j := job(1, 0)
-	j.Exclude = []ids.Life{{Target: "t0", Start: formerStart}}
+	j.Exclude = []ids.TargetIncarnation{{Target: "t0", Start: formerStart}}
 	p.Submit(start, j)
 	if got := granted(p.Decisions()); len(got) != 1 {
 		t.Errorf("granted %v", got)
@@ -167,19 +167,19 @@
 		t.Run(s.name, func(t *testing.T) {
 			p := newPlanner()
 			p.SetTargets(start, reborn(s.known, 2))
-			life := ids.Life{Target: "t0", Start: s.listed}
+			life := ids.TargetIncarnation{Target: "t0", Start: s.listed}
 			p.Restore(start, job(1, 0), life, false)
 			p.Restore(start, job(2, 0), life, true)
 			p.Submit(start, job(3, 0))
 			if got := granted(p.Decisions()); len(got) > 0 {
 				t.Errorf("granted %v beyond the slots", got)
 			}
-			p.Finish(start, job(1, 0).ID, planner.Failed, planner.Flow{})
+			p.Finish(start, job(1, 0).ID, planner.Failed, planner.StreamStats{})
 			if got := granted(p.Decisions()); len(got) != 1 {
 				t.Errorf("granted %v after a run has ended", got)
 			}
-			p.Finish(start, job(2, 0).ID, planner.Failed, planner.Flow{})
-			p.Finish(start, job(3, 0).ID, planner.Served, planner.Flow{})
+			p.Finish(start, job(2, 0).ID, planner.Failed, planner.StreamStats{})
+			p.Finish(start, job(3, 0).ID, planner.Served, planner.StreamStats{})
 			p.SetTargets(start, reborn(nextStart, 2))
 			for n := range uint64(3) {
 				p.Submit(start, job(10+n, 0))
@@ -197,7 +197,7 @@
 	for n := range uint64(100) {
 		p.SetTargets(start, reborn(ids.Start(1000-n), 2))
 		p.Submit(start, job(n, 0))
-		p.Finish(start, job(n, 0).ID, planner.Served, planner.Flow{})
+		p.Finish(start, job(n, 0).ID, planner.Served, planner.StreamStats{})
 	}
 	if n := p.Lives(); n != 1 {
 		t.Errorf("%d lives are known, want 1", n)
--- a/pkg/planner/load_test.go
+++ b/pkg/planner/load_test.go
@@ -26,7 +26,7 @@
 			{Name: "summary", Tier: 1, PerSecond: 21 * x, Prompt: 690, Events: 49, Spread: 0.5, Objective: 800, Deadline: 12000, Patience: 3200, Returns: 1, Worth: 1.2, Late: 0.37},
 			{Name: "tag", Tier: 2, PerSecond: 27 * x, Prompt: 1860, Events: 4, Spread: 0.3, Objective: 1500, Deadline: 3000, Patience: 3000, Returns: 1, Worth: 0.27, Late: 0.08},
 		},
-		Targets: []loadmodel.Targets{{Count: 10, Slots: 8, Factor: 1}, {Count: 2, Slots: 8, Factor: 2.5}},
+		Targets: []loadmodel.TargetGroup{{Count: 10, Slots: 8, Factor: 1}, {Count: 2, Slots: 8, Factor: 2.5}},
 		Speed:   loadmodel.Speed{First: 35, ThousandToken: 13, Event: 30},
 	}
 }
@@ -71,7 +71,7 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			got, bound := loadmodel.Play(s.load, loadmodel.Observer{}), loadmodel.Bound(s.load)
+			got, bound := loadmodel.Play(s.load, loadmodel.Observer{}), loadmodel.UpperBound(s.load)
 			report(t, got)
 			for i, o := range got.Outcomes {
 				if part(o.InTime, o) < s.inTime[i] {
--- a/pkg/planner/place.go
+++ b/pkg/planner/place.go
@@ -109,7 +109,7 @@
 func (p *Planner) survey(now clock.Millis) survey {
 	s := survey{careful: p.manyWell(now), quickest: factorMax}
 	for _, t := range p.list {
-		aside := t.health.Aside(now)
+		aside := t.health.Ejected(now)
 		if !aside {
 			s.quickest = min(s.quickest, t.factor.get())
 			s.known = true
@@ -128,7 +128,7 @@
 	var best *target
 	var least float64
 	for _, t := range s.roomy {
-		if slices.Contains(w.Exclude, t.Life()) || !t.admits(now, w.ID.Entry) || choosy && (!p.inTime(now, w, t.factor.get(), t.reading, len(t.runs)+1) || p.disturbs(t, w)) {
+		if slices.Contains(w.Exclude, t.Incarnation()) || !t.admits(now, w.ID.Entry) || choosy && (!p.inTime(now, w, t.factor.get(), t.reading, len(t.runs)+1) || p.disturbs(t, w)) {
 			continue
 		}
 		// A little chance spreads what is equal.
@@ -170,7 +170,7 @@
 func (p *Planner) manyWell(now clock.Millis) bool {
 	well := 0
 	for _, t := range p.list {
-		if !t.health.Aside(now) && !t.trial {
+		if !t.health.Ejected(now) && !t.trial {
 			well++
 		}
 	}
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -11,14 +11,14 @@
 // Planner plans for one group of targets. It is not safe for concurrent use.
 type Planner struct {
 	random    *rand.Rand
-	targets   map[ids.Life]*target
+	targets   map[ids.TargetIncarnation]*target
 	lives     map[ids.Target]*lives
 	offered   []*target // in the order of the list of targets
 	list      []*target // of these, those that may get all work
 	slots     int       // how many jobs these run at once
 	trial     trial
 	cold      coldLimit
-	backing   Backing
+	backing   Agreement
 	bounded   []*target // of list, those that get fewer jobs than they have places for
 	queue     queue
 	runs      map[JobID]*run
@@ -36,11 +36,11 @@
 
 // New returns a planner without targets.
 func New(random *rand.Rand) *Planner {
-	return &Planner{random: random, targets: make(map[ids.Life]*target), lives: make(map[ids.Target]*lives), runs: make(map[JobID]*run), given: make(map[ids.TierRank]*sizedRate)}
+	return &Planner{random: random, targets: make(map[ids.TargetIncarnation]*target), lives: make(map[ids.Target]*lives), runs: make(map[JobID]*run), given: make(map[ids.TierRank]*sizedRate)}
 }
 
 // Without switches mechanisms off, for experiments.
-func (p *Planner) Without(off ablation.Set) {
+func (p *Planner) Disable(off ablation.Set) {
 	p.off = off
 }
 
@@ -92,7 +92,7 @@
 		p.queue.remove(i)
 		return
 	}
-	p.Finish(now, id, Abandoned, Flow{})
+	p.Finish(now, id, Abandoned, StreamStats{})
 }
 
 // Tick looks after what only time changes.
@@ -100,7 +100,7 @@
 	for _, t := range p.list {
 		if t.stuck(now, &p.speeds) {
 			if !p.off.Off(ablation.SetAside) {
-				t.health.Suspect(now)
+				t.health.EjectBriefly(now)
 				t.trial = true
 			}
 			p.move(t)
--- a/pkg/planner/planner_test.go
+++ b/pkg/planner/planner_test.go
@@ -62,7 +62,7 @@
 		return j
 	}
 	returned := func(j planner.Job, before clock.Millis) planner.Job {
-		j.Returned, j.Before = true, before
+		j.Returned, j.SinceFirstTry = true, before
 		return j
 	}
 	events := func(j planner.Job, n int) planner.Job {
@@ -102,7 +102,7 @@
 			var order []uint64
 			last := uint64(100)
 			for range s.jobs {
-				p.Finish(start, planner.JobID{Entry: "e", Number: last}, planner.Served, planner.Flow{})
+				p.Finish(start, planner.JobID{Entry: "e", Number: last}, planner.Served, planner.StreamStats{})
 				got := granted(p.Decisions())
 				if len(got) != 1 {
 					t.Fatalf("grants %v after %d", got, last)
@@ -127,7 +127,7 @@
 		p.Submit(now, j)
 		now += each
 		p.Begin(now, j.ID, nil)
-		p.Finish(now, j.ID, planner.Served, planner.Flow{})
+		p.Finish(now, j.ID, planner.Served, planner.StreamStats{})
 	}
 	p.Decisions()
 	return now
@@ -162,7 +162,7 @@
 		j.Arrived, j.Deadline = now, now+10*clock.Second
 		p.Submit(now, j)
 		now += 200
-		p.Finish(now, j.ID, planner.Served, planner.Flow{})
+		p.Finish(now, j.ID, planner.Served, planner.StreamStats{})
 	}
 	running := job(1, 0)
 	running.Arrived, running.Deadline = now, now+10*clock.Second
@@ -231,7 +231,7 @@
 			t.Fatalf("refused after %d ms", at-now)
 		}
 	}
-	p.Finish(now+2200, job(1, 0).ID, planner.Served, planner.Flow{})
+	p.Finish(now+2200, job(1, 0).ID, planner.Served, planner.StreamStats{})
 	if got := granted(p.Decisions()); !slices.Equal(got, []uint64{2}) {
 		t.Errorf("granted %v", got)
 	}
@@ -239,15 +239,15 @@
 
 func TestAPlannerThatBeginsAnewLearnsWhatRuns(t *testing.T) {
 	p := newPlanner(2)
-	p.Restore(start, job(1, 0), ids.Life{Target: "t0"}, true)
-	p.Restore(start, job(2, 0), ids.Life{Target: "t0"}, false)
+	p.Restore(start, job(1, 0), ids.TargetIncarnation{Target: "t0"}, true)
+	p.Restore(start, job(2, 0), ids.TargetIncarnation{Target: "t0"}, false)
 	p.Submit(start, job(3, 0))
 	if got := granted(p.Decisions()); len(got) != 0 {
 		t.Fatalf("granted %v on a target that others fill", got)
 	}
 	later := start + clock.Second
 	p.Submit(later, job(3, 0))
-	p.Keep(later, "e", func(id planner.JobID) bool { return id.Number == 1 })
+	p.RetainJobs(later, "e", func(id planner.JobID) bool { return id.Number == 1 })
 	if got := granted(p.Decisions()); !slices.Equal(got, []uint64{3}) {
 		t.Errorf("granted %v after a request was no longer listed", got)
 	}
@@ -257,7 +257,7 @@
 	p := newPlanner()
 	p.Submit(start, job(1, 0))
 	got := refused(p.Decisions())
-	if len(got) != 1 || !got[0].Empty || got[0].RetryAfter <= 0 {
+	if len(got) != 1 || !got[0].NoTargets || got[0].RetryAfter <= 0 {
 		t.Errorf("decided %+v", got)
 	}
 }
@@ -277,14 +277,14 @@
 				continue
 			}
 			if i >= 30 {
-				given[g.Life.Target]++
+				given[g.Incarnation.Target]++
 			}
 			load := &planner.Load{Running: 1}
-			if g.Life.Target == "t1" {
+			if g.Incarnation.Target == "t1" {
 				load = &planner.Load{Running: 4, Waiting: 3}
 			}
 			p.Begin(now, j.ID, load)
-			p.Finish(now+20, j.ID, planner.Served, planner.Flow{})
+			p.Finish(now+20, j.ID, planner.Served, planner.StreamStats{})
 		}
 		now += 30
 	}
@@ -372,7 +372,7 @@
 		p.Withdraw(now, planner.JobID{Entry: "e", Number: number})
 	}
 	late := at(9)
-	late.Returned, late.Before = true, 5*clock.Second
+	late.Returned, late.SinceFirstTry = true, 5*clock.Second
 	p.Submit(now, late)
 	p.Withdraw(now, planner.JobID{Entry: "e", Number: 1})
 	if got := granted(p.Decisions()); len(got) != 0 {
--- a/pkg/planner/random_test.go
+++ b/pkg/planner/random_test.go
@@ -33,7 +33,7 @@
 	}
 	slots := []int{2, 3, 1}
 	p := newPlanner(slots...)
-	p.Without(without)
+	p.Disable(without)
 	now := start
 	h := history{
 		t: t, p: p, ordered: without != 0, running: map[uint64]ids.Target{}, load: map[ids.Target]int{},
@@ -75,7 +75,7 @@
 			outcome := planner.Outcome(rapid.IntRange(0, 5).Draw(h.t, "outcome"))
 			h.load[h.running[n]]--
 			delete(h.running, n)
-			h.p.Finish(now, planner.JobID{Entry: "e", Number: n}, outcome, planner.Flow{Events: 5})
+			h.p.Finish(now, planner.JobID{Entry: "e", Number: n}, outcome, planner.StreamStats{Events: 5})
 		}
 	case 4:
 		h.p.Tick(now)
@@ -109,8 +109,8 @@
 					h.t.Fatalf("job %d of tier %d granted %d ms after one of tier %d was refused", d.ID.Number, h.tiers[d.ID.Number], now-at, higher)
 				}
 			}
-			h.running[d.ID.Number] = d.Life.Target
-			h.load[d.Life.Target]++
+			h.running[d.ID.Number] = d.Incarnation.Target
+			h.load[d.Incarnation.Target]++
 		case planner.Refuse:
 			delete(h.waiting, d.ID.Number)
 			h.refused[h.tiers[d.ID.Number]] = now
--- a/pkg/planner/refusal.go
+++ b/pkg/planner/refusal.go
@@ -24,15 +24,15 @@
 // there is none does not wait: it would only count as ahead of others.
 func (p *Planner) servable(job *Job) bool {
 	for _, t := range p.list {
-		if !slices.Contains(job.Exclude, t.Life()) {
+		if !slices.Contains(job.Exclude, t.Incarnation()) {
 			return true
 		}
 	}
-	return (job.Trial || p.trial.Opens > 0) && len(p.trial.targets) > 0
+	return (job.Trial || p.trial.OpensAt > 0) && len(p.trial.targets) > 0
 }
 
 func (p *Planner) refuseEmpty(job *Job) {
-	p.decide(Refuse{ID: job.ID, RetryAfter: emptyRetry, Empty: true})
+	p.decide(Refuse{ID: job.ID, RetryAfter: emptyRetry, NoTargets: true})
 }
 
 // reviewAll refuses the jobs that have become hopeless, or for which no target is
@@ -99,7 +99,7 @@
 	retry := p.retryAfter(now, w, wait)
 	if rest := p.restLeft(now, &w.Job); rest > 0 {
 		// Lower tiers of other entries may be served meanwhile, in places that this job could not have got.
-		p.decide(Refuse{ID: w.ID, RetryAfter: max(retry, AfterRest(rest, p.random.Float64())), Ahead: ahead, Wait: rest, Resting: true})
+		p.decide(Refuse{ID: w.ID, RetryAfter: max(retry, AfterBackoff(rest, p.random.Float64())), Ahead: ahead, Wait: rest, BackedOff: true})
 		return
 	}
 	p.decide(Refuse{ID: w.ID, RetryAfter: retry, Ahead: ahead, Wait: wait})
--- a/pkg/planner/runs.go
+++ b/pkg/planner/runs.go
@@ -17,7 +17,7 @@
 
 // grant is the decision that gives the job its target.
 func (r *run) grant() Grant {
-	return Grant{ID: r.ID, Life: r.target.Life(), Takes: r.target.takes, Counted: r.counted}
+	return Grant{ID: r.ID, Incarnation: r.target.Incarnation(), RateLimit: r.target.takes, Counted: r.counted}
 }
 
 // GrantedAt is when a job was given its target, if it was.
@@ -48,7 +48,7 @@
 const minEvents = 4
 
 // Finish ends a granted job; flow tells of its answer, if it was a stream.
-func (p *Planner) Finish(now clock.Millis, id JobID, outcome Outcome, flow Flow) {
+func (p *Planner) Finish(now clock.Millis, id JobID, outcome Outcome, flow StreamStats) {
 	r := p.runs[id]
 	if r == nil {
 		return
@@ -60,12 +60,12 @@
 		p.speeds.learnHold(t.factor.get(), r.backlog, len(t.runs), flow.Longest)
 	}
 	if !p.off.Off(ablation.SetAside) {
-		t.health.Note(now, outcome)
+		t.health.Record(now, outcome)
 	}
 	if outcome == Served {
 		t.servedAfterRest(now, id.Entry)
 	}
-	t.trial = outcome != Served && (t.trial || t.health.Aside(now))
+	t.trial = outcome != Served && (t.trial || t.health.Ejected(now))
 	delete(p.runs, id)
 	t.end(r)
 	p.released(now, r, outcome)
@@ -87,7 +87,7 @@
 
 // Restore takes in a job that has a target already, as when a planner begins
 // anew. Of what it did before nothing is known.
-func (p *Planner) Restore(now clock.Millis, job Job, at ids.Life, begun bool) {
+func (p *Planner) Restore(now clock.Millis, job Job, at ids.TargetIncarnation, begun bool) {
 	if p.runs[job.ID] != nil {
 		return
 	}
@@ -111,12 +111,12 @@
 
 // Keep ends the jobs of an entry for which keep is false, but for those granted
 // just now.
-func (p *Planner) Keep(now clock.Millis, entry string, keep func(JobID) bool) {
+func (p *Planner) RetainJobs(now clock.Millis, entry string, keep func(JobID) bool) {
 	p.abandon(now, entry, func(r *run) bool { return now-r.since > fresh && !keep(r.ID) })
 }
 
 // Drop forgets an entry that has gone silent.
-func (p *Planner) Drop(now clock.Millis, entry string) {
+func (p *Planner) DropEntry(now clock.Millis, entry string) {
 	p.queue.drop(func(w *waiting) bool { return w.ID.Entry == entry })
 	p.abandon(now, entry, func(*run) bool { return true })
 	p.forgetRests(entry)
@@ -126,7 +126,7 @@
 func (p *Planner) abandon(now clock.Millis, entry string, gone func(*run) bool) {
 	for id, r := range p.runs {
 		if id.Entry == entry && gone(r) {
-			p.Finish(now, id, Abandoned, Flow{})
+			p.Finish(now, id, Abandoned, StreamStats{})
 		}
 	}
 }
--- a/pkg/planner/summary.go
+++ b/pkg/planner/summary.go
@@ -7,7 +7,7 @@
 
 // Summary is what a planner believes, for logs and metrics.
 type Summary struct {
-	Targets, Aside, Slots, Running, Waiting int
+	Targets, Ejected, Slots, Running, Waiting int
 	// PerSecond is how many jobs end a second.
 	PerSecond float64
 	// Limited is how many targets name a limit, and LimitedPerSecond how many jobs a second they get together at the most.
@@ -18,7 +18,7 @@
 	// the time between events, and what each further run adds.
 	FirstBase, FirstPerThousand, PauseBase, PausePerRun float64
 	// Hold is the longest that prompts being read hold up one event, in ms.
-	Hold float64
+	PrefillStall float64
 	// Factors says how much slower than the others each target is.
 	Factors map[ids.Target]float64
 }
@@ -32,11 +32,11 @@
 	s.FirstBase, s.FirstPerThousand = p.speeds.first.fit()
 	s.FirstPerThousand *= 1000
 	s.PauseBase, s.PausePerRun = p.speeds.pause.fit()
-	s.Hold = p.speeds.hold.get()
+	s.PrefillStall = p.speeds.hold.get()
 	for _, t := range p.list {
 		s.Factors[t.ID] = t.factor.get()
-		if t.health.Aside(now) {
-			s.Aside++
+		if t.health.Ejected(now) {
+			s.Ejected++
 		}
 		if t.limited != nil {
 			s.Limited++
--- a/pkg/planner/target.go
+++ b/pkg/planner/target.go
@@ -22,7 +22,7 @@
 	tried   int                     // how often it was filled while its version was on trial
 	leaving bool                    // by its own word
 	cold    *bucket                 // nil while it is warm
-	takes   ratelimit.Word          // how many jobs a second, by its own word
+	takes   ratelimit.Report        // how many jobs a second, by its own word
 	limited *bucket                 // nil while it names no limit
 	rests   map[string]clock.Millis // until when it wants nothing of an entry, or has served it nothing since
 }
--- a/pkg/planner/targets_test.go
+++ b/pkg/planner/targets_test.go
@@ -24,12 +24,12 @@
 			if !ok {
 				continue
 			}
-			if g.Life.Target == "t1" {
+			if g.Incarnation.Target == "t1" {
 				stuck["t1"]++ // it never begins
 				continue
 			}
 			p.Begin(now+20, g.ID, nil)
-			p.Finish(now+20, g.ID, planner.Served, planner.Flow{})
+			p.Finish(now+20, g.ID, planner.Served, planner.StreamStats{})
 		}
 		now += 100
 		p.Tick(now)
@@ -58,9 +58,9 @@
 			if !ok {
 				continue
 			}
-			given[g.Life.Target]++
+			given[g.Incarnation.Target]++
 			slow := clock.Millis(1)
-			if g.Life.Target == "t1" {
+			if g.Incarnation.Target == "t1" {
 				slow = 5
 			}
 			p.Begin(now+20*slow, g.ID, nil)
@@ -71,7 +71,7 @@
 			if e.at > now {
 				return false
 			}
-			p.Finish(now, e.id, planner.Served, planner.Flow{Events: 10})
+			p.Finish(now, e.id, planner.Served, planner.StreamStats{Events: 10})
 			return true
 		})
 	}
@@ -129,11 +129,11 @@
 		j := job(10+i, 0)
 		for n := range targets {
 			if other := ids.Target(fmt.Sprint("t", n)); other != at {
-				j.Exclude = append(j.Exclude, ids.Life{Target: other})
+				j.Exclude = append(j.Exclude, ids.TargetIncarnation{Target: other})
 			}
 		}
 		p.Submit(start, j)
-		p.Finish(start, j.ID, planner.Failed, planner.Flow{})
+		p.Finish(start, j.ID, planner.Failed, planner.StreamStats{})
 	}
 	p.Decisions()
 }
@@ -146,11 +146,11 @@
 	p.Submit(start, block)
 	p.Submit(start, other)
 	none, one := job(3, 0), job(4, 0)
-	none.Exclude = []ids.Life{{Target: "t0"}, {Target: "t1"}}
-	one.Exclude, one.Returned = []ids.Life{{Target: "t1"}}, true
+	none.Exclude = []ids.TargetIncarnation{{Target: "t0"}, {Target: "t1"}}
+	one.Exclude, one.Returned = []ids.TargetIncarnation{{Target: "t1"}}, true
 	p.Decisions()
 	p.Submit(start, none)
-	if got := refused(p.Decisions()); len(got) != 1 || !got[0].Empty || got[0].ID.Number != 3 {
+	if got := refused(p.Decisions()); len(got) != 1 || !got[0].NoTargets || got[0].ID.Number != 3 {
 		t.Errorf("refused %+v", got)
 	}
 	p.Submit(start, one)
@@ -159,7 +159,7 @@
 	}
 	p.SetTargets(start, targets(1, 1)[1:])
 	p.Tick(start + 25)
-	if got := refused(p.Decisions()); len(got) != 1 || !got[0].Empty || p.Waiting() != 0 {
+	if got := refused(p.Decisions()); len(got) != 1 || !got[0].NoTargets || p.Waiting() != 0 {
 		t.Errorf("refused %+v, %d wait", got, p.Waiting())
 	}
 }
@@ -175,19 +175,19 @@
 		for n, took := range []clock.Millis{40, 200} {
 			j := job(uint64(10*i+n), 0)
 			j.Prompt, j.Arrived, j.Deadline = 1000, now, now+10*clock.Second
-			j.Exclude = []ids.Life{{Target: ids.Target(fmt.Sprint("t", 1-n))}}
+			j.Exclude = []ids.TargetIncarnation{{Target: ids.Target(fmt.Sprint("t", 1-n))}}
 			first.Submit(now, j)
 			first.Begin(now+took, j.ID, nil)
-			first.Finish(now+took, j.ID, planner.Served, planner.Flow{})
+			first.Finish(now+took, j.ID, planner.Served, planner.StreamStats{})
 		}
 	}
-	learned := first.Learned()
+	learned := first.Estimates()
 	if learned == nil {
 		t.Fatal("nothing learned")
 	}
 	for _, adopts := range []bool{false, true} {
 		p := newPlanner(10, 10)
-		if p.Learned() != nil {
+		if p.Estimates() != nil {
 			t.Error("a new planner claims to have learned something")
 		}
 		if adopts {
--- a/pkg/planner/trial.go
+++ b/pkg/planner/trial.go
@@ -14,15 +14,15 @@
 // Trial is what a version on trial gets of the jobs whose entries may send them to it.
 type Trial struct {
 	// Share is the part of all jobs.
-	Share float64
+	Fraction float64
 	// Leave, if set, is when the other targets are to run no job that could not be sent to
 	// another target: those that would not surely have ended go to the version on trial.
-	Leave clock.Millis
+	UnrepeatableUntil clock.Millis
 	// Close says that no job of that kind is given to the other targets any more.
-	Close bool
+	NoUnrepeatable bool
 	// Opens, if set, is when the targets on trial get all jobs: their version has taken over, and
 	// jobs wait for that moment.
-	Opens clock.Millis
+	OpensAt clock.Millis
 }
 
 // trial is a planner's part in the trial of a version.
@@ -39,17 +39,17 @@
 	next   int
 	alike  bool // the next job earns for the next route, not for its own
 	// filled is the target that is being filled, up to fillUntil.
-	filled       ids.Life
+	filled       ids.TargetIncarnation
 	fillUntil    clock.Millis
 	observations []Observation
 }
 
 // Observation is what became of a job at a target, for the one who judges versions.
 type Observation struct {
-	Life   ids.Life
-	Route  ids.Route
-	Trial  bool
-	Failed bool
+	Incarnation ids.TargetIncarnation
+	Route       ids.Route
+	Trial       bool
+	Failed      bool
 	// Ratio is how much longer it took than such a job takes on a target of factor 1, and Factor
 	// that of its target.
 	Ratio, Factor float64
@@ -126,7 +126,7 @@
 
 // earn notes that a job of a route was given a target.
 func (t *trial) earn(route ids.Route) {
-	if t.Share <= 0 {
+	if t.Fraction <= 0 {
 		return
 	}
 	if t.earned == nil {
@@ -139,15 +139,15 @@
 	}
 	t.alike = !t.alike
 	if !t.alike && t.earned[route] < mostEarned {
-		t.earned[route] += t.Share
-		t.saved += t.Share
+		t.earned[route] += t.Fraction
+		t.saved += t.Fraction
 		return
 	}
 	for range t.routes {
 		t.next = (t.next + 1) % len(t.routes)
 		if next := t.routes[t.next]; t.earned[next] < mostEarned {
-			t.earned[next] += t.Share
-			t.saved += t.Share
+			t.earned[next] += t.Fraction
+			t.saved += t.Fraction
 			return
 		}
 	}
@@ -166,13 +166,13 @@
 
 // closed reports whether a job is not given to other targets than those on trial any more.
 func (t *trial) closed(w *waiting) bool {
-	return t.Close && !w.Movable
+	return t.NoUnrepeatable && !w.Movable
 }
 
 // placeOnTrial gives jobs that are due to a version on trial its targets. The order of the queue
 // holds, and what is held back for a higher tier gets nothing here either.
 func (p *Planner) placeOnTrial(now clock.Millis) {
-	if p.trial.Share <= 0 || len(p.trial.targets) == 0 {
+	if p.trial.Fraction <= 0 || len(p.trial.targets) == 0 {
 		return
 	}
 	p.fill(now)
@@ -197,7 +197,7 @@
 	if earned >= overdue || now < p.trial.fillUntil && p.trial.saved >= 1 && earned >= 1-mostBorrowed {
 		return true
 	}
-	return p.trial.closed(w) || p.trial.Leave > 0 && !w.Movable && p.outlasts(now, w)
+	return p.trial.closed(w) || p.trial.UnrepeatableUntil > 0 && !w.Movable && p.outlasts(now, w)
 }
 
 // fill chooses the next target to be filled once enough is saved up.
@@ -214,17 +214,17 @@
 		return
 	}
 	next.tried++
-	p.trial.filled = next.Life()
+	p.trial.filled = next.Incarnation()
 	p.trial.fillUntil = now + fillFor
 }
 
 // outlasts reports whether a job may not have ended when the other targets are left.
 func (p *Planner) outlasts(now clock.Millis, w *waiting) bool {
-	if w.Deadline <= p.trial.Leave {
+	if w.Deadline <= p.trial.UnrepeatableUntil {
 		return false
 	}
 	rest := p.speeds.firstTime(w.Prompt) + outlastDoubt*float64(w.Events)*p.speeds.pauseTime(1)
-	return now+clock.Millis(rest) > p.trial.Leave
+	return now+clock.Millis(rest) > p.trial.UnrepeatableUntil
 }
 
 // trialTarget returns the target on trial that is to get a job, or nil: the one that is being
@@ -233,8 +233,8 @@
 	var best *target
 	for _, t := range p.trial.targets {
 		switch {
-		case !p.room(now, t, true) || t.health.Aside(now) || slices.Contains(w.Exclude, t.Life()) || !t.admits(now, w.ID.Entry):
-		case p.trial.Leave == 0 && t.Life() != p.trial.filled:
+		case !p.room(now, t, true) || t.health.Ejected(now) || slices.Contains(w.Exclude, t.Incarnation()) || !t.admits(now, w.ID.Entry):
+		case p.trial.UnrepeatableUntil == 0 && t.Incarnation() != p.trial.filled:
 		case best == nil || p.cost(now, t, &w.Job) < p.cost(now, best, &w.Job):
 			best = t
 		}
@@ -243,11 +243,11 @@
 }
 
 // observe notes what became of a job, if somebody judges versions by it.
-func (p *Planner) observe(now clock.Millis, r *run, outcome Outcome, flow Flow) {
+func (p *Planner) observe(now clock.Millis, r *run, outcome Outcome, flow StreamStats) {
 	if !p.trial.watched {
 		return
 	}
-	o := Observation{Life: r.target.Life(), Route: r.Route, Trial: r.trial, Failed: outcome == Failed, Factor: r.target.factor.get()}
+	o := Observation{Incarnation: r.target.Incarnation(), Route: r.Route, Trial: r.trial, Failed: outcome == Failed, Factor: r.target.factor.get()}
 	o.Loaded = float64(r.beside) >= loadedPart*float64(r.target.limit())
 	expected := p.speeds.firstTime(r.ahead) + float64(flow.Events)*p.speeds.pauseTime((r.beside+len(r.target.runs))/2)
 	o.Ratio = float64(max(0, now-r.since-flow.Stalled)) / max(1, expected)
--- a/pkg/planner/trial_test.go
+++ b/pkg/planner/trial_test.go
@@ -64,13 +64,13 @@
 			continue
 		}
 		b.all++
-		if g.Life.Target[:3] == "new" {
+		if g.Incarnation.Target[:3] == "new" {
 			b.sent++
 			b.routes[route]++
-			b.onNew[g.Life.Target]++
-			b.most = max(b.most, b.onNew[g.Life.Target])
+			b.onNew[g.Incarnation.Target]++
+			b.most = max(b.most, b.onNew[g.Incarnation.Target])
 		}
-		b.ends = append(b.ends, ending{b.now + 300, g.ID, g.Life.Target})
+		b.ends = append(b.ends, ending{b.now + 300, g.ID, g.Incarnation.Target})
 	}
 }
 
@@ -78,7 +78,7 @@
 	b.now += ms
 	for len(b.ends) > 0 && b.ends[0].at <= b.now {
 		b.Begin(b.now, b.ends[0].id, nil)
-		b.Finish(b.now, b.ends[0].id, planner.Served, planner.Flow{Events: 10})
+		b.Finish(b.now, b.ends[0].id, planner.Served, planner.StreamStats{Events: 10})
 		if n := b.onNew[b.ends[0].on]; n > 0 {
 			b.onNew[b.ends[0].on]--
 		}
@@ -92,7 +92,7 @@
 // rare: the version on trial gets its share, each route is tried, and targets are filled.
 func TestATrialGetsItsShareAndIsLoaded(t *testing.T) {
 	b := newTrialBed(4)
-	b.SetTrial(planner.Trial{Share: 0.06}, true)
+	b.SetTrial(planner.Trial{Fraction: 0.06}, true)
 	for n := range 3000 {
 		route := ids.Route("often")
 		switch {
@@ -121,7 +121,7 @@
 // TestOnlyMarkedJobsAreTried has no entry allow its jobs to go to the version on trial.
 func TestOnlyMarkedJobsAreTried(t *testing.T) {
 	b := newTrialBed(4)
-	b.SetTrial(planner.Trial{Share: 0.5}, true)
+	b.SetTrial(planner.Trial{Fraction: 0.5}, true)
 	for range 300 {
 		b.submit(func(j *planner.Job) { j.Trial = false })
 		b.pass(20)
@@ -146,7 +146,7 @@
 // there, other jobs do only while they will have ended in time, and none once they are closed.
 func TestWorkLeavesTheOldVersion(t *testing.T) {
 	b := newTrialBed(4)
-	b.SetTrial(planner.Trial{Share: 0.01, Leave: b.now + 3000}, true)
+	b.SetTrial(planner.Trial{Fraction: 0.01, UnrepeatableUntil: b.now + 3000}, true)
 	b.submit(func(j *planner.Job) { j.Events = 5 }) // it ends well before
 	if b.sent != 0 {
 		t.Error("a short job left the old version")
@@ -159,7 +159,7 @@
 	if b.sent != 1 {
 		t.Error("a job that may be repeated left the old version")
 	}
-	b.SetTrial(planner.Trial{Share: 0.01, Leave: b.now + 3000, Close: true}, true)
+	b.SetTrial(planner.Trial{Fraction: 0.01, UnrepeatableUntil: b.now + 3000, NoUnrepeatable: true}, true)
 	b.submit(func(j *planner.Job) { j.Events = 5 })
 	if b.sent != 2 {
 		t.Error("a job that may not be repeated went to the old version though it is closed")
@@ -177,7 +177,7 @@
 // refused, none of a lower one goes to the version on trial.
 func TestNoLowerTierIsTriedWhileAHigherOneIsShed(t *testing.T) {
 	b := newTrialBed(1)
-	b.SetTrial(planner.Trial{Share: 0.9}, true)
+	b.SetTrial(planner.Trial{Fraction: 0.9}, true)
 	for range 200 {
 		b.submit(func(j *planner.Job) { j.Trial = false; j.Objective = 50; j.Events = 500 })
 	}
@@ -192,7 +192,7 @@
 // all: jobs wait for that and are not sent away.
 func TestJobsWaitUntilTheNewVersionOpens(t *testing.T) {
 	b := newTrialBed(0)
-	b.SetTrial(planner.Trial{Opens: b.now + 400}, false)
+	b.SetTrial(planner.Trial{OpensAt: b.now + 400}, false)
 	id := b.submit(func(j *planner.Job) { j.Trial = false })
 	if !b.Waits(id) {
 		t.Fatal("it was sent away")
--- a/pkg/planner/wait.go
+++ b/pkg/planner/wait.go
@@ -7,8 +7,8 @@
 // wait estimates how long a job waits for a target: until those ahead of it have been
 // given the places that are left for it and them.
 func (p *Planner) wait(now clock.Millis, w *waiting, ahead int) clock.Millis {
-	if len(p.list) == 0 && p.trial.Opens > now {
-		return p.trial.Opens - now
+	if len(p.list) == 0 && p.trial.OpensAt > now {
+		return p.trial.OpensAt - now
 	}
 	return max(p.restLeft(now, &w.Job), clock.Millis(float64(ahead+1)*float64(clock.Second)/p.placesFor(now, w)))
 }
--- a/pkg/prefix/holdings.go
+++ b/pkg/prefix/holdings.go
@@ -17,18 +17,18 @@
 // Holdings remembers which blocks were lately sent to which target, the least
 // used forgotten first, as in the target's own cache. Several goroutines may use
 // it.
-type Holdings struct {
+type CacheEstimate struct {
 	mu      sync.Mutex
 	targets map[ids.Target]*lru.Cache[Fingerprint, struct{}]
 }
 
 // NewHoldings returns holdings that remember nothing.
-func NewHoldings() *Holdings {
-	return &Holdings{targets: make(map[ids.Target]*lru.Cache[Fingerprint, struct{}])}
+func NewCacheEstimate() *CacheEstimate {
+	return &CacheEstimate{targets: make(map[ids.Target]*lru.Cache[Fingerprint, struct{}])}
 }
 
 // Note remembers that a prompt was sent to a target.
-func (h *Holdings) Note(target ids.Target, chain []Fingerprint) {
+func (h *CacheEstimate) Record(target ids.Target, chain []Fingerprint) {
 	if len(chain) == 0 {
 		return
 	}
@@ -47,7 +47,7 @@
 
 // Held returns how many blocks at the beginning of a prompt the target is
 // likely to hold.
-func (h *Holdings) Held(target ids.Target, chain []Fingerprint) int {
+func (h *CacheEstimate) CachedBlocks(target ids.Target, chain []Fingerprint) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	cache := h.targets[target]
@@ -63,7 +63,7 @@
 }
 
 // Place is a target as a home of prompts.
-type Place struct {
+type WeightedTarget struct {
 	Target ids.Target
 	// Weight is above 0: a target has its share of all weights of the prompts.
 	Weight float64
@@ -72,7 +72,7 @@
 // Home picks one of the places for a beginning that none is known to hold.
 // Entries with the same places pick the same, without asking one another
 // (weighted rendezvous hashing).
-func Home(first Fingerprint, places []Place) int {
+func Owner(first Fingerprint, places []WeightedTarget) int {
 	best, most := -1, 0.0
 	var seed [8]byte
 	binary.LittleEndian.PutUint64(seed[:], uint64(first))
--- a/pkg/prefix/prefix_test.go
+++ b/pkg/prefix/prefix_test.go
@@ -18,8 +18,8 @@
 }
 
 func TestHeld(t *testing.T) {
-	h := prefix.NewHoldings()
-	h.Note("a", []prefix.Fingerprint{1, 2, 3})
+	h := prefix.NewCacheEstimate()
+	h.Record("a", []prefix.Fingerprint{1, 2, 3})
 	scenarios := []struct {
 		name   string
 		target ids.Target
@@ -32,7 +32,7 @@
 		{"another target", "b", []prefix.Fingerprint{1}, 0},
 	}
 	for _, s := range scenarios {
-		if got := h.Held(s.target, s.chain); got != s.want {
+		if got := h.CachedBlocks(s.target, s.chain); got != s.want {
 			t.Errorf("%s: %d blocks, want %d", s.name, got, s.want)
 		}
 	}
@@ -40,11 +40,11 @@
 
 // A target that leaves moves only the prompts whose home it was.
 func TestHomeMovesLittle(t *testing.T) {
-	all := []prefix.Place{{"a", 1}, {"b", 2}, {"c", 1}, {"d", 3}}
+	all := []prefix.WeightedTarget{{"a", 1}, {"b", 2}, {"c", 1}, {"d", 3}}
 	without := all[:3]
 	for f := range prefix.Fingerprint(200) {
-		before := all[prefix.Home(f, all)].Target
-		after := without[prefix.Home(f, without)].Target
+		before := all[prefix.Owner(f, all)].Target
+		after := without[prefix.Owner(f, without)].Target
 		if before != "d" && before != after {
 			t.Fatalf("fingerprint %d moved from %s to %s", f, before, after)
 		}
--- a/pkg/quarantine/accounts.go
+++ b/pkg/quarantine/accounts.go
@@ -109,7 +109,7 @@
 }
 
 // Sound notes that a request of an account was completed.
-func (r *Register) Sound(now clock.Millis, q Request) {
+func (r *Register) RecordSuccess(now clock.Millis, q Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if c := r.conduct(q); c != nil && c.suspected(now) {
--- a/pkg/quarantine/accounts_test.go
+++ b/pkg/quarantine/accounts_test.go
@@ -20,9 +20,9 @@
 
 func holdBackOne(r *Register, now clock.Millis, n int) {
 	record := Record{Digest: digest(n), Account: "acme", Route: "r"}
-	record.Ends = []End{{Life: life(2 * n)}}
+	record.Ends = []TargetEnd{{Incarnation: life(2 * n)}}
 	r.Join(now, &record)
-	record.Ends = []End{{Life: life(2*n + 1), Again: true}}
+	record.Ends = []TargetEnd{{Incarnation: life(2*n + 1), Again: true}}
 	r.Join(now, &record)
 }
 
@@ -45,8 +45,8 @@
 		{"four, a minute later", func(r *Register) { holdBack(r, start, 1, 4) }, other(9), clock.Minute, false},
 		{"another route", func(r *Register) { holdBack(r, start, 1, 4) }, Request{Digest: digest(9), Account: "acme", Route: "r2"}, 0, false},
 		{"another account", func(r *Register) { holdBack(r, start, 1, 4) }, Request{Digest: digest(9), Account: "other", Route: "r"}, 0, false},
-		{"completed meanwhile", func(r *Register) { holdBack(r, start, 1, 4); r.Sound(start, other(9)) }, other(9), 0, false},
-		{"completed before", func(r *Register) { r.Sound(start, other(9)); holdBack(r, start, 1, 4) }, other(9), 0, true},
+		{"completed meanwhile", func(r *Register) { holdBack(r, start, 1, 4); r.RecordSuccess(start, other(9)) }, other(9), 0, false},
+		{"completed before", func(r *Register) { r.RecordSuccess(start, other(9)); holdBack(r, start, 1, 4) }, other(9), 0, true},
 		{"all at once, as where all targets are lost", func(r *Register) {
 			for n := range 20 {
 				holdBackOne(r, start, n+1)
@@ -55,14 +55,14 @@
 		{"four, and one of them is completed after all", func(r *Register) { holdBack(r, start, 1, 4); r.Completed(start, digest(2)) }, other(9), 0, false},
 		{"rows of the store", func(r *Register) {
 			for n := 1; n <= 4; n++ {
-				row := Record{Digest: digest(n), Account: "acme", Route: "r", Ends: []End{{Life: life(2 * n)}, {Life: life(2*n + 1), Again: true}}}
+				row := Record{Digest: digest(n), Account: "acme", Route: "r", Ends: []TargetEnd{{Incarnation: life(2 * n)}, {Incarnation: life(2*n + 1), Again: true}}}
 				r.Read(start, &row, int64(n))
 			}
 		}, other(9), 0, false},
 	}
 	for _, s := range scenarios {
 		r := NewRegister()
-		r.Know(0)
+		r.MarkRead(0)
 		s.do(r)
 		if got, _ := r.Suspected(start+s.after, s.request); got != s.suspected {
 			t.Errorf("%s: suspected %t, want %t", s.name, got, s.suspected)
@@ -75,14 +75,14 @@
 func TestPausesOfASuspectedAccount(t *testing.T) {
 	const start = 1_000_000
 	r := NewRegister()
-	r.Know(0)
+	r.MarkRead(0)
 	holdBack(r, start, 1, 4)
 	if _, wait := r.Suspected(start, other(99)); wait != 0 {
 		t.Errorf("a wait of %d ms before a further end", wait)
 	}
 	now, n := clock.Millis(start), 10
 	for _, want := range []clock.Millis{1, 2, 4, 8, 16, 30, 30} {
-		r.Join(now, &Record{Digest: digest(n), Account: "acme", Route: "r", Ends: []End{{Life: life(100 + n)}}})
+		r.Join(now, &Record{Digest: digest(n), Account: "acme", Route: "r", Ends: []TargetEnd{{Incarnation: life(100 + n)}}})
 		n++
 		if _, wait := r.Suspected(now, other(99)); wait != want*clock.Second {
 			t.Errorf("a wait of %d ms, want %d s", wait, want)
@@ -103,7 +103,7 @@
 func TestRequestsOfASuspectedAccountRunOneAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := commontest.New(network.NewMemory(nil))
-		g := New(Parts{Common: c})
+		g := New(Dependencies{Common: c})
 		if pass, refused := g.Enter(context.Background(), other(50)); pass != nil || refused != nil {
 			t.Fatal("suspected from the beginning")
 		}
@@ -124,7 +124,7 @@
 		if took := time.Since(began); second == nil || took < 300*time.Millisecond || took > 400*time.Millisecond {
 			t.Errorf("the second: %+v after %v", refused, took)
 		}
-		g.Ended(Run{Request: other(51), Life: life(200)})
+		g.Ended(Run{Request: other(51), Incarnation: life(200)})
 		second.Release(true)
 		if _, refused := g.Enter(context.Background(), other(52)); refused == nil || refused.Held || refused.RetryAfter != clock.Second {
 			t.Errorf("after one more end: %+v", refused)
--- a/pkg/quarantine/doubts.go
+++ b/pkg/quarantine/doubts.go
@@ -28,7 +28,7 @@
 }
 
 // Doubt notes a run that broke off at a target that may have ended.
-func (g *Guard) Doubt(run Run) {
+func (g *Guard) PossibleEnd(run Run) {
 	g.doubts.mu.Lock()
 	defer g.doubts.mu.Unlock()
 	if len(g.doubts.list) < mostDoubts {
@@ -37,17 +37,17 @@
 }
 
 // Follow takes the newest list of targets, which shows what has ended.
-func (g *Guard) Follow(targets *routing.Directory) {
+func (g *Guard) SetDirectory(targets *routing.Directory) {
 	now := g.Clock.Now()
 	var ended []Run
 	g.doubts.mu.Lock()
 	kept := g.doubts.list[:0]
 	for _, d := range g.doubts.list {
-		listed := targets.Target(d.run.Life.Target)
+		listed := targets.Target(d.run.Incarnation.Target)
 		switch {
 		case now-d.at > doubtFor:
-		case listed != nil && listed.Leaving, g.leaves != nil && g.leaves(d.run.Life): // it is to end
-		case listed == nil || targets.Replaced(d.run.Life):
+		case listed != nil && listed.Leaving, g.leaves != nil && g.leaves(d.run.Incarnation): // it is to end
+		case listed == nil || targets.Replaced(d.run.Incarnation):
 			ended = append(ended, d.run)
 		default:
 			kept = append(kept, d)
--- a/pkg/quarantine/guard.go
+++ b/pkg/quarantine/guard.go
@@ -23,7 +23,7 @@
 // Run is a request at a target that has broken off.
 type Run struct {
 	Request
-	Life ids.Life
+	Incarnation ids.TargetIncarnation
 	// Again is that of the pass under which it ran.
 	Again bool
 }
@@ -33,7 +33,7 @@
 	// Others returns the addresses of all of them.
 	Others() []netip.AddrPort
 	// Home returns the entry that is in charge of a matter, and whether it is this one.
-	Home(matter string) (netip.AddrPort, bool)
+	Owner(matter string) (netip.AddrPort, bool)
 }
 
 // Store keeps what has to outlast all entries.
@@ -44,7 +44,7 @@
 }
 
 // Parts are what a guard works with.
-type Parts struct {
+type Dependencies struct {
 	common.Common
 	// Address is this entry's own. Without Peers the guard knows only what it has seen itself.
 	Address netip.AddrPort
@@ -52,7 +52,7 @@
 	Link    *packets.Link
 	Store   Store
 	// Leaves reports whether a life of a target has said that it leaves; nil if that is not known.
-	Leaves func(ids.Life) bool
+	Leaves func(ids.TargetIncarnation) bool
 }
 
 // Guard keeps requests that end their targets from running at one entry.
@@ -65,26 +65,26 @@
 	turns    *turns
 	news     *news
 	doubts   doubts
-	leaves   func(ids.Life) bool
+	leaves   func(ids.TargetIncarnation) bool
 }
 
 // New returns a guard that knows nothing yet.
-func New(p Parts) *Guard {
+func New(p Dependencies) *Guard {
 	g := &Guard{Common: p.Common, register: NewRegister(), peers: p.Peers, store: p.Store, link: p.Link, news: newNews(), leaves: p.Leaves}
 	g.turns = newTurns(p.Common, p.Peers, p.Link, p.Address)
-	p.Metrics.Figures.Gauge("requests_suspected", func() float64 { return float64(g.register.Len()) })
-	p.Metrics.Figures.Gauge("requests_held_back", func() float64 { return float64(g.register.HeldCount()) })
+	p.Metrics.Prometheus.Gauge("requests_suspected", func() float64 { return float64(g.register.Len()) })
+	p.Metrics.Prometheus.Gauge("requests_held_back", func() float64 { return float64(g.register.HeldCount()) })
 	if p.Peers == nil {
-		g.register.Know(p.Clock.Now())
+		g.register.MarkRead(p.Clock.Now())
 		return g
 	}
-	p.Link.Handle(packets.KindEnds, packets.Receive(p.Link, g.heard))
+	p.Link.Handle(packets.KindTargetEnds, packets.Receive(p.Link, g.heard))
 	return g
 }
 
 // Watches reports whether there is anything against some request of an account; without, no
 // digest is needed of its requests.
-func (g *Guard) Watches(account ids.Account) bool { return g.register.Watches(account) }
+func (g *Guard) HasRecord(account ids.Account) bool { return g.register.HasRecord(account) }
 
 // Refused says that a request may not run.
 type Refused struct {
@@ -98,7 +98,7 @@
 }
 
 // Pass is the permission for one run.
-type Pass struct {
+type Permit struct {
 	guard  *Guard
 	digest Digest
 	turn   *turn
@@ -110,12 +110,12 @@
 
 // Release gives the turn to the next try, once the run has ended and what it showed was told; ran is
 // false if there was no run. Only the first call counts, and a nil pass needs none.
-func (p *Pass) Release(ran bool) {
+func (p *Permit) Release(ran bool) {
 	if p == nil || p.turn == nil {
 		return
 	}
 	if p.retrial && !ran {
-		p.guard.register.Spare(p.digest)
+		p.guard.register.RetrialUnused(p.digest)
 	}
 	p.guard.turns.release(p.turn)
 	p.turn = nil
@@ -131,7 +131,7 @@
 )
 
 // Allows reports whether a request may still run with what Enter returned some time ago.
-func (g *Guard) Allows(r Request, p *Pass) bool {
+func (g *Guard) Allows(r Request, p *Permit) bool {
 	s := g.suspicion(r)
 	switch {
 	case s.none():
@@ -144,7 +144,7 @@
 }
 
 // Enter waits until a request may run. The pass is nil if there is nothing against it or its account.
-func (g *Guard) Enter(ctx context.Context, r Request) (*Pass, *Refused) {
+func (g *Guard) Enter(ctx context.Context, r Request) (*Permit, *Refused) {
 	if s := g.suspicion(r); s.none() {
 		return nil, nil
 	}
@@ -169,7 +169,7 @@
 }
 
 // await waits until a request may run against which, or whose account, something is known.
-func (g *Guard) await(ctx context.Context, r Request) (*Pass, *Refused) {
+func (g *Guard) await(ctx context.Context, r Request) (*Permit, *Refused) {
 	var turn *turn
 	defer func() { g.turns.release(turn) }()
 	for until := g.Clock.Now() + turnPatience; ; clock.Pause(ctx, turnPause) {
@@ -189,7 +189,7 @@
 			}
 			taken := turn
 			turn = nil
-			return &Pass{guard: g, digest: r.Digest, turn: taken, Again: s.verdict != Free, retrial: s.verdict == Held}, nil
+			return &Permit{guard: g, digest: r.Digest, turn: taken, Again: s.verdict != Free, retrial: s.verdict == Held}, nil
 		}
 		if ctx.Err() != nil || now >= until {
 			return nil, &Refused{RetryAfter: turnAgain}
@@ -221,7 +221,7 @@
 // ended beside it for another reason. The store counts these runs, so that all entries together
 // make no more of them, also when they restart.
 func (g *Guard) retry(ctx context.Context, d Digest) bool {
-	if g.register.TakeSpare(d) {
+	if g.register.TakeUnusedRetrial(d) {
 		return true
 	}
 	w, due := g.register.Retry(g.Clock.Now(), d)
@@ -231,15 +231,15 @@
 	limited, cancel := context.WithTimeout(ctx, writeTime.Duration())
 	defer cancel()
 	_, err := g.store.Write(limited, w)
-	g.register.Done(&w, err == nil)
+	g.register.WriteDone(&w, err == nil)
 	g.log(&w.Record).WithError(err).WithField("retrials", w.Retrials).Info("one more run of a request that is held back")
 	return err == nil
 }
 
 // Ended notes that the process of a target has ended while it ran a request.
 func (g *Guard) Ended(run Run) {
-	g.Metrics.Figures.Add("targets_ended_under_requests", "account", string(run.Account))
-	record := Record{Digest: run.Digest, Account: run.Account, Route: run.Route, Ends: []End{{Life: run.Life, Again: run.Again}}}
+	g.Metrics.Prometheus.Add("targets_ended_under_requests", "account", string(run.Account))
+	record := Record{Digest: run.Digest, Account: run.Account, Route: run.Route, Ends: []TargetEnd{{Incarnation: run.Incarnation, Again: run.Again}}}
 	g.took(g.register.Join(g.Clock.Now(), &record))
 }
 
@@ -251,7 +251,7 @@
 
 // Succeeded notes that a request has been completed.
 func (g *Guard) Succeeded(r Request) {
-	g.register.Sound(g.Clock.Now(), r)
+	g.register.RecordSuccess(g.Clock.Now(), r)
 	g.Completed(r.Digest)
 }
 
@@ -267,10 +267,10 @@
 func (g *Guard) tell(c Change) {
 	switch {
 	case c.After == Held && c.Before != Held:
-		g.Metrics.Figures.Add("quarantine", "event", "held back")
+		g.Metrics.Prometheus.Add("quarantine", "event", "held back")
 		g.log(&c.Record).Warn("a request is held back: targets have ended under it")
 	case c.Before == Held && c.After != Held:
-		g.Metrics.Figures.Add("quarantine", "event", "let go")
+		g.Metrics.Prometheus.Add("quarantine", "event", "let go")
 		g.log(&c.Record).Info("a request is no longer held back")
 	}
 }
@@ -278,7 +278,7 @@
 func (g *Guard) log(r *Record) *logrus.Entry {
 	var targets []ids.Target
 	for _, e := range r.Ends {
-		targets = append(targets, e.Life.Target)
+		targets = append(targets, e.Incarnation.Target)
 	}
 	return g.Log.WithFields(logrus.Fields{
 		"digest": r.Digest.String(), "account": string(r.Account), "route": string(r.Route), "ended_targets": targets,
@@ -286,7 +286,7 @@
 }
 
 // EndedLives lists the lives of targets that ended under requests that are held back.
-func (g *Guard) EndedLives() []ids.Life { return g.register.HeldLives() }
+func (g *Guard) EndedIncarnations() []ids.TargetIncarnation { return g.register.HeldIncarnations() }
 
 // Held lists the requests that are held back.
 func (g *Guard) Held() []Report { return g.register.Held(g.Clock.Now()) }
--- a/pkg/quarantine/guard_test.go
+++ b/pkg/quarantine/guard_test.go
@@ -33,7 +33,7 @@
 	return others
 }
 
-func (p *fakePeers) Home(string) (netip.AddrPort, bool) { return p.all[0], p.self == 0 }
+func (p *fakePeers) Owner(string) (netip.AddrPort, bool) { return p.all[0], p.self == 0 }
 
 // fakeStore counts writes.
 type fakeStore struct {
@@ -71,8 +71,8 @@
 	for i := range count {
 		c := commontest.New(network.NewMemory(nil))
 		link := packets.NewLink(c, b.net.Socket(all[i]))
-		g := New(Parts{Common: c, Address: all[i], Peers: &fakePeers{all: all, self: i}, Link: link, Store: b.store})
-		g.TakeRows(nil, nil, true)
+		g := New(Dependencies{Common: c, Address: all[i], Peers: &fakePeers{all: all, self: i}, Link: link, Store: b.store})
+		g.ApplyRows(nil, nil, true)
 		go link.Run(ctx)
 		go g.Run(ctx)
 		b.guards = append(b.guards, g)
@@ -83,14 +83,14 @@
 
 func request() Request { return Request{Digest: digest(1), Account: "acme", Route: "r"} }
 
-func run(n int, again bool) Run { return Run{Request: request(), Life: life(n), Again: again} }
+func run(n int, again bool) Run { return Run{Request: request(), Incarnation: life(n), Again: again} }
 
 // TestASuspectedRequestRunsOnceThingsHaveSettled: what ends one target of a failure domain ends the others within some ms.
 // A run that begins before that is over says nothing of its request; one that begins later and ends its target does.
 func TestASuspectedRequestRunsOnceThingsHaveSettled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newGuardBed(t, 2)
-		enter := func(n int) *Pass {
+		enter := func(n int) *Permit {
 			pass, refused := b.guards[n].Enter(context.Background(), request())
 			if refused != nil {
 				t.Fatalf("refused: %+v", refused)
@@ -132,9 +132,9 @@
 		most  int64 // runs at a time
 	}{
 		{"all hear one another", nil, 1},
-		{"the home is silent", func(_, _ netip.AddrPort, kind packets.Kind) bool { return kind == packets.KindTurnAnswer }, 3},
+		{"the home is silent", func(_, _ netip.AddrPort, kind packets.Kind) bool { return kind == packets.KindRunAnswer }, 3},
 		{"some messages are lost", func(from, to netip.AddrPort, kind packets.Kind) bool {
-			return kind == packets.KindTurnDone || kind == packets.KindTurnAsk && asks.Add(1)%3 == 0
+			return kind == packets.KindRunDone || kind == packets.KindRunAsk && asks.Add(1)%3 == 0
 		}, 3},
 	}
 	for _, s := range scenarios {
@@ -236,7 +236,7 @@
 				t.Fatal("a request without a record needs a pass")
 			}
 			b.guards[0].Completed(digest(1))
-			b.guards[0].Doubt(run(1, false))
+			b.guards[0].PossibleEnd(run(1, false))
 			time.Sleep(100 * time.Millisecond)
 		}
 		if sent.Load() > 0 || len(b.store.writes) > 0 {
@@ -269,12 +269,12 @@
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newGuardBed(t, 2)
-				b.guards[0].Doubt(Run{Request: request(), Life: ids.Life{Target: "t1", Start: 4}})
+				b.guards[0].PossibleEnd(Run{Request: request(), Incarnation: ids.TargetIncarnation{Target: "t1", Start: 4}})
 				for _, list := range s.lists {
 					time.Sleep(s.after)
-					b.guards[0].Follow(routing.NewDirectory(list))
+					b.guards[0].SetDirectory(routing.NewDirectory(list))
 				}
-				if got := b.guards[0].Watches("acme"); got != s.ended {
+				if got := b.guards[0].HasRecord("acme"); got != s.ended {
 					t.Errorf("taken for ended: %t, want %t", got, s.ended)
 				}
 			})
@@ -288,11 +288,11 @@
 	for _, leaves := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			c := commontest.New(network.NewMemory(nil))
-			g := New(Parts{Common: c, Leaves: func(l ids.Life) bool { return leaves && l.Target == "t1" }})
-			g.Doubt(Run{Request: request(), Life: ids.Life{Target: "t1", Start: 4}})
+			g := New(Dependencies{Common: c, Leaves: func(l ids.TargetIncarnation) bool { return leaves && l.Target == "t1" }})
+			g.PossibleEnd(Run{Request: request(), Incarnation: ids.TargetIncarnation{Target: "t1", Start: 4}})
 			time.Sleep(time.Second)
-			g.Follow(routing.NewDirectory(nil))
-			if got := g.Watches("acme"); got == leaves {
+			g.SetDirectory(routing.NewDirectory(nil))
+			if got := g.HasRecord("acme"); got == leaves {
 				t.Errorf("had said that it leaves %t, taken for ended %t", leaves, got)
 			}
 		})
--- a/pkg/quarantine/keeping.go
+++ b/pkg/quarantine/keeping.go
@@ -49,7 +49,7 @@
 
 // mine reports whether this entry writes the row of a digest.
 func (g *Guard) mine(d Digest) bool {
-	_, self := g.peers.Home(matter(d))
+	_, self := g.peers.Owner(matter(d))
 	return self
 }
 
@@ -63,7 +63,7 @@
 		g.log(&w.Record).WithError(err).Info("the record of a request is not known to be written")
 		clock.Pause(ctx, writePause)
 	case w.Remove:
-		g.register.Unread(w.Digest)
+		g.register.RowRemoved(w.Digest)
 	default:
 		g.tell(g.register.Read(g.Clock.Now(), &w.Record, version))
 	}
@@ -77,16 +77,16 @@
 
 // TakeRows takes rows of the store; all says that there are no others. Gone are those that have been
 // removed.
-func (g *Guard) TakeRows(rows []Row, gone []Digest, all bool) {
+func (g *Guard) ApplyRows(rows []Row, gone []Digest, all bool) {
 	now := g.Clock.Now()
 	for _, d := range gone {
-		g.register.Unread(d)
+		g.register.RowRemoved(d)
 	}
 	if all {
-		g.register.UnreadOthers(rows)
+		g.register.RetainRows(rows)
 	}
 	for i := range rows {
 		g.tell(g.register.Read(now, &rows[i].Record, rows[i].Version))
 	}
-	g.register.Know(now)
+	g.register.MarkRead(now)
 }
--- a/pkg/quarantine/news.go
+++ b/pkg/quarantine/news.go
@@ -84,7 +84,7 @@
 func (r *Record) bytes() int {
 	n := recordBytes + len(r.Account) + len(r.Route)
 	for _, e := range r.Ends {
-		n += endBytes + len(e.Life.Target)
+		n += endBytes + len(e.Incarnation.Target)
 	}
 	return n
 }
@@ -97,7 +97,7 @@
 	}
 	for _, to := range g.peers.Others() {
 		for _, m := range messages {
-			g.link.Send(to, packets.KindEnds, m)
+			g.link.Send(to, packets.KindTargetEnds, m)
 		}
 	}
 	return more
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -27,9 +27,9 @@
 const keptEnds = 8
 
 // End is one life of a target that ended while it ran a request.
-type End struct {
-	_    struct{} `cbor:",toarray"`
-	Life ids.Life `json:"life"`
+type TargetEnd struct {
+	_           struct{}              `cbor:",toarray"`
+	Incarnation ids.TargetIncarnation `json:"life"`
 	// Again says that the run began when an earlier end was known: it was the only one of its
 	// digest then. Where a failure domain is lost, many targets end under a popular request at
 	// once, and none of these runs was one more try.
@@ -45,7 +45,7 @@
 	Digest  Digest      `json:"digest"`
 	Account ids.Account `json:"account,omitempty"`
 	Route   ids.Route   `json:"route,omitempty"`
-	Ends    []End       `json:"ends"`
+	Ends    []TargetEnd `json:"ends"`
 	// Retrials is how often it was run once more after it had been held back.
 	Retrials int `json:"retrials,omitempty"`
 }
@@ -72,13 +72,13 @@
 }
 
 // within reports whether an end says all that e says.
-func (e End) within(other End) bool {
-	return other.Life == e.Life && (other.Again || !e.Again) && (other.Excused || !e.Excused)
+func (e TargetEnd) within(other TargetEnd) bool {
+	return other.Incarnation == e.Incarnation && (other.Again || !e.Again) && (other.Excused || !e.Excused)
 }
 
 // add adds an end.
-func (r *Record) add(e End) {
-	i := slices.IndexFunc(r.Ends, func(known End) bool { return known.Life == e.Life })
+func (r *Record) add(e TargetEnd) {
+	i := slices.IndexFunc(r.Ends, func(known TargetEnd) bool { return known.Incarnation == e.Incarnation })
 	if i >= 0 {
 		r.Ends[i].Again = r.Ends[i].Again || e.Again
 		r.Ends[i].Excused = r.Ends[i].Excused || e.Excused
@@ -90,10 +90,10 @@
 }
 
 // compareEnds puts first what says most, the same way at every entry.
-func compareEnds(a, b End) int {
+func compareEnds(a, b TargetEnd) int {
 	return cmp.Or(
 		compareFlags(b.Again && !b.Excused, a.Again && !a.Excused), compareFlags(a.Excused, b.Excused),
-		cmp.Compare(a.Life.Target, b.Life.Target), cmp.Compare(a.Life.Start, b.Life.Start),
+		cmp.Compare(a.Incarnation.Target, b.Incarnation.Target), cmp.Compare(a.Incarnation.Start, b.Incarnation.Start),
 	)
 }
 
--- a/pkg/quarantine/register.go
+++ b/pkg/quarantine/register.go
@@ -57,7 +57,7 @@
 
 // Know notes that the store's records have been read. An empty register is no clean record
 // before: the first end that is seen counts as the last one needed.
-func (r *Register) Know(now clock.Millis) {
+func (r *Register) MarkRead(now clock.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.known {
@@ -70,7 +70,7 @@
 }
 
 // Watches reports whether there is anything against some request of an account.
-func (r *Register) Watches(account ids.Account) bool {
+func (r *Register) HasRecord(account ids.Account) bool {
 	if r.count.Load() == 0 {
 		return false
 	}
--- a/pkg/quarantine/register_report.go
+++ b/pkg/quarantine/register_report.go
@@ -46,20 +46,20 @@
 }
 
 // HeldLives lists the lives that ended under requests that are held back.
-func (r *Register) HeldLives() []ids.Life {
+func (r *Register) HeldIncarnations() []ids.TargetIncarnation {
 	if r.Len() == 0 {
 		return nil
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var lives []ids.Life
+	var lives []ids.TargetIncarnation
 	for _, e := range r.records {
 		if e.heldAt == 0 {
 			continue
 		}
 		for _, end := range e.Ends {
 			if !end.Excused {
-				lives = append(lives, end.Life)
+				lives = append(lives, end.Incarnation)
 			}
 		}
 	}
--- a/pkg/quarantine/register_retrials.go
+++ b/pkg/quarantine/register_retrials.go
@@ -35,7 +35,7 @@
 }
 
 // Spare notes that one more run that was allowed did not take place.
-func (r *Register) Spare(d Digest) {
+func (r *Register) RetrialUnused(d Digest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if e := r.records[d]; e != nil {
@@ -44,7 +44,7 @@
 }
 
 // TakeSpare takes a run that was allowed and did not take place.
-func (r *Register) TakeSpare(d Digest) bool {
+func (r *Register) TakeUnusedRetrial(d Digest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.records[d]
@@ -71,7 +71,7 @@
 }
 
 // Done takes the outcome of a write of Retry.
-func (r *Register) Done(w *Write, written bool) {
+func (r *Register) WriteDone(w *Write, written bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.records[w.Digest]
--- a/pkg/quarantine/register_rows.go
+++ b/pkg/quarantine/register_rows.go
@@ -23,7 +23,7 @@
 }
 
 // Unread notes that the store has no row of a request any more.
-func (r *Register) Unread(d Digest) {
+func (r *Register) RowRemoved(d Digest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if e := r.records[d]; e != nil {
@@ -32,7 +32,7 @@
 }
 
 // UnreadOthers notes that the store has no rows but these.
-func (r *Register) UnreadOthers(rows []Row) {
+func (r *Register) RetainRows(rows []Row) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	there := make(map[Digest]bool, len(rows))
--- a/pkg/quarantine/register_test.go
+++ b/pkg/quarantine/register_test.go
@@ -18,14 +18,16 @@
 	// Output: true false
 }
 
-func life(n int) ids.Life { return ids.Life{Target: ids.Target(fmt.Sprint("t", n))} }
+func life(n int) ids.TargetIncarnation {
+	return ids.TargetIncarnation{Target: ids.Target(fmt.Sprint("t", n))}
+}
 
 // record is one with ends at the lives of some numbers; those below 0 are of runs that began when
 // an earlier end was known.
 func record(d Digest, account ids.Account, numbers ...int) *Record {
 	r := &Record{Digest: d, Account: account, Route: "r"}
 	for _, n := range numbers {
-		r.add(End{Life: life(max(n, -n)), Again: n < 0})
+		r.add(TargetEnd{Incarnation: life(max(n, -n)), Again: n < 0})
 	}
 	return r
 }
@@ -47,7 +49,7 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			r := NewRegister()
-			r.Know(1)
+			r.MarkRead(1)
 			for _, n := range s.ends {
 				r.Join(1, record(digest(1), "acme", n))
 			}
@@ -66,7 +68,7 @@
 	if got := r.Verdict(1, digest(1)); got != Held {
 		t.Errorf("verdict %v before the records are read, want Held", got)
 	}
-	r.Know(2)
+	r.MarkRead(2)
 	if got := r.Verdict(2, digest(1)); got != Suspect {
 		t.Errorf("verdict %v once they are read, want Suspect", got)
 	}
@@ -87,7 +89,7 @@
 	many := append(few, record(digest(1), "acme", 6, 7, 8, 9, 10, 11, 12))
 	for shift := range many {
 		r := NewRegister()
-		r.Know(1)
+		r.MarkRead(1)
 		for i := range many {
 			r.Join(1, many[(i+shift)%len(many)])
 		}
@@ -102,7 +104,7 @@
 	var first Record
 	for shift := range news {
 		r := NewRegister()
-		r.Know(1)
+		r.MarkRead(1)
 		for i := range news {
 			r.Join(1, news[(i+shift)%len(news)])
 			r.Join(1, news[(i+shift)%len(news)])
@@ -123,7 +125,7 @@
 
 func TestACompletedRunClears(t *testing.T) {
 	r := NewRegister()
-	r.Know(1)
+	r.MarkRead(1)
 	r.Join(1, record(digest(1), "acme", 1, -2))
 	if c := r.Completed(2, digest(1)); !c.New || c.Before != Held || c.After != Free {
 		t.Errorf("completed: %+v", c)
@@ -145,14 +147,14 @@
 // TestARecordThatNamesAnotherAccount: a row of another writer may; the account of the first news stays.
 func TestARecordThatNamesAnotherAccount(t *testing.T) {
 	r := NewRegister()
-	r.Know(1)
+	r.MarkRead(1)
 	r.Join(1, record(digest(1), "", 1))
 	r.Join(1, record(digest(1), "acme", -2))
-	if r.Verdict(1, digest(1)) != Held || !r.Watches("") || r.Watches("acme") {
-		t.Errorf("verdict %v, watched: %t and %t", r.Verdict(1, digest(1)), r.Watches(""), r.Watches("acme"))
+	if r.Verdict(1, digest(1)) != Held || !r.HasRecord("") || r.HasRecord("acme") {
+		t.Errorf("verdict %v, watched: %t and %t", r.Verdict(1, digest(1)), r.HasRecord(""), r.HasRecord("acme"))
 	}
 	r.Expire(2 * heldFor)
-	if r.Len() != 0 || r.Watches("") {
+	if r.Len() != 0 || r.HasRecord("") {
 		t.Error("the record is left")
 	}
 }
@@ -161,7 +163,7 @@
 // store, and once more much later.
 func TestOneMoreRun(t *testing.T) {
 	r := NewRegister()
-	r.Know(1)
+	r.MarkRead(1)
 	held := record(digest(1), "acme", 1, -2)
 	r.Join(1, held)
 	if _, due := r.Retry(1+firstRetrial, digest(1)); due {
@@ -178,7 +180,7 @@
 	if _, due := r.Retry(1+firstRetrial, digest(1)); due {
 		t.Error("two runs are allowed at once")
 	}
-	r.Done(&w, true)
+	r.WriteDone(&w, true)
 	r.Read(2, &w.Record, 8)
 	if _, due := r.Retry(nextRetrial, digest(1)); due {
 		t.Error("the next run is allowed too soon")
@@ -187,12 +189,12 @@
 	if !due || w.Retrials != mostRetrials {
 		t.Fatalf("write %+v, due %t", w, due)
 	}
-	r.Done(&w, true)
+	r.WriteDone(&w, true)
 	if _, due := r.Retry(100*nextRetrial, digest(1)); due {
 		t.Error("more runs are allowed than there may be")
 	}
-	r.Spare(digest(1))
-	if !r.TakeSpare(digest(1)) || r.TakeSpare(digest(1)) {
+	r.RetrialUnused(digest(1))
+	if !r.TakeUnusedRetrial(digest(1)) || r.TakeUnusedRetrial(digest(1)) {
 		t.Error("a run that did not take place is not allowed just once")
 	}
 }
@@ -201,7 +203,7 @@
 // as do its own that say most, and after a few the first end is enough.
 func TestAFloodOfOneAccount(t *testing.T) {
 	r := NewRegister()
-	r.Know(1)
+	r.MarkRead(1)
 	r.Join(1, record(digest(-1), "other", 1))
 	r.Join(1, record(digest(-2), "acme", 1, -2))
 	r.Read(1, record(digest(-2), "acme", 1, -2), 3)
@@ -235,7 +237,7 @@
 
 func TestWhatTheStoreHolds(t *testing.T) {
 	r := NewRegister()
-	r.Know(1)
+	r.MarkRead(1)
 	all := func(Digest) bool { return true }
 	r.Join(1, record(digest(1), "acme", 1))
 	if due := r.Unwritten(all); len(due) != 0 {
@@ -258,7 +260,7 @@
 	if due := r.Unwritten(all); len(due) != 1 || !due[0].Remove || due[0].Version != 5 {
 		t.Fatalf("due after a completed run %+v", due)
 	}
-	r.Unread(digest(1))
+	r.RowRemoved(digest(1))
 	if due := r.Unwritten(all); len(due) != 0 {
 		t.Errorf("due of a row that is gone: %v", due)
 	}
@@ -270,7 +272,7 @@
 // TestRequestsThatComeRarely: one that comes each few minutes is remembered from one time to the next.
 func TestRequestsThatComeRarely(t *testing.T) {
 	r := NewRegister()
-	r.Know(1)
+	r.MarkRead(1)
 	r.Join(1, record(digest(1), "acme", 1))
 	r.Expire(suspectFor - 1)
 	r.Join(suspectFor, record(digest(1), "acme", -2))
@@ -290,7 +292,7 @@
 	r := NewRegister()
 	b.ReportAllocs()
 	for b.Loop() {
-		if r.Watches("acme") {
+		if r.HasRecord("acme") {
 			b.Fatal("watched")
 		}
 	}
@@ -310,7 +312,7 @@
 // it is to: 0.36 ms and no allocation, 2.1 ms and 790 kB with a copy of each record.
 func BenchmarkUnwritten(b *testing.B) {
 	r := NewRegister()
-	r.Know(1)
+	r.MarkRead(1)
 	for n := range mostRecords {
 		held := record(digest(n), ids.Account(fmt.Sprint("a", n%64)), n, -n-1)
 		r.Join(1, held)
--- a/pkg/quarantine/turns.go
+++ b/pkg/quarantine/turns.go
@@ -80,9 +80,9 @@
 		asking: make(map[uint64]*turn), holders: make(map[Digest]holder), alone: make(map[Digest]holder),
 	}
 	if peers != nil {
-		link.Handle(packets.KindTurnAsk, packets.Receive(link, t.asked))
-		link.Handle(packets.KindTurnAnswer, packets.Receive(link, t.answered))
-		link.Handle(packets.KindTurnDone, packets.Receive(link, t.done))
+		link.Handle(packets.KindRunAsk, packets.Receive(link, t.asked))
+		link.Handle(packets.KindRunAnswer, packets.Receive(link, t.answered))
+		link.Handle(packets.KindRunDone, packets.Receive(link, t.done))
 	}
 	return t
 }
@@ -103,7 +103,7 @@
 	if t.peers == nil || own.silences >= turnSilences {
 		return t.takeAlone(own)
 	}
-	home, self := t.peers.Home(matter(own.digest))
+	home, self := t.peers.Owner(matter(own.digest))
 	own.asked = true
 	if self {
 		return t.grant(own.digest, runner{t.self, own.number})
@@ -111,7 +111,7 @@
 	t.mu.Lock()
 	t.asking[own.number] = own
 	t.mu.Unlock()
-	t.link.Send(home, packets.KindTurnAsk, turnAsk{Digest: own.digest, Number: own.number})
+	t.link.Send(home, packets.KindRunAsk, turnAsk{Digest: own.digest, Number: own.number})
 	timer := time.NewTimer(turnAnswer.Duration())
 	defer timer.Stop()
 	select {
@@ -163,12 +163,12 @@
 		return
 	}
 	done := turnDone{Digest: own.digest, Number: own.number}
-	home, self := t.peers.Home(matter(own.digest))
+	home, self := t.peers.Owner(matter(own.digest))
 	if self {
 		t.done(t.self, &done)
 		return
 	}
-	t.link.Send(home, packets.KindTurnDone, done)
+	t.link.Send(home, packets.KindRunDone, done)
 }
 
 func free(among map[Digest]holder, d Digest, from runner) {
@@ -180,7 +180,7 @@
 // asked answers an entry that wants a turn.
 func (t *turns) asked(from netip.AddrPort, a *turnAsk) {
 	granted := t.grant(a.Digest, runner{from, a.Number})
-	t.link.Send(from, packets.KindTurnAnswer, turnAnswered{Number: a.Number, Granted: granted})
+	t.link.Send(from, packets.KindRunAnswer, turnAnswered{Number: a.Number, Granted: granted})
 }
 
 // answered takes the home's answer.
--- a/pkg/quota/allowance.go
+++ b/pkg/quota/allowance.go
@@ -49,7 +49,7 @@
 	Share float64
 	Units float64
 	// Keep is the part of the bucket that is left to others.
-	Keep float64
+	Reserve float64
 	// Debt is how far below 0 this request may take the bucket; math.Inf(1) is no limit.
 	Debt float64
 }
@@ -64,7 +64,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	b := a.fill(now, account, s.Share)
-	kept := s.Keep * b.capacity
+	kept := s.Reserve * b.capacity
 	if b.level > kept && s.Units-b.level <= s.Debt {
 		b.level -= s.Units
 		return true, 0
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -162,10 +162,10 @@
 	account := &routing.Account{Name: "a", PerSecond: 100, Burst: 100, CountsTokens: true}
 	a := quota.NewFilledAllowance(func(*routing.Account) float64 { return 1 })
 	a.Take(start, account, spend(90))
-	if ok, wait := a.Take(start, account, quota.Spending{Share: 1, Units: 2, Keep: 0.15, Debt: math.Inf(1)}); ok || wait != 60 {
+	if ok, wait := a.Take(start, account, quota.Spending{Share: 1, Units: 2, Reserve: 0.15, Debt: math.Inf(1)}); ok || wait != 60 {
 		t.Errorf("taken %t, come back after %d ms, want 60", ok, wait)
 	}
-	if ok, _ := a.Take(start, account, quota.Spending{Share: 1, Units: 2, Keep: 0.05, Debt: math.Inf(1)}); !ok {
+	if ok, _ := a.Take(start, account, quota.Spending{Share: 1, Units: 2, Reserve: 0.05, Debt: math.Inf(1)}); !ok {
 		t.Error("refused although more is left than is to be kept")
 	}
 	if ok, _ := a.Take(start, account, spend(2)); !ok {
--- a/pkg/ratelimit/parse.go
+++ b/pkg/ratelimit/parse.go
@@ -9,8 +9,8 @@
 // Parse reads a limit as targets name it: a decimal number, with an exponent or without. Several, in a list or in several
 // values, are all to hold, so that the least counts; among them those that are no numbers are passed over. A negative number
 // takes as little as 0, and one that is beyond all numbers is no limit.
-func Parse(values []string) Named {
-	named := Named{Given: len(values) > 0, Rate: Unlimited}
+func Parse(values []string) ParsedLimit {
+	named := ParsedLimit{Given: len(values) > 0, Rate: Unlimited}
 	for _, value := range values {
 		for field := range strings.SplitSeq(value, ",") {
 			rate, ok := parse(strings.TrimSpace(field))
--- a/pkg/ratelimit/parse_test.go
+++ b/pkg/ratelimit/parse_test.go
@@ -13,13 +13,15 @@
 }
 
 func TestParse(t *testing.T) {
-	none := ratelimit.Named{}
-	unreadable := ratelimit.Named{Given: true}
-	of := func(r ratelimit.Rate) ratelimit.Named { return ratelimit.Named{Given: true, Readable: true, Rate: r} }
+	none := ratelimit.ParsedLimit{}
+	unreadable := ratelimit.ParsedLimit{Given: true}
+	of := func(r ratelimit.Rate) ratelimit.ParsedLimit {
+		return ratelimit.ParsedLimit{Given: true, Readable: true, Rate: r}
+	}
 	scenarios := []struct {
 		name   string
 		values []string
-		want   ratelimit.Named
+		want   ratelimit.ParsedLimit
 	}{
 		{"absent", nil, none},
 		{"decimal", []string{"2.5"}, of(2.5)},
--- a/pkg/ratelimit/word.go
+++ b/pkg/ratelimit/word.go
@@ -15,17 +15,17 @@
 var Unlimited = Rate(math.Inf(1))
 
 // Named is what one answer says of its target's limit. The zero value names none.
-type Named struct {
+type ParsedLimit struct {
 	// Given says that the answer names a limit, and Readable that it can be read; Rate holds only then.
 	Given, Readable bool
 	Rate            Rate
 }
 
 // Silent reports whether the answer says nothing new: it names a limit that can't be read.
-func (n Named) Silent() bool { return n.Given && !n.Readable }
+func (n ParsedLimit) Unreadable() bool { return n.Given && !n.Readable }
 
 // Word is the rate that a target last named, Unlimited if it named none, as far as is known.
-type Word struct {
+type Report struct {
 	// Known is false while nothing has been heard.
 	Known bool
 	Rate  Rate
@@ -35,8 +35,8 @@
 }
 
 // Of returns the word of an answer that was made between two moments.
-func Of(n Named, from, to clock.Millis) Word {
-	w := Word{Known: true, Rate: Unlimited, From: from, To: to}
+func NewReport(n ParsedLimit, from, to clock.Millis) Report {
+	w := Report{Known: true, Rate: Unlimited, From: from, To: to}
 	if n.Given {
 		w.Rate = n.Rate
 	}
@@ -44,30 +44,30 @@
 }
 
 // Limits reports whether the target takes only so many requests.
-func (w Word) Limits() bool { return w.Known && w.Rate < Unlimited }
+func (w Report) IsLimited() bool { return w.Known && w.Rate < Unlimited }
 
 // Differs reports whether two words set different bounds.
-func (w Word) Differs(other Word) bool {
-	return w.Limits() != other.Limits() || w.Limits() && w.Rate != other.Rate
+func (w Report) Differs(other Report) bool {
+	return w.IsLimited() != other.IsLimited() || w.IsLimited() && w.Rate != other.Rate
 }
 
 // With returns what stands after another word was heard, be it older or newer: answers overtake one another on the way. Where
 // either may be the later one the lower rate stands, until an answer to a request that was sent afterwards.
-func (w Word) With(other Word) Word {
+func (w Report) Merge(other Report) Report {
 	switch {
 	case !w.Known || other.Known && other.From >= w.To:
 		return other
 	case !other.Known || w.From >= other.To:
 		return w
 	}
-	return Word{Known: true, Rate: min(w.Rate, other.Rate), From: max(w.From, other.From), To: max(w.To, other.To)}
+	return Report{Known: true, Rate: min(w.Rate, other.Rate), From: max(w.From, other.From), To: max(w.To, other.To)}
 }
 
 // transit is how long a word is reckoned to be on its way to another VM at the most.
 const transit = 100 * clock.Millisecond
 
 // Aged is a word as another VM is told it: by its age, since moments mean nothing there.
-type Aged struct {
+type AgedReport struct {
 	_    struct{} `cbor:",toarray"`
 	Rate Rate
 	// From and To are how long ago the first and the last moment were at which it may have been said.
@@ -75,17 +75,17 @@
 }
 
 // Aged returns a word as it is told at a moment, nil if nothing is known.
-func (w Word) Aged(now clock.Millis) *Aged {
+func (w Report) Aged(now clock.Millis) *AgedReport {
 	if !w.Known {
 		return nil
 	}
-	return &Aged{Rate: w.Rate, From: now - w.From, To: now - w.To}
+	return &AgedReport{Rate: w.Rate, From: now - w.From, To: now - w.To}
 }
 
 // Word returns what was told, on the clock of the one that has received it at a moment. A nil one tells nothing.
-func (a *Aged) Word(now clock.Millis) Word {
+func (a *AgedReport) Report(now clock.Millis) Report {
 	if a == nil {
-		return Word{}
+		return Report{}
 	}
-	return Word{Known: true, Rate: a.Rate, From: now - a.From - transit, To: now - a.To}
+	return Report{Known: true, Rate: a.Rate, From: now - a.From - transit, To: now - a.To}
 }
--- a/pkg/resume/row.go
+++ b/pkg/resume/row.go
@@ -9,7 +9,7 @@
 
 // Row counts the breaks of an answer's connections that follow close upon one another. A connection that held for some time or
 // brought something ends the row: however often a long answer breaks off, it can be whole as long as its source goes on.
-type Row struct {
+type BreakStreak struct {
 	most   int
 	breaks int
 	began  clock.Millis
@@ -17,14 +17,14 @@
 }
 
 // NewRow returns a row for an answer's first connection; most is how many breaks it may have.
-func NewRow(most int, now clock.Millis) *Row {
-	return &Row{most: most, began: now}
+func NewBreakStreak(most int, now clock.Millis) *BreakStreak {
+	return &BreakStreak{most: most, began: now}
 }
 
 // Broke notes that the connection broke, with so many of the answer's bytes taken by now. Made is false if there was no
 // connection, or the other side refused to go on: to wait for that is no sign of life. Broke returns how many breaks the row has, and
 // whether to go on.
-func (r *Row) Broke(now clock.Millis, taken int64, made bool) (breaks int, again bool) {
+func (r *BreakStreak) Broke(now clock.Millis, taken int64, made bool) (breaks int, again bool) {
 	if taken > r.taken || made && now-r.began >= steady {
 		r.breaks = 0
 	}
@@ -34,6 +34,6 @@
 }
 
 // Begin notes that a next connection is begun.
-func (r *Row) Begin(now clock.Millis) {
+func (r *BreakStreak) Begin(now clock.Millis) {
 	r.began = now
 }
--- a/pkg/resume/row_test.go
+++ b/pkg/resume/row_test.go
@@ -28,7 +28,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			var now clock.Millis
 			var taken int64
-			row := resume.NewRow(most, now)
+			row := resume.NewBreakStreak(most, now)
 			goOn := 0
 			for range 20 {
 				now += c.held
