--- a/pkg/rollout/book.go
+++ b/pkg/rollout/book.go
@@ -15,7 +15,7 @@
 // not heard of yet by revisions: an order is placed before its targets are started, so that
 // who has read the orders up to a revision at or after the target's first row knows whether
 // there is one.
-type Book struct {
+type Tracker struct {
 	mu      sync.Mutex
 	orders  map[ids.Service]Order
 	records map[ids.Service]Record
@@ -34,23 +34,23 @@
 }
 
 // NewBook returns a book that knows nothing.
-func NewBook() *Book {
-	return &Book{
+func NewTracker() *Tracker {
+	return &Tracker{
 		orders: make(map[ids.Service]Order), records: make(map[ids.Service]Record),
 		placed: make(map[ids.Service]span), ordered: make(map[ids.Service]map[ids.Version]bool), usual: make(map[ids.Service]map[ids.Version]bool),
 	}
 }
 
 // Proof says up to when and to which revision something read was the newest.
-type Proof struct {
-	At    clock.Millis // by this process's clock
-	Store clock.Millis // by the store's, at that moment
-	Read  clock.Millis // when it was read, by this process's clock
-	Up    Revision
+type Freshness struct {
+	At        clock.Millis // by this process's clock
+	StoreTime clock.Millis // by the store's, at that moment
+	ReadAt    clock.Millis // when it was read, by this process's clock
+	Revision  Revision
 }
 
 // PutOrders takes orders that were read; if all, others are gone.
-func (b *Book) PutOrders(orders []Order, gone []ids.Service, all bool, proof Proof) {
+func (b *Tracker) PutOrders(orders []Order, gone []ids.Service, all bool, proof Freshness) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known := b.orders
@@ -62,18 +62,18 @@
 	}
 	for _, o := range orders {
 		if known[o.Service].Placed != o.Placed {
-			b.placed[o.Service] = span{b.placedAfter(o, proof), proof.Read + overSpare}
+			b.placed[o.Service] = span{b.placedAfter(o, proof), proof.ReadAt + overSpare}
 		}
 		b.orders[o.Service] = o
 		remember(b.ordered, o.Service, o.Version)
 	}
 	if b.first == 0 {
-		b.first = proof.Up
+		b.first = proof.Revision
 	}
-	b.read = max(b.read, proof.Up)
+	b.read = max(b.read, proof.Revision)
 	b.ordersAt = max(b.ordersAt, proof.At)
-	if proof.Store > 0 {
-		b.ahead = proof.At - proof.Store
+	if proof.StoreTime > 0 {
+		b.ahead = proof.At - proof.StoreTime
 	}
 }
 
@@ -91,10 +91,10 @@
 
 // placedAfter is a moment before an order that has just been read was placed; if nothing was
 // read before it, it is taken to have been placed when it was read.
-func (b *Book) placedAfter(o Order, proof Proof) clock.Millis {
+func (b *Tracker) placedAfter(o Order, proof Freshness) clock.Millis {
 	switch {
 	case b.ordersAt == 0 || b.first >= o.Placed:
-		return proof.Read
+		return proof.ReadAt
 	case proof.At-b.ordersAt <= steadyNews:
 		return max(b.ordersAt, proof.At-quickNews)
 	}
@@ -105,11 +105,11 @@
 type span struct{ from, to clock.Millis }
 
 // Times are the moments of an open order.
-func (b *Book) Times(o Order, r Record) Times {
+func (b *Tracker) Times(o Order, r Record) Times {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r.State != Pending {
-		return Times{r.Started + b.ahead, r.Ends + b.ahead, r.Over + b.ahead}
+		return Times{r.Started + b.ahead, r.EarliestEnd + b.ahead, r.LatestEnd + b.ahead}
 	}
 	placed := b.placed[o.Service]
 	return Times{placed.from, placed.from + o.Within, placed.to + o.Within}
@@ -121,12 +121,12 @@
 
 // Opens is when a completed version of a service gets all requests, if it does not yet, at the
 // home of an id: the one that told the order's times knows the moment by its own clock.
-func (b *Book) Opens(service ids.Service, home uint64, now clock.Millis) (clock.Millis, bool) {
+func (b *Tracker) OpensAt(service ids.Service, home uint64, now clock.Millis) (clock.Millis, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.records[service]
-	at := r.Over + b.ahead
-	if r.TimedBy != home {
+	at := r.LatestEnd + b.ahead
+	if r.TimedByOwner != home {
 		at += clocksApart
 	}
 	return at, r.State == Completed && now < at
@@ -140,7 +140,7 @@
 }
 
 // PutRecords takes records that were read. Older ones than known are passed over.
-func (b *Book) PutRecords(records []Record, proof Proof) {
+func (b *Tracker) PutRecords(records []Record, proof Freshness) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, r := range records {
@@ -156,13 +156,13 @@
 
 // Open returns the order of a service that waits for its end, and the record of it, which is
 // Pending if none was written yet.
-func (b *Book) Open(service ids.Service) (Order, Record, bool) {
+func (b *Tracker) OpenOrder(service ids.Service) (Order, Record, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.open(service)
 }
 
-func (b *Book) open(service ids.Service) (Order, Record, bool) {
+func (b *Tracker) open(service ids.Service) (Order, Record, bool) {
 	o, ordered := b.orders[service]
 	r := b.records[service]
 	switch {
@@ -178,7 +178,7 @@
 }
 
 // Knows reports whether an order has been read already.
-func (b *Book) Knows(o Order) bool {
+func (b *Tracker) Knows(o Order) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.orders[o.Service].Placed == o.Placed
@@ -188,7 +188,7 @@
 func (o *Order) Withdrawn() bool { return o.Within == 0 }
 
 // Order returns the order of a service that is known, if there is one.
-func (b *Book) Order(service ids.Service) (Order, bool) {
+func (b *Tracker) Order(service ids.Service) (Order, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	o, known := b.orders[service]
@@ -196,7 +196,7 @@
 }
 
 // Record returns what was decided of a service's newest order.
-func (b *Book) Record(service ids.Service) (Record, bool) {
+func (b *Tracker) Record(service ids.Service) (Record, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r, known := b.records[service]
@@ -204,7 +204,7 @@
 }
 
 // Services lists the services of which there is an order or a record.
-func (b *Book) Services() []ids.Service {
+func (b *Tracker) Services() []ids.Service {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var list []ids.Service
@@ -221,21 +221,21 @@
 
 // Witnessed reports whether this process knew that there was no such order before it came:
 // then it has surely sent nothing to its version yet.
-func (b *Book) Witnessed(o Order) bool {
+func (b *Tracker) FollowedBefore(o Order) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.first > 0 && b.first < o.Placed
 }
 
 // Age is how long ago orders and records were surely the newest.
-func (b *Book) Age(now clock.Millis) clock.Millis {
+func (b *Tracker) Age(now clock.Millis) clock.Millis {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return now - min(b.ordersAt, b.recordsAt)
 }
 
 // StoreTime puts a moment on the store's clock.
-func (b *Book) StoreTime(at clock.Millis) clock.Millis {
+func (b *Tracker) StoreTime(at clock.Millis) clock.Millis {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return at - b.ahead
@@ -244,7 +244,7 @@
 // Admission says whether a target may get work; mixed says that its service has targets of
 // several versions. A service that ran the ordered version alone before the order has nothing to
 // try.
-func (b *Book) Admission(t *routing.Target, mixed bool) routing.Admission {
+func (b *Tracker) Admission(t *routing.Target, mixed bool) routing.Admission {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r, decided := b.records[t.Service]
@@ -281,7 +281,7 @@
 )
 
 // noteUse remembers that a target's version is in use; the lock is held.
-func (b *Book) noteUse(t *routing.Target) {
+func (b *Tracker) noteUse(t *routing.Target) {
 	if len(b.usual) < mostServices && len(b.usual[t.Service]) < mostVersions {
 		remember(b.usual, t.Service, t.Version)
 	}
@@ -289,7 +289,7 @@
 
 // Usual reports whether a version of a service was in use before an order named it, or was
 // completed.
-func (b *Book) Usual(service ids.Service, version ids.Version) bool {
+func (b *Tracker) Established(service ids.Service, version ids.Version) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.usual[service][version]
@@ -297,7 +297,7 @@
 
 // decided reports whether a target that is withheld is so by an order or a record, and not
 // because it is unknown whether there is one.
-func (b *Book) decided(t *routing.Target) bool {
+func (b *Tracker) decided(t *routing.Target) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r, has := b.records[t.Service]
--- a/pkg/rollout/book_test.go
+++ b/pkg/rollout/book_test.go
@@ -15,8 +15,8 @@
 	return rollout.Order{Service: service, Version: version, Within: 30000, Placed: placed}
 }
 
-func proof(up rollout.Revision) rollout.Proof {
-	return rollout.Proof{At: 1000 + 10*int64ToMillis(up), Store: 10 * int64ToMillis(up), Read: 1000 + 10*int64ToMillis(up), Up: up}
+func proof(up rollout.Revision) rollout.Freshness {
+	return rollout.Freshness{At: 1000 + 10*int64ToMillis(up), StoreTime: 10 * int64ToMillis(up), ReadAt: 1000 + 10*int64ToMillis(up), Revision: up}
 }
 
 // TestAdmission tells which targets may get work, as a process reads orders and records in one
@@ -24,7 +24,7 @@
 // for v2 is placed at 10.
 func TestAdmission(t *testing.T) {
 	record := func(version ids.Version, of rollout.Revision, state rollout.State, written rollout.Revision, barred ...ids.Version) rollout.Record {
-		return rollout.Record{Service: service, Version: version, Order: of, State: state, Written: written, Over: 500, Barred: barred}
+		return rollout.Record{Service: service, Version: version, Order: of, State: state, Written: written, LatestEnd: 500, Barred: barred}
 	}
 	type reads struct {
 		orders  []rollout.Order
@@ -55,7 +55,7 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			b := rollout.NewBook()
+			b := rollout.NewTracker()
 			for _, r := range s.reads {
 				b.PutOrders(r.orders, nil, true, proof(r.up))
 				b.PutRecords(r.records, proof(r.up))
@@ -79,12 +79,12 @@
 	third := &routing.Target{ID: "c", Service: service, Version: "v3", Listed: 32}
 	completed := rollout.Record{Service: service, Version: "v2", Order: 10, State: rollout.Completed, Written: 15}
 	trial := rollout.Record{Service: service, Version: "v3", Order: 30, State: rollout.Running, Written: 35}
-	seen := rollout.NewBook()
+	seen := rollout.NewTracker()
 	seen.PutOrders(nil, nil, true, proof(5))
 	seen.PutOrders([]rollout.Order{order("v2", 10)}, nil, false, proof(12))
 	seen.PutRecords([]rollout.Record{completed}, proof(15))
-	started := rollout.NewBook()
-	for name, b := range map[string]*rollout.Book{"an entry that has seen all": seen, "an entry that begins": started} {
+	started := rollout.NewTracker()
+	for name, b := range map[string]*rollout.Tracker{"an entry that has seen all": seen, "an entry that begins": started} {
 		b.PutOrders([]rollout.Order{order("v3", 30)}, nil, true, proof(33))
 		b.PutRecords([]rollout.Record{trial}, proof(35))
 		if got := b.Admission(second, true); got != routing.Admitted {
@@ -98,12 +98,12 @@
 
 // TestAVersionThatRanAlreadyNeedsNoTrial orders the version that the whole service runs.
 func TestAVersionThatRanAlreadyNeedsNoTrial(t *testing.T) {
-	b := rollout.NewBook()
+	b := rollout.NewTracker()
 	target := &routing.Target{ID: "a", Service: service, Version: "v1", Listed: 1}
 	b.PutOrders(nil, nil, true, proof(5))
 	b.Admission(target, false)
 	b.PutOrders([]rollout.Order{order("v1", 10)}, nil, false, proof(10))
-	if got := b.Admission(target, false); got != routing.Admitted || !b.Usual(service, "v1") {
+	if got := b.Admission(target, false); got != routing.Admitted || !b.Established(service, "v1") {
 		t.Errorf("it is %v", got)
 	}
 	if got := b.Admission(target, true); got != routing.Withheld {
@@ -114,14 +114,14 @@
 // TestACompletedVersionOpensAtTheOrdersEnd has a version completed before the time of its order is
 // over: up to then what it gets counts.
 func TestACompletedVersionOpensAtTheOrdersEnd(t *testing.T) {
-	b := rollout.NewBook()
+	b := rollout.NewTracker()
 	b.PutOrders([]rollout.Order{order("v2", 10)}, nil, true, proof(20)) // the store's clock is 1000 behind
-	b.PutRecords([]rollout.Record{{Service: service, Version: "v2", Order: 10, State: rollout.Completed, Written: 15, Over: 500, By: 8, TimedBy: 7}}, proof(20))
-	if opens, closed := b.Opens(service, 8, 1700); !closed || opens != 1750 {
+	b.PutRecords([]rollout.Record{{Service: service, Version: "v2", Order: 10, State: rollout.Completed, Written: 15, LatestEnd: 500, Owner: 8, TimedByOwner: 7}}, proof(20))
+	if opens, closed := b.OpensAt(service, 8, 1700); !closed || opens != 1750 {
 		t.Errorf("at another home than the one that told the times, it is closed %t, up to %d", closed, opens)
 	}
 	for at, want := range map[int64]bool{1400: true, 1499: true, 1500: false} {
-		if opens, closed := b.Opens(service, 7, int64ToMillis(at)); closed != want || opens != 1500 {
+		if opens, closed := b.OpensAt(service, 7, int64ToMillis(at)); closed != want || opens != 1500 {
 			t.Errorf("at %d it is closed %t, up to %d", at, closed, opens)
 		}
 	}
@@ -130,7 +130,7 @@
 // TestAnOlderRecordChangesNothing has records come in the wrong order, as from a store that is read
 // through others.
 func TestAnOlderRecordChangesNothing(t *testing.T) {
-	b := rollout.NewBook()
+	b := rollout.NewTracker()
 	b.PutOrders([]rollout.Order{order("v2", 10)}, nil, true, proof(20))
 	final := rollout.Record{Service: service, Version: "v2", Order: 10, State: rollout.RolledBack, Written: 17}
 	b.PutRecords([]rollout.Record{final}, proof(20))
@@ -138,7 +138,7 @@
 	if r, _ := b.Record(service); r.State != rollout.RolledBack {
 		t.Errorf("the record is %v again", r.State)
 	}
-	if _, _, open := b.Open(service); open {
+	if _, _, open := b.OpenOrder(service); open {
 		t.Error("the order is open again")
 	}
 }
@@ -147,28 +147,28 @@
 func TestTimesOfAnOrder(t *testing.T) {
 	scenarios := []struct {
 		name          string
-		before        rollout.Proof // of the last read without the order
-		read          rollout.Proof
+		before        rollout.Freshness // of the last read without the order
+		read          rollout.Freshness
 		started, over int64
 	}{
-		{"told at once", rollout.Proof{At: 9000, Read: 9000, Up: 5}, rollout.Proof{At: 10000, Read: 10010, Up: 10}, 9850, 40030},
-		{"the last read was just before", rollout.Proof{At: 9950, Read: 9950, Up: 5}, rollout.Proof{At: 10000, Read: 10010, Up: 10}, 9950, 40030},
-		{"the store was away", rollout.Proof{At: 4000, Read: 4000, Up: 5}, rollout.Proof{At: 10000, Read: 10010, Up: 10}, 4000, 40030},
-		{"there at the first read", rollout.Proof{}, rollout.Proof{At: 10000, Read: 10010, Up: 10}, 10010, 40030},
+		{"told at once", rollout.Freshness{At: 9000, ReadAt: 9000, Revision: 5}, rollout.Freshness{At: 10000, ReadAt: 10010, Revision: 10}, 9850, 40030},
+		{"the last read was just before", rollout.Freshness{At: 9950, ReadAt: 9950, Revision: 5}, rollout.Freshness{At: 10000, ReadAt: 10010, Revision: 10}, 9950, 40030},
+		{"the store was away", rollout.Freshness{At: 4000, ReadAt: 4000, Revision: 5}, rollout.Freshness{At: 10000, ReadAt: 10010, Revision: 10}, 4000, 40030},
+		{"there at the first read", rollout.Freshness{}, rollout.Freshness{At: 10000, ReadAt: 10010, Revision: 10}, 10010, 40030},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			b := rollout.NewBook()
-			if s.before.Up > 0 {
+			b := rollout.NewTracker()
+			if s.before.Revision > 0 {
 				b.PutOrders(nil, nil, true, s.before)
 			}
 			o := order("v2", 8)
 			b.PutOrders([]rollout.Order{o}, nil, false, s.read)
 			times := b.Times(o, rollout.Record{})
-			if int64(times.Started) != s.started || int64(times.Over) != s.over || times.Ends != times.Started+o.Within {
+			if int64(times.Started) != s.started || int64(times.LatestEnd) != s.over || times.EarliestEnd != times.Started+o.Within {
 				t.Errorf("%+v, want it to start at %d and be over at %d", times, s.started, s.over)
 			}
-			if got, want := b.Witnessed(o), s.before.Up > 0; got != want {
+			if got, want := b.FollowedBefore(o), s.before.Revision > 0; got != want {
 				t.Errorf("witnessed %t", got)
 			}
 		})
@@ -193,7 +193,7 @@
 			return &routing.Target{Service: "s", Version: ids.Version(fmt.Sprint("v", i))}
 		},
 	} {
-		b := rollout.NewBook()
+		b := rollout.NewTracker()
 		b.PutOrders(nil, nil, true, proof(12))
 		remembered := 0
 		for i := range many {
@@ -201,7 +201,7 @@
 			if b.Admission(one, true) != routing.Admitted {
 				t.Fatalf("%s: the %dth gets nothing", name, i)
 			}
-			if b.Usual(one.Service, one.Version) {
+			if b.Established(one.Service, one.Version) {
 				remembered++
 			}
 		}
--- a/pkg/rollout/evidence.go
+++ b/pkg/rollout/evidence.go
@@ -10,9 +10,9 @@
 
 // Observation is what became of one request at a target.
 type Observation struct {
-	At    clock.Millis
-	Life  ids.Life // of its target
-	Route ids.Route
+	At          clock.Millis
+	Incarnation ids.TargetIncarnation // of its target
+	Route       ids.Route
 	// Failed says that the target failed it; Ratio is how much longer it took than such a
 	// request takes at an ordinary target, and Factor how much slower than such a one the target
 	// is; 0 if that is not known.
@@ -75,7 +75,7 @@
 
 // cell is where an answer is counted.
 type cell struct {
-	life   ids.Life
+	life   ids.TargetIncarnation
 	route  ids.Route
 	loaded bool
 }
@@ -109,7 +109,7 @@
 func newGroup() group { return group{cells: make(map[cell]*history)} }
 
 func (g *group) add(o Observation, bad bool) {
-	c := cell{o.Life, o.Route, o.Loaded}
+	c := cell{o.Incarnation, o.Route, o.Loaded}
 	h := g.cells[c]
 	if h == nil {
 		h = &history{}
@@ -125,8 +125,8 @@
 }
 
 // byTarget sums the answers of a slice by target, each of its lives for itself.
-func (g *group) byTarget(of slice, recent bool) map[ids.Life]tally {
-	return sumBy(g, of, recent, func(c cell) ids.Life { return c.life })
+func (g *group) byTarget(of slice, recent bool) map[ids.TargetIncarnation]tally {
+	return sumBy(g, of, recent, func(c cell) ids.TargetIncarnation { return c.life })
 }
 
 // byRoute sums all answers by route.
@@ -161,7 +161,7 @@
 	// carried is what an earlier home had gathered.
 	carried Summary
 	// excused are lives that ended under a request that ends targets whatever their version.
-	excused map[ids.Life]bool
+	excused map[ids.TargetIncarnation]bool
 }
 
 // paced is an answer of the version on trial, and how long it took beside others of its route.
@@ -186,13 +186,13 @@
 // Excuse has what these lives failed count neither against the version on trial nor against the old one.
 // A request that ends its targets fails with all that runs beside it; which one it was is known
 // with the second target that it ends, when the first has been noted already.
-func (e *Evidence) Excuse(lives []ids.Life) {
+func (e *Evidence) Excuse(lives []ids.TargetIncarnation) {
 	for _, life := range lives {
 		if e.excused[life] || len(e.excused) >= mostExcused {
 			continue
 		}
 		if e.excused == nil {
-			e.excused = make(map[ids.Life]bool)
+			e.excused = make(map[ids.TargetIncarnation]bool)
 		}
 		e.excused[life] = true
 		maps.DeleteFunc(e.old.cells, func(c cell, _ *history) bool { return c.life == life })
@@ -202,19 +202,19 @@
 
 // forgetCutShort takes what an excused life failed out of what its answers usually take: beside answers that
 // its end cut short its whole ones would look slow.
-func (e *Evidence) forgetCutShort(life ids.Life) {
+func (e *Evidence) forgetCutShort(life ids.TargetIncarnation) {
 	delete(e.pace.old, life)
 	delete(e.pace.fresh, life)
 	for _, a := range e.answers {
-		if a.Life == life && !a.Failed && a.took > 0 {
+		if a.Incarnation == life && !a.Failed && a.took > 0 {
 			get(e.pace.fresh, life).add(a.took)
 		}
 	}
 }
 
 // Note takes an answer of the version on trial, or of the old one.
-func (e *Evidence) Note(onTrial bool, o Observation) {
-	if o.Failed && e.excused[o.Life] {
+func (e *Evidence) Add(onTrial bool, o Observation) {
+	if o.Failed && e.excused[o.Incarnation] {
 		return
 	}
 	took := e.pace.note(onTrial, o)
@@ -224,7 +224,7 @@
 		e.answers = append(e.answers, paced{o, took})
 		e.answers = e.answers[max(0, len(e.answers)-mostAnswers):]
 	} else {
-		e.old.add(o, o.Failed || e.pace.slow(false, o.Life, took))
+		e.old.add(o, o.Failed || e.pace.slow(false, o.Incarnation, took))
 		e.oldAnswers++
 	}
 	if o.Loaded {
@@ -236,10 +236,10 @@
 func (e *Evidence) sort() {
 	e.fresh = newGroup()
 	for _, a := range e.answers {
-		if a.Failed && e.excused[a.Life] {
+		if a.Failed && e.excused[a.Incarnation] {
 			continue
 		}
-		e.fresh.add(a.Observation, a.Failed || e.pace.slow(true, a.Life, a.took))
+		e.fresh.add(a.Observation, a.Failed || e.pace.slow(true, a.Incarnation, a.took))
 	}
 }
 
@@ -264,7 +264,7 @@
 	}
 	s := e.carried.plus(own, 1).plus(old, 1)
 	all := e.compare(slice{}, false)
-	s.Targets, s.Suspect = all.targets, all.suspect
+	s.Targets, s.WorseTargets = all.targets, all.suspect
 	return s
 }
 
--- a/pkg/rollout/evidence_test.go
+++ b/pkg/rollout/evidence_test.go
@@ -35,9 +35,9 @@
 			factor *= 5
 		}
 		ill := random.Float64() < p.ailing
-		id := ids.Life{Target: ids.Target(fmt.Sprint(onTrial, n))}
+		id := ids.TargetIncarnation{Target: ids.Target(fmt.Sprint(onTrial, n))}
 		return factor, func(at clock.Millis, part float64) {
-			o := rollout.Observation{At: at, Life: id, Route: "r", Ratio: factor * math.Exp(0.25*random.NormFloat64()), Factor: factor}
+			o := rollout.Observation{At: at, Incarnation: id, Route: "r", Ratio: factor * math.Exp(0.25*random.NormFloat64()), Factor: factor}
 			o.Failed = random.Float64() < p.errors || ill && random.Float64() < 0.5
 			if onTrial && part >= p.from {
 				o.Failed = o.Failed || random.Float64() < p.bad
@@ -45,7 +45,7 @@
 					o.Ratio *= p.slow
 				}
 			}
-			e.Note(onTrial, o)
+			e.Add(onTrial, o)
 		}
 	}
 	var fresh, old []func(clock.Millis, float64)
@@ -162,16 +162,16 @@
 func TestLivesThatAreExcused(t *testing.T) {
 	const most = 6 // lives that are excused
 	e := rollout.NewEvidence(rollout.Summary{})
-	var lives []ids.Life
+	var lives []ids.TargetIncarnation
 	for n := range 2 * most {
-		life := ids.Life{Target: ids.Target(fmt.Sprint("t", n))}
+		life := ids.TargetIncarnation{Target: ids.Target(fmt.Sprint("t", n))}
 		lives = append(lives, life)
-		e.Note(true, rollout.Observation{Life: life, Route: "r", Failed: true})
-		e.Note(true, rollout.Observation{Life: life, Route: "r"})
+		e.Add(true, rollout.Observation{Incarnation: life, Route: "r", Failed: true})
+		e.Add(true, rollout.Observation{Incarnation: life, Route: "r"})
 	}
 	e.Excuse(lives)
 	e.Excuse(lives)
-	e.Note(true, rollout.Observation{Life: lives[0], Route: "r", Failed: true})
+	e.Add(true, rollout.Observation{Incarnation: lives[0], Route: "r", Failed: true})
 	if s := e.Summary(); s.Bad != most || s.Requests != 3*most {
 		t.Errorf("%d of %d answers are bad, want %d of %d", s.Bad, s.Requests, most, 3*most)
 	}
@@ -187,18 +187,18 @@
 		t.Run(fmt.Sprint("on trial ", onTrial), func(t *testing.T) {
 			e := rollout.NewEvidence(rollout.Summary{})
 			for range 30 {
-				e.Note(false, rollout.Observation{Life: ids.Life{Target: "other"}, Route: "r", Ratio: usual, Factor: 1})
+				e.Add(false, rollout.Observation{Incarnation: ids.TargetIncarnation{Target: "other"}, Route: "r", Ratio: usual, Factor: 1})
 			}
-			ended := ids.Life{Target: "ended"}
+			ended := ids.TargetIncarnation{Target: "ended"}
 			for range 8 {
-				e.Note(onTrial, rollout.Observation{Life: ended, Route: "r", Ratio: usual, Factor: 1})
+				e.Add(onTrial, rollout.Observation{Incarnation: ended, Route: "r", Ratio: usual, Factor: 1})
 			}
 			for range 8 {
-				e.Note(onTrial, rollout.Observation{Life: ended, Route: "r", Ratio: cut, Factor: 1, Failed: true})
+				e.Add(onTrial, rollout.Observation{Incarnation: ended, Route: "r", Ratio: cut, Factor: 1, Failed: true})
 			}
-			e.Excuse([]ids.Life{ended})
+			e.Excuse([]ids.TargetIncarnation{ended})
 			for range 8 { // as its former life's last answers come in
-				e.Note(onTrial, rollout.Observation{Life: ended, Route: "r", Ratio: usual, Factor: 1})
+				e.Add(onTrial, rollout.Observation{Incarnation: ended, Route: "r", Ratio: usual, Factor: 1})
 			}
 			s := e.Summary()
 			bad := s.Bad
--- a/pkg/rollout/exposure.go
+++ b/pkg/rollout/exposure.go
@@ -45,7 +45,7 @@
 
 // Credit is how many requests an entry may send beyond its part, being the nth of so many by
 // some order that all agree on.
-func Credit(b Bounds, nth, entries int) int {
+func SlackCredit(b Bounds, nth, entries int) int {
 	given := int(slackPart * b.Slack)
 	if nth >= given {
 		return 0
@@ -71,11 +71,11 @@
 
 // Ask reports whether one more request may go to the version on trial, and sets it aside.
 // Each is followed by Give or Send.
-func (e *Exposure) Ask(service ids.Service, b Bounds) bool {
+func (e *Exposure) Reserve(service ids.Service, b Bounds) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	x := e.services[service]
-	if x == nil || float64(x.sent+x.asked+1) > exposedPart*b.Share*float64(x.reached)+float64(x.credit) {
+	if x == nil || float64(x.sent+x.asked+1) > exposedPart*b.Fraction*float64(x.reached)+float64(x.credit) {
 		return false
 	}
 	x.asked++
@@ -83,7 +83,7 @@
 }
 
 // Give takes back what Ask has set aside.
-func (e *Exposure) Give(service ids.Service) {
+func (e *Exposure) Release(service ids.Service) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if x := e.services[service]; x != nil && x.asked > 0 {
@@ -93,7 +93,7 @@
 
 // Send turns what Ask has set aside into a request that is sent to a version; it reports
 // whether that is still the one on trial.
-func (e *Exposure) Send(service ids.Service, version ids.Version) bool {
+func (e *Exposure) Commit(service ids.Service, version ids.Version) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	x := e.services[service]
--- a/pkg/rollout/exposure_test.go
+++ b/pkg/rollout/exposure_test.go
@@ -7,7 +7,7 @@
 	"quaydock/pkg/rollout"
 )
 
-var bounds = rollout.Bounds{Share: 0.1, Slack: 50, Stop: 5000}
+var bounds = rollout.Bounds{Fraction: 0.1, Slack: 50, Stop: 5000}
 
 // TestExposureOfAllEntriesHolds has entries send what they may while entries begin anew, some
 // not knowing the order from before it came, and others are added: at no moment more goes to the
@@ -20,7 +20,7 @@
 		entries := make([]*rollout.Exposure, n)
 		for i := range entries {
 			entries[i] = rollout.NewExposure()
-			entries[i].Begin(o, rollout.Credit(bounds, i, n))
+			entries[i].Begin(o, rollout.SlackCredit(bounds, i, n))
 		}
 		reached, sent := 0, 0
 		for range 4000 {
@@ -31,10 +31,10 @@
 				entries[i] = rollout.NewExposure()
 				entries[i].Begin(o, 0)
 				continue
-			case e.Ask(service, bounds):
+			case e.Reserve(service, bounds):
 				if random.IntN(3) == 0 {
-					e.Give(service) // it got another target
-				} else if e.Send(service, "v2") {
+					e.Release(service) // it got another target
+				} else if e.Commit(service, "v2") {
 					sent++
 				}
 			}
@@ -42,7 +42,7 @@
 				e.Reached(service, o.Placed)
 				reached++
 			}
-			if float64(sent) > bounds.Share*float64(reached)+bounds.Slack {
+			if float64(sent) > bounds.Fraction*float64(reached)+bounds.Slack {
 				t.Fatalf("seed %d: %d of %d requests", seed, sent, reached)
 			}
 		}
@@ -57,12 +57,12 @@
 	e := rollout.NewExposure()
 	first, next := order("v2", 10), order("v3", 20)
 	e.Begin(first, 5)
-	if !e.Ask(service, bounds) {
+	if !e.Reserve(service, bounds) {
 		t.Fatal("nothing may be sent")
 	}
 	e.Begin(next, 0)
 	e.Reached(service, first.Placed)
-	if e.Send(service, "v2") || e.Ask(service, bounds) {
+	if e.Commit(service, "v2") || e.Reserve(service, bounds) {
 		t.Error("a request goes to the version that was replaced")
 	}
 	if reached, sent := e.Counts(service); reached != 0 || sent != 0 {
@@ -79,7 +79,7 @@
 	for _, s := range scenarios {
 		sum := 0
 		for nth := range s.entries {
-			sum += rollout.Credit(bounds, nth, s.entries)
+			sum += rollout.SlackCredit(bounds, nth, s.entries)
 		}
 		if sum != s.want {
 			t.Errorf("%d entries get %d in all, want %d", s.entries, sum, s.want)
--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/judge.go
@@ -58,8 +58,8 @@
 // Finding is what the evidence says.
 type Finding struct {
 	// Bad says that the version is bad, Doubt that it may be.
-	Bad, Doubt bool
-	Why        string
+	Bad, PossiblyBad bool
+	Why              string
 }
 
 // comparison is how the targets of the version on trial stand beside the old ones.
@@ -145,7 +145,7 @@
 
 // badRate is how many of the old version's answers are bad, with some caution while few are
 // known.
-func badRate(of map[ids.Life]tally) float64 {
+func badRate(of map[ids.TargetIncarnation]tally) float64 {
 	const priorBad, priorAll = 0.5, 50
 	var sum tally
 	for _, t := range of {
@@ -183,14 +183,14 @@
 	e.fresh.forget(now - recentFor)
 	e.old.forget(now - recentFor)
 	finding := e.guard()
-	if f := e.pace.finding(); f.Bad && !finding.Bad || f.Doubt && !finding.Doubt {
+	if f := e.pace.finding(); f.Bad && !finding.Bad || f.PossiblyBad && !finding.PossiblyBad {
 		finding = f
 	}
 	for _, of := range e.slices() {
 		for _, recent := range []bool{true, false} {
 			c := e.compare(of, recent)
 			f := c.finding(of, recent, targets)
-			if f.Bad && !finding.Bad || f.Doubt && !finding.Doubt && !finding.Bad {
+			if f.Bad && !finding.Bad || f.PossiblyBad && !finding.PossiblyBad && !finding.Bad {
 				finding = f
 			}
 		}
@@ -218,7 +218,7 @@
 	if recent {
 		span = "of late"
 	}
-	return Finding{Bad: bad, Doubt: true, Why: fmt.Sprintf("%d of %d targets suspect on %v %s, %d of %d answers bad where %.1f were expected (chance %.1g, without the worst targets %.1g)",
+	return Finding{Bad: bad, PossiblyBad: true, Why: fmt.Sprintf("%d of %d targets suspect on %v %s, %d of %d answers bad where %.1f were expected (chance %.1g, without the worst targets %.1g)",
 		c.suspect, c.targets, of, span, c.fresh.bad, c.fresh.n, c.expected, c.chance, c.trimmed)}
 }
 
@@ -228,14 +228,14 @@
 		return Finding{}
 	}
 	if slow, targets, chance := p.beyond(); slow >= 2 && chance <= beyondDoubt {
-		return Finding{Bad: slow >= mostFew && chance <= beyondBad, Doubt: true, Why: fmt.Sprintf("%d of %d targets are far slower than any old one (chance %.1g)", slow, targets, chance)}
+		return Finding{Bad: slow >= mostFew && chance <= beyondBad, PossiblyBad: true, Why: fmt.Sprintf("%d of %d targets are far slower than any old one (chance %.1g)", slow, targets, chance)}
 	}
 	sigmas, targets := p.slower()
 	bad := sigmas >= slowSigmas && targets >= slowTargets
 	if !bad && (sigmas < doubtSigmas || targets < doubtTargets) {
 		return Finding{}
 	}
-	return Finding{Bad: bad, Doubt: true, Why: fmt.Sprintf("%d targets are more than %.0f times as slow as the old ones (%.1f standard deviations)", targets, levelTimes, sigmas)}
+	return Finding{Bad: bad, PossiblyBad: true, Why: fmt.Sprintf("%d targets are more than %.0f times as slow as the old ones (%.1f standard deviations)", targets, levelTimes, sigmas)}
 }
 
 // luck is the chance of so many bad answers in all if the old version had given them.
@@ -250,6 +250,6 @@
 	if c.excess+carried < mostExcess || carried < mostExcess && c.luck() > doubtChance {
 		return Finding{}
 	}
-	return Finding{Bad: true, Doubt: true, Why: fmt.Sprintf("%d of %d answers bad where %.1f were expected, %d of %d before this entry took over",
+	return Finding{Bad: true, PossiblyBad: true, Why: fmt.Sprintf("%d of %d answers bad where %.1f were expected, %d of %d before this entry took over",
 		c.fresh.bad, c.fresh.n, c.expected, e.carried.Bad, e.carried.Requests)}
 }
--- a/pkg/rollout/order.go
+++ b/pkg/rollout/order.go
@@ -64,21 +64,21 @@
 type Bounds struct {
 	// Share is the part of a service's requests, between the order and the end of its
 	// time, that a bad version may get, and Slack how many more.
-	Share float64
-	Slack float64
+	Fraction float64
+	Slack    float64
 	// Stop is how long after its fiftieth bad answer a bad version may still get requests.
 	Stop clock.Millis
 }
 
 // Enabled reports whether roll-outs are part of the deployment.
-func (b Bounds) Enabled() bool { return b.Share > 0 }
+func (b Bounds) Enabled() bool { return b.Fraction > 0 }
 
 // trustPart is the part of Bounds.Stop for which an entry relies on what it has last heard
 // of a roll-out; the rest is for the way of the news, and for finding out that it is bad.
 const trustPart = 0.5
 
 // Trust is for how long after a proof from the store an entry relies on it.
-func (b Bounds) Trust() clock.Millis {
+func (b Bounds) Grace() clock.Millis {
 	return clock.Millis(trustPart * float64(b.Stop))
 }
 
--- a/pkg/rollout/pace.go
+++ b/pkg/rollout/pace.go
@@ -88,14 +88,14 @@
 type pace struct {
 	routes  map[ids.Route]*sample // ratios of the old version
 	used    sample                // factors of the old targets, one for each of their answers
-	fresh   map[ids.Life]*sample
-	old     map[ids.Life]*sample
+	fresh   map[ids.TargetIncarnation]*sample
+	old     map[ids.TargetIncarnation]*sample
 	factors []float64 // of the old version's targets, beside those that are used most
 	high    float64   // of the slowest of these
 }
 
 func newPace() pace {
-	return pace{routes: make(map[ids.Route]*sample), fresh: make(map[ids.Life]*sample), old: make(map[ids.Life]*sample), high: 1}
+	return pace{routes: make(map[ids.Route]*sample), fresh: make(map[ids.TargetIncarnation]*sample), old: make(map[ids.TargetIncarnation]*sample), high: 1}
 }
 
 func (p *pace) setFactors(factors []float64) {
@@ -129,12 +129,12 @@
 		return 0
 	}
 	took := o.Ratio / usual
-	get(of, o.Life).add(took)
+	get(of, o.Incarnation).add(took)
 	return took
 }
 
 // slow reports whether an answer took several times as long as its target's usually do.
-func (p *pace) slow(onTrial bool, life ids.Life, took float64) bool {
+func (p *pace) slow(onTrial bool, life ids.TargetIncarnation, took float64) bool {
 	of := p.old
 	if onTrial {
 		of = p.fresh
--- a/pkg/rollout/record.go
+++ b/pkg/rollout/record.go
@@ -21,8 +21,8 @@
 	// Ends and Over are when the time of the order is over at the earliest and at the latest, by
 	// the store's clock. A version that is completed gets all requests from Over on: up to then
 	// what it gets counts, should it turn bad. Its home has them wait for that moment.
-	Ends clock.Millis `json:"ends_ms"`
-	Over clock.Millis `json:"over_ms"`
+	EarliestEnd clock.Millis `json:"ends_ms"`
+	LatestEnd   clock.Millis `json:"over_ms"`
 	// Barred lists the versions that were rolled back or replaced before they were
 	// completed, the newest last: they get nothing without a new order.
 	Barred []ids.Version `json:"barred,omitempty"`
@@ -30,8 +30,8 @@
 	Evidence Summary `json:"evidence"`
 	Why      string  `json:"why,omitempty"`
 	// By tells one home's records from another's, and TimedBy which home told the order's times.
-	By      uint64 `json:"by"`
-	TimedBy uint64 `json:"timed_by"`
+	Owner        uint64 `json:"by"`
+	TimedByOwner uint64 `json:"timed_by"`
 	// Written is the revision of the row.
 	Written Revision `json:"-"`
 }
@@ -78,7 +78,7 @@
 	switch {
 	case r.Service == "", r.Version == "", r.Order <= 0, len(r.Barred) > mostBarred,
 		r.State < Pending, r.State > RolledBack,
-		r.Ends < r.Started, r.Over < r.Ends:
+		r.EarliestEnd < r.Started, r.LatestEnd < r.EarliestEnd:
 		return Record{}, errNoRecord
 	}
 	r.Written = written
--- a/pkg/rollout/report.go
+++ b/pkg/rollout/report.go
@@ -18,22 +18,22 @@
 	// Judges says that this entry judges the version. Only then Missing, Doubt and Share are
 	// told: what evidence is still missing, what speaks against the version, and which part of the
 	// requests it gets now.
-	Judges  bool     `json:"judges"`
-	Missing []string `json:"missing,omitempty"`
-	Doubt   string   `json:"doubt,omitempty"`
-	Share   float64  `json:"share"`
+	Judges    bool     `json:"judges"`
+	Missing   []string `json:"missing,omitempty"`
+	Suspicion string   `json:"doubt,omitempty"`
+	Fraction  float64  `json:"share"`
 	// EndsIn is the time left until the order's end, NewsAge how long ago this entry's news were
 	// surely the newest, in ms.
 	EndsIn  clock.Millis `json:"ends_in_ms"`
-	NewsAge clock.Millis `json:"news_age_ms"`
+	FeedAge clock.Millis `json:"news_age_ms"`
 	// Reached and Sent count this entry's requests since the order, of all and to the version.
 	Reached int `json:"reached"`
 	Sent    int `json:"sent"`
 }
 
 // Report describes what is known of a service's roll-out; false if there is none.
-func (b *Book) Report(now clock.Millis, service ids.Service) (Report, bool) {
-	order, r, open := b.Open(service)
+func (b *Tracker) Report(now clock.Millis, service ids.Service) (Report, bool) {
+	order, r, open := b.OpenOrder(service)
 	if !open {
 		if r, open = b.Record(service); !open {
 			return Report{}, false
@@ -41,10 +41,10 @@
 	}
 	report := Report{
 		Service: service, Version: r.Version, State: r.State.String(), Why: r.Why, Barred: r.Barred, Evidence: r.Evidence,
-		NewsAge: b.Age(now),
+		FeedAge: b.Age(now),
 	}
 	if !r.State.Final() {
-		report.EndsIn = b.Times(order, r).Ends - now
+		report.EndsIn = b.Times(order, r).EarliestEnd - now
 	}
 	return report, true
 }
@@ -54,6 +54,6 @@
 	r.Judges = true
 	r.Evidence = t.Evidence.Summary()
 	r.Missing = t.Missing()
-	r.Doubt = t.finding.Why
-	r.Share = p.Share
+	r.Suspicion = t.finding.Why
+	r.Fraction = p.Fraction
 }
--- a/pkg/rollout/screen.go
+++ b/pkg/rollout/screen.go
@@ -9,8 +9,8 @@
 
 // Screen sorts the list of targets by what their versions may get, anew whenever the list
 // or what is known of roll-outs changes.
-type Screen struct {
-	book   *Book
+type Filter struct {
+	book   *Tracker
 	sorted func(*routing.Directory)
 
 	mu  sync.Mutex
@@ -21,12 +21,12 @@
 }
 
 // NewScreen returns a screen without targets; sorted is told of each new list.
-func NewScreen(book *Book, sorted func(*routing.Directory)) *Screen {
-	return &Screen{book: book, sorted: sorted}
+func NewFilter(book *Tracker, sorted func(*routing.Directory)) *Filter {
+	return &Filter{book: book, sorted: sorted}
 }
 
 // SetDirectory takes a new list.
-func (s *Screen) SetDirectory(d *routing.Directory) {
+func (s *Filter) SetDirectory(d *routing.Directory) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.raw = d.All()
@@ -34,7 +34,7 @@
 }
 
 // Changed sorts the list anew, as orders or records have changed.
-func (s *Screen) Changed() {
+func (s *Filter) Changed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.raw != nil {
@@ -43,7 +43,7 @@
 }
 
 // Proven sorts the list anew if a target waits for the orders to be known up to its start.
-func (s *Screen) Proven() {
+func (s *Filter) Confirmed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.unsure {
@@ -51,7 +51,7 @@
 	}
 }
 
-func (s *Screen) sort() {
+func (s *Filter) sort() {
 	versions := make(map[ids.Service]ids.Version)
 	mixed := make(map[ids.Service]bool)
 	for _, t := range s.raw {
--- a/pkg/rollout/summary.go
+++ b/pkg/rollout/summary.go
@@ -16,8 +16,8 @@
 	Bad      int `json:"bad"`
 	// Targets is how many of its targets have answered, Suspect how many of these look worse
 	// than the old version's.
-	Targets int `json:"targets"`
-	Suspect int `json:"suspect"`
+	Targets      int `json:"targets"`
+	WorseTargets int `json:"suspect"`
 	// Routes counts by route.
 	Routes []RouteSummary `json:"routes,omitempty"`
 }
@@ -33,7 +33,7 @@
 
 // plus adds what another summary counts, times times: 1, or -1 to take it away.
 func (s Summary) plus(other Summary, times int) Summary {
-	sum := Summary{Requests: s.Requests + times*other.Requests, Bad: s.Bad + times*other.Bad, Targets: s.Targets, Suspect: s.Suspect}
+	sum := Summary{Requests: s.Requests + times*other.Requests, Bad: s.Bad + times*other.Bad, Targets: s.Targets, WorseTargets: s.WorseTargets}
 	routes := make(map[ids.Route]RouteSummary)
 	for _, r := range s.Routes {
 		routes[r.Route] = r
@@ -59,7 +59,7 @@
 		if r.Bad < pooledBad || r.Requests <= 0 {
 			continue
 		}
-		rate := badRate(map[ids.Life]tally{{}: {max(0, r.Old), max(0, r.OldBad)}})
+		rate := badRate(map[ids.TargetIncarnation]tally{{}: {max(0, r.Old), max(0, r.OldBad)}})
 		if luck := atLeast(r.Requests, rate, r.Bad); luck <= pooledDoubt {
 			return fmt.Sprintf("%d of %d answers bad on route %s since the order, %d of %d of the old version (chance %.1g)", r.Bad, r.Requests, r.Route, r.OldBad, r.Old, luck)
 		}
--- a/pkg/rollout/trial.go
+++ b/pkg/rollout/trial.go
@@ -78,15 +78,15 @@
 
 // Times are the moments of an order, by this process's clock: when it was placed at the
 // earliest, and when its time is over at the earliest and at the latest.
-type Times struct{ Started, Ends, Over clock.Millis }
+type Times struct{ Started, EarliestEnd, LatestEnd clock.Millis }
 
 // end is when an order is taken to end: as early as it may, unless it is so uncertain that
 // callers would have to wait for long between the completion and Over.
 func (t Times) end() clock.Millis {
-	if t.Over-t.Ends > mostUncertain {
-		return t.Over
+	if t.LatestEnd-t.EarliestEnd > mostUncertain {
+		return t.LatestEnd
 	}
-	return t.Ends
+	return t.EarliestEnd
 }
 
 // NewTrial returns the trial of an order that this home takes up at a moment, with what an
@@ -111,21 +111,21 @@
 	// up elsewhere.
 	Unrepeatable int
 	// Backing is the part of the entries that takes this one for the home.
-	Backing float64
+	Agreement float64
 	// Usual says that the service ran the ordered version, and no other, before the order.
-	Usual bool
+	Established bool
 }
 
 // Plan is what a trial wants done.
 type Plan struct {
 	// Share is the part of the service's requests that go to the version on trial, if their
 	// entries let them; 0 sends it nothing.
-	Share float64
+	Fraction float64
 	// Leave, if set, is when the old version's targets are to run nothing that could not be
 	// taken up elsewhere: what would not surely end by then goes to the new version, if it may.
-	Leave clock.Millis
+	UnrepeatableUntil clock.Millis
 	// Close says that nothing of that kind begins on them any more.
-	Close bool
+	NoUnrepeatable bool
 	// Write is the state to be written, Pending if none.
 	Write State
 	Why   string
@@ -146,7 +146,7 @@
 		t.verdict, t.why = RolledBack, why
 		return Plan{Write: RolledBack, Why: why}
 	}
-	if s.Usual {
+	if s.Established {
 		return Plan{Write: Completed, Why: "the service runs that version already"}
 	}
 	return t.goOn(s)
@@ -183,9 +183,9 @@
 		return "the order is gone"
 	case t.finding.Bad:
 		return t.finding.Why
-	case s.Usual:
+	case s.Established:
 		return ""
-	case t.atGate() && t.slow.Doubt:
+	case t.atGate() && t.slow.PossiblyBad:
 		return "in doubt after the first answers: " + t.slow.Why
 	}
 	return t.doubt
@@ -201,7 +201,7 @@
 
 // doubts says what speaks against completing a version of which nothing bad is known.
 func (t *Trial) doubts(s Situation) string {
-	if t.finding.Doubt {
+	if t.finding.PossiblyBad {
 		return "in doubt: " + t.finding.Why
 	}
 	sum := t.Evidence.Summary()
@@ -212,7 +212,7 @@
 	if missing := t.Missing(); len(missing) > 0 && t.settled(s) {
 		return "too little is known: " + missing[0]
 	}
-	if s.Now >= t.times.Over+lateClose {
+	if s.Now >= t.times.LatestEnd+lateClose {
 		return "its time is over"
 	}
 	return ""
@@ -220,7 +220,7 @@
 
 // settled reports whether this home has had time to hear of what runs, and most entries go by it.
 func (t *Trial) settled(s Situation) bool {
-	return s.Now >= t.began+settle && s.Backing > backed
+	return s.Now >= t.began+settle && s.Agreement > backed
 }
 
 // Missing lists what evidence is missing for a version to be completed.
@@ -279,28 +279,28 @@
 	}
 	switch {
 	case s.Now < t.leaveAt():
-		return Plan{Share: observePart * exposedPart * t.bounds.Share}
+		return Plan{Fraction: observePart * exposedPart * t.bounds.Fraction}
 	case s.Now < t.closeAt():
-		return Plan{Share: observePart * exposedPart * t.bounds.Share, Leave: t.closeAt()}
+		return Plan{Fraction: observePart * exposedPart * t.bounds.Fraction, UnrepeatableUntil: t.closeAt()}
 	case s.Now < t.completeAt() || s.Unrepeatable > 0:
-		return Plan{Share: 1, Leave: t.closeAt(), Close: true}
+		return Plan{Fraction: 1, UnrepeatableUntil: t.closeAt(), NoUnrepeatable: true}
 	case s.Now < t.began+settle:
-		return Plan{Share: 1, Leave: t.closeAt(), Close: true}
+		return Plan{Fraction: 1, UnrepeatableUntil: t.closeAt(), NoUnrepeatable: true}
 	case !t.settled(s):
-		return Plan{Share: 1, Leave: t.closeAt(), Close: true, Why: "most entries do not take this one for the home"}
+		return Plan{Fraction: 1, UnrepeatableUntil: t.closeAt(), NoUnrepeatable: true, Why: "most entries do not take this one for the home"}
 	}
-	return Plan{Share: 1, Leave: t.closeAt(), Close: true, Write: Completed, Why: "nothing bad is known"}
+	return Plan{Fraction: 1, UnrepeatableUntil: t.closeAt(), NoUnrepeatable: true, Write: Completed, Why: "nothing bad is known"}
 }
 
 // Heard takes the evidence of a record that another home has written meanwhile: for a moment two
 // may take themselves for the home, and each sees a part.
-func (t *Trial) Heard(noted Summary) {
+func (t *Trial) MergeSummary(noted Summary) {
 	t.Evidence.carried = t.Evidence.carried.plus(noted.plus(t.noted, -1), 1)
 	t.noted = noted
 }
 
 // Noted notes that the record holds what was written for it here.
-func (t *Trial) Noted(noted Summary) { t.noted = noted }
+func (t *Trial) SummarySaved(noted Summary) { t.noted = noted }
 
 // Record returns the record to be written for a state.
 func (t *Trial) Record(before Record, state State, why string, storeTime func(clock.Millis) clock.Millis) Record {
@@ -308,7 +308,7 @@
 	r.State = state
 	r.Why = why
 	if before.State == Pending {
-		r.Started, r.Ends, r.Over = storeTime(t.times.Started), storeTime(t.times.Ends), storeTime(t.times.Over)
+		r.Started, r.EarliestEnd, r.LatestEnd = storeTime(t.times.Started), storeTime(t.times.EarliestEnd), storeTime(t.times.LatestEnd)
 	}
 	r.Evidence = t.Evidence.Summary()
 	return r
--- a/pkg/rollout/trial_test.go
+++ b/pkg/rollout/trial_test.go
@@ -19,14 +19,14 @@
 
 // trialAt returns a trial taken up at a moment, with evidence of a version that is good or bad.
 func trialAt(began clock.Millis, good bool) *rollout.Trial {
-	t := rollout.NewTrial(order("v2", 10), bounds, rollout.Summary{}, began, rollout.Times{Started: placed, Ends: ends, Over: over})
+	t := rollout.NewTrial(order("v2", 10), bounds, rollout.Summary{}, began, rollout.Times{Started: placed, EarliestEnd: ends, LatestEnd: over})
 	for n := range 400 {
-		target := ids.Life{Target: ids.Target(fmt.Sprint("old", n%8))}
-		t.Evidence.Note(false, rollout.Observation{At: began, Life: target, Route: "r", Ratio: 1, Factor: 1})
+		target := ids.TargetIncarnation{Target: ids.Target(fmt.Sprint("old", n%8))}
+		t.Evidence.Add(false, rollout.Observation{At: began, Incarnation: target, Route: "r", Ratio: 1, Factor: 1})
 	}
 	for n := range 64 {
-		target := ids.Life{Target: ids.Target(fmt.Sprint("new", n%8))}
-		t.Evidence.Note(true, rollout.Observation{At: began, Life: target, Route: "r", Ratio: 1, Failed: !good && n%2 == 0, Loaded: true})
+		target := ids.TargetIncarnation{Target: ids.Target(fmt.Sprint("new", n%8))}
+		t.Evidence.Add(true, rollout.Observation{At: began, Incarnation: target, Route: "r", Ratio: 1, Failed: !good && n%2 == 0, Loaded: true})
 	}
 	return t
 }
@@ -39,7 +39,7 @@
 func TestSteps(t *testing.T) {
 	const late = ends - 200 // when a good one is completed
 	type situation = rollout.Situation
-	usual := situation{Now: placed + 5000, Record: running(rollout.Running), Fresh: true, Targets: 8, Old: 8, Backing: 1}
+	usual := situation{Now: placed + 5000, Record: running(rollout.Running), Fresh: true, Targets: 8, Old: 8, Agreement: 1}
 	with := func(change func(*situation)) situation {
 		s := usual
 		change(&s)
@@ -62,21 +62,21 @@
 		{"closing", trialAt(placed, true), with(func(s *situation) { s.Now = ends - 2000 }), rollout.Pending, true, true, ""},
 		{"good", trialAt(placed, true), with(func(s *situation) { s.Now = late }), rollout.Completed, true, true, "nothing bad"},
 		{"good, but work runs that may not be repeated", trialAt(placed, true), with(func(s *situation) { s.Now = late; s.Unrepeatable = 1 }), rollout.Pending, true, true, ""},
-		{"good, but most entries go by another home", trialAt(placed, true), with(func(s *situation) { s.Now = late; s.Backing = 0.5 }), rollout.Pending, true, true, ""},
+		{"good, but most entries go by another home", trialAt(placed, true), with(func(s *situation) { s.Now = late; s.Agreement = 0.5 }), rollout.Pending, true, true, ""},
 		{"good, but the home has just taken over", trialAt(late-500, true), with(func(s *situation) { s.Now = late }), rollout.Pending, true, true, ""},
 		{"good, after its time", trialAt(placed, true), with(func(s *situation) { s.Now = over + 5000 }), rollout.Completed, true, true, ""},
 		{"never without work that may not be repeated", trialAt(placed, true), with(func(s *situation) { s.Now = over + 16000; s.Unrepeatable = 1 }), rollout.RolledBack, false, false, "time is over"},
-		{"the service runs it already", trialAt(placed, true), with(func(s *situation) { s.Usual = true; s.Targets = 0 }), rollout.Completed, false, false, "already"},
+		{"the service runs it already", trialAt(placed, true), with(func(s *situation) { s.Established = true; s.Targets = 0 }), rollout.Completed, false, false, "already"},
 		{"completed", trialAt(placed, true), with(func(s *situation) { s.Record = running(rollout.Completed) }), rollout.Pending, false, false, ""},
 		{"bad, but completed", trialAt(placed, false), with(func(s *situation) { s.Record = running(rollout.Completed) }), rollout.Pending, false, false, ""},
 		{"rolled back", trialAt(placed, false), with(func(s *situation) { s.Record = running(rollout.RolledBack) }), rollout.Pending, false, false, ""},
-		{"no target has started", rollout.NewTrial(order("v2", 10), bounds, rollout.Summary{}, placed, rollout.Times{Started: placed, Ends: ends, Over: over}),
+		{"no target has started", rollout.NewTrial(order("v2", 10), bounds, rollout.Summary{}, placed, rollout.Times{Started: placed, EarliestEnd: ends, LatestEnd: over}),
 			with(func(s *situation) { s.Now = ends - 1000; s.Targets = 0 }), rollout.RolledBack, false, false, "too little is known"},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			p := s.trial.Step(s.situation)
-			if p.Write != s.want || (p.Share > 0) != s.share || p.Close != s.close || !strings.Contains(p.Why, s.why) {
+			if p.Write != s.want || (p.Fraction > 0) != s.share || p.NoUnrepeatable != s.close || !strings.Contains(p.Why, s.why) {
 				t.Errorf("%+v", p)
 			}
 		})
@@ -101,10 +101,10 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			trial := rollout.NewTrial(order("v2", 10), bounds, rollout.Summary{}, placed, rollout.Times{Started: placed, Ends: ends, Over: over})
+			trial := rollout.NewTrial(order("v2", 10), bounds, rollout.Summary{}, placed, rollout.Times{Started: placed, EarliestEnd: ends, LatestEnd: over})
 			note := func(onTrial bool, n, loaded int, route ids.Route) {
 				for i := range n {
-					trial.Evidence.Note(onTrial, rollout.Observation{At: placed, Life: ids.Life{Target: "a"}, Route: route, Ratio: 1, Factor: 1, Loaded: i < loaded})
+					trial.Evidence.Add(onTrial, rollout.Observation{At: placed, Incarnation: ids.TargetIncarnation{Target: "a"}, Route: route, Ratio: 1, Factor: 1, Loaded: i < loaded})
 				}
 			}
 			note(false, s.old, s.oldLoaded, "r")
@@ -134,10 +134,10 @@
 // TestAVerdictStands has evidence get better after a roll-back was decided, and news fail.
 func TestAVerdictStands(t *testing.T) {
 	trial := trialAt(placed, false)
-	s := rollout.Situation{Now: placed + 5000, Record: running(rollout.Running), Fresh: true, Targets: 8, Old: 8, Backing: 1}
+	s := rollout.Situation{Now: placed + 5000, Record: running(rollout.Running), Fresh: true, Targets: 8, Old: 8, Agreement: 1}
 	trial.Step(s)
 	for n := range 4000 {
-		trial.Evidence.Note(true, rollout.Observation{At: s.Now, Life: ids.Life{Target: ids.Target(fmt.Sprint("new", n%8))}, Route: "r", Ratio: 1})
+		trial.Evidence.Add(true, rollout.Observation{At: s.Now, Incarnation: ids.TargetIncarnation{Target: ids.Target(fmt.Sprint("new", n%8))}, Route: "r", Ratio: 1})
 	}
 	s.Now += 10000
 	s.Fresh = false
@@ -151,12 +151,12 @@
 func TestTwoHomesCountTogether(t *testing.T) {
 	trial := trialAt(placed, true)
 	own := trial.Evidence.Summary()
-	trial.Noted(own)
+	trial.SummarySaved(own)
 	other := own
 	other.Requests += 10
 	other.Bad += 4
-	trial.Heard(other)
-	trial.Heard(other)
+	trial.MergeSummary(other)
+	trial.MergeSummary(other)
 	if got := trial.Evidence.Summary(); got.Requests != own.Requests+10 || got.Bad != own.Bad+4 {
 		t.Errorf("%d of %d, own %d of %d", got.Bad, got.Requests, own.Bad, own.Requests)
 	}
@@ -164,9 +164,9 @@
 
 // TestRecordsOfOrders follows the record of a service through several orders.
 func TestRecordsOfOrders(t *testing.T) {
-	b := rollout.NewBook()
+	b := rollout.NewTracker()
 	b.PutOrders([]rollout.Order{order("v2", 10)}, nil, true, proof(12))
-	_, r, open := b.Open(service)
+	_, r, open := b.OpenOrder(service)
 	if !open || r.State != rollout.Pending || r.Version != "v2" {
 		t.Fatalf("%+v, open %t", r, open)
 	}
@@ -174,14 +174,14 @@
 	r.Written = 13
 	b.PutRecords([]rollout.Record{r}, proof(13))
 	b.PutOrders([]rollout.Order{order("v3", 20)}, nil, false, proof(20))
-	_, r, open = b.Open(service)
+	_, r, open = b.OpenOrder(service)
 	if !open || r.State != rollout.Pending || r.Version != "v3" || len(r.Barred) != 1 || r.Barred[0] != "v2" || r.Written != 13 {
 		t.Fatalf("%+v, open %t", r, open)
 	}
 	r.State, r.Written = rollout.Completed, 25
 	b.PutRecords([]rollout.Record{r}, proof(25))
 	b.PutOrders([]rollout.Order{order("v2", 30)}, nil, false, proof(30))
-	if _, r, open = b.Open(service); !open || len(r.Barred) != 0 {
+	if _, r, open = b.OpenOrder(service); !open || len(r.Barred) != 0 {
 		t.Fatalf("a version that is ordered again is still barred: %+v", r)
 	}
 	document, err := r.Encode()
@@ -224,11 +224,11 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			trial := rollout.NewTrial(order("v2", 10), bounds, s.carried, s.began, rollout.Times{Started: placed, Ends: ends, Over: over})
+			trial := rollout.NewTrial(order("v2", 10), bounds, s.carried, s.began, rollout.Times{Started: placed, EarliestEnd: ends, LatestEnd: over})
 			for range 400 {
-				trial.Evidence.Note(false, rollout.Observation{At: s.began, Life: ids.Life{Target: "old"}, Route: "r", Ratio: 1, Factor: 1})
+				trial.Evidence.Add(false, rollout.Observation{At: s.began, Incarnation: ids.TargetIncarnation{Target: "old"}, Route: "r", Ratio: 1, Factor: 1})
 			}
-			p := trial.Step(rollout.Situation{Now: s.now, Record: running(rollout.Running), Fresh: true, Targets: 8, Old: 8, Backing: s.backing})
+			p := trial.Step(rollout.Situation{Now: s.now, Record: running(rollout.Running), Fresh: true, Targets: 8, Old: 8, Agreement: s.backing})
 			if p.Write != s.want {
 				t.Errorf("%+v, want %v", p, s.want)
 			}
--- a/pkg/roster/lives_test.go
+++ b/pkg/roster/lives_test.go
@@ -70,9 +70,9 @@
 		t.Run(s.name, func(t *testing.T) {
 			var got *routing.Directory
 			r := roster.New(commontest.New(network.NewMemory(nil)), parseRow, func(d *routing.Directory) { got = d })
-			r.Whole(nil, follow.Proof{})
+			r.Snapshot(nil, follow.Freshness{})
 			for _, row := range s.rows {
-				r.Changed([]follow.Row{row}, follow.Proof{})
+				r.Changed([]follow.Row{row}, follow.Freshness{})
 			}
 			a := got.Target("a")
 			if a.Start != s.start || a.Listed != s.listed {
@@ -99,9 +99,9 @@
 				c := commontest.New(network.NewMemory(nil))
 				var got *routing.Directory
 				r := roster.New(c, parseRow, func(d *routing.Directory) { got = d })
-				now := func() follow.Proof { return follow.Proof{AskedAt: c.Clock.Now(), CurrentAt: c.Clock.Now()} }
-				r.Whole([]follow.Row{row{Start: 50}.at(7)}, now())
-				r.Lost(errors.New("away"))
+				now := func() follow.Freshness { return follow.Freshness{AskedAt: c.Clock.Now(), CurrentAt: c.Clock.Now()} }
+				r.Snapshot([]follow.Row{row{Start: 50}.at(7)}, now())
+				r.ReadFailed(errors.New("away"))
 				time.Sleep(time.Second)
 				r.Changed([]follow.Row{{Key: "a", Gone: true, Version: 12}}, now())
 				if got.Target("a") == nil {
@@ -122,21 +122,21 @@
 // with the next version got all requests before any order was read: by the revision of its former
 // life it counted as there before the orders that were known, and its version as one in use.
 func TestARestartOntoAnotherVersionIsANewEngineForRollouts(t *testing.T) {
-	book := rollout.NewBook()
-	book.PutOrders(nil, nil, true, rollout.Proof{Up: 10})
+	book := rollout.NewTracker()
+	book.PutOrders(nil, nil, true, rollout.Freshness{Revision: 10})
 	var got *routing.Directory
-	screen := rollout.NewScreen(book, func(d *routing.Directory) { got = d })
+	screen := rollout.NewFilter(book, func(d *routing.Directory) { got = d })
 	r := roster.New(commontest.New(network.NewMemory(nil)), parseRow, screen.SetDirectory)
-	r.Whole([]follow.Row{row{Start: 50, Version: "v1"}.at(7)}, follow.Proof{})
+	r.Snapshot([]follow.Row{row{Start: 50, Version: "v1"}.at(7)}, follow.Freshness{})
 	if a := got.Target("a").Admission; a != routing.Admitted {
 		t.Fatalf("the former life is %v", a)
 	}
 	// The order is placed at 20 and not read yet.
-	r.Changed([]follow.Row{row{Start: 40, Version: "v2"}.at(25)}, follow.Proof{})
+	r.Changed([]follow.Row{row{Start: 40, Version: "v2"}.at(25)}, follow.Freshness{})
 	if a := got.Target("a").Admission; a != routing.Withheld {
 		t.Errorf("before the order is read, the new life is %v", a)
 	}
-	book.PutOrders([]rollout.Order{{Service: "s", Version: "v2", Within: 30000, Placed: 20}}, nil, true, rollout.Proof{Up: 30})
+	book.PutOrders([]rollout.Order{{Service: "s", Version: "v2", Within: 30000, Placed: 20}}, nil, true, rollout.Freshness{Revision: 30})
 	screen.Changed()
 	if a := got.Target("a").Admission; a != routing.Withheld {
 		t.Errorf("once the order is read, the new life is %v", a)
@@ -161,9 +161,9 @@
 		{"sound again", sound.at(12), true},
 		{"the faulty one read once more", faulty, true},
 	}
-	r.Whole(nil, follow.Proof{})
+	r.Snapshot(nil, follow.Freshness{})
 	for _, s := range steps {
-		r.Changed([]follow.Row{s.row}, follow.Proof{})
+		r.Changed([]follow.Row{s.row}, follow.Freshness{})
 		if listed := got.Target("a") != nil; listed != s.listed {
 			t.Errorf("%s: listed %t", s.name, listed)
 		}
@@ -191,9 +191,9 @@
 				c := commontest.New(network.NewMemory(nil))
 				var got *routing.Directory
 				r := roster.New(c, parseRow, func(d *routing.Directory) { got = d })
-				r.Whole([]follow.Row{first.at(7)}, follow.Proof{})
+				r.Snapshot([]follow.Row{first.at(7)}, follow.Freshness{})
 				time.Sleep(time.Second)
-				r.Changed([]follow.Row{s.next.at(9)}, follow.Proof{})
+				r.Changed([]follow.Row{s.next.at(9)}, follow.Freshness{})
 				until := got.Target("a").ColdUntil
 				if s.left < 0 && until != 0 || s.left >= 0 && until != c.Clock.Now()+s.left {
 					t.Errorf("cold until %d, now it is %d", until, c.Clock.Now())
--- a/pkg/roster/roster.go
+++ b/pkg/roster/roster.go
@@ -28,7 +28,7 @@
 
 // Roster is the list of targets at one process. It handles what a follower
 // reads.
-type Roster struct {
+type List struct {
 	common.Common
 	parse   Parse
 	changed func(*routing.Directory)
@@ -44,11 +44,11 @@
 	settledAt clock.Millis                   // until then, missing entries may come back
 }
 
-var _ follow.Handler = (*Roster)(nil)
+var _ follow.Handler = (*List)(nil)
 
 // New returns an empty roster; changed is told of each new list.
-func New(c common.Common, parse Parse, changed func(*routing.Directory)) *Roster {
-	return &Roster{
+func New(c common.Common, parse Parse, changed func(*routing.Directory)) *List {
+	return &List{
 		Common: c, parse: parse, changed: changed, sampler: telemetry.NewSampler(c.Clock, c.Log, linesASecond),
 		targets: make(map[ids.Target]*routing.Target), aside: make(map[ids.Target]*routing.Target),
 		faults: follow.NewFaults(c, "targets"), missing: make(map[ids.Target]clock.Millis),
@@ -56,7 +56,7 @@
 }
 
 // Whole replaces the list.
-func (r *Roster) Whole(rows []follow.Row, proof follow.Proof) {
+func (r *List) Snapshot(rows []follow.Row, proof follow.Freshness) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.contact(proof)
@@ -75,7 +75,7 @@
 }
 
 // retain takes off what has no row among all rows of the table.
-func (r *Roster) retain(now clock.Millis, all []follow.Row) {
+func (r *List) retain(now clock.Millis, all []follow.Row) {
 	present := make(map[ids.Target]bool, len(all))
 	for _, row := range all {
 		present[ids.Target(row.Key)] = true
@@ -94,13 +94,13 @@
 }
 
 // Changed applies changes.
-func (r *Roster) Changed(rows []follow.Row, proof follow.Proof) {
+func (r *List) Changed(rows []follow.Row, proof follow.Freshness) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.contact(proof)
 	for _, row := range rows {
 		if row.Gone {
-			r.faults.Sound(row.Key)
+			r.faults.Clear(row.Key)
 			delete(r.aside, ids.Target(row.Key))
 			r.drop(now, ids.Target(row.Key))
 			continue
@@ -113,7 +113,7 @@
 }
 
 // Lost notes that the store is away; the list stays as it is.
-func (r *Roster) Lost(error) {
+func (r *List) ReadFailed(error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.away = true
@@ -121,7 +121,7 @@
 
 // contact notes that the store has answered. After an outage, it was back by
 // the time of the question.
-func (r *Roster) contact(proof follow.Proof) clock.Millis {
+func (r *List) contact(proof follow.Freshness) clock.Millis {
 	if r.away {
 		r.settledAt = proof.AskedAt + returnTime
 	}
@@ -134,7 +134,7 @@
 
 // drop takes a target off the list, or keeps it for a while if its entry may
 // have lapsed because of the store.
-func (r *Roster) drop(now clock.Millis, id ids.Target) {
+func (r *List) drop(now clock.Millis, id ids.Target) {
 	if r.targets[id] == nil || r.missing[id] > 0 {
 		return
 	}
@@ -150,7 +150,7 @@
 
 // expire takes away a target whose entry did not come back until a moment. One that came back,
 // and has lapsed again since, has another.
-func (r *Roster) expire(id ids.Target, until clock.Millis) {
+func (r *List) expire(id ids.Target, until clock.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.missing[id] != until {
@@ -162,7 +162,7 @@
 	r.publish()
 }
 
-func (r *Roster) publish() {
+func (r *List) publish() {
 	list := make([]*routing.Target, 0, len(r.targets))
 	for _, t := range r.targets {
 		list = append(list, t)
--- a/pkg/roster/roster_test.go
+++ b/pkg/roster/roster_test.go
@@ -29,7 +29,7 @@
 
 type bed struct {
 	common.Common
-	*roster.Roster
+	*roster.List
 
 	mu        sync.Mutex
 	directory *routing.Directory
@@ -37,7 +37,7 @@
 
 func newBed() *bed {
 	b := &bed{Common: commontest.New(network.NewMemory(nil))}
-	b.Roster = roster.New(b.Common, parse, func(d *routing.Directory) {
+	b.List = roster.New(b.Common, parse, func(d *routing.Directory) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		b.directory = d
@@ -45,8 +45,8 @@
 	return b
 }
 
-func (b *bed) now() follow.Proof {
-	return follow.Proof{AskedAt: b.Clock.Now(), CurrentAt: b.Clock.Now()}
+func (b *bed) now() follow.Freshness {
+	return follow.Freshness{AskedAt: b.Clock.Now(), CurrentAt: b.Clock.Now()}
 }
 
 func (b *bed) lists(id ids.Target) bool {
@@ -88,27 +88,27 @@
 			b.Changed(gone(), b.now())
 		}, false},
 		{"a target missing in the whole list is off at once", func(b *bed) {
-			b.Whole(up("b"), b.now())
+			b.Snapshot(up("b"), b.now())
 		}, false},
 		{"an entry that lapsed in an outage is kept for a while", func(b *bed) {
-			b.Lost(away)
+			b.ReadFailed(away)
 			b.Changed(gone(), b.now())
 			time.Sleep(2 * time.Second)
 		}, true},
 		{"it is gone if it does not come back", func(b *bed) {
-			b.Lost(away)
-			b.Whole(up("b"), b.now())
+			b.ReadFailed(away)
+			b.Snapshot(up("b"), b.now())
 			time.Sleep(2500 * time.Millisecond)
 		}, false},
 		{"it stays if it comes back", func(b *bed) {
-			b.Lost(away)
+			b.ReadFailed(away)
 			b.Changed(gone(), b.now())
 			time.Sleep(time.Second)
 			b.Changed(up("a"), b.now())
 			time.Sleep(5 * time.Second)
 		}, true},
 		{"long after the outage, gone is gone", func(b *bed) {
-			b.Lost(away)
+			b.ReadFailed(away)
 			b.Changed(nil, b.now())
 			time.Sleep(3 * time.Second)
 			b.Changed(gone(), b.now())
@@ -116,25 +116,25 @@
 		// The first question after an outage was held for 3 s, and a target that
 		// left in that time was kept for another 2.2 s.
 		{"the store was back when the question was sent", func(b *bed) {
-			b.Lost(away)
+			b.ReadFailed(away)
 			asked := b.Clock.Now()
 			time.Sleep(3 * time.Second)
-			b.Changed(gone(), follow.Proof{AskedAt: asked, CurrentAt: b.Clock.Now()})
+			b.Changed(gone(), follow.Freshness{AskedAt: asked, CurrentAt: b.Clock.Now()})
 		}, false},
 		{"a row that cannot be used names no target", func(b *bed) {
 			b.Changed(faulty(), b.now())
 		}, false},
 		{"nor does it in the whole list", func(b *bed) {
-			b.Whole(append(faulty(), up("b")...), b.now())
+			b.Snapshot(append(faulty(), up("b")...), b.now())
 		}, false},
 		{"nor while lapsed entries may still come back", func(b *bed) {
-			b.Lost(away)
+			b.ReadFailed(away)
 			b.Changed(gone(), b.now())
 			b.Changed(faulty(), b.now())
 		}, false},
 		{"nor once it is gone while they may", func(b *bed) {
 			b.Changed(faulty(), b.now())
-			b.Lost(away)
+			b.ReadFailed(away)
 			b.Changed(gone(), b.now())
 		}, false},
 		{"the target's own row is back", func(b *bed) {
@@ -146,7 +146,7 @@
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newBed()
-				b.Whole(up("a", "b"), b.now())
+				b.Snapshot(up("a", "b"), b.now())
 				time.Sleep(clock.Second.Duration())
 				s.do(b)
 				synctest.Wait()
@@ -171,10 +171,10 @@
 		}
 		return &routing.Target{ID: ids.Target(id)}, nil
 	}, func(d *routing.Directory) { got = d })
-	r.Whole([]follow.Row{{Key: "a", Version: 7}}, follow.Proof{})
-	r.Changed([]follow.Row{{Key: "a", Version: 19}, {Key: "b", Version: 20}}, follow.Proof{})
-	r.Changed([]follow.Row{{Key: "a", Version: 21, Value: []byte("faulty")}}, follow.Proof{})
-	r.Changed([]follow.Row{{Key: "a", Version: 22}}, follow.Proof{})
+	r.Snapshot([]follow.Row{{Key: "a", Version: 7}}, follow.Freshness{})
+	r.Changed([]follow.Row{{Key: "a", Version: 19}, {Key: "b", Version: 20}}, follow.Freshness{})
+	r.Changed([]follow.Row{{Key: "a", Version: 21, Value: []byte("faulty")}}, follow.Freshness{})
+	r.Changed([]follow.Row{{Key: "a", Version: 22}}, follow.Freshness{})
 	for id, want := range map[ids.Target]int64{"a": 7, "b": 20} {
 		if listed := got.Target(id).Listed; listed != want {
 			t.Errorf("%s is listed from %d on, want %d", id, listed, want)
@@ -187,9 +187,9 @@
 func TestASecondOutageHasATimeOfItsOwn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed()
-		b.Whole(up("a", "b"), b.now())
+		b.Snapshot(up("a", "b"), b.now())
 		lapse := func() {
-			b.Lost(errors.New("away"))
+			b.ReadFailed(errors.New("away"))
 			b.Changed(gone(), b.now())
 		}
 		lapse()
@@ -218,11 +218,11 @@
 		c := commontest.New(network.NewMemory(nil))
 		c.Log.Logger.SetOutput(&log)
 		r := roster.New(c, parse, func(*routing.Directory) {})
-		r.Whole(up("first"), follow.Proof{})
+		r.Snapshot(up("first"), follow.Freshness{})
 		lines := func() int { return strings.Count(log.String(), "\n") }
 		before := lines()
 		for n := range 900 {
-			r.Changed(up(fmt.Sprint("t", n)), follow.Proof{})
+			r.Changed(up(fmt.Sprint("t", n)), follow.Freshness{})
 			time.Sleep(time.Second / 300)
 		}
 		if got := lines() - before; got > 4*11 {
@@ -234,8 +234,8 @@
 		time.Sleep(time.Minute)
 		before = lines()
 		for n := range 20 {
-			r.Changed([]follow.Row{{Key: fmt.Sprint("t", n), Value: []byte("leaving")}}, follow.Proof{})
-			r.Changed([]follow.Row{{Key: fmt.Sprint("t", n), Gone: true}}, follow.Proof{})
+			r.Changed([]follow.Row{{Key: fmt.Sprint("t", n), Value: []byte("leaving")}}, follow.Freshness{})
+			r.Changed([]follow.Row{{Key: fmt.Sprint("t", n), Gone: true}}, follow.Freshness{})
 			time.Sleep(time.Second)
 		}
 		if got := lines() - before; got < 40 {
--- a/pkg/roster/rows.go
+++ b/pkg/roster/rows.go
@@ -10,7 +10,7 @@
 )
 
 // put takes a row of a target.
-func (r *Roster) put(row follow.Row) {
+func (r *List) put(row follow.Row) {
 	before := r.known(ids.Target(row.Key))
 	if before != nil && row.Version > 0 && row.Version < before.Revision {
 		return // a page read before a change that is known already: a former life would come back
@@ -23,17 +23,17 @@
 	target.Revision = row.Version
 	inherit(before, target)
 	target.ColdUntil = r.coldUntil(before, target)
-	if !r.starting && (r.targets[target.ID] == nil || before.Leaving != target.Leaving || before.Life() != target.Life()) {
+	if !r.starting && (r.targets[target.ID] == nil || before.Leaving != target.Leaving || before.Incarnation() != target.Incarnation()) {
 		r.logListed(before, target)
 	}
 	r.targets[target.ID] = target
 	delete(r.aside, target.ID)
 	delete(r.missing, target.ID)
-	r.faults.Sound(row.Key)
+	r.faults.Clear(row.Key)
 }
 
 // known returns what was last read of a target, or nil.
-func (r *Roster) known(id ids.Target) *routing.Target {
+func (r *List) known(id ids.Target) *routing.Target {
 	if t := r.targets[id]; t != nil {
 		return t
 	}
@@ -43,8 +43,8 @@
 // setAside takes off a target whose row says nothing that can be used: another writer may
 // have put it there, and the target be another by now. Its row is there, so that it has not
 // lapsed with the store. What runs at the target goes on, as when it leaves.
-func (r *Roster) setAside(row follow.Row, err error) {
-	r.faults.Note(row, err)
+func (r *List) setAside(row follow.Row, err error) {
+	r.faults.Add(row, err)
 	id := ids.Target(row.Key)
 	if r.targets[id] != nil {
 		r.Log.WithField("target", string(id)).Info("target set aside: its row cannot be used")
@@ -72,18 +72,18 @@
 	}
 	target.Revision = max(target.Revision, before.Revision) // one that is not known is 0
 	target.Listed = target.Revision
-	if before.Life() == target.Life() {
+	if before.Incarnation() == target.Incarnation() {
 		target.Listed = before.Listed
 	}
 }
 
 // coldUntil is when a target is no longer cold. A row that is read again tells nothing new of that, and one that
 // another process has told may be older than its reading.
-func (r *Roster) coldUntil(before, target *routing.Target) clock.Millis {
+func (r *List) coldUntil(before, target *routing.Target) clock.Millis {
 	switch {
 	case target.ColdFor == 0:
 		return 0
-	case before != nil && before.Life() == target.Life() && before.ColdFor == target.ColdFor:
+	case before != nil && before.Incarnation() == target.Incarnation() && before.ColdFor == target.ColdFor:
 		return before.ColdUntil
 	default:
 		return r.Clock.Now() + target.ColdFor
@@ -98,14 +98,14 @@
 	kindGone    = "target gone"
 )
 
-func (r *Roster) logGone(id ids.Target, line string) {
+func (r *List) logGone(id ids.Target, line string) {
 	if r.sampler.Allow(kindGone) {
 		r.Log.WithField("target", string(id)).Info(line)
 	}
 }
 
-func (r *Roster) logListed(before, target *routing.Target) {
-	again := before != nil && before.Life() != target.Life()
+func (r *List) logListed(before, target *routing.Target) {
+	again := before != nil && before.Incarnation() != target.Incarnation()
 	kind := kindListed
 	switch {
 	case again:
--- a/pkg/routing/example_test.go
+++ b/pkg/routing/example_test.go
@@ -8,7 +8,7 @@
 
 // The route with the longest prefix of the path is taken.
 func ExampleCatalog_Route() {
-	split := []routing.Share{{Service: "engines", Weight: 1}}
+	split := []routing.WeightedService{{Service: "engines", Weight: 1}}
 	c := routing.NewCatalog(1, routing.Limits{}, []*routing.Route{
 		{Name: "all", Host: "a.example", Prefix: "/", Split: split},
 		{Name: "notices", Host: "a.example", Prefix: "/notices/", Split: split},
--- a/pkg/routing/route.go
+++ b/pkg/routing/route.go
@@ -25,7 +25,7 @@
 )
 
 // Share is one service that a route's requests go to, by weight.
-type Share struct {
+type WeightedService struct {
 	Service ids.Service
 	Weight  int
 }
@@ -45,7 +45,7 @@
 	// there is no aim.
 	EventGap clock.Millis
 	Tier     ids.TierRank
-	Split    []Share
+	Split    []WeightedService
 	// Attempts is how many targets one request may be sent to.
 	Attempts  int
 	Anonymous bool
@@ -75,7 +75,7 @@
 }
 
 // Leads reports whether the route may send requests to a service.
-func (r *Route) Leads(service ids.Service) bool {
+func (r *Route) LeadsTo(service ids.Service) bool {
 	for _, s := range r.Split {
 		if s.Service == service && s.Weight > 0 {
 			return true
--- a/pkg/routing/target.go
+++ b/pkg/routing/target.go
@@ -20,8 +20,8 @@
 	Leaving bool
 	// Drained says that operators have drained its failure domain, and BackAt when this entry has read that
 	// they had given it back, 0 if it has not.
-	Drained bool
-	BackAt  clock.Millis
+	Drained    bool
+	RestoredAt clock.Millis
 	// ColdFor is for how long the target stays cold, by its newest row, and ColdUntil when that is over, counted
 	// from when this entry has read it.
 	ColdFor   clock.Millis
@@ -36,8 +36,8 @@
 }
 
 // Life names this life of the target.
-func (t *Target) Life() ids.Life {
-	return ids.Life{Target: t.ID, Start: t.Start}
+func (t *Target) Incarnation() ids.TargetIncarnation {
+	return ids.TargetIncarnation{Target: t.ID, Start: t.Start}
 }
 
 // Cold reports whether the target bears few requests, or may do so: it need not have told yet that it became cold
@@ -49,7 +49,7 @@
 	case s.ColdPerSecond == 0:
 		return false
 	default:
-		return now < t.ColdUntil || t.BackAt > 0 && now < t.BackAt+s.ColdTime
+		return now < t.ColdUntil || t.RestoredAt > 0 && now < t.RestoredAt+s.ColdTime
 	}
 }
 
@@ -122,9 +122,9 @@
 
 // Replaced reports whether another life is surely listed under a target's id. A target that is not
 // listed at all may live on, and serve what it has, and so may one whose start is told in one row and not in another.
-func (d *Directory) Replaced(life ids.Life) bool {
+func (d *Directory) Replaced(life ids.TargetIncarnation) bool {
 	t := d.byID[life.Target]
-	return t != nil && !t.Life().Same(life)
+	return t != nil && !t.Incarnation().Same(life)
 }
 
 // Len returns how many targets are known.
--- a/pkg/schedule/baselines.go
+++ b/pkg/schedule/baselines.go
@@ -37,11 +37,11 @@
 	common.Common
 	view   *view.View
 	policy Policy
-	advice *advisory.Book
+	advice *advisory.Tracker
 
 	mu      sync.Mutex
 	turns   map[ids.Service]int
-	reports map[ids.Life]report
+	reports map[ids.TargetIncarnation]report
 }
 
 type report struct {
@@ -50,12 +50,12 @@
 }
 
 // NewBaseline returns a scheduler of a simple policy.
-func NewBaseline(c common.Common, v *view.View, policy Policy, advice *advisory.Book) *Baseline {
-	return &Baseline{Common: c, view: v, policy: policy, advice: advice, turns: make(map[ids.Service]int), reports: make(map[ids.Life]report)}
+func NewBaseline(c common.Common, v *view.View, policy Policy, advice *advisory.Tracker) *Baseline {
+	return &Baseline{Common: c, view: v, policy: policy, advice: advice, turns: make(map[ids.Service]int), reports: make(map[ids.TargetIncarnation]report)}
 }
 
 // Acquire gives a target at once.
-func (b *Baseline) Acquire(ctx context.Context, ask Ask) (Place, *Refused, error) {
+func (b *Baseline) Acquire(ctx context.Context, ask Request) (Assignment, *Refused, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, nil, err
 	}
@@ -63,7 +63,7 @@
 	defer b.mu.Unlock()
 	var offered []*routing.Target
 	for _, t := range b.view.Directory().Serving(ask.Service) {
-		if !slices.Contains(ask.Exclude, t.Life()) && !b.advice.Of(t.Life()).Bars() {
+		if !slices.Contains(ask.Exclude, t.Incarnation()) && !b.advice.Status(t.Incarnation()).Blocks() {
 			offered = append(offered, t)
 		}
 	}
@@ -89,14 +89,14 @@
 	now := b.Clock.Now()
 	for i := range offered {
 		// From the turn on, so that equal ones are taken in turn.
-		if t := offered[(first+i)%len(offered)]; b.load(now, t.Life()) < b.load(now, best.Life()) {
+		if t := offered[(first+i)%len(offered)]; b.load(now, t.Incarnation()) < b.load(now, best.Incarnation()) {
 			best = t
 		}
 	}
 	return best
 }
 
-func (b *Baseline) load(now clock.Millis, life ids.Life) int {
+func (b *Baseline) load(now clock.Millis, life ids.TargetIncarnation) int {
 	if r := b.reports[life]; now-r.at <= reportAge {
 		return r.load
 	}
@@ -116,9 +116,9 @@
 	}
 	p.baseline.mu.Lock()
 	defer p.baseline.mu.Unlock()
-	p.baseline.reports[p.target.Life()] = report{load: load.Running + load.Waiting, at: p.baseline.Clock.Now()}
+	p.baseline.reports[p.target.Incarnation()] = report{load: load.Running + load.Waiting, at: p.baseline.Clock.Now()}
 }
 
 func (p *baselinePlace) Moved() <-chan struct{} { return nil }
 
-func (p *baselinePlace) Done(planner.Outcome, planner.Flow) {}
+func (p *baselinePlace) Done(planner.Outcome, planner.StreamStats) {}
--- a/pkg/schedule/local.go
+++ b/pkg/schedule/local.go
@@ -19,10 +19,10 @@
 type Local struct {
 	common.Common
 	view   *view.View
-	advice *advisory.Book
+	advice *advisory.Tracker
 
 	mu      sync.Mutex
-	targets map[ids.Life]*record
+	targets map[ids.TargetIncarnation]*record
 }
 
 // record is what is known of one life of a target.
@@ -33,22 +33,22 @@
 
 // NewLocal returns a scheduler that has placed nothing. It gives no target that has told this entry to
 // send nothing, as the book has it.
-func NewLocal(c common.Common, v *view.View, advice *advisory.Book) *Local {
-	return &Local{Common: c, view: v, advice: advice, targets: make(map[ids.Life]*record)}
+func NewLocal(c common.Common, v *view.View, advice *advisory.Tracker) *Local {
+	return &Local{Common: c, view: v, advice: advice, targets: make(map[ids.TargetIncarnation]*record)}
 }
 
 const noTargetRetry = 500 * clock.Millisecond
 
 // refusedBy says why none of some targets may get a request from here.
-func refusedBy(c common.Common, advice *advisory.Book, targets []*routing.Target) *Refused {
-	if rest := advice.AllRest(targets); rest > 0 {
-		return &Refused{Resting: true, Wait: rest, RetryAfter: planner.AfterRest(rest, c.Random.Fork().Float64())}
+func refusedBy(c common.Common, advice *advisory.Tracker, targets []*routing.Target) *Refused {
+	if rest := advice.AllBackoff(targets); rest > 0 {
+		return &Refused{BackedOff: true, Wait: rest, RetryAfter: planner.AfterBackoff(rest, c.Random.Fork().Float64())}
 	}
 	return &Refused{RetryAfter: noTargetRetry}
 }
 
 // Acquire gives the least loaded target at once.
-func (l *Local) Acquire(ctx context.Context, ask Ask) (Place, *Refused, error) {
+func (l *Local) Acquire(ctx context.Context, ask Request) (Assignment, *Refused, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, nil, err
 	}
@@ -58,11 +58,11 @@
 	if target == nil {
 		return nil, refusedBy(l.Common, l.advice, l.view.Directory().Serving(ask.Service)), nil
 	}
-	l.record(target.Life()).running++
+	l.record(target.Incarnation()).running++
 	return &localPlace{local: l, target: target}, nil, nil
 }
 
-func (l *Local) record(life ids.Life) *record {
+func (l *Local) record(life ids.TargetIncarnation) *record {
 	r := l.targets[life]
 	if r == nil {
 		r = &record{}
@@ -73,24 +73,24 @@
 
 // best returns the target with the least work for its slots. Targets set aside are taken only if there are no
 // others, and cold and limited ones never: what all entries may send them together is given out by the home alone.
-func (l *Local) best(ask Ask) *routing.Target {
+func (l *Local) best(ask Request) *routing.Target {
 	now := l.Clock.Now()
 	random := l.Random.Fork()
 	service := l.view.Catalog().Service(ask.Service)
 	var best *routing.Target
 	var least float64
 	for _, t := range l.view.Directory().Serving(ask.Service) {
-		said := l.advice.Of(t.Life())
-		if said.Bars() || said.Limit.Limits() || t.Cold(now, service) {
+		said := l.advice.Status(t.Incarnation())
+		if said.Blocks() || said.Limit.IsLimited() || t.Cold(now, service) {
 			continue
 		}
-		r := l.record(t.Life())
+		r := l.record(t.Incarnation())
 		cost := (float64(r.running) + random.Float64()/2) / float64(max(1, t.Slots))
-		if r.health.Aside(now) {
+		if r.health.Ejected(now) {
 			const setAside = 1000
 			cost += setAside
 		}
-		if slices.Contains(ask.Exclude, t.Life()) {
+		if slices.Contains(ask.Exclude, t.Incarnation()) {
 			const tried = 2000
 			cost += tried
 		}
@@ -112,11 +112,11 @@
 
 func (p *localPlace) Moved() <-chan struct{} { return nil }
 
-func (p *localPlace) Done(o planner.Outcome, _ planner.Flow) {
+func (p *localPlace) Done(o planner.Outcome, _ planner.StreamStats) {
 	l := p.local
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.record(p.target.Life())
+	r := l.record(p.target.Incarnation())
 	r.running--
-	r.health.Note(l.Clock.Now(), o)
+	r.health.Record(l.Clock.Now(), o)
 }
--- a/pkg/schedule/schedule.go
+++ b/pkg/schedule/schedule.go
@@ -13,13 +13,13 @@
 
 // Ask is a request that wants a place on a target of a service. Its id is set by
 // the scheduler.
-type Ask struct {
+type Request struct {
 	planner.Job
 	Service ids.Service
 }
 
 // Place is a place on a target. Exactly one of its ends is called.
-type Place interface {
+type Assignment interface {
 	Target() *routing.Target
 	// Began notes that the target has begun to answer: a whole answer, or the
 	// first event of a stream. The load is its own report, if it gave one.
@@ -28,7 +28,7 @@
 	// gives no sign of life. It is nil if that is never told.
 	Moved() <-chan struct{}
 	// Done gives the place back; events is how many events the answer had.
-	Done(outcome planner.Outcome, flow planner.Flow)
+	Done(outcome planner.Outcome, flow planner.StreamStats)
 }
 
 // Refused says that there is no place.
@@ -36,7 +36,7 @@
 	// Overloaded is false if the service has no target at all, or all of them rest.
 	Overloaded bool
 	// Resting says that all targets have asked this entry for rest.
-	Resting    bool
+	BackedOff  bool
 	RetryAfter clock.Millis
 	// Ahead is how many requests went before it, Wait how long it would have
 	// waited.
@@ -48,5 +48,5 @@
 type Scheduler interface {
 	// Acquire waits for a place. It returns an error if ctx ended first, and a
 	// refusal if the request should come back later.
-	Acquire(ctx context.Context, ask Ask) (Place, *Refused, error)
+	Acquire(ctx context.Context, ask Request) (Assignment, *Refused, error)
 }
--- a/pkg/schedule/schedule_test.go
+++ b/pkg/schedule/schedule_test.go
@@ -27,11 +27,11 @@
 
 // take runs n requests and returns how many each target got; done says which
 // are ended at once, and how.
-func take(t *testing.T, s schedule.Scheduler, n int, exclude []ids.Life, end func(schedule.Place)) map[ids.Target]int {
+func take(t *testing.T, s schedule.Scheduler, n int, exclude []ids.TargetIncarnation, end func(schedule.Assignment)) map[ids.Target]int {
 	t.Helper()
 	got := map[ids.Target]int{}
 	for range n {
-		p, refused, err := s.Acquire(context.Background(), schedule.Ask{Service: "s", Job: planner.Job{Exclude: exclude}})
+		p, refused, err := s.Acquire(context.Background(), schedule.Request{Service: "s", Job: planner.Job{Exclude: exclude}})
 		if err != nil || refused != nil {
 			t.Fatalf("refused %+v, %v", refused, err)
 		}
@@ -41,7 +41,7 @@
 	return got
 }
 
-func keep(schedule.Place) {}
+func keep(schedule.Assignment) {}
 
 func TestOwnCountsSpreadRequests(t *testing.T) {
 	s := schedule.NewLocal(commontest.New(network.NewMemory(nil)), newView(4), nil)
@@ -54,12 +54,12 @@
 
 func TestOwnCountsAvoidATargetThatCannotBeReached(t *testing.T) {
 	s := schedule.NewLocal(commontest.New(network.NewMemory(nil)), newView(4), nil)
-	got := take(t, s, 40, nil, func(p schedule.Place) {
+	got := take(t, s, 40, nil, func(p schedule.Assignment) {
 		if p.Target().ID == "t0" {
-			p.Done(planner.Unreached, planner.Flow{})
+			p.Done(planner.Unreached, planner.StreamStats{})
 			return
 		}
-		p.Done(planner.Served, planner.Flow{})
+		p.Done(planner.Served, planner.StreamStats{})
 	})
 	if got["t0"] > 2 {
 		t.Errorf("an unreachable target got %d of 40", got["t0"])
@@ -77,7 +77,7 @@
 
 func TestLeastReportedFollowsReports(t *testing.T) {
 	s := schedule.NewBaseline(commontest.New(network.NewMemory(nil)), newView(3), schedule.LeastReported, nil)
-	take(t, s, 3, nil, func(p schedule.Place) {
+	take(t, s, 3, nil, func(p schedule.Assignment) {
 		load := &planner.Load{Running: 2}
 		if p.Target().ID == "t1" {
 			load.Running = 0
@@ -87,7 +87,7 @@
 	if got := take(t, s, 10, nil, keep); got["t1"] != 10 {
 		t.Errorf("got %v with t1 reported idle", got)
 	}
-	if got := take(t, s, 10, []ids.Life{{Target: "t1"}}, keep); got["t1"] != 0 {
+	if got := take(t, s, 10, []ids.TargetIncarnation{{Target: "t1"}}, keep); got["t1"] != 0 {
 		t.Error("an excluded target was taken")
 	}
 }
@@ -95,7 +95,7 @@
 func TestWithoutTargetsThereIsNoPlace(t *testing.T) {
 	c := commontest.New(network.NewMemory(nil))
 	for _, s := range []schedule.Scheduler{schedule.NewLocal(c, newView(0), nil), schedule.NewBaseline(c, newView(0), schedule.RoundRobin, nil)} {
-		p, refused, err := s.Acquire(context.Background(), schedule.Ask{Service: "s"})
+		p, refused, err := s.Acquire(context.Background(), schedule.Request{Service: "s"})
 		if p != nil || refused == nil || refused.RetryAfter <= 0 || err != nil {
 			t.Errorf("place %v, refused %+v, %v", p, refused, err)
 		}
--- a/pkg/settings/defaults.go
+++ b/pkg/settings/defaults.go
@@ -45,14 +45,14 @@
 // DefaultAgent returns the agent settings that hold where a file says nothing.
 func DefaultAgent() Agent {
 	return Agent{
-		QueueTimeMS:    20 * clock.Second,
-		QueueMinTokens: 20_000,
-		GrantLifeMS:    2 * clock.Second,
-		FloorHoldMS:    2 * clock.Second,
-		RememberMS:     30 * clock.Second,
-		AnswerBytes:    256 * kibibyte,
-		CoalesceMS:     8,
-		BodyBytes:      8 * mebibyte,
-		ResumeWaitMS:   15 * clock.Second,
+		QueueTimeMS:     20 * clock.Second,
+		QueueMinTokens:  20_000,
+		GrantLifetimeMS: 2 * clock.Second,
+		FloorHoldMS:     2 * clock.Second,
+		RememberMS:      30 * clock.Second,
+		AnswerBytes:     256 * kibibyte,
+		CoalesceMS:      8,
+		BodyBytes:       8 * mebibyte,
+		ResumeWaitMS:    15 * clock.Second,
 	}
 }
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -116,7 +116,7 @@
 	// QueueMinTokens is the work that may always wait.
 	QueueMinTokens ids.Tokens `json:"queue_min_tokens"`
 	// GrantLifeMS is the time in which a grant must be used.
-	GrantLifeMS clock.Millis `json:"grant_life_ms"`
+	GrantLifetimeMS clock.Millis `json:"grant_life_ms"`
 	// FloorHoldMS is how long lower tiers stay refused after a refusal.
 	FloorHoldMS clock.Millis `json:"floor_hold_ms"`
 	// RememberMS is how long the fate of a grant is kept.
--- a/pkg/story/story.go
+++ b/pkg/story/story.go
@@ -92,7 +92,7 @@
 // Of returns the lines of a request and those that may explain it, in order:
 // what its process came to believe around that time, and what any process wrote
 // of the targets that it was sent to.
-func Of(request string, lines []Line) []Line {
+func ForRequest(request string, lines []Line) []Line {
 	var own []Line
 	targets := make(map[string]bool)
 	processes := make(map[any]bool)
--- a/pkg/story/story_test.go
+++ b/pkg/story/story_test.go
@@ -24,14 +24,14 @@
 		t.Fatal(err)
 	}
 	var got []string
-	for _, l := range story.Of("r1", lines) {
+	for _, l := range story.ForRequest("r1", lines) {
 		got = append(got, fmt.Sprint(l.Fields["msg"], " ", l.Fields["process"]))
 	}
 	want := "configuration in force front-a, request not answered front-a, target gone front-b"
 	if strings.Join(got, ", ") != want {
 		t.Errorf("got %q", strings.Join(got, ", "))
 	}
-	if len(story.Of("r3", lines)) != 0 {
+	if len(story.ForRequest("r3", lines)) != 0 {
 		t.Error("a story of an unknown request")
 	}
 }
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	var got []string
-	for _, l := range story.Of("r1", lines) {
+	for _, l := range story.ForRequest("r1", lines) {
 		got = append(got, strings.TrimSpace(fmt.Sprint(l.Text("msg"), " ", l.Text("outcome"), l.Text("ended_by"))))
 	}
 	want := []string{
--- a/pkg/table/follower.go
+++ b/pkg/table/follower.go
@@ -18,18 +18,18 @@
 	common.Common
 	table   *Table
 	poll    clock.Millis
-	book    atomic.Pointer[declaration.Book]
-	applied func(*declaration.Book)
+	book    atomic.Pointer[declaration.Index]
+	applied func(*declaration.Index)
 }
 
 // NewFollower returns a follower that has no configuration yet. The function
 // applied is called with each new one, from the goroutine of Run.
-func NewFollower(c common.Common, table *Table, poll clock.Millis, applied func(*declaration.Book)) *Follower {
+func NewFollower(c common.Common, table *Table, poll clock.Millis, applied func(*declaration.Index)) *Follower {
 	return &Follower{Common: c, table: table, poll: poll, applied: applied}
 }
 
 // Book returns the configuration in force, or nil before the first.
-func (f *Follower) Book() *declaration.Book {
+func (f *Follower) Index() *declaration.Index {
 	return f.book.Load()
 }
 
@@ -52,7 +52,7 @@
 const firstPoll = 100 * clock.Millisecond
 
 func (f *Follower) wait() clock.Millis {
-	if f.Book() == nil {
+	if f.Index() == nil {
 		return min(f.poll, firstPoll)
 	}
 	return f.poll
@@ -63,7 +63,7 @@
 	if err := f.table.readValue(ctx, KeyHead, &head); err != nil {
 		return fmt.Errorf("head: %w", err)
 	}
-	if current := f.Book(); current != nil && head.Revision <= current.Revision {
+	if current := f.Index(); current != nil && head.Revision <= current.Revision {
 		return nil
 	}
 	return f.fetch(ctx, head)
@@ -73,7 +73,7 @@
 // since the newest snapshot.
 func (f *Follower) fetch(ctx context.Context, head Head) error {
 	revision, set := head.Snapshot, declaration.Set{}
-	if current := f.Book(); current != nil && current.Revision >= head.Snapshot {
+	if current := f.Index(); current != nil && current.Revision >= head.Snapshot {
 		revision, set = current.Revision, current.Set()
 	} else if err := f.table.readValue(ctx, keySet(head.Snapshot), &set); err != nil {
 		return fmt.Errorf("snapshot %d: %w", head.Snapshot, err)
@@ -86,7 +86,7 @@
 		set = change.Apply(set)
 		revision++
 	}
-	book, err := declaration.NewBook(revision, set)
+	book, err := declaration.NewIndex(revision, set)
 	if err != nil {
 		return fmt.Errorf("revision %d: %w", revision, err)
 	}
@@ -94,7 +94,7 @@
 	return nil
 }
 
-func (f *Follower) apply(book *declaration.Book) {
+func (f *Follower) apply(book *declaration.Index) {
 	before := f.book.Swap(book)
 	f.Check.That(before == nil || before.Revision < book.Revision, invariant.RevisionUpward,
 		"revision %d applied", book.Revision)
--- a/pkg/telemetry/figures.go
+++ b/pkg/telemetry/figures.go
@@ -11,13 +11,13 @@
 
 // Figures are the counters and histograms of one process as text, in the form
 // that Prometheus reads. Their labels are bounded by the configuration.
-type Figures struct {
+type PrometheusMetrics struct {
 	set *metrics.Set
 }
 
 // NewFigures returns figures without any.
-func NewFigures() *Figures {
-	return &Figures{set: metrics.NewSet()}
+func NewPrometheusMetrics() *PrometheusMetrics {
+	return &PrometheusMetrics{set: metrics.NewSet()}
 }
 
 // Request is how one request ended, for counting.
@@ -34,7 +34,7 @@
 }
 
 // Count counts a request.
-func (f *Figures) Count(r Request) {
+func (f *PrometheusMetrics) Count(r Request) {
 	f.set.GetOrCreateCounter(fmt.Sprintf(
 		`quaydock_requests_total{service=%q,account=%q,tier="%d",outcome=%q}`, r.Service, r.Account, r.Tier, r.Outcome)).Inc()
 	f.set.GetOrCreateHistogram(fmt.Sprintf(
@@ -46,23 +46,23 @@
 }
 
 // Add counts something by name and one label.
-func (f *Figures) Add(name, label, value string) {
+func (f *PrometheusMetrics) Add(name, label, value string) {
 	f.set.GetOrCreateCounter(fmt.Sprintf("quaydock_%s_total{%s=%q}", name, label, value)).Inc()
 }
 
 // Gauge shows a value whenever the figures are read.
-func (f *Figures) Gauge(name string, value func() float64) {
+func (f *PrometheusMetrics) Gauge(name string, value func() float64) {
 	f.set.NewGauge("quaydock_"+name, value)
 }
 
 // LabelledGauge shows a value by name and one label whenever the figures are read. Only the
 // first value of a name and label is shown.
-func (f *Figures) LabelledGauge(name, label, labelled string, value func() float64) {
+func (f *PrometheusMetrics) LabelledGauge(name, label, labelled string, value func() float64) {
 	f.set.GetOrCreateGauge(fmt.Sprintf("quaydock_%s{%s=%q}", name, label, labelled), value)
 }
 
 // ServeHTTP shows all figures as text.
-func (f *Figures) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (f *PrometheusMetrics) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
 	f.set.WritePrometheus(w)
 }
--- a/pkg/telemetry/metrics.go
+++ b/pkg/telemetry/metrics.go
@@ -24,14 +24,14 @@
 	Configuration *expvar.Map
 	// Figures are the counters and histograms by tier, account and service, as
 	// text.
-	Figures *Figures
+	Prometheus *PrometheusMetrics
 	// Violations counts violated invariants by name.
 	Violations *expvar.Map
 }
 
 // NewMetrics returns counters at zero.
 func NewMetrics() *Metrics {
-	m := &Metrics{Figures: NewFigures()}
+	m := &Metrics{Prometheus: NewPrometheusMetrics()}
 	m.root.Init()
 	m.Requests = m.group("requests")
 	m.Refusals = m.group("refusals")
--- a/pkg/telemetry/telemetry_test.go
+++ b/pkg/telemetry/telemetry_test.go
@@ -81,7 +81,7 @@
 }
 
 func TestFigures(t *testing.T) {
-	f := telemetry.NewFigures()
+	f := telemetry.NewPrometheusMetrics()
 	f.Count(telemetry.Request{Service: "s", Account: "a", Tier: 1, Outcome: "answered", First: 30, Held: 200})
 	f.Count(telemetry.Request{Service: "s", Account: "a", Tier: 1, Outcome: "answered", First: 40, Held: 300})
 	f.Add("store_calls", "outcome", "ok")
--- a/pkg/view/view.go
+++ b/pkg/view/view.go
@@ -97,7 +97,7 @@
 }
 
 // Proven notes that the configuration in force was the newest at a moment.
-func (v *View) Proven(at clock.Millis) {
+func (v *View) Confirmed(at clock.Millis) {
 	if v.provenAt.Load() < int64(at) {
 		v.provenAt.Store(int64(at))
 		v.noteKnown()
