--- a/pkg/dispatch/advice.go
+++ b/pkg/dispatch/advice.go
@@ -14,118 +14,118 @@
 	"quaydock/pkg/ratelimit"
 )
 
-// advisedAPage is how many advices surely fit into one datagram.
-const advisedAPage = 14
+// advicePerPage is the number of items of advice that always fit into one datagram.
+const advicePerPage = 14
 
-// advice tells a home what targets of a service have told an entry.
-type advice struct {
+// adviceMessage carries to an owner the advice that an entry has received from targets of a service.
+type adviceMessage struct {
 	_       struct{} `cbor:",toarray"`
 	Service ids.Service
-	Items   []advised
+	Items   []targetAdvice
 }
 
-// advised is the word of one target.
-type advised struct {
-	_       struct{} `cbor:",toarray"`
-	Life    ids.Life
-	Leaving bool
-	Rest    clock.Millis // left of it
-	Takes   *ratelimit.Aged
+// targetAdvice is the advice of one target.
+type targetAdvice struct {
+	_           struct{} `cbor:",toarray"`
+	Incarnation ids.Life
+	Leaving     bool
+	Backoff     clock.Millis // remaining
+	Limit       *ratelimit.Aged
 }
 
-// advised takes what targets have told an entry.
-func (h *Home) advised(from netip.AddrPort, a *advice) {
+// receiveAdvice applies the advice that an entry has received from targets.
+func (h *Home) receiveAdvice(from netip.AddrPort, a *adviceMessage) {
 	now := h.Clock.Now()
-	h.with(now, a.Service, from, func(p *planner.Planner) {
+	h.withPlanner(now, a.Service, from, func(p *planner.Planner) {
 		for _, it := range a.Items {
-			p.Advise(now, from.String(), it.Life, it.Leaving, it.Rest)
-			if takes, changed := p.SetLimit(now, it.Life, it.Takes.Word(now)); changed {
-				h.noteLimit(from, it.Life, takes)
+			p.Advise(now, from.String(), it.Incarnation, it.Leaving, it.Backoff)
+			if limit, changed := p.SetLimit(now, it.Incarnation, it.Limit.Word(now)); changed {
+				h.logLimit(from, it.Incarnation, limit)
 			}
 		}
 	})
 }
 
-// noteLimit logs that the planner of a target reckons with another limit.
-func (h *Home) noteLimit(from netip.AddrPort, life ids.Life, takes ratelimit.Word) {
+// logLimit logs that the planner now uses another rate limit for a target.
+func (h *Home) logLimit(from netip.AddrPort, incarnation ids.Life, limit ratelimit.Word) {
 	if !h.sampler.Allow("limit") {
 		return
 	}
-	line := h.Log.WithFields(logrus.Fields{"target": string(life.Target), "start": int64(life.Start), "heard_from": from.String()})
-	if takes.Limits() {
-		line.WithField("per_second", float64(takes.Rate)).Info("planning by a limit")
+	line := h.Log.WithFields(logrus.Fields{"target": string(incarnation.Target), "start": int64(incarnation.Start), "heard_from": from.String()})
+	if limit.Limits() {
+		line.WithField("per_second", float64(limit.Rate)).Info("planner applies the rate limit of a target")
 		return
 	}
-	line.Info("planning without a limit")
+	line.Info("planner no longer applies a rate limit to a target")
 }
 
-// Advise tells the home of a target's service what the target has told this entry.
+// Advise forwards the advice that a target has given this entry to the owner of the target's service.
 func (d *Dispatcher) Advise(s advisory.Standing) {
 	if t := d.view.Directory().Target(s.Life.Target); t != nil {
-		d.advise(t.Service, []advisory.Standing{s})
+		d.sendAdvice(t.Service, []advisory.Standing{s})
 	}
 }
 
-func (d *Dispatcher) advise(service ids.Service, list []advisory.Standing) {
+func (d *Dispatcher) sendAdvice(service ids.Service, list []advisory.Standing) {
 	now := d.Clock.Now()
 	for len(list) > 0 {
-		page := list[:min(len(list), advisedAPage)]
+		page := list[:min(len(list), advicePerPage)]
 		list = list[len(page):]
-		message := advice{Service: service}
+		message := adviceMessage{Service: service}
 		for _, s := range page {
-			message.Items = append(message.Items, advised{Life: s.Life, Leaving: s.Leaving, Rest: s.Rest, Takes: s.Limit.Aged(now)})
+			message.Items = append(message.Items, targetAdvice{Incarnation: s.Life, Leaving: s.Leaving, Backoff: s.Rest, Limit: s.Limit.Aged(now)})
 		}
-		toHome(d, service, packets.KindAdvice, d.home.advised, &message)
+		sendToOwner(d, service, packets.KindAdvice, d.owner.receiveAdvice, &message)
 	}
 }
 
-// adviseAll tells each home all that this entry knows of its targets. A home that has begun anew, or has not
-// heard something, hears all of it with the first place that is given back; telling it each second as well would take
-// more datagrams and save nothing.
-func (d *Dispatcher) adviseAll() {
+// sendAllAdvice sends each owner all advice that this entry has about its targets. It runs when a grant is returned, so that
+// an owner that has just taken over, or has missed a message, receives everything then; sending it every second as well
+// would cost more datagrams and save nothing.
+func (d *Dispatcher) sendAllAdvice() {
 	lists := make(map[ids.Service][]advisory.Standing)
-	for _, said := range d.advice.All() {
-		t := d.view.Directory().Target(said.Life.Target)
+	for _, status := range d.advice.All() {
+		t := d.view.Directory().Target(status.Life.Target)
 		if t == nil {
 			continue
 		}
-		// Of the life that is listed: one that was not read yet may have spoken.
+		// Use the status of the listed incarnation: the advice may be from one that this entry has not read yet.
 		if s := d.advice.Of(t.Life()); s.Bars() || s.Limit.Known {
 			lists[t.Service] = append(lists[t.Service], s)
 		}
 	}
 	for service, list := range lists {
-		d.advise(service, list)
+		d.sendAdvice(service, list)
 	}
 }
 
-// barred reports whether the target of a grant has told this entry to send nothing, or nothing beyond a limit by which the
-// home has not counted the grant. A home that knows less of the limit is told.
-func (d *Dispatcher) barred(a *answer) bool {
-	t := d.view.Directory().Target(a.Life.Target)
-	if t == nil || !t.Life().Same(a.Life) {
+// blockedByAdvice reports whether a grant must not be used, as its target has told this entry to send nothing, or has a
+// rate limit against which the owner did not count the grant. If the owner's limit is out of date, the current one is sent
+// to it.
+func (d *Dispatcher) blockedByAdvice(a *decisionMessage) bool {
+	t := d.view.Directory().Target(a.Incarnation.Target)
+	if t == nil || !t.Life().Same(a.Incarnation) {
 		return false
 	}
-	home := a.Takes.Word(d.Clock.Now())
-	s := d.advice.HearHome(t.Life(), home)
-	if s.Limit.Differs(home) {
-		d.advise(t.Service, []advisory.Standing{s})
+	known := a.Limit.Word(d.Clock.Now())
+	s := d.advice.HearHome(t.Life(), known)
+	if s.Limit.Differs(known) {
+		d.sendAdvice(t.Service, []advisory.Standing{s})
 	}
 	return s.Bars() || s.Limit.Limits() && !a.Counted
 }
 
-// mostWithheld is how many grants a request gives back before it is not to get the same target again: the
-// home does not hear the reason.
-const mostWithheld = 3
+// maxWithheld is how many grants a request may return because of advice before it excludes each further target that it
+// returns: by then the owner is evidently not receiving the advice.
+const maxWithheld = 3
 
-// withhold gives back a grant for a target that has told this entry to send nothing. The home is told the
-// reason first, and what all others have told, so that a home that knows none of it costs the request one round
-// trip.
-func (d *Dispatcher) withhold(p *pending, life ids.Life) {
+// withhold returns a grant for a target that has told this entry to send nothing. All advice that this entry has is sent
+// to the owner first, so that an owner that knows none of it costs the request only one round trip.
+func (d *Dispatcher) withhold(p *pending, incarnation ids.Life) {
 	d.Metrics.Links.Add("grants_withheld", 1)
-	d.adviseAll()
-	if p.withheld++; p.withheld > mostWithheld {
-		p.want.Exclude = append(slices.Clone(p.want.Exclude), life)
+	d.sendAllAdvice()
+	if p.withheld++; p.withheld > maxWithheld {
+		p.request.Exclude = append(slices.Clone(p.request.Exclude), incarnation)
 	}
-	d.giveBack(p, planner.Withheld)
+	d.returnGrant(p, planner.Withheld)
 }
--- a/pkg/dispatch/advice_test.go
+++ b/pkg/dispatch/advice_test.go
@@ -13,33 +13,33 @@
 	"quaydock/pkg/packets"
 )
 
-// TestNoGrantLeadsToATargetThatHasSaidNo: an entry knows what targets have told it, and its home may not: the
-// message was lost, the home is cut off, another entry has become the home, or this entry places by its own counts. Each
-// place that it uses is at a target that has said nothing, and no request fails.
-func TestNoGrantLeadsToATargetThatHasSaidNo(t *testing.T) {
+// Guards against requests to targets that have told this entry to send nothing. The owner may not know the advice: the
+// message was lost, the owner is partitioned, another entry has become the owner, or this entry chooses targets by its own
+// counts. All requests must be served, by the one target without advice.
+func TestGrantsForBlockedTargetsAreNotUsed(t *testing.T) {
 	advices := []struct {
 		name   string
 		advice advisory.Advice
 	}{
-		{"leaves", advisory.Advice{Leaving: true}},
-		{"rests", advisory.Advice{Rest: 60 * clock.Second}},
+		{"leaving", advisory.Advice{Leaving: true}},
+		{"back-off", advisory.Advice{Rest: 60 * clock.Second}},
 	}
 	scenarios := []struct {
-		name string
-		hurt func(b *bed, home, asker int)
-		// most is how many places the asker may give back: one for each target and home that has not heard.
+		name    string
+		disrupt func(b *cluster, owner, requester int)
+		// most is how many grants the requester may return: one for each target and each owner that lacks the advice.
 		most int64
 	}{
-		{"the home hears", func(*bed, int, int) {}, 0},
-		{"the home is told nothing", func(b *bed, _, _ int) {
+		{"the owner receives the advice", func(*cluster, int, int) {}, 0},
+		{"the owner receives no advice", func(b *cluster, _, _ int) {
 			b.net.Lose(func(_, _ netip.AddrPort, k packets.Kind) bool { return k == packets.KindAdvice })
 		}, 1000},
-		{"another entry becomes the home", func(b *bed, home, _ int) {
-			b.stops[home]()
-			dead := address(home)
+		{"another entry becomes the owner", func(b *cluster, owner, _ int) {
+			b.stops[owner]()
+			dead := entryAddress(owner)
 			b.net.Lose(func(from, to netip.AddrPort, _ packets.Kind) bool { return from == dead || to == dead })
 		}, 3},
-		{"nobody hears of anybody, and the entry becomes its own home", func(b *bed, _, _ int) {
+		{"no entry receives anything, and the requester becomes its own owner", func(b *cluster, _, _ int) {
 			b.net.Lose(func(_, _ netip.AddrPort, _ packets.Kind) bool { return true })
 		}, 3},
 	}
@@ -47,19 +47,19 @@
 		for _, s := range scenarios {
 			t.Run(a.name+", "+s.name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					b := newBed(t)
-					home := b.home(-1)
-					asker := (home + 1) % entryCount
+					b := newCluster(t)
+					owner := b.ownerIndex(-1)
+					requester := (owner + 1) % entryCount
 					for _, id := range []ids.Target{"t0", "t1", "t2"} {
-						b.advice[asker].Hear(ids.Life{Target: id}, 0, "r", a.advice)
+						b.advice[requester].Hear(ids.Life{Target: id}, 0, "r", a.advice)
 					}
-					s.hurt(b, home, asker)
-					b.load([]int{asker}, 40, 100*time.Millisecond, 50*time.Millisecond)
+					s.disrupt(b, owner, requester)
+					b.runRequests([]int{requester}, 40, 100*time.Millisecond, 50*time.Millisecond)
 					if b.served != 40 || b.total["t3"] != 40 {
-						t.Errorf("%d of 40 served, %d of them at the target that has said nothing", b.served, b.total["t3"])
+						t.Errorf("%d of 40 served, %d of them at the target without advice", b.served, b.total["t3"])
 					}
 					if n := b.withheld(); n > s.most {
-						t.Errorf("%d places given back, %d at the most", n, s.most)
+						t.Errorf("%d grants returned, want at most %d", n, s.most)
 					}
 				})
 			})
@@ -67,19 +67,19 @@
 	}
 }
 
-// TestOthersGainFromOneEntrysWord: that a target leaves holds for all entries as soon as one has been told;
-// rest holds for the one alone.
-func TestOthersGainFromOneEntrysWord(t *testing.T) {
+// A target that reports to one entry that it is leaving gets no requests from any entry; a back-off that it asks of one
+// entry holds for that entry alone.
+func TestLeavingIsSharedAmongEntriesAndBackoffIsNot(t *testing.T) {
 	for _, leaving := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBed(t)
-			home := b.home(-1)
-			told, other := (home+1)%entryCount, (home+2)%entryCount
+			b := newCluster(t)
+			owner := b.ownerIndex(-1)
+			informed, other := (owner+1)%entryCount, (owner+2)%entryCount
 			for _, id := range []ids.Target{"t0", "t1", "t2"} {
-				b.advice[told].Hear(ids.Life{Target: id}, 0, "r", advisory.Advice{Leaving: leaving, Rest: 60 * clock.Second})
+				b.advice[informed].Hear(ids.Life{Target: id}, 0, "r", advisory.Advice{Leaving: leaving, Rest: 60 * clock.Second})
 			}
 			time.Sleep(10 * time.Millisecond)
-			b.load([]int{other}, 40, 100*time.Millisecond, 50*time.Millisecond)
+			b.runRequests([]int{other}, 40, 100*time.Millisecond, 50*time.Millisecond)
 			if alone := b.total["t3"] == 40; b.served != 40 || alone != leaving {
 				t.Errorf("leaving %t: %d of 40 served, on %v", leaving, b.served, b.total)
 			}
@@ -87,10 +87,10 @@
 	}
 }
 
-// TestWhileNobodySaysAnythingNothingIsSent counts the messages about what targets say.
-func TestWhileNobodySaysAnythingNothingIsSent(t *testing.T) {
+// Guards against traffic about advice while no target gives any.
+func TestNoAdviceMessagesWithoutAdvice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
+		b := newCluster(t)
 		messages := 0
 		b.net.Lose(func(_, _ netip.AddrPort, k packets.Kind) bool {
 			if k == packets.KindAdvice {
@@ -98,32 +98,33 @@
 			}
 			return false
 		})
-		b.load([]int{0, 1, 2}, 60, 50*time.Millisecond, 50*time.Millisecond)
+		b.runRequests([]int{0, 1, 2}, 60, 50*time.Millisecond, 50*time.Millisecond)
 		if messages > 0 {
-			t.Errorf("%d messages", messages)
+			t.Errorf("%d advice messages though no target gave advice", messages)
 		}
 	})
 }
 
-// TestAllTargetsOfAnEntryRest: the caller is told in time, and by whom.
-func TestAllTargetsOfAnEntryRest(t *testing.T) {
+// A request whose targets have all asked for a back-off is refused within 150 ms, with the time after which to retry,
+// whether the owner or the entry alone decides.
+func TestRequestIsRefusedWhenAllTargetsBackOff(t *testing.T) {
 	for _, alone := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBed(t)
-			asker := (b.home(-1) + 1) % entryCount
+			b := newCluster(t)
+			requester := (b.ownerIndex(-1) + 1) % entryCount
 			for _, target := range b.targets {
-				b.advice[asker].Hear(target.Life(), 0, "r", advisory.Advice{Rest: 3 * clock.Second})
+				b.advice[requester].Hear(target.Life(), 0, "r", advisory.Advice{Rest: 3 * clock.Second})
 			}
 			if alone {
 				b.net.Lose(func(_, _ netip.AddrPort, _ packets.Kind) bool { return true })
 			}
 			began := b.Clock.Now()
-			place, refused, err := b.entries[asker].Acquire(context.Background(), b.ask())
-			if place != nil || err != nil || refused == nil || !refused.Resting || refused.RetryAfter < 2900 || refused.RetryAfter > 4000 {
+			assigned, refused, err := b.entries[requester].Acquire(context.Background(), b.urgentRequest())
+			if assigned != nil || err != nil || refused == nil || !refused.Resting || refused.RetryAfter < 2900 || refused.RetryAfter > 4000 {
 				t.Errorf("alone %t: refused %+v, %v", alone, refused, err)
 			}
 			if took := b.Clock.Now() - began; took > 150 {
-				t.Errorf("alone %t: told after %d ms", alone, took)
+				t.Errorf("alone %t: refused after %d ms", alone, took)
 			}
 		})
 	}
--- a/pkg/dispatch/dispatcher.go
+++ b/pkg/dispatch/dispatcher.go
@@ -20,17 +20,17 @@
 )
 
 const (
-	// askAgain is after what time an ask without an answer is sent again, and
-	// maxAsks how often before the entry places by its own counts.
-	askAgain = 15 * clock.Millisecond
-	maxAsks  = 3
-	// pollEvery is how often an entry asks for a request that waits.
-	pollEvery = 60 * clock.Millisecond
-	// syncEvery is how often an entry lists what it has on the targets.
-	syncEvery = 250 * clock.Millisecond
+	// A submission without a decision is sent again after submitTimeout. After maxSubmits of them without a decision the
+	// entry chooses a target by its own counts.
+	submitTimeout = 15 * clock.Millisecond
+	maxSubmits    = 3
+	// pollInterval is the time between two submissions of a request that the owner has queued.
+	pollInterval = 60 * clock.Millisecond
+	// syncInterval is the time between two lists of the entry's running requests.
+	syncInterval = 250 * clock.Millisecond
 )
 
-// Dispatcher is an entry's way to the planners. It implements
+// Dispatcher requests assignments from the planners on behalf of an entry. It implements
 // schedule.Scheduler.
 type Dispatcher struct {
 	common.Common
@@ -39,176 +39,178 @@
 	link    *packets.Link
 	address netip.AddrPort
 	domain  ids.FailureDomain
-	home    *Home
+	owner   *Home
 	local   schedule.Scheduler
 	trials  *trials
 	advice  *advisory.Book
 
-	mu      gosync.Mutex
-	number  uint64
-	waiting map[uint64]chan answer
-	running map[uint64]*place
-	// lists is how often each service's home is still told what this entry has on its targets.
-	lists map[ids.Service]int
+	mu         gosync.Mutex
+	lastNumber uint64
+	waiting    map[uint64]chan decisionMessage
+	running    map[uint64]*assignment
+	// syncsLeft is how many more times the owner of each service gets a list of this entry's running requests, even
+	// if there are none.
+	syncsLeft map[ids.Service]int
 }
 
 var _ schedule.Scheduler = (*Dispatcher)(nil)
 
-// Parts is what a dispatcher is built of.
+// Dependencies holds what a dispatcher is built from.
 type Parts struct {
 	common.Common
-	// Address is that of the entry, in a failure domain.
+	// Address and Domain are those of the entry.
 	Address netip.AddrPort
 	Domain  ids.FailureDomain
 	View    *view.View
 	Members *membership.Members
 	Link    *packets.Link
 	Notes   Notes
-	// Local places while there is no home.
+	// Local assigns requests while no owner answers.
 	Local schedule.Scheduler
-	// Advice is what targets have told this entry of themselves.
+	// Advice tracks what targets have reported to this entry in their answers.
 	Advice *advisory.Book
-	// ColdBounds are those in force on what cold targets get.
+	// ColdBounds returns the current bounds for requests to cold targets.
 	ColdBounds func() planner.ColdBounds
-	// Rollouts is what roll-outs need, nil if they are no part of the deployment.
+	// Rollouts holds what roll-outs need; nil if the deployment does not use them.
 	Rollouts *Rollouts
 }
 
-// New returns a dispatcher of an entry.
+// New returns a dispatcher and registers its datagram handlers.
 func New(parts Parts) *Dispatcher {
 	c := parts.Common
 	d := &Dispatcher{
 		Common: c, view: parts.View, members: parts.Members, link: parts.Link, address: parts.Address, domain: parts.Domain, local: parts.Local,
-		trials:  newTrials(c, parts.Rollouts, parts.Members),
-		advice:  parts.Advice,
-		number:  c.Random.Fork().Uint64(),
-		waiting: make(map[uint64]chan answer), running: make(map[uint64]*place), lists: make(map[ids.Service]int),
+		trials:     newTrials(c, parts.Rollouts, parts.Members),
+		advice:     parts.Advice,
+		lastNumber: c.Random.Fork().Uint64(),
+		waiting:    make(map[uint64]chan decisionMessage), running: make(map[uint64]*assignment), syncsLeft: make(map[ids.Service]int),
 	}
 	link := parts.Link
-	d.home = newHome(c, parts, d.sendAnswer)
-	link.Handle(packets.KindAsk, packets.Receive(link, d.home.asked))
-	link.Handle(packets.KindStep, packets.Receive(link, d.home.stepped))
-	link.Handle(packets.KindSync, packets.Receive(link, d.home.synced))
-	link.Handle(packets.KindAdvice, packets.Receive(link, d.home.advised))
-	link.Handle(packets.KindAnswer, packets.Receive(link, d.answered))
+	d.owner = newOwner(c, parts, d.deliverDecision)
+	link.Handle(packets.KindAsk, packets.Receive(link, d.owner.receiveSubmit))
+	link.Handle(packets.KindStep, packets.Receive(link, d.owner.receiveProgress))
+	link.Handle(packets.KindSync, packets.Receive(link, d.owner.receiveSync))
+	link.Handle(packets.KindAdvice, packets.Receive(link, d.owner.receiveAdvice))
+	link.Handle(packets.KindAnswer, packets.Receive(link, d.receiveDecision))
 	return d
 }
 
-// Run keeps the homes informed until ctx ends.
+// Run runs the planners of this entry, and sends lists of its running requests to the owners, until ctx ends.
 func (d *Dispatcher) Run(ctx context.Context) {
-	go d.home.run(ctx)
+	go d.owner.run(ctx)
 	for ctx.Err() == nil {
-		clock.Pause(ctx, syncEvery)
+		clock.Pause(ctx, syncInterval)
 		d.syncAll()
 	}
 }
 
-func (d *Dispatcher) sendAnswer(to netip.AddrPort, a answer) {
+func (d *Dispatcher) deliverDecision(to netip.AddrPort, a decisionMessage) {
 	if to == d.address {
-		d.answered(to, &a)
+		d.receiveDecision(to, &a)
 		return
 	}
 	d.link.Send(to, packets.KindAnswer, a)
 }
 
-// toHome sends a message to the home of a service, or hands it over if that is
-// here.
-func toHome[M any](d *Dispatcher, service ids.Service, kind packets.Kind, take func(netip.AddrPort, *M), message *M) netip.AddrPort {
-	home, self := d.members.HeavyHome(matter(service))
+// sendToOwner sends a message to the owner of a service, or calls the handler directly if this entry is
+// the owner.
+func sendToOwner[M any](d *Dispatcher, service ids.Service, kind packets.Kind, handle func(netip.AddrPort, *M), message *M) netip.AddrPort {
+	owner, self := d.members.HeavyHome(plannerShard(service))
 	if self {
-		take(d.address, message)
+		handle(d.address, message)
 	} else {
-		d.link.Send(home, kind, message)
+		d.link.Send(owner, kind, message)
 	}
-	return home
+	return owner
 }
 
-func (d *Dispatcher) step(s step) {
-	toHome(d, s.Service, packets.KindStep, d.home.stepped, &s)
+func (d *Dispatcher) sendProgress(s progressMessage) {
+	sendToOwner(d, s.Service, packets.KindStep, d.owner.receiveProgress, &s)
 }
 
-// answered takes a home's answer.
-func (d *Dispatcher) answered(_ netip.AddrPort, a *answer) {
+// receiveDecision handles a decision from an owner.
+func (d *Dispatcher) receiveDecision(_ netip.AddrPort, a *decisionMessage) {
 	d.mu.Lock()
-	answers, waits := d.waiting[a.Number]
-	p, runs := d.running[a.Number]
-	if a.Verdict == move && runs && !p.begun {
+	decisions, isWaiting := d.waiting[a.Number]
+	p, isRunning := d.running[a.Number]
+	if a.Kind == redispatch && isRunning && !p.begun {
 		p.moveOnce.Do(func() { close(p.moved) })
 	}
-	if waits && a.Verdict != move {
+	if isWaiting && a.Kind != redispatch {
 		select {
-		case answers <- *a:
-		default: // earlier ones have not been taken yet
+		case decisions <- *a:
+		default: // the buffer is full of decisions that were not read yet
 		}
 	}
 	d.mu.Unlock()
-	if a.Verdict == granted && !waits && !runs {
+	if a.Kind == granted && !isWaiting && !isRunning {
 		d.Metrics.Links.Add("grants_too_late", 1)
 	}
 }
 
-// offered returns a target if a request may go there as far as this entry knows, or
-// nil. A home that is cut off from the store may not have heard that it leaves, or has started
-// again: the request would then be counted in another life than the one that runs it.
-func (d *Dispatcher) offered(p *pending, life ids.Life) *routing.Target {
-	t := d.view.Directory().Target(life.Target)
+// usableTarget returns the target of a grant, or nil if this entry knows that the request must not go there. An owner that
+// is partitioned from the store may not know that the target is leaving or has restarted; after a restart the request would
+// be counted in another incarnation than the one that runs it.
+func (d *Dispatcher) usableTarget(p *pending, incarnation ids.Life) *routing.Target {
+	t := d.view.Directory().Target(incarnation.Target)
 	switch {
-	case t == nil, !t.Life().Same(life), t.Service != p.want.Service:
+	case t == nil, !t.Life().Same(incarnation), t.Service != p.request.Service:
 		return nil
 	case t.Leaving, t.Drained, t.Admission == routing.Withheld:
 		return nil
-	case t.Admission == routing.OnTrial && !d.trials.send(p, t):
+	case t.Admission == routing.OnTrial && !d.trials.useReservation(p, t):
 		return nil
 	}
 	return t
 }
 
-func (d *Dispatcher) fresh() uint64 {
+func (d *Dispatcher) nextNumber() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.number++
-	return d.number
+	d.lastNumber++
+	return d.lastNumber
 }
 
-// Planned is how many requests of all entries wait and run in the planners that
-// this entry is in charge of.
+// Planned returns the numbers of waiting and running requests, of all entries, in the planners that
+// this entry runs.
 func (d *Dispatcher) Planned() (waiting, running int) {
-	return d.home.planned()
+	return d.owner.plannedCounts()
 }
 
-// emptyLists is how often a home is told that this entry has nothing on its targets any more: it may have lost the ends of what
-// ran there, and the lists too.
-const emptyLists = 8
+// finalSyncs is how many lists an owner gets after this entry's last request has ended. Both the message about the end and
+// some of the lists may be lost, and the owner would go on counting the request as running.
+const finalSyncs = 8
 
-// syncAll lists to each home what this entry has on its targets.
+// syncAll sends each owner the list of this entry's running requests.
 func (d *Dispatcher) syncAll() {
-	lists := make(map[ids.Service][]item)
+	lists := make(map[ids.Service][]runningItem)
 	d.mu.Lock()
-	for service, left := range d.lists {
+	for service, left := range d.syncsLeft {
 		lists[service] = nil
-		d.lists[service]--
+		d.syncsLeft[service]--
 		if left <= 1 {
-			delete(d.lists, service)
+			delete(d.syncsLeft, service)
 		}
 	}
 	for _, p := range d.running {
-		w := p.want
-		lists[w.Service] = append(lists[w.Service], item{
-			Number: p.number, Life: p.target.Life(), Begun: p.begun,
+		w := p.request
+		lists[w.Service] = append(lists[w.Service], runningItem{
+			Number: p.number, Incarnation: p.target.Life(), Begun: p.begun,
 			Tier: w.Tier, Prompt: w.Prompt, Events: w.Events, Account: w.Account, Movable: w.Movable,
 		})
 	}
 	d.mu.Unlock()
 	for service, items := range lists {
-		// A home that begins anew takes them in this order, and learns by it how many ran beside each.
-		slices.SortFunc(items, func(a, b item) int { return cmp.Compare(a.Number, b.Number) })
-		pages := uint64(len(items)/pageItems + 1)
-		byPage := make([][]item, pages)
+		// An owner that has just taken over restores them in this order, from which it derives how many requests ran
+		// beside each.
+		slices.SortFunc(items, func(a, b runningItem) int { return cmp.Compare(a.Number, b.Number) })
+		pages := uint64(len(items)/itemsPerPage + 1)
+		byPage := make([][]runningItem, pages)
 		for _, it := range items {
 			byPage[it.Number%pages] = append(byPage[it.Number%pages], it)
 		}
 		for page, list := range byPage {
-			toHome(d, service, packets.KindSync, d.home.synced, &sync{Service: service, Page: uint64(page), Pages: pages, Items: list})
+			sendToOwner(d, service, packets.KindSync, d.owner.receiveSync, &syncMessage{Service: service, Page: uint64(page), Pages: pages, Items: list})
 		}
 	}
 }
--- a/pkg/dispatch/dispatcher_test.go
+++ b/pkg/dispatch/dispatcher_test.go
@@ -27,8 +27,8 @@
 	"quaydock/pkg/view"
 )
 
-// bed is a few entries before a few targets of two slots each.
-type bed struct {
+// cluster is a few entries with a few targets of two slots each.
+type cluster struct {
 	common.Common
 	net     *packets.Memory
 	entries []*dispatch.Dispatcher
@@ -38,14 +38,14 @@
 	stops   []context.CancelFunc
 	advice  []*advisory.Book
 
-	slow map[ids.Target]time.Duration // how many times as long they take
+	slowdown map[ids.Target]time.Duration // factor by which their answers take longer
 
-	mu      sync.Mutex
-	running map[ids.Target]int
-	total   map[ids.Target]int
-	most    int
-	served  int
-	failed  int
+	mu         sync.Mutex
+	running    map[ids.Target]int
+	total      map[ids.Target]int
+	maxRunning int
+	served     int
+	failed     int
 }
 
 const (
@@ -54,37 +54,37 @@
 	slots       = 2
 )
 
-func address(i int) netip.AddrPort {
+func entryAddress(i int) netip.AddrPort {
 	return netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:7600", i+1))
 }
 
-func newBed(t *testing.T) *bed {
-	return newBedWith(t, commontest.NoNotes{})
+func newCluster(t *testing.T) *cluster {
+	return newClusterWith(t, commontest.NoNotes{})
 }
 
-func newBedWith(t *testing.T, notes dispatch.Notes) *bed {
-	b := &bed{Common: commontest.New(network.NewMemory(nil)), net: packets.NewMemory(), running: make(map[ids.Target]int), total: make(map[ids.Target]int)}
+func newClusterWith(t *testing.T, store dispatch.Notes) *cluster {
+	b := &cluster{Common: commontest.New(network.NewMemory(nil)), net: packets.NewMemory(), running: make(map[ids.Target]int), total: make(map[ids.Target]int)}
 	var rows []follow.Row
 	for i := range entryCount {
-		rows = append(rows, follow.Row{Key: fmt.Sprint("entry-", i), Value: fmt.Appendf(nil, `{"address":%q,"weight":1}`, address(i).String())})
+		rows = append(rows, follow.Row{Key: fmt.Sprint("entry-", i), Value: fmt.Appendf(nil, `{"address":%q,"weight":1}`, entryAddress(i).String())})
 	}
 	for i := range targetCount {
 		b.targets = append(b.targets, &routing.Target{ID: ids.Target(fmt.Sprint("t", i)), Service: "s", Slots: slots})
 	}
 	for i := range entryCount {
 		ctx, stop := context.WithCancel(context.Background())
-		link := packets.NewLink(b.Common, b.net.Socket(address(i)))
-		m := membership.New(b.Common, membership.Self{Name: ids.Process(fmt.Sprint("entry-", i)), Address: address(i), Weight: 1}, commontest.NoRows{}, link)
+		link := packets.NewLink(b.Common, b.net.Socket(entryAddress(i)))
+		m := membership.New(b.Common, membership.Self{Name: ids.Process(fmt.Sprint("entry-", i)), Address: entryAddress(i), Weight: 1}, commontest.NoRows{}, link)
 		m.Whole(rows, follow.Proof{})
 		v := view.New(b.Check)
 		v.SetDirectory(routing.NewDirectory(b.targets))
-		book := advisory.NewBook(b.Common)
+		tracker := advisory.NewBook(b.Common)
 		d := dispatch.New(dispatch.Parts{
-			Common: b.Common, Address: address(i), Domain: "d", View: v, Members: m, Link: link, Notes: notes,
-			Local: schedule.NewLocal(b.Common, v, book), Advice: book,
+			Common: b.Common, Address: entryAddress(i), Domain: "d", View: v, Members: m, Link: link, Notes: store,
+			Local: schedule.NewLocal(b.Common, v, tracker), Advice: tracker,
 		})
-		book.OnHeard(d.Advise)
-		b.advice = append(b.advice, book)
+		tracker.OnHeard(d.Advise)
+		b.advice = append(b.advice, tracker)
 		go link.Run(ctx)
 		go m.Run(ctx)
 		go d.Run(ctx)
@@ -103,15 +103,15 @@
 	return b
 }
 
-// home is the entry that plans, as the others see it.
-func (b *bed) home(except int) int {
+// ownerIndex returns the entry that plans for the service, as seen by the first entry other than except.
+func (b *cluster) ownerIndex(except int) int {
 	for i, m := range b.members {
 		if i == except {
 			continue
 		}
 		at, _ := m.Home("targets/s")
 		for j := range entryCount {
-			if at == address(j) {
+			if at == entryAddress(j) {
 				return j
 			}
 		}
@@ -119,14 +119,14 @@
 	return -1
 }
 
-// ask is a request that bears no wait.
-func (b *bed) ask() schedule.Ask {
+// urgentRequest returns a request with an objective of 500 ms.
+func (b *cluster) urgentRequest() schedule.Ask {
 	now := b.Clock.Now()
 	return schedule.Ask{Service: "s", Job: planner.Job{Arrived: now, Objective: 500, Deadline: now + 3*clock.Second}}
 }
 
-// withheld is how many places entries gave back since their targets had told them to send nothing.
-func (b *bed) withheld() int64 {
+// withheld returns how many grants entries returned because their targets had told them to send nothing.
+func (b *cluster) withheld() int64 {
 	n, _ := b.Metrics.Links.Get("grants_withheld").(*expvar.Int)
 	if n == nil {
 		return 0
@@ -134,11 +134,11 @@
 	return n.Value()
 }
 
-// request runs one request that takes a while at its target.
-func (b *bed) request(ctx context.Context, entry int, length time.Duration) {
+// runRequest runs one request that takes length at its target, or a multiple if the target is slow.
+func (b *cluster) runRequest(ctx context.Context, entry int, length time.Duration) {
 	now := b.Clock.Now()
-	ask := schedule.Ask{Service: "s", Job: planner.Job{Arrived: now, Objective: 200 * clock.Second, Deadline: now + 400*clock.Second}}
-	p, refused, err := b.entries[entry].Acquire(ctx, ask)
+	request := schedule.Ask{Service: "s", Job: planner.Job{Arrived: now, Objective: 200 * clock.Second, Deadline: now + 400*clock.Second}}
+	p, refused, err := b.entries[entry].Acquire(ctx, request)
 	if refused != nil || err != nil {
 		b.mu.Lock()
 		b.failed++
@@ -149,8 +149,8 @@
 	b.mu.Lock()
 	b.running[id]++
 	b.total[id]++
-	length *= max(1, b.slow[id])
-	b.most = max(b.most, b.running[id])
+	length *= max(1, b.slowdown[id])
+	b.maxRunning = max(b.maxRunning, b.running[id])
 	b.mu.Unlock()
 	time.Sleep(length / 4)
 	p.Began(nil)
@@ -162,29 +162,29 @@
 	p.Done(planner.Served, planner.Flow{Events: 1})
 }
 
-// load runs n requests from the given entries, one each pause, and waits.
-func (b *bed) load(entries []int, n int, pause, length time.Duration) {
+// runRequests starts n requests from the given entries, pause apart, and waits for all of them.
+func (b *cluster) runRequests(entries []int, n int, pause, length time.Duration) {
 	var all sync.WaitGroup
 	for i := range n {
-		all.Go(func() { b.request(context.Background(), entries[i%len(entries)], length) })
+		all.Go(func() { b.runRequest(context.Background(), entries[i%len(entries)], length) })
 		time.Sleep(pause)
 	}
 	all.Wait()
 }
 
-func TestAllEntriesTogetherFillNoTargetBeyondItsSlots(t *testing.T) {
+func TestEntriesTogetherStayWithinTargetSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
-		b.load([]int{0, 1, 2}, 90, 5*time.Millisecond, 200*time.Millisecond)
-		if b.most > slots || b.served != 90 {
-			t.Errorf("%d served, up to %d at once in %d slots", b.served, b.most, slots)
+		b := newCluster(t)
+		b.runRequests([]int{0, 1, 2}, 90, 5*time.Millisecond, 200*time.Millisecond)
+		if b.maxRunning > slots || b.served != 90 {
+			t.Errorf("%d of 90 served, up to %d at once in %d slots", b.served, b.maxRunning, slots)
 		}
 	})
 }
 
-func TestLostMessagesDelayButLoseNothing(t *testing.T) {
+func TestRequestsSurviveLostMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
+		b := newCluster(t)
 		random := b.Random.Fork()
 		var mu sync.Mutex
 		b.net.Lose(func(_, _ netip.AddrPort, _ packets.Kind) bool {
@@ -192,121 +192,121 @@
 			defer mu.Unlock()
 			return random.Float64() < 0.05
 		})
-		b.load([]int{0, 1, 2}, 200, 20*time.Millisecond, 100*time.Millisecond)
+		b.runRequests([]int{0, 1, 2}, 200, 20*time.Millisecond, 100*time.Millisecond)
 		if b.served != 200 {
 			t.Errorf("%d of 200 served", b.served)
 		}
-		// A request placed by an entry's own counts may go beyond the slots
-		// until the next sync, by one or two.
-		if b.most > slots+2 {
-			t.Errorf("up to %d at once in %d slots", b.most, slots)
+		// Requests that an entry has assigned by its own counts may exceed the slots
+		// by one or two until the next list of running requests.
+		if b.maxRunning > slots+2 {
+			t.Errorf("up to %d at once in %d slots", b.maxRunning, slots)
 		}
 	})
 }
 
-// TestPlacesComeBackThoughTheirEndsWereLost guards against homes that count requests as running whose entries have none any more.
-func TestPlacesComeBackThoughTheirEndsWereLost(t *testing.T) {
+// Guards against owners that count requests as running that have ended, as the messages about their ends were lost.
+func TestSlotsAreFreedWhenEndMessagesAreLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
-		asker := (b.home(-1) + 1) % entryCount
+		b := newCluster(t)
+		requester := (b.ownerIndex(-1) + 1) % entryCount
 		var losing atomic.Bool
 		losing.Store(true)
 		b.net.Lose(func(_, _ netip.AddrPort, kind packets.Kind) bool { return losing.Load() && kind == packets.KindStep })
 		for range targetCount * slots {
-			b.request(t.Context(), asker, 10*time.Millisecond)
+			b.runRequest(t.Context(), requester, 10*time.Millisecond)
 		}
 		losing.Store(false)
 		refusals := 0
 		for range 20 {
-			place, refused, err := b.entries[asker].Acquire(t.Context(), b.ask())
+			assigned, refused, err := b.entries[requester].Acquire(t.Context(), b.urgentRequest())
 			if err != nil {
 				t.Fatal(err)
 			}
 			if refused != nil {
 				refusals++
 			} else {
-				place.Done(planner.Served, planner.Flow{})
+				assigned.Done(planner.Served, planner.Flow{})
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		// The entry lists what it has four times a second.
+		// The entry sends the list of its running requests four times a second.
 		if refusals > 5 {
-			t.Errorf("%d of 20 requests in two seconds were refused, with all places free", refusals)
+			t.Errorf("%d of 20 requests in two seconds were refused with all slots free", refusals)
 		}
 	})
 }
 
-func TestAnotherEntryTakesOverFromAHomeThatDied(t *testing.T) {
+func TestAnotherEntryTakesOverFromADeadOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
-		home := b.home(-1)
-		others := []int{(home + 1) % entryCount, (home + 2) % entryCount}
-		go b.load(others, 60, 20*time.Millisecond, 600*time.Millisecond)
+		b := newCluster(t)
+		owner := b.ownerIndex(-1)
+		others := []int{(owner + 1) % entryCount, (owner + 2) % entryCount}
+		go b.runRequests(others, 60, 20*time.Millisecond, 600*time.Millisecond)
 		time.Sleep(300 * time.Millisecond)
-		b.stops[home]()
-		dead := address(home)
+		b.stops[owner]()
+		dead := entryAddress(owner)
 		b.net.Lose(func(from, to netip.AddrPort, _ packets.Kind) bool { return from == dead || to == dead })
 		time.Sleep(time.Second)
-		if now := b.home(home); now == home || now < 0 {
-			t.Fatalf("home is %d, was %d", now, home)
+		if now := b.ownerIndex(owner); now == owner || now < 0 {
+			t.Fatalf("owner is %d, was %d", now, owner)
 		}
-		// What the new home did not grant itself it has been told of.
+		// The new owner knows the former owner's grants from the lists of the entries.
 		b.mu.Lock()
-		b.most = 0
+		b.maxRunning = 0
 		b.mu.Unlock()
-		b.load(others, 60, 20*time.Millisecond, 150*time.Millisecond)
+		b.runRequests(others, 60, 20*time.Millisecond, 150*time.Millisecond)
 		time.Sleep(15 * time.Second)
 		if b.served != 120 {
 			t.Errorf("%d of 120 served", b.served)
 		}
-		if b.most > slots {
-			t.Errorf("up to %d at once in %d slots after the take-over", b.most, slots)
+		if b.maxRunning > slots {
+			t.Errorf("up to %d at once in %d slots after the takeover", b.maxRunning, slots)
 		}
 	})
 }
 
-func TestAnEntryCutOffPlacesByItsOwnCounts(t *testing.T) {
+func TestPartitionedEntryUsesItsOwnCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
+		b := newCluster(t)
 		b.net.Lose(func(_, _ netip.AddrPort, _ packets.Kind) bool { return true })
-		b.load([]int{0}, 8, 50*time.Millisecond, 100*time.Millisecond)
+		b.runRequests([]int{0}, 8, 50*time.Millisecond, 100*time.Millisecond)
 		if b.served != 8 {
 			t.Errorf("%d of 8 served", b.served)
 		}
 	})
 }
 
-func TestACallerWhoLeavesGivesUpItsPlace(t *testing.T) {
+func TestCancelledRequestGivesUpItsSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
-		go b.load([]int{0}, slots*targetCount, 0, time.Second)
+		b := newCluster(t)
+		go b.runRequests([]int{0}, slots*targetCount, 0, time.Second)
 		time.Sleep(100 * time.Millisecond)
 		ctx, leave := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		defer leave()
-		b.request(ctx, 1, time.Second) // it waits, and leaves
+		b.runRequest(ctx, 1, time.Second) // it is queued, and cancelled
 		time.Sleep(time.Second)
-		b.load([]int{1, 2}, slots*targetCount, 0, 100*time.Millisecond)
-		if b.served != 2*slots*targetCount || b.failed != 1 || b.most > slots {
-			t.Errorf("%d served, %d left, up to %d at once", b.served, b.failed, b.most)
+		b.runRequests([]int{1, 2}, slots*targetCount, 0, 100*time.Millisecond)
+		if b.served != 2*slots*targetCount || b.failed != 1 || b.maxRunning > slots {
+			t.Errorf("%d served, %d cancelled, up to %d at once", b.served, b.failed, b.maxRunning)
 		}
 	})
 }
 
-// Regression (vcn-quay hunt-c21e-3): the home was cut off from the store, and
-// granted a target that its askers knew to be leaving.
-func TestATargetThatLeavesIsNotUsedThoughTheHomeOffersIt(t *testing.T) {
+// Regression (vcn-quay hunt-c21e-3): an owner that was partitioned from the store granted
+// a target that the asking entries knew to be leaving.
+func TestLeavingTargetIsNotUsedThoughTheOwnerGrantsIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
-		home := b.home(-1)
+		b := newCluster(t)
+		owner := b.ownerIndex(-1)
 		var known []*routing.Target
 		for i, target := range b.targets {
 			copied := *target
 			copied.Leaving = i != 0
 			known = append(known, &copied)
 		}
-		asker := (home + 1) % entryCount
-		b.views[asker].SetDirectory(routing.NewDirectory(known))
-		b.load([]int{asker}, 20, 100*time.Millisecond, 50*time.Millisecond)
+		requester := (owner + 1) % entryCount
+		b.views[requester].SetDirectory(routing.NewDirectory(known))
+		b.runRequests([]int{requester}, 20, 100*time.Millisecond, 50*time.Millisecond)
 		if b.served != 20 {
 			t.Errorf("%d of 20 served", b.served)
 		}
@@ -318,20 +318,20 @@
 	})
 }
 
-// kept is a store's table that outlasts the entries.
-type kept struct {
+// memoryStore is an estimate store that outlasts the entries.
+type memoryStore struct {
 	mu   sync.Mutex
 	rows map[string][]byte
 }
 
-func (k *kept) Put(_ context.Context, key string, value []byte) error {
+func (k *memoryStore) Put(_ context.Context, key string, value []byte) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.rows[key] = value
 	return nil
 }
 
-func (k *kept) Whole(context.Context) (follow.Batch, error) {
+func (k *memoryStore) Whole(context.Context) (follow.Batch, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var b follow.Batch
@@ -343,54 +343,54 @@
 
 const slowTarget = ids.Target("t1")
 
-// learn has requests served until the home knows that one target is slow.
-func (b *bed) learn() {
-	b.slow = map[ids.Target]time.Duration{slowTarget: 6}
-	b.load([]int{0, 1, 2}, 200, 30*time.Millisecond, 120*time.Millisecond)
+// learnSlowTarget runs requests until the owner's estimates show that one target is slow.
+func (b *cluster) learnSlowTarget() {
+	b.slowdown = map[ids.Target]time.Duration{slowTarget: 6}
+	b.runRequests([]int{0, 1, 2}, 200, 30*time.Millisecond, 120*time.Millisecond)
 }
 
-// slowShare is how many of some single requests come to the slow target.
-func (b *bed) slowShare(from []int) int {
+// countOnSlow runs 16 requests one after the other and returns how many of them went to the slow target.
+func (b *cluster) countOnSlow(from []int) int {
 	before := b.total[slowTarget]
 	for i := range 16 {
-		b.request(context.Background(), from[i%len(from)], 40*time.Millisecond)
+		b.runRequest(context.Background(), from[i%len(from)], 40*time.Millisecond)
 	}
 	return b.total[slowTarget] - before
 }
 
-func TestANewHomeKnowsWhatTheLastOneLearned(t *testing.T) {
+func TestNewOwnerHasTheEstimatesOfTheFormerOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t)
-		b.learn()
+		b := newCluster(t)
+		b.learnSlowTarget()
 		time.Sleep(2 * time.Second)
-		home := b.home(-1)
-		b.stops[home]()
-		dead := address(home)
+		owner := b.ownerIndex(-1)
+		b.stops[owner]()
+		dead := entryAddress(owner)
 		b.net.Lose(func(from, to netip.AddrPort, _ packets.Kind) bool { return from == dead || to == dead })
 		time.Sleep(time.Second)
-		if n := b.slowShare([]int{(home + 1) % entryCount, (home + 2) % entryCount}); n != 0 {
-			t.Errorf("%d of 16 on the slow target", n)
+		if n := b.countOnSlow([]int{(owner + 1) % entryCount, (owner + 2) % entryCount}); n != 0 {
+			t.Errorf("%d of 16 requests on the slow target", n)
 		}
 	})
 }
 
-func TestWhatWasLearnedOutlastsTheLossOfAllEntries(t *testing.T) {
+func TestEstimatesSurviveTheLossOfAllEntries(t *testing.T) {
 	for _, noted := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			notes := &kept{rows: make(map[string][]byte)}
-			b := newBedWith(t, notes)
-			b.learn()
+			store := &memoryStore{rows: make(map[string][]byte)}
+			b := newClusterWith(t, store)
+			b.learnSlowTarget()
 			time.Sleep(6 * time.Second)
 			for _, stop := range b.stops {
 				stop()
 			}
 			if !noted {
-				clear(notes.rows)
+				clear(store.rows)
 			}
-			again := newBedWith(t, notes)
-			again.slow = b.slow
-			if n := again.slowShare([]int{0, 1, 2}); noted != (n == 0) {
-				t.Errorf("noted %t: %d of 16 on the slow target", noted, n)
+			again := newClusterWith(t, store)
+			again.slowdown = b.slowdown
+			if n := again.countOnSlow([]int{0, 1, 2}); noted != (n == 0) {
+				t.Errorf("saved %t: %d of 16 requests on the slow target", noted, n)
 			}
 		})
 	}
--- a/pkg/dispatch/home.go
+++ b/pkg/dispatch/home.go
@@ -18,137 +18,138 @@
 )
 
 const (
-	// tickEvery is how often planners look after what only time changes.
-	tickEvery = 25 * clock.Millisecond
-	// silentAfter is after what silence an entry's requests are forgotten.
-	silentAfter = 1500 * clock.Millisecond
-	// linesASecond bounds the log lines of each kind.
-	linesASecond = 20
+	// tickInterval is the time between two calls of Tick, by which planners do what depends on time alone.
+	tickInterval = 25 * clock.Millisecond
+	// entryTimeout is the time without a message from an entry after which its requests are dropped.
+	entryTimeout = 1500 * clock.Millisecond
+	// logLinesPerSecond is the maximum of log lines of each kind.
+	logLinesPerSecond = 20
 )
 
-// hosted is the planner of one group of targets.
-type hosted struct {
-	planner   *planner.Planner
-	directory *routing.Directory
-	heard     map[string]clock.Millis // entries
-	reported  clock.Millis
-	trial     *rollout.Trial // of a version, if there is an order
-	planned   rollout.Plan   // what it last wanted
-	closed    bool           // a version has taken over, but does not get all requests yet
-	beganAt   clock.Millis
-	writer    recordWriter
+// servicePlanner is the planner of one service's targets with its state at this owner.
+type servicePlanner struct {
+	planner    *planner.Planner
+	directory  *routing.Directory
+	lastHeard  map[string]clock.Millis // by entry address
+	lastLogged clock.Millis
+	trial      *rollout.Trial // of a version; nil without an order
+	plan       rollout.Plan   // the last result of trial.Step
+	rampingUp  bool           // the new version of a completed roll-out does not get all requests yet
+	startedAt  clock.Millis
+	writer     recordWriter
 }
 
-// Home runs the planners that this entry is in charge of.
+// Owner runs the planners of the services that this entry owns.
 type Home struct {
 	common.Common
 	view    *view.View
 	members *membership.Members
-	// send hands an answer to an entry, this one included.
-	send func(to netip.AddrPort, a answer)
-
-	// id tells what this home writes from what others do.
-	id       uint64
-	memory   *memory
-	rollouts *Rollouts // nil if they are no part of the deployment
-	// coldBounds are those in force.
+	// sendMessage sends a decision to an entry, which may be this one.
+	sendMessage func(to netip.AddrPort, a decisionMessage)
+
+	// id marks the roll-out records that this owner writes.
+	id        uint64
+	estimates *estimateCache
+	rollouts  *Rollouts // nil if the deployment does not use them
+	// coldBounds returns the current bounds for requests to cold targets.
 	coldBounds func() planner.ColdBounds
 
 	sampler *telemetry.Sampler
-	// stalls are those of this process, whoever is the home.
+	// stalls records when this process was stalled, whether or not it is an owner.
 	stalls clock.Stalls
 
-	mu     gosync.Mutex
-	groups map[ids.Service]*hosted
-	// readNotes has the store read when the first group begins: most entries never are
-	// the home of one.
-	readNotes gosync.Once
+	mu       gosync.Mutex
+	planners map[ids.Service]*servicePlanner
+	// loadEstimates reads the store when this entry first becomes an owner and has no estimates: most entries never
+	// become one.
+	loadEstimates gosync.Once
 }
 
-func newHome(c common.Common, parts Parts, send func(netip.AddrPort, answer)) *Home {
+func newOwner(c common.Common, parts Parts, send func(netip.AddrPort, decisionMessage)) *Home {
 	return &Home{
-		Common: c, view: parts.View, members: parts.Members, memory: newMemory(c, parts.Members, parts.Link, parts.Notes),
-		rollouts: parts.Rollouts, coldBounds: parts.ColdBounds, id: c.Random.Fork().Uint64(), send: send, sampler: telemetry.NewSampler(c.Clock, c.Log, linesASecond), groups: make(map[ids.Service]*hosted),
+		Common: c, view: parts.View, members: parts.Members, estimates: newEstimateCache(c, parts.Members, parts.Link, parts.Notes),
+		rollouts: parts.Rollouts, coldBounds: parts.ColdBounds, id: c.Random.Fork().Uint64(), sendMessage: send, sampler: telemetry.NewSampler(c.Clock, c.Log, logLinesPerSecond), planners: make(map[ids.Service]*servicePlanner),
 	}
 }
 
-func matter(service ids.Service) string {
+func plannerShard(service ids.Service) string {
 	return "targets/" + string(service)
 }
 
-// group returns the planner of a service, brought up to date, or nil if
-// another entry is in charge of it. The lock is held.
-func (h *Home) group(now clock.Millis, service ids.Service, from netip.AddrPort) *hosted {
-	g := h.planning(now, service)
+// plannerForSender returns the up-to-date planner of a service and records that the sender is alive. It
+// returns nil if another entry is the owner of the service. The caller holds the lock.
+func (h *Home) plannerForSender(now clock.Millis, service ids.Service, from netip.AddrPort) *servicePlanner {
+	g := h.plannerFor(now, service)
 	if g != nil {
-		g.heard[from.String()] = now
+		g.lastHeard[from.String()] = now
 	}
 	return g
 }
 
-// planning is group without a message of an entry; the lock is held.
-func (h *Home) planning(now clock.Millis, service ids.Service) *hosted {
+// plannerFor returns the up-to-date planner of a service, or nil if another entry is its owner; the caller holds the lock.
+func (h *Home) plannerFor(now clock.Millis, service ids.Service) *servicePlanner {
 	directory := h.view.Directory()
-	if _, self := h.members.HeavyHome(matter(service)); !self || directory == nil {
+	if _, self := h.members.HeavyHome(plannerShard(service)); !self || directory == nil {
 		return nil
 	}
-	g := h.groups[service]
+	g := h.planners[service]
 	if g == nil {
-		g = &hosted{planner: planner.New(h.Random.Fork()), heard: make(map[string]clock.Millis), beganAt: now}
+		g = &servicePlanner{planner: planner.New(h.Random.Fork()), lastHeard: make(map[string]clock.Millis), startedAt: now}
 		g.planner.Without(h.Ablation)
-		h.groups[service] = g
-		h.bound(now, g, service)
-		h.Log.WithField("service", string(service)).Info("planning for a service")
+		h.planners[service] = g
+		h.updateLimits(now, g, service)
+		h.Log.WithField("service", string(service)).Info("this entry now plans for a service")
 	}
 	h.refresh(now, g, service, directory)
 	return g
 }
 
-// refresh brings a planner up to the list of targets; the lock is held.
-func (h *Home) refresh(now clock.Millis, g *hosted, service ids.Service, directory *routing.Directory) {
-	closed := h.closed(now, service)
-	if g.directory == directory && g.closed == closed {
+// refresh passes the current list of targets to a planner if it has changed; the caller holds the lock.
+func (h *Home) refresh(now clock.Millis, g *servicePlanner, service ids.Service, directory *routing.Directory) {
+	rampingUp := h.rampingUp(now, service)
+	if g.directory == directory && g.rampingUp == rampingUp {
 		return
 	}
-	g.directory, g.closed = directory, closed
+	g.directory, g.rampingUp = directory, rampingUp
 	targets := slices.Concat(directory.Serving(service), directory.OnTrial(service))
-	if closed {
-		targets = onTrial(targets)
+	if rampingUp {
+		targets = asOnTrial(targets)
 	}
 	g.planner.SetTargets(now, targets)
-	h.adopt(g, service)
+	h.adoptEstimates(g, service)
 }
 
-// bound says what cold and limited targets of a service may get from here; the lock is held. An entry that was cut off may go
-// on as the home until it has missed this one for as long as it takes anybody for alive.
-func (h *Home) bound(now clock.Millis, g *hosted, service ids.Service) {
+// updateLimits sets how many requests the planner may send to cold and rate-limited targets; the caller holds the lock. The
+// owner counts as just started for a while: a former owner that is partitioned may go on planning until it has received no
+// heartbeat from this entry for as long as an entry without a heartbeat still counts as alive.
+func (h *Home) updateLimits(now clock.Millis, g *servicePlanner, service ids.Service) {
 	s := h.view.Catalog().Service(service)
-	bearsFewCold := s != nil && s.ColdPerSecond > 0
+	limitsCold := s != nil && s.ColdPerSecond > 0
 	perSecond := 0.0
-	if bearsFewCold || g.planner.Limited() { // else nothing is given out by parts
-		backing := planner.Backing{Part: h.members.Backing(), Fresh: now < g.beganAt+2*h.members.MissedAfter()}
-		g.planner.SetBacking(backing)
-		if bearsFewCold {
-			perSecond = h.coldBounds().Rate(s, backing)
+	if limitsCold || g.planner.Limited() { // otherwise owners need not divide anything
+		agreement := planner.Backing{Part: h.members.Backing(), Fresh: now < g.startedAt+2*h.members.MissedAfter()}
+		g.planner.SetBacking(agreement)
+		if limitsCold {
+			perSecond = h.coldBounds().Rate(s, agreement)
 		}
 	}
 	g.planner.SetCold(s, perSecond)
 }
 
-// run looks after the planners until ctx ends.
+// run drives the planners until ctx ends.
 func (h *Home) run(ctx context.Context) {
-	var told clock.Millis
+	var lastReplicated clock.Millis
 	for ctx.Err() == nil {
-		due := h.Clock.Now() + tickEvery
+		due := h.Clock.Now() + tickInterval
 		h.stalls.Expect(due)
-		clock.Pause(ctx, tickEvery)
+		clock.Pause(ctx, tickInterval)
 		now := h.Clock.Now()
 		h.stalls.Fired(now)
 		h.members.NoteLag(now - due)
-		h.tell(h.tick(ctx))
-		if now := h.Clock.Now(); now-told >= tellEvery {
-			told = now
-			h.teach(ctx, now)
+		h.sendDecisions(h.tick(ctx))
+		if now := h.Clock.Now(); now-lastReplicated >= replicateInterval {
+			lastReplicated = now
+			h.replicateEstimates(ctx, now)
 		}
 	}
 }
@@ -157,26 +158,26 @@
 	now := h.Clock.Now()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.takeUpOrders(now)
-	var decided []planner.Decision
-	for service, g := range h.groups {
-		if _, self := h.members.HeavyHome(matter(service)); !self {
-			delete(h.groups, service)
-			h.Log.WithField("service", string(service)).Info("another entry plans for a service")
+	h.planForOrders(now)
+	var decisions []planner.Decision
+	for service, g := range h.planners {
+		if _, self := h.members.HeavyHome(plannerShard(service)); !self {
+			delete(h.planners, service)
+			h.Log.WithField("service", string(service)).Info("another entry now plans for a service")
 			continue
 		}
-		for entry, at := range g.heard {
-			if now-at > silentAfter {
-				delete(g.heard, entry)
+		for entry, at := range g.lastHeard {
+			if now-at > entryTimeout {
+				delete(g.lastHeard, entry)
 				g.planner.Drop(now, entry)
 			}
 		}
-		h.bound(now, g, service)
+		h.updateLimits(now, g, service)
 		h.refresh(now, g, service, h.view.Directory())
 		h.stepTrial(ctx, now, service, g)
 		g.planner.Tick(now)
-		h.report(now, service, g)
-		decided = append(decided, g.planner.Decisions()...)
+		h.logSummary(now, service, g)
+		decisions = append(decisions, g.planner.Decisions()...)
 	}
-	return decided
+	return decisions
 }
--- a/pkg/dispatch/home_answers.go
+++ b/pkg/dispatch/home_answers.go
@@ -8,41 +8,41 @@
 	"quaydock/pkg/planner"
 )
 
-// asked takes an ask and answers it, at once or later.
-func (h *Home) asked(from netip.AddrPort, a *ask) {
+// receiveSubmit passes a request on to its planner and sends the decision, or that the request is queued.
+func (h *Home) receiveSubmit(from netip.AddrPort, a *submitMessage) {
 	now := h.Clock.Now()
 	h.mu.Lock()
-	g := h.group(now, a.Service, from)
+	g := h.plannerForSender(now, a.Service, from)
 	if g == nil {
 		h.mu.Unlock()
 		return
 	}
 	job := a.job(from, now)
 	g.planner.Submit(now, job)
-	decided := g.planner.Decisions()
-	if !about(decided, job.ID) {
-		decided = append(decided, standingOf(g.planner, job.ID))
+	decisions := g.planner.Decisions()
+	if !decides(decisions, job.ID) {
+		decisions = append(decisions, currentDecision(g.planner, job.ID))
 	}
 	h.mu.Unlock()
-	h.tell(decided)
+	h.sendDecisions(decisions)
 }
 
-// queues repeats that a job waits.
-type queues struct {
+// stillQueued is the decision for a job that was submitted again while it waits.
+type stillQueued struct {
 	planner.Decision
 	id planner.JobID
 }
 
-// standingOf repeats what is known of a job: where it is, or that it waits.
-func standingOf(p *planner.Planner, id planner.JobID) planner.Decision {
+// currentDecision returns the grant that a job has, or else that it is queued.
+func currentDecision(p *planner.Planner, id planner.JobID) planner.Decision {
 	if g, granted := p.GrantOf(id); granted {
 		return g
 	}
-	return queues{id: id}
+	return stillQueued{id: id}
 }
 
-func about(decided []planner.Decision, id planner.JobID) bool {
-	for _, d := range decided {
+func decides(decisions []planner.Decision, id planner.JobID) bool {
+	for _, d := range decisions {
 		switch d := d.(type) {
 		case planner.Grant:
 			if d.ID == id {
@@ -57,53 +57,53 @@
 	return false
 }
 
-func (h *Home) tell(decided []planner.Decision) {
-	for _, d := range decided {
+func (h *Home) sendDecisions(decisions []planner.Decision) {
+	for _, d := range decisions {
 		switch d := d.(type) {
 		case planner.Grant:
 			if d.Counted {
 				h.Metrics.Links.Add("grants_by_limits", 1)
 			}
-			h.answer(d.ID, answer{Verdict: granted, Life: d.Life, Takes: d.Takes.Aged(h.Clock.Now()), Counted: d.Counted})
+			h.sendDecision(d.ID, decisionMessage{Kind: granted, Incarnation: d.Life, Limit: d.Takes.Aged(h.Clock.Now()), Counted: d.Counted})
 		case planner.Refuse:
 			kind := refused
 			switch {
 			case d.Empty:
 				kind = noTarget
 			case d.Resting:
-				kind = resting
+				kind = backedOff
 			}
-			h.answer(d.ID, answer{Verdict: kind, RetryAfter: d.RetryAfter, Ahead: d.Ahead, Wait: d.Wait})
+			h.sendDecision(d.ID, decisionMessage{Kind: kind, RetryAfter: d.RetryAfter, Ahead: d.Ahead, Wait: d.Wait})
 		case planner.Move:
-			h.answer(d.ID, answer{Verdict: move})
-		case queues:
-			h.answer(d.id, answer{Verdict: queued})
+			h.sendDecision(d.ID, decisionMessage{Kind: redispatch})
+		case stillQueued:
+			h.sendDecision(d.id, decisionMessage{Kind: queued})
 		}
 	}
 }
 
-func (h *Home) answer(id planner.JobID, a answer) {
+func (h *Home) sendDecision(id planner.JobID, a decisionMessage) {
 	to, err := netip.ParseAddrPort(id.Entry)
 	if err != nil {
-		h.Log.WithError(err).Error("an entry without an address")
+		h.Log.WithError(err).Error("cannot answer an entry: its id is not an address")
 		return
 	}
 	a.Number = id.Number
-	h.send(to, a)
+	h.sendMessage(to, a)
 }
 
-// stepped takes the progress of a request.
-func (h *Home) stepped(from netip.AddrPort, s *step) {
+// receiveProgress passes the progress of a request on to its planner.
+func (h *Home) receiveProgress(from netip.AddrPort, s *progressMessage) {
 	now := h.Clock.Now()
 	id := planner.JobID{Entry: from.String(), Number: s.Number}
-	h.with(now, s.Service, from, func(p *planner.Planner) {
+	h.withPlanner(now, s.Service, from, func(p *planner.Planner) {
 		switch s.Progress {
 		case begun:
 			p.Begin(now, id, s.Load)
 		case done:
 			flow := s.Flow
 			if since, granted := p.GrantedAt(id); granted {
-				// Where both stood still, it was mostly at once.
+				// If both processes stalled, the stalls mostly overlapped: take the longer, not the sum.
 				flow.Stalled = max(flow.Stalled, h.stalls.Within(since, now))
 			}
 			p.Finish(now, id, s.Outcome, flow)
@@ -113,16 +113,16 @@
 	})
 }
 
-// synced compares what an entry has with what is known here.
-func (h *Home) synced(from netip.AddrPort, s *sync) {
+// receiveSync reconciles the planner with the list of an entry's running requests.
+func (h *Home) receiveSync(from netip.AddrPort, s *syncMessage) {
 	now := h.Clock.Now()
-	h.with(now, s.Service, from, func(p *planner.Planner) {
+	h.withPlanner(now, s.Service, from, func(p *planner.Planner) {
 		listed := make(map[uint64]bool, len(s.Items))
 		for i := range s.Items {
 			it := &s.Items[i]
 			listed[it.Number] = true
 			id := planner.JobID{Entry: from.String(), Number: it.Number}
-			p.Restore(now, planner.Job{ID: id, Account: it.Account, Tier: it.Tier, Prompt: it.Prompt, Events: it.Events}, it.Life, it.Begun)
+			p.Restore(now, planner.Job{ID: id, Account: it.Account, Tier: it.Tier, Prompt: it.Prompt, Events: it.Events}, it.Incarnation, it.Begun)
 			if it.Begun {
 				p.Begin(now, id, nil)
 			}
@@ -133,16 +133,16 @@
 	})
 }
 
-// with runs do on the planner of a service and tells what it decided.
-func (h *Home) with(now clock.Millis, service ids.Service, from netip.AddrPort, do func(*planner.Planner)) {
+// withPlanner runs do on the planner of a service and sends the resulting decisions.
+func (h *Home) withPlanner(now clock.Millis, service ids.Service, from netip.AddrPort, do func(*planner.Planner)) {
 	h.mu.Lock()
-	g := h.group(now, service, from)
+	g := h.plannerForSender(now, service, from)
 	if g == nil {
 		h.mu.Unlock()
 		return
 	}
 	do(g.planner)
-	decided := g.planner.Decisions()
+	decisions := g.planner.Decisions()
 	h.mu.Unlock()
-	h.tell(decided)
+	h.sendDecisions(decisions)
 }
--- a/pkg/dispatch/home_notes.go
+++ b/pkg/dispatch/home_notes.go
@@ -8,36 +8,36 @@
 	"quaydock/pkg/planner"
 )
 
-// adopt has a planner begin with what an earlier home has learned; the lock is
-// held. What no earlier home has told this entry is read from the store, once.
-func (h *Home) adopt(g *hosted, service ids.Service) {
-	if l := h.memory.of(service); l != nil {
+// adoptEstimates starts a planner with the estimates of a former owner; the caller holds the lock. If no
+// former owner has sent any to this entry, they are read from the store, once.
+func (h *Home) adoptEstimates(g *servicePlanner, service ids.Service) {
+	if l := h.estimates.get(service); l != nil {
 		g.planner.Adopt(l)
 		return
 	}
-	h.readNotes.Do(func() { go h.memory.read(context.Background(), h.noted) })
+	h.loadEstimates.Do(func() { go h.estimates.load(context.Background(), h.estimatesLoaded) })
 }
 
-// noted takes what was read of a service.
-func (h *Home) noted(service ids.Service, _ *planner.Learned) {
+// estimatesLoaded applies estimates that were read from the store.
+func (h *Home) estimatesLoaded(service ids.Service, _ *planner.Learned) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if g := h.groups[service]; g != nil {
-		h.adopt(g, service)
+	if g := h.planners[service]; g != nil {
+		h.adoptEstimates(g, service)
 	}
 }
 
-// teach passes on what this home has learned.
-func (h *Home) teach(ctx context.Context, now clock.Millis) {
-	lessons := make(map[ids.Service]*planner.Learned)
+// replicateEstimates sends the estimates of this owner's planners to their successors, and saves them.
+func (h *Home) replicateEstimates(ctx context.Context, now clock.Millis) {
+	byService := make(map[ids.Service]*planner.Learned)
 	h.mu.Lock()
-	for service, g := range h.groups {
+	for service, g := range h.planners {
 		if l := g.planner.Learned(); l != nil {
-			lessons[service] = l
+			byService[service] = l
 		}
 	}
 	h.mu.Unlock()
-	for service, l := range lessons {
-		h.memory.tell(ctx, now, service, l)
+	for service, l := range byService {
+		h.estimates.replicate(ctx, now, service, l)
 	}
 }
--- a/pkg/dispatch/home_report.go
+++ b/pkg/dispatch/home_report.go
@@ -9,43 +9,43 @@
 	"quaydock/pkg/ids"
 )
 
-// reportEvery is how often a planner's beliefs are logged.
-const reportEvery = 5 * clock.Second
+// summaryInterval is the time between two log lines with a planner's estimates.
+const summaryInterval = 5 * clock.Second
 
-func (h *Home) report(now clock.Millis, service ids.Service, g *hosted) {
-	if now-g.reported < reportEvery {
+func (h *Home) logSummary(now clock.Millis, service ids.Service, g *servicePlanner) {
+	if now-g.lastLogged < summaryInterval {
 		return
 	}
-	g.reported = now
+	g.lastLogged = now
 	s := g.planner.Summary(now)
 	h.Log.WithFields(logrus.Fields{
 		"service": string(service), "targets": s.Targets, "aside": s.Aside, "slots": s.Slots, "running": s.Running,
-		"waiting": s.Waiting, "per_second": round(s.PerSecond),
-		"limited": s.Limited, "limited_per_second": round(s.LimitedPerSecond),
-		"first_ms": round(s.FirstBase), "first_per_1000_tokens_ms": round(s.FirstPerThousand),
-		"pause_ms": round(s.PauseBase), "pause_per_run_ms": round(s.PausePerRun), "hold_ms": round(s.Hold), "factors": factors(s.Factors),
-	}).Info("planning")
+		"waiting": s.Waiting, "per_second": roundToTenth(s.PerSecond),
+		"limited": s.Limited, "limited_per_second": roundToTenth(s.LimitedPerSecond),
+		"first_ms": roundToTenth(s.FirstBase), "first_per_1000_tokens_ms": roundToTenth(s.FirstPerThousand),
+		"pause_ms": roundToTenth(s.PauseBase), "pause_per_run_ms": roundToTenth(s.PausePerRun), "hold_ms": roundToTenth(s.Hold), "factors": roundFactors(s.Factors),
+	}).Info("planner state")
 }
 
-// round keeps a tenth, for logs.
-func round(x float64) float64 {
+// roundToTenth rounds for logs.
+func roundToTenth(x float64) float64 {
 	const tenth = 10
 	return math.Round(x*tenth) / tenth
 }
 
-func factors(m map[ids.Target]float64) map[string]float64 {
+func roundFactors(m map[ids.Target]float64) map[string]float64 {
 	rounded := make(map[string]float64, len(m))
 	for id, f := range m {
-		rounded[string(id)] = round(f)
+		rounded[string(id)] = roundToTenth(f)
 	}
 	return rounded
 }
 
-// planned is how many requests wait and run in the planners of this entry.
-func (h *Home) planned() (waiting, running int) {
+// plannedCounts returns the numbers of waiting and running requests in the planners of this entry.
+func (h *Home) plannedCounts() (waiting, running int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, g := range h.groups {
+	for _, g := range h.planners {
 		waiting += g.planner.Waiting()
 		running += g.planner.Running()
 	}
--- a/pkg/dispatch/home_trials.go
+++ b/pkg/dispatch/home_trials.go
@@ -15,39 +15,39 @@
 )
 
 const (
-	// evidenceEvery is how often the evidence of a trial is written to the store, for a home
-	// that takes over, which knows no more of a version on trial than was written.
-	evidenceEvery = 2 * clock.Second
-	// recordTime bounds a call to the store, and recordPause is between two of them, long
-	// enough for what was written by another to be read.
-	recordTime  = 600 * clock.Millisecond
-	recordPause = 200 * clock.Millisecond
+	// evidenceInterval is the time between two writes of a trial's evidence to the store. An owner that takes over
+	// knows no more of a canary version than what was written.
+	evidenceInterval = 2 * clock.Second
+	// recordTimeout limits the duration of a call to the store. recordInterval is the time between two of them, long
+	// enough to read what another entry has written.
+	recordTimeout  = 600 * clock.Millisecond
+	recordInterval = 200 * clock.Millisecond
 )
 
-// recordWriter writes the record of one service's roll-out, one call at a time.
+// recordWriter is the state of writing one service's roll-out record, one call at a time.
 type recordWriter struct {
-	busy  bool
-	next  clock.Millis // not before
-	noted clock.Millis // when the evidence was last written
-	// last is the newest revision of the record that is known here.
-	last rollout.Revision
+	busy       bool
+	notBefore  clock.Millis // earliest time of the next call
+	evidenceAt clock.Millis // time of the last write of evidence
+	// lastRevision is the newest revision of the record that is known here.
+	lastRevision rollout.Revision
 }
 
-// takeUpOrders begins to plan for services of which there is an order but no request yet; the
-// lock is held.
-func (h *Home) takeUpOrders(now clock.Millis) {
+// planForOrders starts planners for services that have a roll-out order but no request yet; the
+// caller holds the lock.
+func (h *Home) planForOrders(now clock.Millis) {
 	if h.rollouts == nil {
 		return
 	}
 	for _, service := range h.rollouts.Book.Services() {
-		if _, _, open := h.rollouts.Book.Open(service); open && h.groups[service] == nil {
-			h.planning(now, service)
+		if _, _, open := h.rollouts.Book.Open(service); open && h.planners[service] == nil {
+			h.plannerFor(now, service)
 		}
 	}
 }
 
-// stepTrial takes the next step of a service's roll-out; the lock is held.
-func (h *Home) stepTrial(ctx context.Context, now clock.Millis, service ids.Service, g *hosted) {
+// stepTrial advances the roll-out of a service; the caller holds the lock.
+func (h *Home) stepTrial(ctx context.Context, now clock.Millis, service ids.Service, g *servicePlanner) {
 	if h.rollouts == nil {
 		return
 	}
@@ -56,15 +56,15 @@
 		if g.trial != nil {
 			h.Log.WithFields(rolloutFields(&record)).Info("roll-out ended")
 		}
-		g.trial, g.planned = nil, rollout.Plan{}
+		g.trial, g.plan = nil, rollout.Plan{}
 		opens, _ := h.rollouts.Book.Opens(service, h.id, now)
 		g.planner.SetTrial(planner.Trial{Opens: opens}, false)
 		return
 	}
 	if g.trial == nil || g.trial.Order.Placed != order.Placed || g.trial.Order.Withdrawn() != order.Withdrawn() {
-		h.takeUp(now, g, order, &record)
+		h.startTrial(now, g, order, &record)
 	}
-	h.hear(g, &record)
+	h.takeEvidence(g, &record)
 	for _, o := range g.planner.Observations() {
 		g.trial.Evidence.Note(o.Trial, rollout.Observation{At: now, Life: o.Life, Route: o.Route, Failed: o.Failed, Ratio: o.Ratio, Factor: o.Factor, Loaded: o.Loaded})
 	}
@@ -72,23 +72,23 @@
 		g.trial.Evidence.Excuse(h.rollouts.Excused())
 	}
 	plan := g.trial.Step(h.situation(now, g, record))
-	if plan.Share != g.planned.Share || plan.Write != g.planned.Write {
+	if plan.Share != g.plan.Share || plan.Write != g.plan.Write {
 		h.Log.WithFields(rolloutFields(&record)).WithFields(logrus.Fields{
 			"share": plan.Share, "write": plan.Write.String(), "why": plan.Why, "news_age_ms": int64(h.rollouts.Book.Age(now)),
-		}).Info("roll-out: next step")
+		}).Info("roll-out: plan changed")
 	}
-	g.planned = plan
+	g.plan = plan
 	g.planner.SetTrial(planner.Trial{Share: plan.Share, Leave: plan.Leave, Close: plan.Close}, true)
-	h.write(ctx, now, g, record)
+	h.writeTrialState(ctx, now, g, record)
 }
 
-// hear takes the evidence of a record that is new here. What this home wrote itself it knows,
-// whether the store's answer or the row came first, or only the row did.
-func (h *Home) hear(g *hosted, record *rollout.Record) {
-	if record.State != rollout.Running || record.Written <= g.writer.last {
+// takeEvidence takes the evidence from a record revision that is new here. Evidence that this owner wrote itself is not
+// added again, whether the store's answer or the row arrived first, or only the row did.
+func (h *Home) takeEvidence(g *servicePlanner, record *rollout.Record) {
+	if record.State != rollout.Running || record.Written <= g.writer.lastRevision {
 		return
 	}
-	g.writer.last = record.Written
+	g.writer.lastRevision = record.Written
 	if record.By == h.id {
 		g.trial.Noted(record.Evidence)
 		return
@@ -96,17 +96,17 @@
 	g.trial.Heard(record.Evidence)
 }
 
-// closed reports whether a completed version of a service does not get all requests yet.
-func (h *Home) closed(now clock.Millis, service ids.Service) bool {
+// rampingUp reports whether the new version of a completed roll-out does not get all requests yet.
+func (h *Home) rampingUp(now clock.Millis, service ids.Service) bool {
 	if h.rollouts == nil {
 		return false
 	}
-	_, closed := h.rollouts.Book.Opens(service, h.id, now)
-	return closed
+	_, rampingUp := h.rollouts.Book.Opens(service, h.id, now)
+	return rampingUp
 }
 
-// onTrial returns targets as if their version were on trial.
-func onTrial(targets []*routing.Target) []*routing.Target {
+// asOnTrial returns copies of targets that are marked as running a canary version.
+func asOnTrial(targets []*routing.Target) []*routing.Target {
 	list := make([]*routing.Target, 0, len(targets))
 	for _, t := range targets {
 		copied := *t
@@ -116,30 +116,30 @@
 	return list
 }
 
-// takeUp begins the trial of an order at this home, with what an earlier one has noted.
-func (h *Home) takeUp(now clock.Millis, g *hosted, order rollout.Order, record *rollout.Record) {
-	book := h.rollouts.Book
-	times := book.Times(order, *record)
-	g.writer.last = record.Written
+// startTrial begins the trial of an order at this owner, with the evidence that a former owner has written.
+func (h *Home) startTrial(now clock.Millis, g *servicePlanner, order rollout.Order, record *rollout.Record) {
+	tracker := h.rollouts.Book
+	times := tracker.Times(order, *record)
+	g.writer.lastRevision = record.Written
 	g.trial = rollout.NewTrial(order, h.rollouts.Bounds(), record.Evidence, now, times)
 	h.Log.WithFields(rolloutFields(record)).WithFields(logrus.Fields{
 		"started_ms_ago": int64(now - times.Started), "ends_in_ms": int64(times.Ends - now), "over_in_ms": int64(times.Over - now), "withdrawn": order.Withdrawn(),
-	}).Info("roll-out taken up")
+	}).Info("this entry now runs the roll-out")
 }
 
-// situation gathers what the next step depends on.
-func (h *Home) situation(now clock.Millis, g *hosted, record rollout.Record) rollout.Situation {
+// situation returns the input of the next trial step.
+func (h *Home) situation(now clock.Millis, g *servicePlanner, record rollout.Record) rollout.Situation {
 	onTrial, others := g.planner.TrialTargets()
 	return rollout.Situation{
 		Now: now, Record: record, Targets: onTrial, Old: others, Factors: g.planner.Factors,
 		Fresh:        h.rollouts.Book.Age(now) <= h.rollouts.Bounds().Trust(),
 		Unrepeatable: g.planner.Unrepeatable(), Backing: h.members.Backing(),
-		Usual: onTrial == 0 && runsOnly(g.directory.Serving(record.Service), record.Version) && h.rollouts.Book.Usual(record.Service, record.Version),
+		Usual: onTrial == 0 && allRun(g.directory.Serving(record.Service), record.Version) && h.rollouts.Book.Usual(record.Service, record.Version),
 	}
 }
 
-// runsOnly reports whether targets all run one version.
-func runsOnly(targets []*routing.Target, version ids.Version) bool {
+// allRun reports whether there are targets and all of them run a version.
+func allRun(targets []*routing.Target, version ids.Version) bool {
 	for _, t := range targets {
 		if t.Version != version {
 			return false
@@ -148,18 +148,18 @@
 	return len(targets) > 0
 }
 
-// write writes the state that a trial wants, or its evidence now and then.
-func (h *Home) write(ctx context.Context, now clock.Millis, g *hosted, record rollout.Record) {
-	state := g.planned.Write
-	if state == rollout.Pending && record.State == rollout.Running && now-g.writer.noted >= evidenceEvery {
+// writeTrialState writes the record's next state if the plan has one, or else the evidence every evidenceInterval.
+func (h *Home) writeTrialState(ctx context.Context, now clock.Millis, g *servicePlanner, record rollout.Record) {
+	state := g.plan.Write
+	if state == rollout.Pending && record.State == rollout.Running && now-g.writer.evidenceAt >= evidenceInterval {
 		state = rollout.Running
 	}
-	if state == rollout.Pending || g.writer.busy || now < g.writer.next {
+	if state == rollout.Pending || g.writer.busy || now < g.writer.notBefore {
 		return
 	}
 	g.writer.busy = true
-	g.writer.noted = now
-	next := g.trial.Record(record, state, g.planned.Why, h.rollouts.Book.StoreTime)
+	g.writer.evidenceAt = now
+	next := g.trial.Record(record, state, g.plan.Why, h.rollouts.Book.StoreTime)
 	next.By = h.id
 	if record.State == rollout.Pending {
 		next.TimedBy = h.id
@@ -167,10 +167,10 @@
 	go h.writeRecord(ctx, g, next, record.State != state)
 }
 
-// writeRecord makes one call to the store. If its outcome is unknown, what the store's table
-// shows later settles it.
-func (h *Home) writeRecord(ctx context.Context, g *hosted, r rollout.Record, news bool) {
-	limited, cancel := context.WithTimeout(ctx, recordTime.Duration())
+// writeRecord makes one call to the store. If its outcome is unknown, the row that is read later
+// shows it.
+func (h *Home) writeRecord(ctx context.Context, g *servicePlanner, r rollout.Record, stateChanged bool) {
+	limited, cancel := context.WithTimeout(ctx, recordTimeout.Duration())
 	defer cancel()
 	began := time.Now()
 	written, err := h.rollouts.Store.Write(limited, r)
@@ -180,30 +180,30 @@
 		h.rollouts.Book.PutRecords([]rollout.Record{r}, rollout.Proof{})
 		h.rollouts.Changed()
 	case errors.Is(err, rollout.ErrOvertaken):
-		h.Log.WithError(err).WithFields(rolloutFields(&r)).Info("roll-out: another entry has written")
+		h.Log.WithError(err).WithFields(rolloutFields(&r)).Info("roll-out: record not written, another entry has written it since")
 	default:
-		h.Log.WithError(err).WithFields(rolloutFields(&r)).Warn("roll-out: not known to be written")
+		h.Log.WithError(err).WithFields(rolloutFields(&r)).Warn("roll-out: unknown whether the record was written")
 	}
-	if news && err == nil {
+	if stateChanged && err == nil {
 		h.Metrics.Figures.Add("rollouts", "state", r.State.String())
 		h.Log.WithFields(rolloutFields(&r)).WithField("took_ms", time.Since(began).Milliseconds()).Info("roll-out: state written")
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	g.writer.busy = false
-	g.writer.next = h.Clock.Now() + recordPause
+	g.writer.notBefore = h.Clock.Now() + recordInterval
 }
 
-// describe adds to a report what is known here as the home of its service.
+// describe adds to a report what only the owner of its service knows.
 func (h *Home) describe(r *rollout.Report) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if g := h.groups[r.Service]; g != nil && g.trial != nil {
-		g.trial.Describe(r, g.planned)
+	if g := h.planners[r.Service]; g != nil && g.trial != nil {
+		g.trial.Describe(r, g.plan)
 	}
 }
 
-// rolloutFields are what is logged of a roll-out's record.
+// rolloutFields returns the log fields of a roll-out's record.
 func rolloutFields(r *rollout.Record) logrus.Fields {
 	return logrus.Fields{
 		"service": string(r.Service), "version": string(r.Version), "state": r.State.String(), "why": r.Why,
--- a/pkg/dispatch/lives_test.go
+++ b/pkg/dispatch/lives_test.go
@@ -16,11 +16,11 @@
 
 const (
 	formerStart ids.Start = 5000
-	nextStart   ids.Start = 4000 // lower: the clock was set back meanwhile
+	nextStart   ids.Start = 4000 // lower, as if the VM's clock had been set back
 )
 
-// read has an entry read that the first target started at a moment.
-func (b *bed) read(entry int, start ids.Start, more ...func(*routing.Target)) {
+// listFirstTarget gives an entry a target list in which the first target has the given start.
+func (b *cluster) listFirstTarget(entry int, start ids.Start, more ...func(*routing.Target)) {
 	first := *b.targets[0]
 	first.Start = start
 	for _, change := range more {
@@ -29,114 +29,113 @@
 	b.views[entry].SetDirectory(routing.NewDirectory(append([]*routing.Target{&first}, b.targets[1:]...)))
 }
 
-// TestEntryAndHomeKnowDifferentLives: a request was placed on a target by a home that had not read of its
-// restart, or by one that had while its entry had not: it ran in one life and was counted in
-// another. A grant names the life, and an entry that knows another one lets the request be
-// placed elsewhere.
-func TestEntryAndHomeKnowDifferentLives(t *testing.T) {
+// Guards against requests that run in one incarnation of a target and are counted in another: the owner had not read of
+// the restart, or the entry had not. A grant names the incarnation, and an entry that knows another one has the request
+// assigned to another target.
+func TestEntryAndOwnerKnowDifferentIncarnations(t *testing.T) {
 	scenarios := []struct {
-		name          string
-		home, asker   ids.Start
-		more          func(*routing.Target) // of what the asker knows
-		wantOnRestart bool
+		name             string
+		owner, requester ids.Start
+		more             func(*routing.Target) // changes what the requester knows
+		wantOnRestart    bool
 	}{
-		{"the home lags", formerStart, nextStart, nil, false},
+		{"the owner lags", formerStart, nextStart, nil, false},
 		{"the entry lags", nextStart, formerStart, nil, false},
-		{"the home lags, and the next life runs a withheld version", formerStart, nextStart, func(t *routing.Target) { t.Admission = routing.Withheld }, false},
-		{"the home lags, and the next life serves something else", formerStart, nextStart, func(t *routing.Target) { t.Service = "other" }, false},
-		{"the home knows no start", ids.UnknownStart, nextStart, nil, true},
+		{"the owner lags, and the next incarnation runs a withheld version", formerStart, nextStart, func(t *routing.Target) { t.Admission = routing.Withheld }, false},
+		{"the owner lags, and the next incarnation serves another service", formerStart, nextStart, func(t *routing.Target) { t.Service = "other" }, false},
+		{"the owner knows no start", ids.UnknownStart, nextStart, nil, true},
 		{"the entry knows no start", nextStart, ids.UnknownStart, nil, true},
 		{"both know the same", nextStart, nextStart, nil, true},
-		{"nobody knows a start, and the target serves something else", ids.UnknownStart, ids.UnknownStart, func(t *routing.Target) { t.Service = "other" }, false},
+		{"neither knows a start, and the target serves another service", ids.UnknownStart, ids.UnknownStart, func(t *routing.Target) { t.Service = "other" }, false},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t)
-				home := b.home(-1)
-				asker := (home + 1) % entryCount
+				b := newCluster(t)
+				owner := b.ownerIndex(-1)
+				requester := (owner + 1) % entryCount
 				for i := range entryCount {
-					b.read(i, s.home)
+					b.listFirstTarget(i, s.owner)
 				}
 				if s.more == nil {
 					s.more = func(*routing.Target) {}
 				}
-				b.read(asker, s.asker, s.more)
+				b.listFirstTarget(requester, s.requester, s.more)
 				time.Sleep(100 * time.Millisecond)
-				b.load([]int{asker}, 20, 100*time.Millisecond, 50*time.Millisecond)
+				b.runRequests([]int{requester}, 20, 100*time.Millisecond, 50*time.Millisecond)
 				if b.served != 20 {
 					t.Errorf("%d of 20 served", b.served)
 				}
 				if n := b.total["t0"]; (n > 0) != s.wantOnRestart {
-					t.Errorf("%d of 20 on the target that started again", n)
+					t.Errorf("%d of 20 requests on the restarted target", n)
 				}
 			})
 		})
 	}
 }
 
-// TestATargetThatStartsAgainUnderLoad has a target start again while all places are taken, and each
-// entry read of it at another time, the home first, last or between: over both lives the target
-// gets no more than its slots, and once all have read of it, all of them.
-func TestATargetThatStartsAgainUnderLoad(t *testing.T) {
+// A target restarts while all slots are taken, and each entry reads of it at another time, the owner first, in between
+// or last. Over both incarnations the target must never run more requests than it has slots, and must get requests again
+// once all entries have read of the restart.
+func TestTargetRestartUnderLoadStaysWithinSlots(t *testing.T) {
 	for _, homeReads := range []time.Duration{0, 150 * time.Millisecond, 400 * time.Millisecond} {
 		t.Run(homeReads.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t)
+				b := newCluster(t)
 				for i := range entryCount {
-					b.read(i, formerStart)
+					b.listFirstTarget(i, formerStart)
 				}
-				home := b.home(-1)
+				owner := b.ownerIndex(-1)
 				for i, wait := range []time.Duration{homeReads, 100 * time.Millisecond, 300 * time.Millisecond} {
-					time.AfterFunc(time.Second+wait, func() { b.read((home+i)%entryCount, nextStart) })
+					time.AfterFunc(time.Second+wait, func() { b.listFirstTarget((owner+i)%entryCount, nextStart) })
 				}
 				var all sync.WaitGroup
 				for i := range 300 {
-					all.Go(func() { b.untilReplaced(i%entryCount, 400*time.Millisecond) })
+					all.Go(func() { b.runUntilReplaced(i%entryCount, 400*time.Millisecond) })
 					time.Sleep(20 * time.Millisecond)
 				}
 				all.Wait()
-				if b.most > slots {
-					t.Errorf("up to %d at once in %d slots", b.most, slots)
+				if b.maxRunning > slots {
+					t.Errorf("up to %d at once in %d slots", b.maxRunning, slots)
 				}
 				if b.total["t0"] < 20 {
-					t.Errorf("%d requests on the target that started again", b.total["t0"])
+					t.Errorf("%d requests on the restarted target, want at least 20", b.total["t0"])
 				}
 			})
 		})
 	}
 }
 
-// untilReplaced runs one request that ends, failed, once its entry reads that its target has started
-// again: its connection is closed.
-func (b *bed) untilReplaced(entry int, length time.Duration) {
+// runUntilReplaced runs one request. It fails once its entry reads that its target has
+// restarted, as its connection is closed then.
+func (b *cluster) runUntilReplaced(entry int, length time.Duration) {
 	now := b.Clock.Now()
-	ask := schedule.Ask{Service: "s", Job: planner.Job{Arrived: now, Objective: 200 * clock.Second, Deadline: now + 400*clock.Second}}
-	p, refused, err := b.entries[entry].Acquire(context.Background(), ask)
+	request := schedule.Ask{Service: "s", Job: planner.Job{Arrived: now, Objective: 200 * clock.Second, Deadline: now + 400*clock.Second}}
+	p, refused, err := b.entries[entry].Acquire(context.Background(), request)
 	if refused != nil || err != nil {
 		return
 	}
-	life := p.Target().Life()
-	b.note(life.Target, 1)
+	incarnation := p.Target().Life()
+	b.countRunning(incarnation.Target, 1)
 	outcome := planner.Served
 	const step = 5 * time.Millisecond
 	for passed := time.Duration(0); passed < length; passed += step {
 		time.Sleep(step)
-		if b.views[entry].Directory().Replaced(life) {
+		if b.views[entry].Directory().Replaced(incarnation) {
 			outcome = planner.Failed
 			break
 		}
 	}
-	b.note(life.Target, -1)
+	b.countRunning(incarnation.Target, -1)
 	p.Done(outcome, planner.Flow{})
 }
 
-// note counts what runs on a target, whichever life it is.
-func (b *bed) note(id ids.Target, n int) {
+// countRunning adds n to the requests that run on a target, in any incarnation.
+func (b *cluster) countRunning(id ids.Target, n int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.running[id] += n
-	b.most = max(b.most, b.running[id])
+	b.maxRunning = max(b.maxRunning, b.running[id])
 	if n > 0 {
 		b.total[id]++
 	}
--- a/pkg/dispatch/messages.go
+++ b/pkg/dispatch/messages.go
@@ -1,8 +1,8 @@
-// Package dispatch brings the requests of all entries before one planner for
-// each group of targets. The planner of a group runs at its home, one of the
-// entries; it keeps nothing that its entries could not tell it again, so that
-// another entry takes over within a few greetings. An entry without a home
-// places by its own counts.
+// Package dispatch assigns the requests of all entries to targets by one planner
+// for each service. The planner of a service runs at its owner, one of the
+// entries. It keeps no state that the entries could not send again, so that
+// another entry can take over within a few heartbeats. An entry that reaches no
+// owner chooses targets by its own counts.
 package dispatch
 
 import (
@@ -14,20 +14,20 @@
 	"quaydock/pkg/ratelimit"
 )
 
-// ask wants a target for a request. It is sent again while there is no final
-// answer. Moments mean nothing on another VM, so that those of the job are left
-// out, and lengths of time stand beside it.
-type ask struct {
+// submitMessage submits a request for an assignment. It is sent again until there is a final
+// decision. Points in time mean nothing on another VM's clock, so those of the job are
+// cleared and sent as durations beside it.
+type submitMessage struct {
 	_         struct{} `cbor:",toarray"`
 	Number    uint64
 	Service   ids.Service
-	Waited    clock.Millis // since it came to its entry
-	Remaining clock.Millis // to its deadline
+	Waited    clock.Millis // since its arrival at the entry
+	Remaining clock.Millis // until its deadline
 	Job       planner.Job
 }
 
-// job puts the job on this VM's clock.
-func (a *ask) job(from netip.AddrPort, now clock.Millis) planner.Job {
+// job returns the job with its times on this VM's clock.
+func (a *submitMessage) job(from netip.AddrPort, now clock.Millis) planner.Job {
 	j := a.Job
 	j.ID = planner.JobID{Entry: from.String(), Number: a.Number}
 	j.Arrived = now - a.Waited
@@ -35,35 +35,35 @@
 	return j
 }
 
-// verdict is the kind of an answer.
-type verdict int
+// decisionKind is the kind of a decision on a submitted job.
+type decisionKind int
 
 const (
-	queued verdict = iota
+	queued decisionKind = iota
 	granted
 	refused
 	noTarget
-	move    // a request that runs is better sent elsewhere
-	resting // refused, as all targets rest from its entry
+	redispatch // the running request should be re-dispatched
+	backedOff  // refused, as all targets have asked its entry for a back-off
 )
 
-// answer is the home's word on an ask.
-type answer struct {
-	_          struct{} `cbor:",toarray"`
-	Number     uint64
-	Verdict    verdict
-	Life       ids.Life // of the target that is granted
-	RetryAfter clock.Millis
-	// Ahead and Wait are what a refusal stands on.
+// decisionMessage is the owner's decision on a submitted request.
+type decisionMessage struct {
+	_           struct{} `cbor:",toarray"`
+	Number      uint64
+	Kind        decisionKind
+	Incarnation ids.Life // the granted target
+	RetryAfter  clock.Millis
+	// Ahead and Wait explain a refusal: the requests ahead, and the expected wait.
 	Ahead int
 	Wait  clock.Millis
-	// Takes is what the home knows of how many requests a second the target takes, nil if nothing, and Counted says
-	// that the grant is one of these.
-	Takes   *ratelimit.Aged
+	// Limit is the target's rate limit in requests per second as the owner knows it, nil if unknown. Counted says that
+	// the grant was counted against it.
+	Limit   *ratelimit.Aged
 	Counted bool
 }
 
-// progress is how far a request has come.
+// progress is a step in a submitted request's processing.
 type progress int
 
 const (
@@ -72,39 +72,39 @@
 	withdrawn
 )
 
-// step tells the progress of a request.
-type step struct {
+// progressMessage reports the progress of a request.
+type progressMessage struct {
 	_        struct{} `cbor:",toarray"`
 	Number   uint64
 	Service  ids.Service
 	Progress progress
 	Outcome  planner.Outcome
-	Flow     planner.Flow  // with done
-	Load     *planner.Load // with begun, if the target told it
+	Flow     planner.Flow  // set with done
+	Load     *planner.Load // set with begun, if the target reported it
 }
 
-// sync lists what an entry has on the targets of a service; a request whose
-// number modulo Pages is Page stands on this page.
-type sync struct {
+// syncMessage lists an entry's running requests on the targets of a service. It has those
+// whose number modulo Pages is Page.
+type syncMessage struct {
 	_       struct{} `cbor:",toarray"`
 	Service ids.Service
 	Page    uint64
 	Pages   uint64
-	Items   []item
+	Items   []runningItem
 }
 
-// item is one request on a target.
-type item struct {
-	_       struct{} `cbor:",toarray"`
-	Number  uint64
-	Life    ids.Life // of its target
-	Begun   bool
-	Tier    ids.TierRank
-	Prompt  ids.Tokens
-	Events  int
-	Account ids.Account
-	Movable bool
+// runningItem is one running request.
+type runningItem struct {
+	_           struct{} `cbor:",toarray"`
+	Number      uint64
+	Incarnation ids.Life // of its target
+	Begun       bool
+	Tier        ids.TierRank
+	Prompt      ids.Tokens
+	Events      int
+	Account     ids.Account
+	Movable     bool
 }
 
-// pageItems is how many items surely fit into one datagram.
-const pageItems = 14
+// itemsPerPage is the number of items that always fit into one datagram.
+const itemsPerPage = 14
--- a/pkg/dispatch/notes.go
+++ b/pkg/dispatch/notes.go
@@ -17,111 +17,109 @@
 	"quaydock/pkg/planner"
 )
 
-// Notes is the table of the platform's store in which homes note what they have
-// learned, one row a service.
+// EstimateStore is the table of the platform's store in which owners save their
+// estimates, one row per service.
 type Notes interface {
 	Put(ctx context.Context, key string, value []byte) error
 	Whole(ctx context.Context) (follow.Batch, error)
 }
 
 const (
-	// tellEvery is how often a home tells the one that would follow it what it has
-	// learned, and noteEvery how often it notes it in the store, for the case that
-	// both are lost at once.
-	tellEvery = clock.Second
-	noteEvery = 5 * clock.Second
-	// noteTime bounds a call to the store.
-	noteTime = 600 * clock.Millisecond
-	// factorsAPage is how many factors surely fit into one datagram.
-	factorsAPage = 24
+	// Every replicateInterval an owner sends its estimates to its successor. Every saveInterval it also saves them
+	// in the store, in case both entries are lost at once.
+	replicateInterval = clock.Second
+	saveInterval      = 5 * clock.Second
+	// storeTimeout limits the duration of a call to the store.
+	storeTimeout = 600 * clock.Millisecond
+	// factorsPerPage is the number of speed factors that always fit into one datagram.
+	factorsPerPage = 24
 )
 
-// lesson is what a home has learned of a service. The factors of many targets
-// come in several messages, the first of which replaces what was told before.
-type lesson struct {
-	_       struct{} `cbor:",toarray"`
-	Service ids.Service
-	Page    int
-	Learned planner.Learned
+// estimatesMessage carries an owner's estimates for a service. The factors of many targets
+// take several messages; the first of them replaces what was sent before.
+type estimatesMessage struct {
+	_         struct{} `cbor:",toarray"`
+	Service   ids.Service
+	Page      int
+	Estimates planner.Learned
 }
 
-// memory keeps what homes have learned, at the home itself and at the entry that
-// would follow it.
-type memory struct {
+// estimateCache holds the estimates of owners by service, at the owner itself and at its
+// successor.
+type estimateCache struct {
 	common.Common
 	members *membership.Members
 	link    *packets.Link
-	notes   Notes
+	store   Notes
 	faults  *follow.Faults
 
-	mu    gosync.Mutex
-	heard map[ids.Service]*planner.Learned // of homes
-	noted map[ids.Service]clock.Millis     // when it was last noted here
+	mu       gosync.Mutex
+	received map[ids.Service]*planner.Learned // from the owners
+	savedAt  map[ids.Service]clock.Millis     // time of this entry's last write to the store
 }
 
-func newMemory(c common.Common, members *membership.Members, link *packets.Link, notes Notes) *memory {
-	m := &memory{Common: c, members: members, link: link, notes: notes, faults: follow.NewFaults(c, "notes"), heard: make(map[ids.Service]*planner.Learned), noted: make(map[ids.Service]clock.Millis)}
-	link.Handle(packets.KindLearned, packets.Receive(link, m.hear))
+func newEstimateCache(c common.Common, members *membership.Members, link *packets.Link, store Notes) *estimateCache {
+	m := &estimateCache{Common: c, members: members, link: link, store: store, faults: follow.NewFaults(c, "notes"), received: make(map[ids.Service]*planner.Learned), savedAt: make(map[ids.Service]clock.Millis)}
+	link.Handle(packets.KindLearned, packets.Receive(link, m.receive))
 	return m
 }
 
-// hear takes what a home tells.
-func (m *memory) hear(_ netip.AddrPort, l *lesson) {
+// receive stores the estimates that an owner has sent.
+func (m *estimateCache) receive(_ netip.AddrPort, l *estimatesMessage) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if before := m.heard[l.Service]; before != nil && l.Page > 0 {
+	if before := m.received[l.Service]; before != nil && l.Page > 0 {
 		known := maps.Clone(before.Factors)
-		maps.Copy(known, l.Learned.Factors)
-		l.Learned.Factors = known
+		maps.Copy(known, l.Estimates.Factors)
+		l.Estimates.Factors = known
 	}
-	m.heard[l.Service] = &l.Learned
+	m.received[l.Service] = &l.Estimates
 }
 
-// of returns what is known of a service, or nil.
-func (m *memory) of(service ids.Service) *planner.Learned {
+// get returns the estimates for a service, or nil.
+func (m *estimateCache) get(service ids.Service) *planner.Learned {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.heard[service]
+	return m.received[service]
 }
 
-// tell tells the entry that would follow what this home has learned, and notes it in
-// the store now and then. One message a second for some two dozen targets does not grow with
-// the number of entries.
-func (m *memory) tell(ctx context.Context, now clock.Millis, service ids.Service, l *planner.Learned) {
+// replicate sends the estimates for a service to the successor of this owner, and saves them in the store from time to time.
+// The traffic, one message per second for some two dozen targets, does not grow with the number of entries.
+func (m *estimateCache) replicate(ctx context.Context, now clock.Millis, service ids.Service, l *planner.Learned) {
 	for id := range l.Factors {
-		if len(l.Factors) <= mostFactors {
+		if len(l.Factors) <= maxFactors {
 			break
 		}
 		delete(l.Factors, id)
 	}
-	if next, others := m.members.HeavyNext(matter(service)); others {
-		for i, page := range pages(l) {
-			m.link.Send(next, packets.KindLearned, lesson{Service: service, Page: i, Learned: page})
+	if next, others := m.members.HeavyNext(plannerShard(service)); others {
+		for i, page := range splitPages(l) {
+			m.link.Send(next, packets.KindLearned, estimatesMessage{Service: service, Page: i, Estimates: page})
 		}
 	}
 	m.mu.Lock()
-	m.heard[service] = l
-	due := now-m.noted[service] >= noteEvery
+	m.received[service] = l
+	due := now-m.savedAt[service] >= saveInterval
 	if due {
-		m.noted[service] = now
+		m.savedAt[service] = now
 	}
 	m.mu.Unlock()
 	if due {
-		go m.note(ctx, service, l)
+		go m.save(ctx, service, l)
 	}
 }
 
-// mostFactors bounds what is passed on of one service, so that it fits into a row of the store.
-const mostFactors = 1700
+// maxFactors limits the number of factors that are kept for one service, so that they fit into a row of the store.
+const maxFactors = 1700
 
-// pages divides what was learned so that each part fits into a datagram.
-func pages(l *planner.Learned) []planner.Learned {
+// splitPages splits estimates so that each page fits into a datagram.
+func splitPages(l *planner.Learned) []planner.Learned {
 	page := *l
 	page.Factors = make(map[ids.Life]float64)
 	var list []planner.Learned
 	for id, f := range l.Factors {
 		page.Factors[id] = f
-		if len(page.Factors) == factorsAPage {
+		if len(page.Factors) == factorsPerPage {
 			list = append(list, page)
 			page.Factors = make(map[ids.Life]float64)
 		}
@@ -129,26 +127,26 @@
 	return append(list, page)
 }
 
-func (m *memory) note(ctx context.Context, service ids.Service, l *planner.Learned) {
-	ctx, cancel := context.WithTimeout(ctx, noteTime.Duration())
+func (m *estimateCache) save(ctx context.Context, service ids.Service, l *planner.Learned) {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout.Duration())
 	defer cancel()
 	value, err := cbor.Marshal(l)
 	if err == nil {
-		err = m.notes.Put(ctx, string(service), value)
+		err = m.store.Put(ctx, string(service), value)
 	}
 	if err != nil {
-		m.Log.WithError(err).WithField("service", string(service)).Info("what was learned is not noted in the store")
+		m.Log.WithError(err).WithField("service", string(service)).Info("saving estimates to the store failed")
 	}
 }
 
-// read reads the notes of all services, as when this entry has just started, and
-// calls done with what they say.
-func (m *memory) read(ctx context.Context, done func(ids.Service, *planner.Learned)) {
-	ctx, cancel := context.WithTimeout(ctx, noteTime.Duration())
+// load reads the saved estimates for all services, for example after this entry has started, and
+// calls done for each valid row.
+func (m *estimateCache) load(ctx context.Context, done func(ids.Service, *planner.Learned)) {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout.Duration())
 	defer cancel()
-	batch, err := m.notes.Whole(ctx)
+	batch, err := m.store.Whole(ctx)
 	if err != nil {
-		m.Log.WithError(err).Info("what was learned before is not read")
+		m.Log.WithError(err).Info("reading estimates from the store failed")
 		return
 	}
 	for _, row := range batch.Rows {
@@ -163,8 +161,8 @@
 		}
 		service := ids.Service(row.Key)
 		m.mu.Lock()
-		if m.heard[service] == nil {
-			m.heard[service] = l
+		if m.received[service] == nil {
+			m.received[service] = l
 		}
 		m.mu.Unlock()
 		done(service, l)
--- a/pkg/dispatch/notes_test.go
+++ b/pkg/dispatch/notes_test.go
@@ -22,34 +22,33 @@
 	"quaydock/pkg/planner"
 )
 
-// rowOf notes the size of the row that was written last.
-type rowOf struct {
+// rowSizeRecorder records the size of the last row that was written.
+type rowSizeRecorder struct {
 	mu   gosync.Mutex
 	size int
 }
 
-func (r *rowOf) Put(_ context.Context, _ string, value []byte) error {
+func (r *rowSizeRecorder) Put(_ context.Context, _ string, value []byte) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.size = len(value)
 	return nil
 }
 
-func (*rowOf) Whole(context.Context) (follow.Batch, error) { return follow.Batch{}, nil }
+func (*rowSizeRecorder) Whole(context.Context) (follow.Batch, error) { return follow.Batch{}, nil }
 
-// startOfAll is when the targets of these tests started.
-const startOfAll ids.Start = 1_764_673_891_234
+// targetStart is the start of all targets in these tests.
+const targetStart ids.Start = 1_764_673_891_234
 
-// TestWhatIsLearnedDoesNotPileUp has the targets of a service replaced again and
-// again: the next home keeps those of the last lesson only, and the row in the store
-// stays within what the store takes, however many targets there are.
-func TestWhatIsLearnedDoesNotPileUp(t *testing.T) {
+// Guards against estimates that grow as the targets of a service are replaced: the successor keeps the factors of the
+// last message only, and the row stays within the store's limit of 64 KiB, however many targets there are.
+func TestEstimatesOfReplacedTargetsAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := commontest.New(network.NewMemory(nil))
 		net := packets.NewMemory()
 		ctx, stop := context.WithCancel(context.Background())
-		row := &rowOf{}
-		var entries []*memory
+		row := &rowSizeRecorder{}
+		var entries []*estimateCache
 		var listed []follow.Row
 		address := func(i int) netip.AddrPort { return netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:7600", i+1)) }
 		for i := range 2 {
@@ -59,7 +58,7 @@
 			link := packets.NewLink(c, net.Socket(address(i)))
 			m := membership.New(c, membership.Self{Name: ids.Process(fmt.Sprint("entry-", i)), Address: address(i), Weight: 1}, commontest.NoRows{}, link)
 			m.Whole(listed, follow.Proof{})
-			entries = append(entries, newMemory(c, m, link, row))
+			entries = append(entries, newEstimateCache(c, m, link, row))
 			go link.Run(ctx)
 			go m.Run(ctx)
 		}
@@ -67,18 +66,18 @@
 		for _, targets := range []int{70, 70, 5000, 40} {
 			l := &planner.Learned{Factors: make(map[ids.Life]float64)}
 			for n := range targets {
-				l.Factors[ids.Life{Target: ids.Target(fmt.Sprintf("i-%d-%010x", targets, n)), Start: startOfAll}] = 1.5
+				l.Factors[ids.Life{Target: ids.Target(fmt.Sprintf("i-%d-%010x", targets, n)), Start: targetStart}] = 1.5
 			}
-			entries[0].tell(ctx, c.Clock.Now(), "s", l)
-			time.Sleep(noteEvery.Duration() + time.Second)
-			want := min(targets, mostFactors)
-			if got := len(entries[1].of("s").Factors); got != want {
-				t.Errorf("the next home keeps %d factors of %d targets, want %d", got, targets, want)
+			entries[0].replicate(ctx, c.Clock.Now(), "s", l)
+			time.Sleep(saveInterval.Duration() + time.Second)
+			request := min(targets, maxFactors)
+			if got := len(entries[1].get("s").Factors); got != request {
+				t.Errorf("the successor keeps %d factors of %d targets, want %d", got, targets, request)
 			}
 			const rowBytes = 65_536
 			row.mu.Lock()
 			if row.size == 0 || row.size > rowBytes {
-				t.Errorf("a row of %d bytes for %d targets", row.size, targets)
+				t.Errorf("row of %d bytes for %d targets, want 1 to 65536", row.size, targets)
 			}
 			row.mu.Unlock()
 		}
@@ -87,50 +86,50 @@
 	})
 }
 
-// foreignNotes is a table of notes that another writer has been at.
-type foreignNotes struct{ rows []follow.Row }
+// foreignStore is an estimate store with rows from another writer.
+type foreignStore struct{ rows []follow.Row }
 
-func (foreignNotes) Put(context.Context, string, []byte) error { return nil }
+func (foreignStore) Put(context.Context, string, []byte) error { return nil }
 
-func (n foreignNotes) Whole(context.Context) (follow.Batch, error) {
+func (n foreignStore) Whole(context.Context) (follow.Batch, error) {
 	return follow.Batch{Rows: n.rows}, nil
 }
 
-// TestAForeignNoteTeachesNothing has a table of notes hold what no planner has learned: a factor that
-// is no number would have a target never placed on, or always.
-func TestAForeignNoteTeachesNothing(t *testing.T) {
+// Guards against estimates that no planner has written: with a factor that is not a number, a target would get no
+// requests, or all of them.
+func TestInvalidEstimateRowsAreRejected(t *testing.T) {
 	line := planner.Line{N: 9, X: 1, Y: 1, XX: 1, XY: 1}
-	notes := []struct {
-		service string
-		learned planner.Learned
-		sound   bool
+	cases := []struct {
+		service   string
+		estimates planner.Learned
+		valid     bool
 	}{
-		{"sound", planner.Learned{First: line, Pause: line, Factors: map[ids.Life]float64{{Target: "a"}: 1.5}}, true},
+		{"valid", planner.Learned{First: line, Pause: line, Factors: map[ids.Life]float64{{Target: "a"}: 1.5}}, true},
 		{"nan", planner.Learned{First: line, Factors: map[ids.Life]float64{{Target: "a"}: math.NaN()}}, false},
-		{"nothing", planner.Learned{First: line, Factors: map[ids.Life]float64{{Target: "a"}: 0}}, false},
-		{"below", planner.Learned{First: line, Factors: map[ids.Life]float64{{Target: "a"}: -1}}, false},
-		{"endless", planner.Learned{First: planner.Line{N: 9, X: math.Inf(1)}}, false},
+		{"zero", planner.Learned{First: line, Factors: map[ids.Life]float64{{Target: "a"}: 0}}, false},
+		{"negative", planner.Learned{First: line, Factors: map[ids.Life]float64{{Target: "a"}: -1}}, false},
+		{"infinite", planner.Learned{First: planner.Line{N: 9, X: math.Inf(1)}}, false},
 		{"points", planner.Learned{First: planner.Line{N: -9}}, false},
 		{"hold", planner.Learned{First: line, Hold: math.Inf(1)}, false},
 	}
-	table := foreignNotes{rows: []follow.Row{{Key: "bytes", Value: []byte{0xff}}, {Key: "empty"}}}
-	for _, n := range notes {
-		value, err := cbor.Marshal(&n.learned)
+	table := foreignStore{rows: []follow.Row{{Key: "bytes", Value: []byte{0xff}}, {Key: "empty"}}}
+	for _, n := range cases {
+		value, err := cbor.Marshal(&n.estimates)
 		if err != nil {
 			t.Fatal(err)
 		}
 		table.rows = append(table.rows, follow.Row{Key: n.service, Value: value})
 	}
 	c := commontest.New(network.NewMemory(nil))
-	m := newMemory(c, nil, packets.NewLink(c, packets.NewMemory().Socket(netip.MustParseAddrPort("10.0.0.1:7600"))), table)
-	learned := make(map[ids.Service]bool)
-	m.read(context.Background(), func(service ids.Service, _ *planner.Learned) { learned[service] = true })
-	for _, n := range notes {
-		if learned[ids.Service(n.service)] != n.sound {
-			t.Errorf("%s was taken: %t", n.service, !n.sound)
+	m := newEstimateCache(c, nil, packets.NewLink(c, packets.NewMemory().Socket(netip.MustParseAddrPort("10.0.0.1:7600"))), table)
+	accepted := make(map[ids.Service]bool)
+	m.load(context.Background(), func(service ids.Service, _ *planner.Learned) { accepted[service] = true })
+	for _, n := range cases {
+		if accepted[ids.Service(n.service)] != n.valid {
+			t.Errorf("estimates of service %s accepted: %t", n.service, !n.valid)
 		}
 	}
 	if got := m.faults.Standing(); got != 8 {
-		t.Errorf("%d faulty rows are shown", got)
+		t.Errorf("%d faulty rows reported, want 8", got)
 	}
 }
--- a/pkg/dispatch/pending.go
+++ b/pkg/dispatch/pending.go
@@ -12,71 +12,73 @@
 	"quaydock/pkg/schedule"
 )
 
-// pending is a request that has no place yet.
+// pending is a request that waits for an assignment.
 type pending struct {
-	want    schedule.Ask
-	number  uint64
-	answers chan answer
-	home    netip.AddrPort // whom it was last asked of
-	// silence counts the asks since the home was last heard. It begins below
-	// zero while the home is known to hold the request.
-	silence int
-	// trial says that the request may go to a version on trial, which is set aside for it.
-	trial bool
-	// withheld is how many grants were given back since their targets had told this entry to send nothing.
+	request   schedule.Ask
+	number    uint64
+	decisions chan decisionMessage
+	owner     netip.AddrPort // to which it was submitted last
+	// unanswered counts the submissions since the owner's last decision. It starts below
+	// zero after the owner has queued the request.
+	unanswered int
+	// trialReserved says that the request may go to a canary version: this entry has reserved a part of its exposure
+	// for it.
+	trialReserved bool
+	// withheld is how many grants were returned because their targets had told this entry to send nothing.
 	withheld int
 }
 
-// Acquire waits for a place.
-func (d *Dispatcher) Acquire(ctx context.Context, want schedule.Ask) (schedule.Place, *schedule.Refused, error) {
-	p := &pending{want: want}
-	d.enter(p)
-	defer func() { d.leave(p.number) }()
-	d.trials.ask(p)
-	defer d.trials.give(p)
+// Acquire waits for an assignment by the owner of the service, or makes one itself if no owner answers. It returns a refusal
+// if the request should be retried later, and the cause as an error if ctx ends first.
+func (d *Dispatcher) Acquire(ctx context.Context, request schedule.Ask) (schedule.Place, *schedule.Refused, error) {
+	p := &pending{request: request}
+	d.register(p)
+	defer func() { d.unregister(p.number) }()
+	d.trials.reserve(p)
+	defer d.trials.release(p)
 	for {
-		a, err := d.askOnce(ctx, p)
+		a, err := d.submitOnce(ctx, p)
 		switch {
 		case err != nil:
-			d.step(step{Number: p.number, Service: want.Service, Progress: withdrawn})
+			d.sendProgress(progressMessage{Number: p.number, Service: request.Service, Progress: withdrawn})
 			return nil, nil, err
-		case a == nil && p.silence >= maxAsks:
-			return d.alone(ctx, p)
+		case a == nil && p.unanswered >= maxSubmits:
+			return d.assignLocally(ctx, p)
 		case a == nil:
-		case a.Verdict == refused, a.Verdict == noTarget, a.Verdict == resting:
-			return nil, &schedule.Refused{Overloaded: a.Verdict == refused, Resting: a.Verdict == resting, RetryAfter: a.RetryAfter, Ahead: a.Ahead, Wait: a.Wait}, nil
-		case a.Verdict == granted && d.barred(a):
-			d.withhold(p, a.Life)
-		case a.Verdict == granted:
-			if t := d.offered(p, a.Life); t != nil {
-				return d.begin(p.number, &p.want, t, nil), nil, nil
+		case a.Kind == refused, a.Kind == noTarget, a.Kind == backedOff:
+			return nil, &schedule.Refused{Overloaded: a.Kind == refused, Resting: a.Kind == backedOff, RetryAfter: a.RetryAfter, Ahead: a.Ahead, Wait: a.Wait}, nil
+		case a.Kind == granted && d.blockedByAdvice(a):
+			d.withhold(p, a.Incarnation)
+		case a.Kind == granted:
+			if t := d.usableTarget(p, a.Incarnation); t != nil {
+				return d.startAssignment(p.number, &p.request, t, nil), nil, nil
 			}
-			d.decline(p, a.Life)
+			d.decline(p, a.Incarnation)
 		}
 	}
 }
 
-// askOnce asks the home and returns its next final answer, or nil if it is time
-// to ask again.
-func (d *Dispatcher) askOnce(ctx context.Context, p *pending) (*answer, error) {
-	home := d.ask(p)
-	if home != p.home {
-		p.home, p.silence = home, 0
+// submitOnce submits a request to the owner and returns the final decision, or nil if it is time to submit it
+// again. Its error is the cause of ctx's end.
+func (d *Dispatcher) submitOnce(ctx context.Context, p *pending) (*decisionMessage, error) {
+	owner := d.submit(p)
+	if owner != p.owner {
+		p.owner, p.unanswered = owner, 0
 	}
-	wait := askAgain
-	if p.silence < 0 {
-		wait = pollEvery
+	wait := submitTimeout
+	if p.unanswered < 0 {
+		wait = pollInterval
 	}
-	p.silence++
+	p.unanswered++
 	timer := time.NewTimer(wait.Duration())
 	defer timer.Stop()
 	for {
 		select {
-		case a := <-p.answers:
-			if a.Verdict != queued {
+		case a := <-p.decisions:
+			if a.Kind != queued {
 				return &a, nil
 			}
-			p.silence = -maxPolls
+			p.unanswered = -maxPolls
 		case <-timer.C:
 			return nil, nil
 		case <-ctx.Done():
@@ -85,64 +87,64 @@
 	}
 }
 
-// maxPolls is how many polls of a waiting request may stay without an answer
-// before the home counts as silent.
+// maxPolls is how many polls for a queued request may go without an answer
+// before submissions without an answer count towards maxSubmits.
 const maxPolls = 3
 
-// enter gives a request a number under which the home knows it.
-func (d *Dispatcher) enter(p *pending) {
-	const room = 8 // answers that have not been looked at
+// register gives a request a new number, by which the owner identifies it.
+func (d *Dispatcher) register(p *pending) {
+	const room = 8 // decisions not read yet
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.number++
-	p.number = d.number
-	p.answers = make(chan answer, room)
-	d.waiting[p.number] = p.answers
-	d.lists[p.want.Service] = emptyLists
+	d.lastNumber++
+	p.number = d.lastNumber
+	p.decisions = make(chan decisionMessage, room)
+	d.waiting[p.number] = p.decisions
+	d.syncsLeft[p.request.Service] = finalSyncs
 }
 
-func (d *Dispatcher) leave(number uint64) {
+func (d *Dispatcher) unregister(number uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.waiting, number)
 }
 
-func (d *Dispatcher) ask(p *pending) netip.AddrPort {
+func (d *Dispatcher) submit(p *pending) netip.AddrPort {
 	now := d.Clock.Now()
-	w := &p.want
-	message := ask{Number: p.number, Service: w.Service, Waited: now - w.Arrived, Remaining: w.Deadline - now, Job: w.Job}
+	w := &p.request
+	message := submitMessage{Number: p.number, Service: w.Service, Waited: now - w.Arrived, Remaining: w.Deadline - now, Job: w.Job}
 	message.Job.Arrived, message.Job.Deadline = 0, 0
 	message.Job.Domain = d.domain
-	message.Job.Trial = p.trial
-	return toHome(d, w.Service, packets.KindAsk, d.home.asked, &message)
+	message.Job.Trial = p.trialReserved
+	return sendToOwner(d, w.Service, packets.KindAsk, d.owner.receiveSubmit, &message)
 }
 
-// decline gives back a grant for a target that is not to be used. The request
+// decline returns a grant for a target that must not be used, and excludes the target. The request
 // goes on under a new number.
-func (d *Dispatcher) decline(p *pending, life ids.Life) {
+func (d *Dispatcher) decline(p *pending, incarnation ids.Life) {
 	d.Metrics.Links.Add("grants_declined", 1)
-	p.want.Exclude = append(slices.Clone(p.want.Exclude), life)
-	d.giveBack(p, planner.Moved)
+	p.request.Exclude = append(slices.Clone(p.request.Exclude), incarnation)
+	d.returnGrant(p, planner.Moved)
 }
 
-// giveBack gives back a grant, and has the request go on under a new number.
-func (d *Dispatcher) giveBack(p *pending, outcome planner.Outcome) {
-	d.leave(p.number)
-	d.step(step{Number: p.number, Service: p.want.Service, Progress: done, Outcome: outcome})
-	p.silence = 0
-	d.enter(p)
+// returnGrant returns a grant and registers the request under a new number.
+func (d *Dispatcher) returnGrant(p *pending, outcome planner.Outcome) {
+	d.unregister(p.number)
+	d.sendProgress(progressMessage{Number: p.number, Service: p.request.Service, Progress: done, Outcome: outcome})
+	p.unanswered = 0
+	d.register(p)
 }
 
-// alone places a request by this entry's own counts. The home learns of it by
-// the next sync.
-func (d *Dispatcher) alone(ctx context.Context, p *pending) (schedule.Place, *schedule.Refused, error) {
+// assignLocally chooses a target by this entry's own counts, as the owner has not answered. The owner learns of
+// the request from the next list of running requests.
+func (d *Dispatcher) assignLocally(ctx context.Context, p *pending) (schedule.Place, *schedule.Refused, error) {
 	d.Metrics.Links.Add("placed_alone", 1)
-	d.members.Doubt(p.home)
-	d.step(step{Number: p.number, Service: p.want.Service, Progress: withdrawn})
-	own, refused, err := d.local.Acquire(ctx, p.want)
-	if own == nil {
+	d.members.Doubt(p.owner)
+	d.sendProgress(progressMessage{Number: p.number, Service: p.request.Service, Progress: withdrawn})
+	local, refused, err := d.local.Acquire(ctx, p.request)
+	if local == nil {
 		return nil, refused, err
 	}
-	// A new number: the home may still act on the old one.
-	return d.begin(d.fresh(), &p.want, own.Target(), own), nil, nil
+	// A new number: the owner may still act on the old one.
+	return d.startAssignment(d.nextNumber(), &p.request, local.Target(), local), nil, nil
 }
--- a/pkg/dispatch/place.go
+++ b/pkg/dispatch/place.go
@@ -10,48 +10,48 @@
 	"quaydock/pkg/schedule"
 )
 
-func (d *Dispatcher) begin(number uint64, want *schedule.Ask, t *routing.Target, own schedule.Place) *place {
-	p := &place{dispatcher: d, number: number, target: t, want: want, own: own, sentAt: d.Clock.Now(), moved: make(chan struct{}), order: d.trials.order(want.Service)}
+func (d *Dispatcher) startAssignment(number uint64, request *schedule.Ask, t *routing.Target, local schedule.Place) *assignment {
+	p := &assignment{dispatcher: d, number: number, target: t, request: request, local: local, sentAt: d.Clock.Now(), moved: make(chan struct{}), order: d.trials.currentOrder(request.Service)}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.running[number] = p
 	return p
 }
 
-// place is a request on a target.
-type place struct {
+// assignment is one request given to one target. It implements schedule.Assignment.
+type assignment struct {
 	dispatcher *Dispatcher
 	number     uint64
 	target     *routing.Target
-	want       *schedule.Ask
-	own        schedule.Place   // if it was placed by the entry's own counts
-	order      rollout.Revision // of the roll-out during which it was sent, or 0
+	request    *schedule.Ask
+	local      schedule.Place   // set if the entry chose the target by its own counts
+	order      rollout.Revision // the roll-out during which it was sent, or 0
 	sentAt     clock.Millis
 	begun      bool // guarded by the dispatcher's lock
 	moved      chan struct{}
 	moveOnce   gosync.Once
 }
 
-func (p *place) Target() *routing.Target { return p.target }
+func (p *assignment) Target() *routing.Target { return p.target }
 
-func (p *place) Moved() <-chan struct{} { return p.moved }
+func (p *assignment) Moved() <-chan struct{} { return p.moved }
 
-func (p *place) Began(load *planner.Load) {
+func (p *assignment) Began(load *planner.Load) {
 	p.dispatcher.mu.Lock()
 	p.begun = true
 	p.dispatcher.mu.Unlock()
-	p.dispatcher.trials.reached(p)
-	p.dispatcher.step(step{Number: p.number, Service: p.want.Service, Progress: begun, Load: load})
+	p.dispatcher.trials.countReached(p)
+	p.dispatcher.sendProgress(progressMessage{Number: p.number, Service: p.request.Service, Progress: begun, Load: load})
 }
 
-func (p *place) Done(outcome planner.Outcome, flow planner.Flow) {
+func (p *assignment) Done(outcome planner.Outcome, flow planner.Flow) {
 	p.dispatcher.mu.Lock()
 	delete(p.dispatcher.running, p.number)
-	p.dispatcher.lists[p.want.Service] = emptyLists
+	p.dispatcher.syncsLeft[p.request.Service] = finalSyncs
 	p.dispatcher.mu.Unlock()
-	if p.own != nil {
-		p.own.Done(outcome, flow)
+	if p.local != nil {
+		p.local.Done(outcome, flow)
 	}
-	flow.Stalled = p.dispatcher.home.stalls.Within(p.sentAt, p.dispatcher.Clock.Now())
-	p.dispatcher.step(step{Number: p.number, Service: p.want.Service, Progress: done, Outcome: outcome, Flow: flow})
+	flow.Stalled = p.dispatcher.owner.stalls.Within(p.sentAt, p.dispatcher.Clock.Now())
+	p.dispatcher.sendProgress(progressMessage{Number: p.number, Service: p.request.Service, Progress: done, Outcome: outcome, Flow: flow})
 }
--- a/pkg/dispatch/trials.go
+++ b/pkg/dispatch/trials.go
@@ -12,29 +12,28 @@
 	"quaydock/pkg/routing"
 )
 
-// Rollouts is what roll-outs of versions need.
+// Rollouts holds what a dispatcher needs for roll-outs of versions.
 type Rollouts struct {
 	Book *rollout.Book
-	// Bounds returns those in force.
+	// Bounds returns the current bounds.
 	Bounds func() rollout.Bounds
 	Store  RolloutStore
-	// Changed is called when this entry has written a record.
+	// Changed is called after this entry has written a record.
 	Changed func()
-	// Excused lists lives of targets that ended under requests that end targets of any version; nil
-	// if that is not known.
+	// Excused lists incarnations of targets whose ends do not count against the canary version: they ran requests under
+	// which targets of any version end. It is nil if that is not known.
 	Excused func() []ids.Life
 }
 
-// RolloutStore writes what has been decided of roll-outs.
+// RolloutStore writes the records of roll-outs.
 type RolloutStore interface {
-	// Write replaces a service's record, if it is still the one that was written at the
-	// record's revision, and tells the operators. It returns the new revision. An error other than
-	// rollout.ErrOvertaken says nothing of whether it was done.
+	// Write replaces a service's record if the stored one is still at the record's revision, and
+	// informs the operators. It returns the new revision. After an error other than
+	// rollout.ErrOvertaken the record may or may not have been written.
 	Write(ctx context.Context, r rollout.Record) (rollout.Revision, error)
 }
 
-// trials is an entry's part in roll-outs: which of its requests may go to a version on
-// trial.
+// trials decides which of this entry's requests may go to a canary version.
 type trials struct {
 	common.Common
 	rollouts *Rollouts
@@ -46,98 +45,98 @@
 	return &trials{Common: c, rollouts: rollouts, members: members, exposure: rollout.NewExposure()}
 }
 
-// rolloutMatter is that by which entries are put in order for the parts of the slack.
-func rolloutMatter(service ids.Service) string { return "rollout/" + string(service) }
+// rolloutShard is the shard by which entries are ranked to divide the slack of a roll-out among them.
+func rolloutShard(service ids.Service) string { return "rollout/" + string(service) }
 
-// ask sets a request aside for the version on trial of its service, if the entry's part of
-// what that may get has room. give takes it back, send uses it.
-func (t *trials) ask(p *pending) {
-	service := p.want.Service
-	if t.rollouts == nil || !t.open(service) || !t.fresh() {
+// reserve reserves a request for the canary version of its service, if this entry's share of the exposure is not used up.
+// release gives the reservation back, useReservation uses it.
+func (t *trials) reserve(p *pending) {
+	service := p.request.Service
+	if t.rollouts == nil || !t.refreshOrder(service) || !t.feedIsFresh() {
 		return
 	}
-	p.trial = t.exposure.Ask(service, t.rollouts.Bounds())
+	p.trialReserved = t.exposure.Ask(service, t.rollouts.Bounds())
 }
 
-// open opens or closes the account of a service's order; it reports whether there is one.
-func (t *trials) open(service ids.Service) bool {
+// refreshOrder begins or ends counting the exposure of a service's order, and reports whether its roll-out is running.
+func (t *trials) refreshOrder(service ids.Service) bool {
 	order, record, open := t.rollouts.Book.Open(service)
 	if !open || order.Withdrawn() {
 		t.exposure.End(service)
 		return false
 	}
 	if t.exposure.Placed(service) != order.Placed {
-		t.exposure.Begin(order, t.credit(order))
+		t.exposure.Begin(order, t.slackCredit(order))
 	}
 	return record.State == rollout.Running
 }
 
-// credit is this entry's part of the slack. One that does not know the others would take itself
-// for the first of all, as each of them would.
-func (t *trials) credit(order rollout.Order) int {
+// slackCredit returns this entry's share of the slack. It is 0 if the entry has not followed the order from its start, or
+// does not know the other entries: it would take itself for the first of them, as each of the others would.
+func (t *trials) slackCredit(order rollout.Order) int {
 	entries, known := t.members.Entries()
 	if !known || !t.rollouts.Book.Witnessed(order) {
 		return 0
 	}
-	_, nth := t.members.ReaderOrder(rolloutMatter(order.Service))
+	_, nth := t.members.ReaderOrder(rolloutShard(order.Service))
 	return rollout.Credit(t.rollouts.Bounds(), nth, entries)
 }
 
-// fresh reports whether this entry would have heard of a verdict.
-func (t *trials) fresh() bool {
+// feedIsFresh reports whether this entry's copy of the roll-out records is recent enough to include any verdict.
+func (t *trials) feedIsFresh() bool {
 	return t.rollouts.Book.Age(t.Clock.Now()) <= t.rollouts.Bounds().Trust()
 }
 
-func (t *trials) give(p *pending) {
-	if p.trial {
-		p.trial = false
-		t.exposure.Give(p.want.Service)
+func (t *trials) release(p *pending) {
+	if p.trialReserved {
+		p.trialReserved = false
+		t.exposure.Give(p.request.Service)
 	}
 }
 
-// send uses what was set aside for a request that is to go to a target on trial.
-func (t *trials) send(p *pending, target *routing.Target) bool {
-	if !p.trial || !t.fresh() || !t.exposure.Send(target.Service, target.Version) {
+// useReservation uses the reservation of a request that goes to a canary target, and reports whether it may go there.
+func (t *trials) useReservation(p *pending, target *routing.Target) bool {
+	if !p.trialReserved || !t.feedIsFresh() || !t.exposure.Send(target.Service, target.Version) {
 		return false
 	}
-	p.trial = false
+	p.trialReserved = false
 	t.Metrics.Figures.Add("trial_requests", "version", string(target.Version))
 	return true
 }
 
-// Rollouts reports what this entry knows of roll-outs, by service.
+// Rollouts returns this entry's reports on roll-outs, ordered by service.
 func (d *Dispatcher) Rollouts() []rollout.Report {
 	if d.trials.rollouts == nil {
 		return nil
 	}
-	book := d.trials.rollouts.Book
+	tracker := d.trials.rollouts.Book
 	now := d.Clock.Now()
 	var reports []rollout.Report
-	for _, service := range book.Services() {
-		r, known := book.Report(now, service)
+	for _, service := range tracker.Services() {
+		r, known := tracker.Report(now, service)
 		if !known {
 			continue
 		}
 		r.Reached, r.Sent = d.trials.exposure.Counts(service)
-		d.home.describe(&r)
+		d.owner.describe(&r)
 		reports = append(reports, r)
 	}
 	slices.SortFunc(reports, func(a, b rollout.Report) int { return cmp.Compare(a.Service, b.Service) })
 	return reports
 }
 
-// order is the order during which a request is sent, 0 if there is none.
-func (t *trials) order(service ids.Service) rollout.Revision {
+// currentOrder returns the revision of the order that is in force for a service, 0 if there is none.
+func (t *trials) currentOrder(service ids.Service) rollout.Revision {
 	if t.rollouts == nil {
 		return 0
 	}
-	t.open(service)
+	t.refreshOrder(service)
 	return t.exposure.Placed(service)
 }
 
-// reached counts a request that has reached its service.
-func (t *trials) reached(p *place) {
+// countReached counts a request that has reached its service during an order.
+func (t *trials) countReached(p *assignment) {
 	if p.order > 0 {
-		t.exposure.Reached(p.want.Service, p.order)
+		t.exposure.Reached(p.request.Service, p.order)
 	}
 }
