--- a/pkg/schedule/advice_test.go
+++ b/pkg/schedule/advice_test.go
@@ -14,16 +14,16 @@
 	"quaydock/pkg/schedule"
 )
 
-// TestNoPlaceOnATargetThatHasSaidNo: schedulers of one entry alone go by what its targets have told it, and say when to
-// come back if all rest.
-func TestNoPlaceOnATargetThatHasSaidNo(t *testing.T) {
+// Schedulers that use only this entry's knowledge must not assign requests to targets that have told it to send nothing,
+// and must say when to retry if all targets have asked for a back-off.
+func TestNoAssignmentToBlockedTargets(t *testing.T) {
 	c := commontest.New(network.NewMemory(nil))
 	schedulers := []struct {
 		name string
 		of   func(*advisory.Book) schedule.Scheduler
 	}{
-		{"own counts", func(b *advisory.Book) schedule.Scheduler { return schedule.NewLocal(c, newView(3), b) }},
-		{"in turn", func(b *advisory.Book) schedule.Scheduler {
+		{"local", func(b *advisory.Book) schedule.Scheduler { return schedule.NewLocal(c, newView(3), b) }},
+		{"round robin", func(b *advisory.Book) schedule.Scheduler {
 			return schedule.NewBaseline(c, newView(3), schedule.RoundRobin, b)
 		}},
 		{"least reported", func(b *advisory.Book) schedule.Scheduler {
@@ -31,34 +31,34 @@
 		}},
 	}
 	scenarios := []struct {
-		name    string
-		said    map[ids.Target]advisory.Advice
-		got     ids.Target // empty if refused
-		resting bool
+		name      string
+		advice    map[ids.Target]advisory.Advice
+		got       ids.Target // empty if refused
+		backedOff bool
 	}{
-		{"one has said nothing", map[ids.Target]advisory.Advice{"t0": {Leaving: true}, "t1": {Rest: 3 * clock.Second}}, "t2", false},
-		{"all leave", map[ids.Target]advisory.Advice{"t0": {Leaving: true}, "t1": {Leaving: true}, "t2": {Leaving: true}}, "", false},
-		{"all rest or leave", map[ids.Target]advisory.Advice{"t0": {Leaving: true}, "t1": {Rest: 3 * clock.Second}, "t2": {Rest: 5 * clock.Second}}, "", true},
+		{"one target without advice", map[ids.Target]advisory.Advice{"t0": {Leaving: true}, "t1": {Rest: 3 * clock.Second}}, "t2", false},
+		{"all leaving", map[ids.Target]advisory.Advice{"t0": {Leaving: true}, "t1": {Leaving: true}, "t2": {Leaving: true}}, "", false},
+		{"all backing off or leaving", map[ids.Target]advisory.Advice{"t0": {Leaving: true}, "t1": {Rest: 3 * clock.Second}, "t2": {Rest: 5 * clock.Second}}, "", true},
 	}
 	for _, of := range schedulers {
 		for _, s := range scenarios {
 			t.Run(of.name+", "+s.name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					book := advisory.NewBook(c)
-					for id, a := range s.said {
-						book.Hear(ids.Life{Target: id}, 0, "r", a)
+					tracker := advisory.NewBook(c)
+					for id, a := range s.advice {
+						tracker.Hear(ids.Life{Target: id}, 0, "r", a)
 					}
-					scheduler := of.of(book)
+					scheduler := of.of(tracker)
 					for range 6 {
 						p, refused, err := scheduler.Acquire(context.Background(), schedule.Ask{Service: "s"})
 						switch {
 						case err != nil:
 							t.Fatal(err)
 						case p != nil && p.Target().ID != s.got, p == nil && s.got != "":
-							t.Fatalf("place %v, refused %+v", p, refused)
-						case s.resting && (!refused.Resting || refused.RetryAfter < 3000 || refused.RetryAfter > 4000):
+							t.Fatalf("assignment %v, refused %+v", p, refused)
+						case s.backedOff && (!refused.Resting || refused.RetryAfter < 3000 || refused.RetryAfter > 4000):
 							t.Fatalf("refused %+v", refused)
-						case p == nil && !s.resting && refused.Resting:
+						case p == nil && !s.backedOff && refused.Resting:
 							t.Fatalf("refused %+v", refused)
 						}
 					}
@@ -68,22 +68,22 @@
 	}
 }
 
-// TestOwnCountsGiveNothingToLimitedTargets guards against entries without a home that each send what a target takes from all.
-func TestOwnCountsGiveNothingToLimitedTargets(t *testing.T) {
+// Guards against entries that reach no owner and each send a target the rate that it takes from all entries together.
+func TestLocalAssignsNothingToLimitedTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := commontest.New(network.NewMemory(nil))
-		book := advisory.NewBook(c)
+		tracker := advisory.NewBook(c)
 		for _, id := range []ids.Target{"t0", "t1"} {
-			book.Hear(ids.Life{Target: id}, 0, "r", advisory.Advice{Limit: ratelimit.Named{Given: true, Readable: true, Rate: 5}, Asked: c.Clock.Now()})
+			tracker.Hear(ids.Life{Target: id}, 0, "r", advisory.Advice{Limit: ratelimit.Named{Given: true, Readable: true, Rate: 5}, Asked: c.Clock.Now()})
 		}
-		local := schedule.NewLocal(c, newView(3), book)
+		local := schedule.NewLocal(c, newView(3), tracker)
 		for range 6 {
 			p, refused, err := local.Acquire(context.Background(), schedule.Ask{Service: "s"})
 			if err != nil || refused != nil {
 				t.Fatalf("refused %+v, %v", refused, err)
 			}
 			if p.Target().ID != "t2" {
-				t.Errorf("%s has named a limit", p.Target().ID)
+				t.Errorf("assigned to %s, which has reported a rate limit", p.Target().ID)
 			}
 		}
 	})
--- a/pkg/schedule/baselines.go
+++ b/pkg/schedule/baselines.go
@@ -14,25 +14,25 @@
 	"quaydock/pkg/view"
 )
 
-// Policy names a scheduler, so that the same deployment can be measured with
-// simple ones beside the planners.
+// Policy names a scheduler. Besides the planners there are simple ones, to measure the same
+// deployment with them for comparison.
 type Policy string
 
 // The policies.
 const (
-	// Planned: one planner for each service.
+	// Planned uses one planner for each service.
 	Planned Policy = "planned"
-	// RoundRobin: the targets in turn.
+	// RoundRobin takes the targets in turn.
 	RoundRobin Policy = "round-robin"
-	// LeastReported: the target with the least load as it last reported, up to
-	// reportAge ago.
+	// LeastReported takes the target with the least load by its last report, if that is at
+	// most maxReportAge old.
 	LeastReported Policy = "least-reported"
 )
 
-// reportAge is for how long a report is relied on.
-const reportAge = 1500 * clock.Millisecond
+// maxReportAge is how long a load report is used.
+const maxReportAge = 1500 * clock.Millisecond
 
-// Baseline places at once, by a simple policy and by what this entry saw alone.
+// Baseline assigns requests at once, by a simple policy and by what this entry alone has seen.
 type Baseline struct {
 	common.Common
 	view   *view.View
@@ -49,26 +49,26 @@
 	at   clock.Millis
 }
 
-// NewBaseline returns a scheduler of a simple policy.
+// NewBaseline returns a scheduler with a simple policy.
 func NewBaseline(c common.Common, v *view.View, policy Policy, advice *advisory.Book) *Baseline {
 	return &Baseline{Common: c, view: v, policy: policy, advice: advice, turns: make(map[ids.Service]int), reports: make(map[ids.Life]report)}
 }
 
-// Acquire gives a target at once.
-func (b *Baseline) Acquire(ctx context.Context, ask Ask) (Place, *Refused, error) {
+// Acquire returns an assignment or a refusal at once.
+func (b *Baseline) Acquire(ctx context.Context, request Ask) (Place, *Refused, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, nil, err
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var offered []*routing.Target
-	for _, t := range b.view.Directory().Serving(ask.Service) {
-		if !slices.Contains(ask.Exclude, t.Life()) && !b.advice.Of(t.Life()).Bars() {
+	for _, t := range b.view.Directory().Serving(request.Service) {
+		if !slices.Contains(request.Exclude, t.Life()) && !b.advice.Of(t.Life()).Bars() {
 			offered = append(offered, t)
 		}
 	}
 	if len(offered) == 0 {
-		return nil, refusedBy(b.Common, b.advice, b.view.Directory().Serving(ask.Service)), nil
+		return nil, refusalFor(b.Common, b.advice, b.view.Directory().Serving(request.Service)), nil
 	}
 	slices.SortFunc(offered, func(x, y *routing.Target) int {
 		if x.ID < y.ID {
@@ -76,7 +76,7 @@
 		}
 		return 1
 	})
-	return &baselinePlace{baseline: b, target: b.pick(ask.Service, offered)}, nil, nil
+	return &baselineAssignment{baseline: b, target: b.pick(request.Service, offered)}, nil, nil
 }
 
 func (b *Baseline) pick(service ids.Service, offered []*routing.Target) *routing.Target {
@@ -88,7 +88,7 @@
 	}
 	now := b.Clock.Now()
 	for i := range offered {
-		// From the turn on, so that equal ones are taken in turn.
+		// Start at this turn's target, so that equally loaded targets are taken in turn.
 		if t := offered[(first+i)%len(offered)]; b.load(now, t.Life()) < b.load(now, best.Life()) {
 			best = t
 		}
@@ -96,21 +96,21 @@
 	return best
 }
 
-func (b *Baseline) load(now clock.Millis, life ids.Life) int {
-	if r := b.reports[life]; now-r.at <= reportAge {
+func (b *Baseline) load(now clock.Millis, incarnation ids.Life) int {
+	if r := b.reports[incarnation]; now-r.at <= maxReportAge {
 		return r.load
 	}
 	return 0
 }
 
-type baselinePlace struct {
+type baselineAssignment struct {
 	baseline *Baseline
 	target   *routing.Target
 }
 
-func (p *baselinePlace) Target() *routing.Target { return p.target }
+func (p *baselineAssignment) Target() *routing.Target { return p.target }
 
-func (p *baselinePlace) Began(load *planner.Load) {
+func (p *baselineAssignment) Began(load *planner.Load) {
 	if load == nil {
 		return
 	}
@@ -119,6 +119,6 @@
 	p.baseline.reports[p.target.Life()] = report{load: load.Running + load.Waiting, at: p.baseline.Clock.Now()}
 }
 
-func (p *baselinePlace) Moved() <-chan struct{} { return nil }
+func (p *baselineAssignment) Moved() <-chan struct{} { return nil }
 
-func (p *baselinePlace) Done(planner.Outcome, planner.Flow) {}
+func (p *baselineAssignment) Done(planner.Outcome, planner.Flow) {}
--- a/pkg/schedule/local.go
+++ b/pkg/schedule/local.go
@@ -14,85 +14,85 @@
 	"quaydock/pkg/view"
 )
 
-// Local places requests by what this entry alone knows. It serves targets
-// without an agent, and everything while no agent can be reached.
+// Local assigns requests by what this entry alone knows. It serves targets
+// without an agent, and all targets while no agent can be reached.
 type Local struct {
 	common.Common
 	view   *view.View
 	advice *advisory.Book
 
 	mu      sync.Mutex
-	targets map[ids.Life]*record
+	targets map[ids.Life]*targetState
 }
 
-// record is what is known of one life of a target.
-type record struct {
+// targetState is what this entry knows of one incarnation of a target.
+type targetState struct {
 	running int
 	health  planner.Health
 }
 
-// NewLocal returns a scheduler that has placed nothing. It gives no target that has told this entry to
-// send nothing, as the book has it.
+// NewLocal returns a scheduler without running requests. It assigns none to targets that have told this entry to
+// send nothing, by their advice.
 func NewLocal(c common.Common, v *view.View, advice *advisory.Book) *Local {
-	return &Local{Common: c, view: v, advice: advice, targets: make(map[ids.Life]*record)}
+	return &Local{Common: c, view: v, advice: advice, targets: make(map[ids.Life]*targetState)}
 }
 
 const noTargetRetry = 500 * clock.Millisecond
 
-// refusedBy says why none of some targets may get a request from here.
-func refusedBy(c common.Common, advice *advisory.Book, targets []*routing.Target) *Refused {
-	if rest := advice.AllRest(targets); rest > 0 {
-		return &Refused{Resting: true, Wait: rest, RetryAfter: planner.AfterRest(rest, c.Random.Fork().Float64())}
+// refusalFor returns the refusal for a request that none of these targets may get from this entry.
+func refusalFor(c common.Common, advice *advisory.Book, targets []*routing.Target) *Refused {
+	if backoff := advice.AllRest(targets); backoff > 0 {
+		return &Refused{Resting: true, Wait: backoff, RetryAfter: planner.AfterRest(backoff, c.Random.Fork().Float64())}
 	}
 	return &Refused{RetryAfter: noTargetRetry}
 }
 
-// Acquire gives the least loaded target at once.
-func (l *Local) Acquire(ctx context.Context, ask Ask) (Place, *Refused, error) {
+// Acquire assigns the least loaded target, or refuses, at once.
+func (l *Local) Acquire(ctx context.Context, request Ask) (Place, *Refused, error) {
 	if err := ctx.Err(); err != nil {
 		return nil, nil, err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	target := l.best(ask)
+	target := l.best(request)
 	if target == nil {
-		return nil, refusedBy(l.Common, l.advice, l.view.Directory().Serving(ask.Service)), nil
+		return nil, refusalFor(l.Common, l.advice, l.view.Directory().Serving(request.Service)), nil
 	}
-	l.record(target.Life()).running++
-	return &localPlace{local: l, target: target}, nil, nil
+	l.stateOf(target.Life()).running++
+	return &localAssignment{local: l, target: target}, nil, nil
 }
 
-func (l *Local) record(life ids.Life) *record {
-	r := l.targets[life]
+func (l *Local) stateOf(incarnation ids.Life) *targetState {
+	r := l.targets[incarnation]
 	if r == nil {
-		r = &record{}
-		l.targets[life] = r
+		r = &targetState{}
+		l.targets[incarnation] = r
 	}
 	return r
 }
 
-// best returns the target with the least work for its slots. Targets set aside are taken only if there are no
-// others, and cold and limited ones never: what all entries may send them together is given out by the home alone.
-func (l *Local) best(ask Ask) *routing.Target {
+// best returns the target with the fewest requests per slot. Ejected targets are taken only if there are no
+// others, and cold and rate-limited ones never: only the owner divides up what all entries together may send them.
+func (l *Local) best(request Ask) *routing.Target {
 	now := l.Clock.Now()
 	random := l.Random.Fork()
-	service := l.view.Catalog().Service(ask.Service)
+	service := l.view.Catalog().Service(request.Service)
 	var best *routing.Target
 	var least float64
-	for _, t := range l.view.Directory().Serving(ask.Service) {
-		said := l.advice.Of(t.Life())
-		if said.Bars() || said.Limit.Limits() || t.Cold(now, service) {
+	for _, t := range l.view.Directory().Serving(request.Service) {
+		status := l.advice.Of(t.Life())
+		if status.Bars() || status.Limit.Limits() || t.Cold(now, service) {
 			continue
 		}
-		r := l.record(t.Life())
+		r := l.stateOf(t.Life())
 		cost := (float64(r.running) + random.Float64()/2) / float64(max(1, t.Slots))
 		if r.health.Aside(now) {
-			const setAside = 1000
-			cost += setAside
+			const ejectedCost = 1000
+			cost += ejectedCost
 		}
-		if slices.Contains(ask.Exclude, t.Life()) {
-			const tried = 2000
-			cost += tried
+		if slices.Contains(request.Exclude, t.Life()) {
+			const triedCost = 2000
+			cost += triedCost
 		}
 		if best == nil || cost < least {
 			best, least = t, cost
@@ -101,22 +101,22 @@
 	return best
 }
 
-type localPlace struct {
+type localAssignment struct {
 	local  *Local
 	target *routing.Target
 }
 
-func (p *localPlace) Target() *routing.Target { return p.target }
+func (p *localAssignment) Target() *routing.Target { return p.target }
 
-func (p *localPlace) Began(*planner.Load) {}
+func (p *localAssignment) Began(*planner.Load) {}
 
-func (p *localPlace) Moved() <-chan struct{} { return nil }
+func (p *localAssignment) Moved() <-chan struct{} { return nil }
 
-func (p *localPlace) Done(o planner.Outcome, _ planner.Flow) {
+func (p *localAssignment) Done(o planner.Outcome, _ planner.Flow) {
 	l := p.local
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.record(p.target.Life())
+	r := l.stateOf(p.target.Life())
 	r.running--
 	r.health.Note(l.Clock.Now(), o)
 }
--- a/pkg/schedule/schedule.go
+++ b/pkg/schedule/schedule.go
@@ -1,5 +1,5 @@
-// Package schedule decides which target gets a request, when, and who is told
-// to come back later.
+// Package schedule decides which target gets a request and when, and which requests are
+// refused with a time after which to retry.
 package schedule
 
 import (
@@ -11,42 +11,42 @@
 	"quaydock/pkg/routing"
 )
 
-// Ask is a request that wants a place on a target of a service. Its id is set by
-// the scheduler.
+// Request is a request for an assignment to a target of a service. The scheduler sets the
+// job's ID.
 type Ask struct {
 	planner.Job
 	Service ids.Service
 }
 
-// Place is a place on a target. Exactly one of its ends is called.
+// Assignment is one request given to one target. Done must be called exactly once.
 type Place interface {
 	Target() *routing.Target
-	// Began notes that the target has begun to answer: a whole answer, or the
-	// first event of a stream. The load is its own report, if it gave one.
+	// Began records that the target has begun to answer: with a complete answer, or the
+	// first event of a stream. The load is the target's own report, nil if it gave none.
 	Began(load *planner.Load)
-	// Moved is closed when the request is better sent elsewhere, as its target
-	// gives no sign of life. It is nil if that is never told.
+	// Moved is closed when the request should be re-dispatched, as its target does not
+	// respond. It is nil if the scheduler never signals this.
 	Moved() <-chan struct{}
-	// Done gives the place back; events is how many events the answer had.
+	// Done frees the slot; flow describes the answer's stream of events.
 	Done(outcome planner.Outcome, flow planner.Flow)
 }
 
-// Refused says that there is no place.
+// Refused says that there is no free slot or no target.
 type Refused struct {
-	// Overloaded is false if the service has no target at all, or all of them rest.
+	// Overloaded is false if the service has no target at all, or all of them have asked for a back-off.
 	Overloaded bool
-	// Resting says that all targets have asked this entry for rest.
+	// BackedOff says that all targets have asked this entry for a back-off.
 	Resting    bool
 	RetryAfter clock.Millis
-	// Ahead is how many requests went before it, Wait how long it would have
+	// Ahead is how many requests were ahead of this one, and Wait how long it would have
 	// waited.
 	Ahead int
 	Wait  clock.Millis
 }
 
-// Scheduler gives out places.
+// Scheduler assigns requests to targets.
 type Scheduler interface {
-	// Acquire waits for a place. It returns an error if ctx ended first, and a
-	// refusal if the request should come back later.
+	// Acquire waits for an assignment. It returns an error if ctx ended first, and a
+	// refusal if the request should be retried later.
 	Acquire(ctx context.Context, ask Ask) (Place, *Refused, error)
 }
--- a/pkg/schedule/schedule_test.go
+++ b/pkg/schedule/schedule_test.go
@@ -25,8 +25,8 @@
 	return v
 }
 
-// take runs n requests and returns how many each target got; done says which
-// are ended at once, and how.
+// take acquires n assignments and returns how many each target got; end is called with each
+// of them.
 func take(t *testing.T, s schedule.Scheduler, n int, exclude []ids.Life, end func(schedule.Place)) map[ids.Target]int {
 	t.Helper()
 	got := map[ids.Target]int{}
@@ -43,16 +43,16 @@
 
 func keep(schedule.Place) {}
 
-func TestOwnCountsSpreadRequests(t *testing.T) {
+func TestLocalSpreadsRequests(t *testing.T) {
 	s := schedule.NewLocal(commontest.New(network.NewMemory(nil)), newView(4), nil)
 	for id, n := range take(t, s, 40, nil, keep) {
 		if n != 10 {
-			t.Errorf("%s got %d of 40", id, n)
+			t.Errorf("%s got %d of 40 requests, want 10", id, n)
 		}
 	}
 }
 
-func TestOwnCountsAvoidATargetThatCannotBeReached(t *testing.T) {
+func TestLocalAvoidsAnUnreachableTarget(t *testing.T) {
 	s := schedule.NewLocal(commontest.New(network.NewMemory(nil)), newView(4), nil)
 	got := take(t, s, 40, nil, func(p schedule.Place) {
 		if p.Target().ID == "t0" {
@@ -62,7 +62,7 @@
 		p.Done(planner.Served, planner.Flow{})
 	})
 	if got["t0"] > 2 {
-		t.Errorf("an unreachable target got %d of 40", got["t0"])
+		t.Errorf("an unreachable target got %d of 40 requests, want at most 2", got["t0"])
 	}
 }
 
@@ -70,7 +70,7 @@
 	s := schedule.NewBaseline(commontest.New(network.NewMemory(nil)), newView(4), schedule.RoundRobin, nil)
 	for id, n := range take(t, s, 40, nil, keep) {
 		if n != 10 {
-			t.Errorf("%s got %d of 40", id, n)
+			t.Errorf("%s got %d of 40 requests, want 10", id, n)
 		}
 	}
 }
@@ -85,19 +85,19 @@
 		p.Began(load)
 	})
 	if got := take(t, s, 10, nil, keep); got["t1"] != 10 {
-		t.Errorf("got %v with t1 reported idle", got)
+		t.Errorf("got %v, want all 10 requests on t1, which reported no load", got)
 	}
 	if got := take(t, s, 10, []ids.Life{{Target: "t1"}}, keep); got["t1"] != 0 {
-		t.Error("an excluded target was taken")
+		t.Error("an excluded target got requests")
 	}
 }
 
-func TestWithoutTargetsThereIsNoPlace(t *testing.T) {
+func TestWithoutTargetsRequestsAreRefused(t *testing.T) {
 	c := commontest.New(network.NewMemory(nil))
 	for _, s := range []schedule.Scheduler{schedule.NewLocal(c, newView(0), nil), schedule.NewBaseline(c, newView(0), schedule.RoundRobin, nil)} {
 		p, refused, err := s.Acquire(context.Background(), schedule.Ask{Service: "s"})
 		if p != nil || refused == nil || refused.RetryAfter <= 0 || err != nil {
-			t.Errorf("place %v, refused %+v, %v", p, refused, err)
+			t.Errorf("assignment %v, refused %+v, %v", p, refused, err)
 		}
 	}
 }
