--- a/pkg/domains/report.go
+++ b/pkg/domains/report.go
@@ -10,16 +10,16 @@
 	"quaydock/pkg/routing"
 )
 
-// Report is what operators are told of a failure domain.
+// Report describes a failure domain to operators.
 type Report struct {
 	Domain  ids.FailureDomain `json:"domain"`
 	Drained bool              `json:"drained"`
 	Targets int               `json:"targets"`
-	// Cold is how many of the targets get few requests, as they are cold or may be.
+	// Cold is how many of the targets get a limited rate of requests, as they are cold or may be.
 	Cold int `json:"cold"`
 }
 
-// Reports tells of the failure domains of a list of targets, by their names. The catalog is nil if none was read.
+// Reports describes the failure domains of the listed targets, ordered by name. The catalog may be nil if none was read yet.
 func Reports(now clock.Millis, listed *routing.Directory, catalog *routing.Catalog) []Report {
 	known := make(map[ids.FailureDomain]Report)
 	for _, t := range listed.All() {
--- a/pkg/domains/screen.go
+++ b/pkg/domains/screen.go
@@ -1,5 +1,5 @@
 // Package domains keeps which failure domains operators have drained: their targets get no new
-// requests until the domain is given back.
+// requests until the domain is restored.
 package domains
 
 import (
@@ -14,41 +14,41 @@
 	"quaydock/pkg/routing"
 )
 
-// Screen marks the targets of drained failure domains in the list of targets, anew whenever the list
-// or what is drained changes.
+// Filter marks the targets of drained failure domains in the directory, again whenever the directory
+// or the set of drained domains changes.
 type Screen struct {
 	common.Common
-	marked func(*routing.Directory)
+	onChange func(*routing.Directory)
 
 	mu      sync.Mutex
-	raw     []*routing.Target // nil before the first list
+	listed  []*routing.Target // as listed; nil before the first directory
 	drained map[ids.FailureDomain]bool
-	// backAt is when this entry has read that a domain was given back, the last time.
-	backAt map[ids.FailureDomain]clock.Millis
+	// restoredAt is when this entry last read that a domain was restored.
+	restoredAt map[ids.FailureDomain]clock.Millis
 }
 
-// NewScreen returns a screen without targets; marked is told of each new list.
+// NewFilter returns a filter without targets. It calls onChange, with its lock held, with each new directory.
 func NewScreen(c common.Common, marked func(*routing.Directory)) *Screen {
-	s := &Screen{Common: c, marked: marked, drained: make(map[ids.FailureDomain]bool), backAt: make(map[ids.FailureDomain]clock.Millis)}
+	s := &Screen{Common: c, onChange: marked, drained: make(map[ids.FailureDomain]bool), restoredAt: make(map[ids.FailureDomain]clock.Millis)}
 	c.Metrics.Figures.Gauge("failure_domains_drained", func() float64 { return float64(len(s.Drained())) })
 	return s
 }
 
-// SetDirectory takes a new list.
+// SetDirectory takes a new version of the directory.
 func (s *Screen) SetDirectory(d *routing.Directory) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.raw = d.All()
-	s.mark()
+	s.listed = d.All()
+	s.publish()
 }
 
-// Order is what operators want of a failure domain: that it is drained, or given back.
+// Order is an operators' order for a failure domain: to drain it, or to restore it.
 type Order struct {
 	Domain  ids.FailureDomain
 	Drained bool
 }
 
-// Replace takes all orders that stand; domains without one are given back.
+// Replace takes all orders in force; domains without one are restored.
 func (s *Screen) Replace(standing []Order) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,18 +62,18 @@
 			orders = append(orders, Order{Domain: domain})
 		}
 	}
-	s.change(orders)
+	s.apply(orders)
 }
 
-// Change takes orders in the order in which they were given.
+// Change applies new orders in sequence.
 func (s *Screen) Change(orders []Order) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.change(orders)
+	s.apply(orders)
 }
 
-// change marks the list if anything is new; the lock is held.
-func (s *Screen) change(orders []Order) {
+// apply applies orders, and publishes the directory if any of them changes something; the caller holds the lock.
+func (s *Screen) apply(orders []Order) {
 	isNew := false
 	for _, o := range orders {
 		if s.drained[o.Domain] == o.Drained {
@@ -86,18 +86,18 @@
 			continue
 		}
 		delete(s.drained, o.Domain)
-		s.backAt[o.Domain] = s.Clock.Now()
-		s.log(o.Domain).Info("failure domain given back")
+		s.restoredAt[o.Domain] = s.Clock.Now()
+		s.log(o.Domain).Info("failure domain restored: its targets get new requests again")
 	}
-	if isNew && s.raw != nil {
-		s.mark()
+	if isNew && s.listed != nil {
+		s.publish()
 	}
 }
 
-// log is a line about a domain, with how many targets it concerns.
+// log returns a log entry for a domain, with the number of its targets.
 func (s *Screen) log(domain ids.FailureDomain) *logrus.Entry {
 	targets := 0
-	for _, t := range s.raw {
+	for _, t := range s.listed {
 		if t.Domain == domain {
 			targets++
 		}
@@ -105,21 +105,22 @@
 	return s.Log.WithField("domain", string(domain)).WithField("targets", targets)
 }
 
-// mark passes the list on; the lock is held, so that an older list never follows a newer one.
-func (s *Screen) mark() {
-	list := make([]*routing.Target, 0, len(s.raw))
-	for _, t := range s.raw {
-		if drained, back := s.drained[t.Domain], s.backAt[t.Domain]; drained || back > 0 {
+// publish passes on the directory with its marks. The caller holds the lock, so that an older directory never follows a
+// newer one.
+func (s *Screen) publish() {
+	list := make([]*routing.Target, 0, len(s.listed))
+	for _, t := range s.listed {
+		if drained, back := s.drained[t.Domain], s.restoredAt[t.Domain]; drained || back > 0 {
 			marked := *t
 			marked.Drained, marked.BackAt = drained, back
 			t = &marked
 		}
 		list = append(list, t)
 	}
-	s.marked(routing.NewDirectory(list))
+	s.onChange(routing.NewDirectory(list))
 }
 
-// Drained lists the failure domains that are drained, in no order.
+// Drained lists the drained failure domains, in no particular order.
 func (s *Screen) Drained() []ids.FailureDomain {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/domains/screen_test.go
+++ b/pkg/domains/screen_test.go
@@ -29,27 +29,27 @@
 	scenarios := []struct {
 		name    string
 		do      func(s *domains.Screen)
-		serving int // targets of the service that may get requests, of two
-		onTrial int // and of those on trial, of one
-		back    bool
+		serving int  // of the service's two targets
+		onTrial int  // of its one target on trial
+		back    bool // the domain was restored once
 	}{
-		{"none", func(*domains.Screen) {}, 2, 1, false},
+		{"no orders", func(*domains.Screen) {}, 2, 1, false},
 		{"drained", func(s *domains.Screen) { s.Change([]domains.Order{drain("d1")}) }, 1, 0, false},
-		{"given back", func(s *domains.Screen) { s.Change([]domains.Order{drain("d1"), giveBack("d1")}) }, 2, 1, true},
-		{"given back and drained again in one read", func(s *domains.Screen) {
+		{"restored", func(s *domains.Screen) { s.Change([]domains.Order{drain("d1"), giveBack("d1")}) }, 2, 1, true},
+		{"restored and drained again in one read", func(s *domains.Screen) {
 			s.Change([]domains.Order{drain("d1")})
 			s.Change([]domains.Order{giveBack("d1"), drain("d1")})
 		}, 1, 0, true},
-		{"one that was never drained is given back", func(s *domains.Screen) { s.Change([]domains.Order{giveBack("d1")}) }, 2, 1, false},
-		{"all are read anew, and it stands", func(s *domains.Screen) {
+		{"restored without having been drained", func(s *domains.Screen) { s.Change([]domains.Order{giveBack("d1")}) }, 2, 1, false},
+		{"snapshot with the order", func(s *domains.Screen) {
 			s.Change([]domains.Order{drain("d1")})
 			s.Replace([]domains.Order{drain("d1")})
 		}, 1, 0, false},
-		{"all are read anew, and it is gone", func(s *domains.Screen) {
+		{"snapshot without the order", func(s *domains.Screen) {
 			s.Change([]domains.Order{drain("d1")})
 			s.Replace(nil)
 		}, 2, 1, true},
-		{"a newer list", func(s *domains.Screen) {
+		{"newer directory", func(s *domains.Screen) {
 			s.Change([]domains.Order{drain("d1")})
 			s.SetDirectory(listed)
 		}, 1, 0, false},
@@ -63,42 +63,42 @@
 				time.Sleep(time.Second)
 				sc.do(s)
 				if n := len(got.Serving("s")); n != sc.serving {
-					t.Errorf("%d targets may get requests, want %d", n, sc.serving)
+					t.Errorf("%d targets serve, want %d", n, sc.serving)
 				}
 				if n := len(got.OnTrial("s")); n != sc.onTrial {
-					t.Errorf("%d on trial, want %d", n, sc.onTrial)
+					t.Errorf("%d targets on trial, want %d", n, sc.onTrial)
 				}
 				if got.Len() != listed.Len() {
-					t.Errorf("%d targets are known", got.Len())
+					t.Errorf("the directory has %d targets, want all of them", got.Len())
 				}
 				if back := got.Target("b").BackAt > 0; back != sc.back {
-					t.Errorf("given back: %t", back)
+					t.Errorf("domain recorded as restored: %t", back)
 				}
 			})
 		})
 	}
 }
 
-// TestOrdersBeforeTheList: the operators' rows may be read before the targets' are.
-func TestOrdersBeforeTheList(t *testing.T) {
+// Operators' orders may be read before the target list; they must apply once it arrives.
+func TestOrdersReadBeforeTheTargetListApply(t *testing.T) {
 	var got *routing.Directory
 	s := domains.NewScreen(commontest.New(network.NewMemory(nil)), func(d *routing.Directory) { got = d })
 	s.Replace([]domains.Order{drain("d0"), drain("d1")})
 	if got != nil {
-		t.Error("a list before there is one")
+		t.Error("a directory was published before one was set")
 	}
 	s.SetDirectory(listed)
 	if n := len(got.Serving("s")); n != 0 {
-		t.Errorf("%d targets may get requests", n)
+		t.Errorf("%d targets serve, want none", n)
 	}
 	list := s.Drained()
 	slices.Sort(list)
 	if !slices.Equal(list, []ids.FailureDomain{"d0", "d1"}) {
-		t.Errorf("drained: %v", list)
+		t.Errorf("drained domains: %v, want d0 and d1", list)
 	}
 }
 
-// TestAChangeIsLoggedOnce: what each read repeats takes no line.
+// Guards against a log line for each read of an order that is in force already.
 func TestAChangeIsLoggedOnce(t *testing.T) {
 	var log bytes.Buffer
 	c := commontest.New(network.NewMemory(nil))
@@ -111,12 +111,13 @@
 	s.Replace(nil)
 	s.Replace(nil)
 	if n := strings.Count(log.String(), "\n"); n != 2 || !strings.Contains(log.String(), "targets=2") {
-		t.Errorf("%d lines: %s", n, log.String())
+		t.Errorf("%d log lines, want 2 with targets=2: %s", n, log.String())
 	}
 }
 
-// TestATargetThatWasGivenBackMayBeCold: it need not have told yet that it became cold while it was drained.
-func TestATargetThatWasGivenBackMayBeCold(t *testing.T) {
+// A target whose failure domain was restored counts as cold for the service's slow-start time: it may have become cold
+// while the domain was drained, without having reported it yet.
+func TestRestoredTargetCountsAsColdForTheSlowStartTime(t *testing.T) {
 	service := &routing.Service{Name: "s", ColdPerSecond: 20, ColdTime: 3 * clock.Second}
 	target := &routing.Target{ID: "a", Service: "s", BackAt: 1000, ColdUntil: 2000}
 	scenarios := []struct {
