--- a/pkg/routing/catalog.go
+++ b/pkg/routing/catalog.go
@@ -8,26 +8,26 @@
 	"quaydock/pkg/ids"
 )
 
-// Revision numbers configurations; it only rises.
+// Revision is the number of a configuration; it only increases.
 type Revision int64
 
-// Account is a client account with its rank and its allowance over all
+// Account is a client account with its tier and its allowance over all
 // entries together.
 type Account struct {
 	Name ids.Account
 	Tier ids.TierRank
 	Keys []string
-	// PerSecond and Burst bound what the account may have run, in units (tokens
-	// or requests); a PerSecond of 0 is no bound.
+	// PerSecond and Burst limit the account's usage, in units (tokens
+	// or requests); a PerSecond of 0 means no limit.
 	PerSecond float64
 	Burst     float64
-	// CountsTokens says that a unit is a token; a request that names no tokens
+	// CountsTokens says that a unit is a token; a request without a number of tokens
 	// counts PlainTokens.
 	CountsTokens bool
 	PlainTokens  float64
 }
 
-// Units returns what a request counts against the allowance.
+// Units returns how many units a request uses of the allowance.
 func (a *Account) Units(tokens ids.Tokens) float64 {
 	switch {
 	case !a.CountsTokens:
@@ -39,29 +39,29 @@
 	}
 }
 
-// Service is a set of like targets.
+// Service is a set of interchangeable targets.
 type Service struct {
 	Name ids.Service
-	// Connections is how many connections one target takes from all entries.
+	// Connections is how many connections one target accepts from all entries together.
 	Connections int
-	// ColdPerSecond is how many requests a second a cold target bears; 0 is no bound. ColdTime is for how long
-	// targets are cold after their start.
+	// ColdPerSecond is how many requests per second a cold target can take; 0 means no limit. ColdTime is how long
+	// targets stay cold after their start.
 	ColdPerSecond float64
 	ColdTime      clock.Millis
-	// Engine is set for services of model engines.
+	// Engine is set for services whose targets are model engines, nil otherwise.
 	Engine *Engine
 }
 
 // Engine describes the model engines of a service.
 type Engine struct {
 	Slots int
-	// Memory is how many tokens fit into one engine.
+	// Memory is how many tokens fit into one engine's memory.
 	Memory ids.Tokens
-	// EventTokens is how many tokens one event of a stream holds.
+	// EventTokens is how many tokens one event of a stream carries.
 	EventTokens int
 }
 
-// Limits bound what callers may send.
+// Limits holds the limits on the size and duration of callers' requests.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
@@ -69,18 +69,18 @@
 	IdleTime    clock.Millis
 }
 
-// Catalog is one whole configuration. It does not change once built.
+// Catalog is one complete configuration. It is immutable.
 type Catalog struct {
 	Revision Revision
 	Limits   Limits
 	services map[ids.Service]*Service
-	hosts    map[string][]*Route // the longest prefix first
-	routes   map[string]bool     // their names
+	hosts    map[string][]*Route // by host, the longest prefix first
+	routes   map[string]bool     // by name
 	keys     map[string]*Account
 	accounts []*Account
 }
 
-// NewCatalog builds a catalog.
+// NewCatalog builds a catalog, with the routes of each host sorted for Route.
 func NewCatalog(revision Revision, limits Limits, routes []*Route, services []*Service, accounts []*Account) *Catalog {
 	c := &Catalog{
 		Revision: revision,
@@ -109,7 +109,7 @@
 	return c
 }
 
-// Route returns the route with the longest prefix of path, or nil.
+// Route returns the host's route with the longest prefix of path, or nil.
 func (c *Catalog) Route(host, path string) *Route {
 	for _, r := range c.hosts[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -119,17 +119,17 @@
 	return nil
 }
 
-// HasRoute reports whether there is a route of a name.
+// HasRoute reports whether there is a route with a name.
 func (c *Catalog) HasRoute(name string) bool {
 	return c.routes[name]
 }
 
-// Account returns the account that holds a key, or nil.
+// Account returns the account that a key belongs to, or nil.
 func (c *Catalog) Account(key string) *Account {
 	return c.keys[key]
 }
 
-// AccountNamed returns the account of a name, or nil.
+// AccountNamed returns the account with a name, or nil.
 func (c *Catalog) AccountNamed(name ids.Account) *Account {
 	for _, a := range c.accounts {
 		if a.Name == name {
@@ -139,17 +139,17 @@
 	return nil
 }
 
-// Accounts lists all client accounts.
+// Accounts returns all client accounts.
 func (c *Catalog) Accounts() []*Account {
 	return c.accounts
 }
 
-// Keyed reports whether requests need a key.
+// RequiresKey reports whether requests need a key: they do once there is a client account.
 func (c *Catalog) Keyed() bool {
 	return len(c.accounts) > 0
 }
 
-// Service returns a service, or nil; a nil catalog, as before the first was read, has none.
+// Service returns a service, or nil. The catalog may be nil, as it is before the first one was read.
 func (c *Catalog) Service(name ids.Service) *Service {
 	if c == nil {
 		return nil
--- a/pkg/routing/route.go
+++ b/pkg/routing/route.go
@@ -1,6 +1,6 @@
-// Package routing has what operators declare of the requests that pass through
+// Package routing holds what operators declare for requests that pass through
 // an entry unchanged: routes, the services behind them, client accounts and
-// their keys. It does no I/O.
+// their keys; and the directory of targets. It does no I/O.
 package routing
 
 import (
@@ -8,7 +8,7 @@
 	"quaydock/pkg/ids"
 )
 
-// Kind says how often a request may run and how its answer comes.
+// Kind says how often a route's requests may run and how their answers arrive.
 type Kind int
 
 //go:generate stringer -type=Kind -output=kind_string.go
@@ -17,36 +17,36 @@
 const (
 	// Unsafe requests run at most once.
 	Unsafe Kind = iota
-	// Safe requests may be repeated.
+	// Safe requests may run more than once.
 	Safe
-	// Stream answers are a series of events; the request runs at most once
+	// Stream requests are answered by a series of events; they run at most once
 	// unless the route is resumable.
 	Stream
 )
 
-// Share is one service that a route's requests go to, by weight.
+// Share is one service that a fraction of a route's requests goes to, by weight.
 type Share struct {
 	Service ids.Service
 	Weight  int
 }
 
-// Route says how requests with a given host and path are served.
+// Route says how requests with a host and a path prefix are served.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string // begins and ends with a slash
 	Kind   Kind
-	// Timeout is the longest that a request is held.
+	// Timeout is the longest time that an entry holds a request.
 	Timeout clock.Millis
 	// Objective is the time to the answer, or to its first event, within which
-	// it earns its whole credit.
+	// the request counts as fully in time.
 	Objective clock.Millis
-	// EventGap is the longest pause between two events of a timely stream; 0 if
-	// there is no aim.
+	// EventGap is the longest pause between two events for which a stream counts as in time; 0 if
+	// there is no such objective.
 	EventGap clock.Millis
 	Tier     ids.TierRank
 	Split    []Share
-	// Attempts is how many targets one request may be sent to.
+	// Attempts is how many targets one request may be sent to, one after the other.
 	Attempts  int
 	Anonymous bool
 	Resumable bool
@@ -58,7 +58,7 @@
 	return r.Kind == Safe || r.Kind == Stream && r.Resumable
 }
 
-// Pick returns the service for a draw from [0, 1).
+// Pick returns the service for a random number from [0, 1), by the weights of the split.
 func (r *Route) Pick(draw float64) ids.Service {
 	total := 0
 	for _, s := range r.Split {
@@ -74,7 +74,7 @@
 	return r.Split[len(r.Split)-1].Service
 }
 
-// Leads reports whether the route may send requests to a service.
+// LeadsTo reports whether the route may send requests to a service.
 func (r *Route) Leads(service ids.Service) bool {
 	for _, s := range r.Split {
 		if s.Service == service && s.Weight > 0 {
--- a/pkg/routing/target.go
+++ b/pkg/routing/target.go
@@ -8,40 +8,40 @@
 	"quaydock/pkg/ids"
 )
 
-// Target is one life of an engine or plain service process.
+// Target is one incarnation of a model engine's or plain service's process.
 type Target struct {
 	ID ids.Target
-	// Start tells this life from others under the same id.
+	// Start distinguishes this incarnation from others under the same id.
 	Start   ids.Start
 	Service ids.Service
 	Address string
 	Domain  ids.FailureDomain
 	Slots   int
 	Leaving bool
-	// Drained says that operators have drained its failure domain, and BackAt when this entry has read that
-	// they had given it back, 0 if it has not.
+	// Drained says that operators have drained its failure domain. RestoredAt is when this entry read that the domain
+	// was restored, 0 if it has not.
 	Drained bool
 	BackAt  clock.Millis
-	// ColdFor is for how long the target stays cold, by its newest row, and ColdUntil when that is over, counted
-	// from when this entry has read it.
+	// ColdFor is how much longer the target stays cold by its newest row, and ColdUntil when that time ends, counted
+	// from when this entry read the row.
 	ColdFor   clock.Millis
 	ColdUntil clock.Millis
-	// Version is that of its software.
+	// Version is the version of its software.
 	Version ids.Version
-	// Listed is the store's revision at which this life of the target was first seen, at the
-	// latest, and Revision that of its newest row.
+	// Listed is a store revision at which this incarnation was listed: that of its first row, or a
+	// later one if this entry has not seen the first. Revision is that of its newest row.
 	Listed, Revision int64
-	// Admission says whether its version may get work.
+	// Admission says whether its version may get requests.
 	Admission Admission
 }
 
-// Life names this life of the target.
+// Incarnation identifies this incarnation of the target.
 func (t *Target) Life() ids.Life {
 	return ids.Life{Target: t.ID, Start: t.Start}
 }
 
-// Cold reports whether the target bears few requests, or may do so: it need not have told yet that it became cold
-// while its failure domain was drained. The service is its own, nil if it is not known what cold targets bear.
+// Cold reports whether the target can take only a limited rate of requests, or possibly so: it may have become cold while
+// its failure domain was drained, without having reported it yet. The service is the target's own, nil if unknown.
 func (t *Target) Cold(now clock.Millis, s *Service) bool {
 	switch {
 	case s == nil:
@@ -53,39 +53,38 @@
 	}
 }
 
-// Admission says whether a target may get work by the version that it runs.
+// Admission says whether a target may get requests, by the version that it runs.
 type Admission int
 
 //go:generate stringer -type=Admission -output=admission_string.go
 
 // The admissions.
 const (
-	// Admitted: it may get all work.
+	// Admitted targets may get all requests.
 	Admitted Admission = iota
-	// OnTrial: it gets what is marked for a trial.
+	// OnTrial targets run a canary version: they get requests that are marked for its trial.
 	OnTrial
-	// Withheld: it gets nothing.
+	// Withheld targets get no requests.
 	Withheld
 )
 
-// Directory lists the targets that may get work. It does not change once
-// built.
+// Directory is one version of the target list. It is immutable.
 type Directory struct {
-	all       []*Target // by their ids, as all lists are
+	all       []*Target // ordered by id, as all lists are
 	byService map[ids.Service][]*Target
 	onTrial   map[ids.Service][]*Target
 	byID      map[ids.Target]*Target
 }
 
-// NewDirectory builds a directory; targets that are leaving, drained or withheld are known but not
-// offered.
+// NewDirectory builds a directory. Targets that are leaving, in a drained failure domain or withheld are known to it,
+// but neither Serving nor OnTrial lists them.
 func NewDirectory(targets []*Target) *Directory {
 	d := &Directory{
 		byService: make(map[ids.Service][]*Target),
 		onTrial:   make(map[ids.Service][]*Target),
 		byID:      make(map[ids.Target]*Target, len(targets)),
 	}
-	// What is drawn among targets is drawn in the order of their list: a map's would not repeat.
+	// Random choices among targets depend on their order in the list; the order of a map would not be reproducible.
 	d.all = slices.SortedFunc(slices.Values(targets), func(a, b *Target) int { return cmp.Compare(a.ID, b.ID) })
 	for _, t := range d.all {
 		d.byID[t.ID] = t
@@ -100,17 +99,17 @@
 	return d
 }
 
-// Serving lists the targets of a service that may get new work.
+// Serving lists the targets of a service that may get any new request.
 func (d *Directory) Serving(service ids.Service) []*Target {
 	return d.byService[service]
 }
 
-// OnTrial lists the targets of a service whose version is on trial.
+// OnTrial lists the targets of a service that run a canary version.
 func (d *Directory) OnTrial(service ids.Service) []*Target {
 	return d.onTrial[service]
 }
 
-// All lists all targets that are known, by their ids.
+// All lists all known targets, ordered by id.
 func (d *Directory) All() []*Target {
 	return slices.Clone(d.all)
 }
@@ -120,14 +119,14 @@
 	return d.byID[id]
 }
 
-// Replaced reports whether another life is surely listed under a target's id. A target that is not
-// listed at all may live on, and serve what it has, and so may one whose start is told in one row and not in another.
-func (d *Directory) Replaced(life ids.Life) bool {
-	t := d.byID[life.Target]
-	return t != nil && !t.Life().Same(life)
+// Replaced reports whether another incarnation is certainly listed under a target's id. A target that is not
+// listed at all may still run and serve its requests, and so may one whose start is missing in one of its rows.
+func (d *Directory) Replaced(incarnation ids.Life) bool {
+	t := d.byID[incarnation.Target]
+	return t != nil && !t.Life().Same(incarnation)
 }
 
-// Len returns how many targets are known.
+// Len returns the number of known targets.
 func (d *Directory) Len() int {
 	return len(d.byID)
 }
