--- a/pkg/advisory/advice.go
+++ b/pkg/advisory/advice.go
@@ -1,6 +1,7 @@
-// Package advisory keeps what targets say of themselves in their answers to this entry: that they
-// leave, for how long they want no requests from it, and how many requests a second they take from all entries. The list of
-// targets tells the first of these too, but later, or never; nothing else tells the others.
+// Package advisory tracks the advice of targets: what they report of themselves in the heads of their answers to this
+// entry. They report that they are leaving, for how long they want no requests from this entry (back-off), and how many
+// requests per second they take from all entries (limit). The target list also shows that a target is leaving, but later,
+// or never; back-off and limit are reported nowhere else.
 package advisory
 
 import (
@@ -9,31 +10,31 @@
 	"quaydock/pkg/ratelimit"
 )
 
-// Advice is what the head of one answer says.
+// Advice is what the head of one answer reports of its target.
 type Advice struct {
-	// Leaving says that the target takes no more requests than those under way.
+	// Leaving says that the target is leaving: it takes no new requests.
 	Leaving bool
-	// Rest is for how long the target wants no request from this entry; 0 if it does not ask for that.
+	// Backoff is how long the target wants no requests from this entry; 0 if it does not ask for a back-off.
 	Rest clock.Millis
-	// Said is when the answer was sent, by the clock of the target's VM and to the second; 0 if it does not say.
+	// SentAt is when the answer was sent, by the clock of the target's VM, in whole seconds; 0 if the answer has no date.
 	Said ids.Start
-	// Limit is how many requests a second the target takes, and Asked when the request was sent.
+	// Limit is how many requests per second the target takes, and RequestedAt when the request was sent.
 	Limit ratelimit.Named
 	Asked clock.Millis
 }
 
-// Empty reports whether the answer says nothing of its target.
+// Empty reports whether the answer has no advice.
 func (a Advice) Empty() bool { return !a.Leaving && a.Rest <= 0 && !a.Limit.Given }
 
-// Standing is what is known of one life of a target by its own word.
+// Status is the advice in force for one incarnation of a target.
 type Standing struct {
 	Life    ids.Life
 	Leaving bool
-	// Rest is what is left of the time in which it wants no request from this entry.
+	// Backoff is the remaining time for which it wants no requests from this entry.
 	Rest clock.Millis
-	// Limit is how many requests a second it takes from all entries.
+	// Limit is how many requests per second it takes from all entries.
 	Limit ratelimit.Word
 }
 
-// Bars reports whether a request must not be sent.
+// Blocks reports whether no request may be sent to the target.
 func (s Standing) Bars() bool { return s.Leaving || s.Rest > 0 }
--- a/pkg/advisory/book.go
+++ b/pkg/advisory/book.go
@@ -14,95 +14,95 @@
 	"quaydock/pkg/telemetry"
 )
 
-// linesASecond bounds the log lines of each kind: what all targets say in one second, as when all are
-// replaced, is counted beyond it.
-const linesASecond = 20
+// logLinesPerSecond limits the log lines of each kind. All targets may give advice within a second, as when all of them
+// are replaced; lines beyond that are only counted.
+const logLinesPerSecond = 20
 
-// keepUnlisted is for how long the word of a life is kept that is not listed. A row may lapse while
-// the store is away, and come back while the target, which serves on for some seconds, still leaves.
-const keepUnlisted = 10 * clock.Minute
+// unlistedRetention is how long the advice of an incarnation is kept that is not listed. Its row may expire while the store
+// is unreachable, and come back while the target, which goes on serving for some seconds, is still leaving.
+const unlistedRetention = 10 * clock.Minute
 
-// Book keeps the advice of targets at one entry. A nil book knows nothing.
+// Tracker keeps the advice of targets at one entry. A nil tracker has no advice.
 type Book struct {
 	common.Common
 	sampler *telemetry.Sampler
-	// heard is called, without the lock, with advice that is new here; it is set before the first answer.
-	heard func(Standing)
-	// known is how many records there are: while no target says anything, a request pays for this alone.
-	known atomic.Int64
+	// onChange is called, without the lock, when the status of an incarnation changes. It is set before the first answer.
+	onChange func(Standing)
+	// stateCount is the number of states: while no target gives advice, checking it is a request's only cost.
+	stateCount atomic.Int64
 
-	mu      sync.RWMutex
-	records map[ids.Target][]*record
+	mu     sync.RWMutex
+	states map[ids.Target][]*incarnationState
 }
 
-// NewBook returns a book without advice.
+// NewTracker returns a tracker without advice.
 func NewBook(c common.Common) *Book {
-	return &Book{Common: c, sampler: telemetry.NewSampler(c.Clock, c.Log, linesASecond), records: make(map[ids.Target][]*record)}
+	return &Book{Common: c, sampler: telemetry.NewSampler(c.Clock, c.Log, logLinesPerSecond), states: make(map[ids.Target][]*incarnationState)}
 }
 
-// OnHeard sets what is told of advice that is new here.
-func (b *Book) OnHeard(heard func(Standing)) { b.heard = heard }
+// OnChange sets the function that is called when an answer changes the status of an incarnation.
+func (b *Book) OnHeard(onChange func(Standing)) { b.onChange = onChange }
 
-// Hear takes the advice in an answer of a life of a target to a request. Connected is the Unix millisecond at which
-// the answer's connection was made, 0 if that is not known.
-func (b *Book) Hear(life ids.Life, connected ids.Start, request string, a Advice) {
-	if b == nil || a.Empty() && (b.known.Load() == 0 || !b.hasNamedLimit(life)) {
+// Observe takes the advice in an answer from an incarnation of a target. Connected is the Unix time in ms at which the
+// answer's connection was made, 0 if unknown.
+func (b *Book) Hear(incarnation ids.Life, connected ids.Start, request string, a Advice) {
+	if b == nil || a.Empty() && (b.stateCount.Load() == 0 || !b.hasReportedLimit(incarnation)) {
 		return
 	}
 	now := b.Clock.Now()
 	b.mu.Lock()
-	r := b.record(life)
-	heard := word{connected: connected, said: a.Said}
-	leaves := a.Leaving && r.leave(heard)
-	left := r.restLeft(now)
+	r := b.stateFor(incarnation)
+	at := reportTime{connected: connected, sent: a.Said}
+	leaves := a.Leaving && r.setLeaving(at)
+	left := r.backoffLeft(now)
 	begins := a.Rest > 0 && left <= 0
 	longer := a.Rest > left
-	r.rest(now, a.Rest, heard)
-	limits := b.hearLimit(now, r, &a, heard)
+	r.addBackoff(now, a.Rest, at)
+	limits := b.observeLimit(now, r, &a, at)
 	r.listedAt = now
-	standing := r.standing(now)
+	status := r.status(now)
 	b.mu.Unlock()
-	b.note(request, standing, leaves, begins)
-	b.noteLimit(logrus.Fields{telemetry.FieldRequest: request}, standing, limits, a.Limit.Silent())
-	if b.heard != nil && (leaves || longer || limits) {
-		b.heard(standing)
+	b.logAdvice(request, status, leaves, begins)
+	b.logLimit(logrus.Fields{telemetry.FieldRequest: request}, status, limits, a.Limit.Silent())
+	if b.onChange != nil && (leaves || longer || limits) {
+		b.onChange(status)
 	}
 }
 
-// record returns the record of a life, a new one if there is none; the lock is held.
-func (b *Book) record(life ids.Life) *record {
-	for _, r := range b.records[life.Target] {
-		if r.life == life {
+// stateFor returns the state of an incarnation, a new one if there is none; the caller holds the lock.
+func (b *Book) stateFor(incarnation ids.Life) *incarnationState {
+	for _, r := range b.states[incarnation.Target] {
+		if r.incarnation == incarnation {
 			return r
 		}
 	}
-	r := &record{life: life}
-	b.records[life.Target] = append(b.records[life.Target], r)
-	b.known.Add(1)
+	r := &incarnationState{incarnation: incarnation}
+	b.states[incarnation.Target] = append(b.states[incarnation.Target], r)
+	b.stateCount.Add(1)
 	return r
 }
 
-// note logs and counts what is heard for the first time of a life, and not what its further answers repeat.
-func (b *Book) note(request string, s Standing, leaves, begins bool) {
+// logAdvice logs and counts advice that is new for an incarnation, not advice that its further answers repeat.
+func (b *Book) logAdvice(request string, s Standing, leaves, begins bool) {
 	if leaves {
-		b.log("leaving", "a target says that it leaves", s, logrus.Fields{telemetry.FieldRequest: request})
+		b.log("leaving", "target reports that it is leaving", s, logrus.Fields{telemetry.FieldRequest: request})
 	}
 	if begins {
-		b.log("rest", "a target asks for rest", s, logrus.Fields{telemetry.FieldRequest: request, "rest_ms": int64(s.Rest)})
+		b.log("rest", "target asks for a back-off", s, logrus.Fields{telemetry.FieldRequest: request, "rest_ms": int64(s.Rest)})
 	}
 }
 
-// noteLimit logs and counts a limit that is new, another one, or none any more, and one that can't be read.
-func (b *Book) noteLimit(fields logrus.Fields, s Standing, changed, unreadable bool) {
+// logLimit logs and counts a limit that is new, changed or lifted, and one that is unreadable.
+func (b *Book) logLimit(fields logrus.Fields, s Standing, changed, unreadable bool) {
 	switch {
 	case unreadable:
-		b.log("unreadable limit", "a target names a limit that is no number", s, fields)
+		b.log("unreadable limit", "target reports a rate limit that is not a number", s, fields)
 	case !changed:
 	case s.Limit.Limits():
 		fields["per_second"] = float64(s.Limit.Rate)
-		b.log("limit", "a target names a limit", s, fields)
+		b.log("limit", "target reports a rate limit", s, fields)
 	default:
-		b.log("limit lifted", "a target names no limit any more", s, fields)
+		b.log("limit lifted", "target no longer reports a rate limit", s, fields)
 	}
 }
 
@@ -113,27 +113,27 @@
 	}
 }
 
-// Of returns what stands against sending to a life of a target. What was heard of a life of which the
-// start was not known holds for any start, since it may be the same.
-func (b *Book) Of(life ids.Life) Standing {
-	if b == nil || b.known.Load() == 0 {
-		return Standing{Life: life}
+// Status returns the advice in force for an incarnation of a target. Advice of an incarnation whose start was unknown
+// applies to any start, since it may be the same one.
+func (b *Book) Of(incarnation ids.Life) Standing {
+	if b == nil || b.stateCount.Load() == 0 {
+		return Standing{Life: incarnation}
 	}
 	now := b.Clock.Now()
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	s := Standing{Life: life}
-	for _, r := range b.records[life.Target] {
-		leaving, rest := r.of(life, now)
+	s := Standing{Life: incarnation}
+	for _, r := range b.states[incarnation.Target] {
+		leaving, backoff := r.adviceFor(incarnation, now)
 		s.Leaving = s.Leaving || leaving
-		s.Rest = max(s.Rest, rest)
+		s.Rest = max(s.Rest, backoff)
 	}
-	s.Limit = b.limitOf(life)
+	s.Limit = b.limitOf(incarnation)
 	return s
 }
 
-// AllRest returns for how long all of some targets rest, apart from those that leave; 0 if one of them does
-// not, or all leave.
+// AllBackoff returns the time until the first of the targets ends its back-off, without those that are leaving. It
+// returns 0 if one of them has no back-off, or if all are leaving.
 func (b *Book) AllRest(targets []*routing.Target) clock.Millis {
 	var least clock.Millis
 	for _, t := range targets {
@@ -149,17 +149,17 @@
 	return least
 }
 
-// All lists the lives that leave, rest, or have named a limit, in no order.
+// All lists the incarnations that are leaving, backing off, or have reported a limit, in no particular order.
 func (b *Book) All() []Standing {
-	if b == nil || b.known.Load() == 0 {
+	if b == nil || b.stateCount.Load() == 0 {
 		return nil
 	}
 	now := b.Clock.Now()
 	var list []Standing
 	b.mu.RLock()
-	for _, records := range b.records {
-		for _, r := range records {
-			if s := r.standing(now); s.Bars() || s.Limit.Known {
+	for _, states := range b.states {
+		for _, r := range states {
+			if s := r.status(now); s.Bars() || s.Limit.Known {
 				list = append(list, s)
 			}
 		}
@@ -168,44 +168,45 @@
 	return list
 }
 
-// Follow takes the newest list of targets: from now on the doubt is over some time whether it was a listed life that
-// said what is known of its former one. It must come here before anything is sent by it.
+// SetDirectory takes the newest directory. For each incarnation that is new in it, it starts the limited time for which
+// reports count that may be the new incarnation's or its former one's. It must be called before any request is sent to a
+// target by that directory.
 func (b *Book) Follow(listed *routing.Directory) {
-	if b == nil || b.known.Load() == 0 {
+	if b == nil || b.stateCount.Load() == 0 {
 		return
 	}
 	now := b.Clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for id, records := range b.records {
-		for _, r := range records {
-			r.follow(now, listed.Target(id))
+	for id, states := range b.states {
+		for _, r := range states {
+			r.setListed(now, listed.Target(id))
 		}
 	}
 }
 
-// Prune forgets the rests that are over, and the lives that have not been listed for long.
+// Prune removes back-offs that have ended, and incarnations that have not been listed for a long time.
 func (b *Book) Prune(listed *routing.Directory) {
-	if b.known.Load() == 0 {
+	if b.stateCount.Load() == 0 {
 		return
 	}
 	now := b.Clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for id, records := range b.records {
+	for id, states := range b.states {
 		t := listed.Target(id)
-		kept := slices.DeleteFunc(records, func(r *record) bool {
-			r.follow(now, t)
-			over := r.over(now)
-			if over {
-				b.log("over", "a target is free of what it said", r.standing(now), nil)
+		kept := slices.DeleteFunc(states, func(r *incarnationState) bool {
+			r.setListed(now, t)
+			expired := r.expired(now)
+			if expired {
+				b.log("over", "advice of a target has expired", r.status(now), nil)
 			}
-			return over
+			return expired
 		})
-		b.known.Add(int64(len(kept) - len(records)))
-		b.records[id] = kept
+		b.stateCount.Add(int64(len(kept) - len(states)))
+		b.states[id] = kept
 		if len(kept) == 0 {
-			delete(b.records, id)
+			delete(b.states, id)
 		}
 	}
 }
--- a/pkg/advisory/book_test.go
+++ b/pkg/advisory/book_test.go
@@ -15,127 +15,127 @@
 	"quaydock/pkg/routing"
 )
 
-func newBook() *advisory.Book {
+func newTracker() *advisory.Book {
 	return advisory.NewBook(commontest.New(network.NewMemory(nil)))
 }
 
-var life = ids.Life{Target: "t", Start: 5000}
+var incarnation = ids.Life{Target: "t", Start: 5000}
 
-// TestWhatTargetsSayHolds has a life of a target say something, and looks a while later at what stands.
-func TestWhatTargetsSayHolds(t *testing.T) {
+// An incarnation gives advice, and its status is checked some time later.
+func TestStatusAfterAdvice(t *testing.T) {
 	const second = clock.Second
 	scenarios := []struct {
 		name    string
-		said    []advisory.Advice // half a second apart
-		after   time.Duration     // from the last
+		advice  []advisory.Advice // given half a second apart
+		after   time.Duration     // time from the last advice to the check
 		of      ids.Life
 		leaving bool
-		rest    clock.Millis
+		backoff clock.Millis
 	}{
-		{"nothing", nil, 0, life, false, 0},
-		{"leaving", []advisory.Advice{{Leaving: true}}, time.Hour, life, true, 0},
-		{"leaving, and an answer without the word", []advisory.Advice{{Leaving: true}, {}}, 0, life, true, 0},
-		{"rest", []advisory.Advice{{Rest: 3 * second}}, time.Second, life, false, 2 * second},
-		{"rest that is over", []advisory.Advice{{Rest: 3 * second}}, 3 * time.Second, life, false, 0},
-		{"an answer without rest does not end it", []advisory.Advice{{Rest: 3 * second}, {}}, 0, life, false, 2500},
-		{"a shorter rest does not shorten it", []advisory.Advice{{Rest: 3 * second}, {Rest: second}}, 0, life, false, 2500},
-		{"a longer one lengthens it", []advisory.Advice{{Rest: second}, {Rest: 3 * second}}, 0, life, false, 3 * second},
-		{"both", []advisory.Advice{{Leaving: true, Rest: 3 * second}}, 0, life, true, 3 * second},
-		{"another life", []advisory.Advice{{Leaving: true, Rest: 3 * second}}, 0, ids.Life{Target: "t", Start: 4000}, false, 0},
-		{"a life of which the start is not known may be the same", []advisory.Advice{{Leaving: true}}, 0, ids.Life{Target: "t"}, true, 0},
+		{"no advice", nil, 0, incarnation, false, 0},
+		{"leaving", []advisory.Advice{{Leaving: true}}, time.Hour, incarnation, true, 0},
+		{"leaving, and an answer without advice", []advisory.Advice{{Leaving: true}, {}}, 0, incarnation, true, 0},
+		{"back-off", []advisory.Advice{{Rest: 3 * second}}, time.Second, incarnation, false, 2 * second},
+		{"back-off that has ended", []advisory.Advice{{Rest: 3 * second}}, 3 * time.Second, incarnation, false, 0},
+		{"an answer without back-off does not end it", []advisory.Advice{{Rest: 3 * second}, {}}, 0, incarnation, false, 2500},
+		{"a shorter back-off does not shorten it", []advisory.Advice{{Rest: 3 * second}, {Rest: second}}, 0, incarnation, false, 2500},
+		{"a longer back-off extends it", []advisory.Advice{{Rest: second}, {Rest: 3 * second}}, 0, incarnation, false, 3 * second},
+		{"leaving and back-off", []advisory.Advice{{Leaving: true, Rest: 3 * second}}, 0, incarnation, true, 3 * second},
+		{"another incarnation", []advisory.Advice{{Leaving: true, Rest: 3 * second}}, 0, ids.Life{Target: "t", Start: 4000}, false, 0},
+		{"an incarnation without a known start may be the same", []advisory.Advice{{Leaving: true}}, 0, ids.Life{Target: "t"}, true, 0},
 		{"another target", []advisory.Advice{{Leaving: true, Rest: 3 * second}}, 0, ids.Life{Target: "u", Start: 5000}, false, 0},
 	}
 	for _, s := range scenarios {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBook()
-			for i, a := range s.said {
+			b := newTracker()
+			for i, a := range s.advice {
 				if i > 0 {
 					time.Sleep(500 * time.Millisecond)
 				}
-				b.Hear(life, 0, "r", a)
+				b.Hear(incarnation, 0, "r", a)
 			}
 			time.Sleep(s.after)
 			got := b.Of(s.of)
-			if got.Leaving != s.leaving || got.Rest != s.rest || got.Bars() != (s.leaving || s.rest > 0) {
-				t.Errorf("%s: %+v, want leaving %t, rest %d ms", s.name, got, s.leaving, s.rest)
+			if got.Leaving != s.leaving || got.Rest != s.backoff || got.Bars() != (s.leaving || s.backoff > 0) {
+				t.Errorf("%s: %+v, want leaving %t, back-off of %d ms", s.name, got, s.leaving, s.backoff)
 			}
 		})
 	}
 }
 
-// TestTheWordOfALifeThatWasNotReadYet: an entry took a target that had started again for its former life, and then read
-// of the new one. Whose word it was is told by the date of the answer, which is by the same clock as the start; without one by
-// when the connection was made, by the clock of another VM. What is in doubt holds for 4 s from when the new life
-// is listed.
-func TestTheWordOfALifeThatWasNotReadYet(t *testing.T) {
+// An entry took a restarted target for its former incarnation, and then read of the new one. Which of them has sent the
+// advice is told by the date of the answer, which is by the same clock as the start; or, without a date, by the time of the
+// connection, which is by the clock of another VM. If it remains unclear, the advice counts for 4 s after the new
+// incarnation is listed.
+func TestAdviceOfAnIncarnationThatWasNotReadYet(t *testing.T) {
 	const (
-		start = 2_000_000
-		no    = clock.Millis(0)
-		doubt = 4 * clock.Second
-		long  = 30 * clock.Second
+		start   = 2_000_000
+		no      = clock.Millis(0)
+		unclear = 4 * clock.Second
+		long    = 30 * clock.Second
 	)
 	before, next := ids.Life{Target: "t", Start: 1_000_000}, ids.Life{Target: "t", Start: start}
 	scenarios := []struct {
 		name            string
-		connected, said ids.Start
+		connected, sent ids.Start
 		leaving         bool
-		// of one that said that it leaves, and of one that asked for 30 s of rest
-		leavingRests, rests clock.Millis
+		// back-offs of the new incarnation after a report of leaving, and after one of a back-off of 30 s
+		leavingBackoff, backingOff clock.Millis
 	}{
 		{"undated, long before", start - 500_000, 0, false, no, no},
-		{"undated, just more before than clocks may differ", start - 3000, 0, false, no, no},
-		{"undated, so soon before that clocks may differ", start - 2999, 0, false, doubt, doubt},
-		{"undated, at the start", start, 0, false, doubt, doubt},
-		{"undated, so soon after that clocks may differ", start + 2999, 0, false, doubt, doubt},
-		{"undated, long after", start + 3000, 0, true, no, long},
-		{"nobody knows when", 0, 0, false, no, no},
+		{"undated, before by just the tolerance of clocks", start - 3000, 0, false, no, no},
+		{"undated, before by less than the tolerance of clocks", start - 2999, 0, false, unclear, unclear},
+		{"undated, at the start", start, 0, false, unclear, unclear},
+		{"undated, after by less than the tolerance of clocks", start + 2999, 0, false, unclear, unclear},
+		{"undated, after by the tolerance of clocks", start + 3000, 0, true, no, long},
+		{"undated, time of the connection unknown", 0, 0, false, no, no},
 		{"dated before, connected after", start + 20_000, start - 1000, false, no, no},
-		{"dated in the second of the start, connected before", start - 20_000, start - 999, false, doubt, doubt},
-		{"dated in the second of the start, connected after", start + 20_000, start - 999, false, doubt, doubt},
+		{"dated within the second of the start, connected before", start - 20_000, start - 999, false, unclear, unclear},
+		{"dated within the second of the start, connected after", start + 20_000, start - 999, false, unclear, unclear},
 		{"dated after, connected before", start - 20_000, start, true, no, long},
 		{"dated and connected after", start + 1000, start + 1000, true, no, long},
 	}
 	for _, s := range scenarios {
 		synctest.Test(t, func(t *testing.T) {
-			leaves, rests := newBook(), newBook()
-			leaves.Hear(before, s.connected, "r", advisory.Advice{Leaving: true, Said: s.said})
-			rests.Hear(before, s.connected, "r", advisory.Advice{Rest: long, Said: s.said})
-			check := func(when string, leavingRests, rest clock.Millis) {
+			leaves, backingOff := newTracker(), newTracker()
+			leaves.Hear(before, s.connected, "r", advisory.Advice{Leaving: true, Said: s.sent})
+			backingOff.Hear(before, s.connected, "r", advisory.Advice{Rest: long, Said: s.sent})
+			check := func(when string, leavingBackoff, backoff clock.Millis) {
 				t.Helper()
-				if got, want := leaves.Of(next), (advisory.Standing{Life: next, Leaving: s.leaving, Rest: leavingRests}); got != want {
-					t.Errorf("%s, %s: leaves %+v, want %+v", s.name, when, got, want)
+				if got, want := leaves.Of(next), (advisory.Standing{Life: next, Leaving: s.leaving, Rest: leavingBackoff}); got != want {
+					t.Errorf("%s, %s: leaving: %+v, want %+v", s.name, when, got, want)
 				}
-				if got, want := rests.Of(next), (advisory.Standing{Life: next, Rest: rest}); got != want {
-					t.Errorf("%s, %s: rests %+v, want %+v", s.name, when, got, want)
+				if got, want := backingOff.Of(next), (advisory.Standing{Life: next, Rest: backoff}); got != want {
+					t.Errorf("%s, %s: back-off: %+v, want %+v", s.name, when, got, want)
 				}
 			}
 			leaves.Follow(listed(next))
-			rests.Follow(listed(next))
-			check("at once", s.leavingRests, s.rests)
+			backingOff.Follow(listed(next))
+			check("at once", s.leavingBackoff, s.backingOff)
 			time.Sleep(time.Second)
-			leaves.Follow(listed(next)) // a list of something else that is new
-			rests.Follow(listed(next))
-			check("a second later", max(0, s.leavingRests-1000), max(0, s.rests-1000))
+			leaves.Follow(listed(next)) // a new directory that does not change this target
+			backingOff.Follow(listed(next))
+			check("a second later", max(0, s.leavingBackoff-1000), max(0, s.backingOff-1000))
 			time.Sleep(3 * time.Second)
-			check("four seconds later", 0, max(0, s.rests-4000))
+			check("four seconds later", 0, max(0, s.backingOff-4000))
 			for range 700 {
 				time.Sleep(time.Second)
 				leaves.Prune(listed(next))
-				rests.Prune(listed(next))
+				backingOff.Prune(listed(next))
 			}
 			check("after ten minutes", 0, 0)
-			if len(rests.All()) > 0 {
-				t.Errorf("%s: kept for ever", s.name)
+			if len(backingOff.All()) > 0 {
+				t.Errorf("%s: still kept after ten minutes", s.name)
 			}
 		})
 	}
 }
 
-// TestAShorterRestOfALifeThatWasNotReadYet: a former life had asked for a long rest. The next one, before its row was
-// read, asked for a shorter one: that holds once it is read, and the longer one does not.
-func TestAShorterRestOfALifeThatWasNotReadYet(t *testing.T) {
+// A former incarnation had asked for a long back-off. The next one asked for a shorter one before its row was read: once it
+// is read, the shorter back-off applies to it, and the longer one must not.
+func TestShorterBackoffOfAnIncarnationThatWasNotReadYet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBook()
+		b := newTracker()
 		before, next := ids.Life{Target: "t", Start: 1_000_000}, ids.Life{Target: "t", Start: 2_000_000}
 		b.Hear(before, 1_500_000, "r", advisory.Advice{Rest: clock.Minute})
 		for range 10 {
@@ -143,114 +143,114 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		if got := b.Of(before).Rest; got != clock.Minute-100 {
-			t.Errorf("before it is read: %d ms", got)
+			t.Errorf("before the new incarnation is read: %d ms", got)
 		}
 		if got := b.Of(next).Rest; got != 3*clock.Second-10 {
-			t.Errorf("of the new life: %d ms", got)
+			t.Errorf("of the new incarnation: %d ms", got)
 		}
 	})
 }
 
-func listed(lives ...ids.Life) *routing.Directory {
+func listed(incarnations ...ids.Life) *routing.Directory {
 	var targets []*routing.Target
-	for _, l := range lives {
+	for _, l := range incarnations {
 		targets = append(targets, &routing.Target{ID: l.Target, Start: l.Start, Service: "s"})
 	}
 	return routing.NewDirectory(targets)
 }
 
-// TestTheWordOutlastsALapsedRow: a target that leaves was off the list for some seconds, as its row had lapsed
-// while the store was away, and came back with a row that said that it was ready. Of lives that do not come
-// back nothing is kept for ever.
-func TestTheWordOutlastsALapsedRow(t *testing.T) {
+// Guards against requests to a leaving target whose row has expired for some time while the store was unreachable, and
+// which came back with a row that said that it was ready. The advice of incarnations that do not come back must be removed
+// eventually.
+func TestAdviceOutlastsAnExpiredRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBook()
-		b.Hear(life, 0, "r", advisory.Advice{Leaving: true})
+		b := newTracker()
+		b.Hear(incarnation, 0, "r", advisory.Advice{Leaving: true})
 		for range 60 {
 			time.Sleep(time.Second)
 			b.Prune(listed())
 		}
-		b.Prune(listed(life))
-		if !b.Of(life).Leaving {
-			t.Error("forgotten while its row had lapsed for a minute")
+		b.Prune(listed(incarnation))
+		if !b.Of(incarnation).Leaving {
+			t.Error("removed while its row had expired for a minute")
 		}
 		next := ids.Life{Target: "t", Start: 6000}
 		time.Sleep(11 * time.Minute)
-		b.Prune(listed(life))
-		if !b.Of(life).Leaving {
-			t.Error("forgotten while it is listed")
+		b.Prune(listed(incarnation))
+		if !b.Of(incarnation).Leaving {
+			t.Error("removed while it is listed")
 		}
 		time.Sleep(11 * time.Minute)
 		b.Prune(listed(next))
-		if b.Of(life).Leaving || len(b.All()) > 0 {
-			t.Error("kept for ever")
+		if b.Of(incarnation).Leaving || len(b.All()) > 0 {
+			t.Error("still kept though another incarnation has been listed")
 		}
 	})
 }
 
-// TestWhatIsNewIsTold: those who place are told what is new here, and not what each answer repeats.
-func TestWhatIsNewIsTold(t *testing.T) {
+// The scheduler is notified of advice that changes a status, and not of advice that further answers repeat.
+func TestOnlyChangesOfStatusAreNotified(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBook()
-		var told []advisory.Standing
-		b.OnHeard(func(s advisory.Standing) { told = append(told, s) })
+		b := newTracker()
+		var notified []advisory.Standing
+		b.OnHeard(func(s advisory.Standing) { notified = append(notified, s) })
 		for range 3 {
-			b.Hear(life, 0, "r", advisory.Advice{Leaving: true})
+			b.Hear(incarnation, 0, "r", advisory.Advice{Leaving: true})
 		}
-		b.Hear(life, 0, "r", advisory.Advice{Rest: 3 * clock.Second})
-		b.Hear(life, 0, "r", advisory.Advice{Rest: clock.Second})
-		b.Hear(life, 0, "r", advisory.Advice{Rest: 4 * clock.Second})
+		b.Hear(incarnation, 0, "r", advisory.Advice{Rest: 3 * clock.Second})
+		b.Hear(incarnation, 0, "r", advisory.Advice{Rest: clock.Second})
+		b.Hear(incarnation, 0, "r", advisory.Advice{Rest: 4 * clock.Second})
 		want := []advisory.Standing{
-			{Life: life, Leaving: true},
-			{Life: life, Leaving: true, Rest: 3 * clock.Second},
-			{Life: life, Leaving: true, Rest: 4 * clock.Second},
+			{Life: incarnation, Leaving: true},
+			{Life: incarnation, Leaving: true, Rest: 3 * clock.Second},
+			{Life: incarnation, Leaving: true, Rest: 4 * clock.Second},
 		}
-		if !slices.Equal(told, want) {
-			t.Errorf("told %+v, want %+v", told, want)
+		if !slices.Equal(notified, want) {
+			t.Errorf("notified of %+v, want %+v", notified, want)
 		}
 	})
 }
 
-// TestAnEntryWithoutABook: parts that are built without one hear nothing and forbid nothing.
-func TestAnEntryWithoutABook(t *testing.T) {
+// Components that are built without a tracker must work: a nil tracker takes no advice and blocks no target.
+func TestNilTrackerBlocksNothing(t *testing.T) {
 	var b *advisory.Book
-	b.Hear(life, 0, "r", advisory.Advice{Leaving: true})
-	if b.Of(life).Bars() || b.All() != nil {
-		t.Error("a book that is not there knows something")
+	b.Hear(incarnation, 0, "r", advisory.Advice{Leaving: true})
+	if b.Of(incarnation).Bars() || b.All() != nil {
+		t.Error("a nil tracker has advice")
 	}
 }
 
-// BenchmarkQuiet is what a request pays while no target says anything: its answer is heard, and the book
-// asked before it is sent. 20 ns, no allocation.
-func BenchmarkQuiet(b *testing.B) {
-	book := newBook()
+// BenchmarkNoAdvice measures the cost for a request while no target gives advice: the check before it is sent, and the
+// observation of its answer. 20 ns, no allocation.
+func BenchmarkNoAdvice(b *testing.B) {
+	tracker := newTracker()
 	b.ReportAllocs()
 	for b.Loop() {
-		book.Hear(life, 0, "r", advisory.Advice{})
-		if book.Of(life).Bars() {
-			b.Fatal("barred")
+		tracker.Hear(incarnation, 0, "r", advisory.Advice{})
+		if tracker.Of(incarnation).Bars() {
+			b.Fatal("target blocked without advice")
 		}
 	}
 }
 
-// BenchmarkAmongAHundred is the asking while 100 targets leave. 124 ns, no allocation.
-func BenchmarkAmongAHundred(b *testing.B) {
-	book := newBook()
+// BenchmarkHundredLeaving measures the check before a request is sent, while 100 targets are leaving. 124 ns, no allocation.
+func BenchmarkHundredLeaving(b *testing.B) {
+	tracker := newTracker()
 	for n := range 100 {
-		book.Hear(ids.Life{Target: ids.Target(fmt.Sprint("other", n))}, 0, "r", advisory.Advice{Leaving: true})
+		tracker.Hear(ids.Life{Target: ids.Target(fmt.Sprint("other", n))}, 0, "r", advisory.Advice{Leaving: true})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if book.Of(life).Bars() {
-			b.Fatal("barred")
+		if tracker.Of(incarnation).Bars() {
+			b.Fatal("target blocked without advice")
 		}
 	}
 }
 
-// TestOperatorsSeeBothSources: what a target says of itself stands beside what the list says.
-func TestOperatorsSeeBothSources(t *testing.T) {
+// A report shows a target's advice beside its state in the target list.
+func TestReportShowsAdviceBesideTheTargetList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBook()
+		b := newTracker()
 		for _, id := range []ids.Target{"again", "gone", "leaving", "ready"} {
 			b.Hear(ids.Life{Target: id, Start: 5000}, 0, "r", advisory.Advice{Leaving: true})
 		}
--- a/pkg/advisory/limit.go
+++ b/pkg/advisory/limit.go
@@ -8,64 +8,68 @@
 	"quaydock/pkg/ratelimit"
 )
 
-// keepLifted is for how long it is kept that a target names no limit any more, so that an older word of another entry
-// does not bring it back.
-const keepLifted = clock.Minute
+// liftedLimitRetention is how long this entry remembers that a target no longer reports a limit, so that an older report
+// from another entry does not restore it.
+const liftedLimitRetention = clock.Minute
 
-// hearLimit takes what an answer to a life says of a limit, and reports whether another one stands now; the lock is held.
-func (b *Book) hearLimit(now clock.Millis, r *record, a *Advice, heard word) (changed bool) {
-	before := b.limitOf(r.life)
+// observeLimit takes what an answer reports of the limit, and reports whether the limit in force has changed; the caller
+// holds the lock.
+func (b *Book) observeLimit(now clock.Millis, r *incarnationState, a *Advice, at reportTime) (changed bool) {
+	before := b.limitOf(r.incarnation)
 	if a.Limit.Silent() || !a.Limit.Given && !before.Known {
 		return false
 	}
 	if a.Limit.Given {
-		r.limitedWith = r.limitedWith.later(heard)
+		r.limitSeen = r.limitSeen.latest(at)
 	}
-	return r.takeLimit(now, before, ratelimit.Of(a.Limit, a.Asked, now))
+	return r.mergeLimit(now, before, ratelimit.Of(a.Limit, a.Asked, now))
 }
 
-// limitOf returns the limit of a life; its own word goes before what a former life may have said. The lock is held.
-func (b *Book) limitOf(life ids.Life) ratelimit.Word {
+// limitOf returns the limit of an incarnation: its own report, or else those of former incarnations that may be its own.
+// The caller holds the lock.
+func (b *Book) limitOf(incarnation ids.Life) ratelimit.Word {
 	var inherited ratelimit.Word
-	for _, r := range b.records[life.Target] {
-		if r.life.Same(life) && r.limit.Known {
+	for _, r := range b.states[incarnation.Target] {
+		if r.incarnation.Same(incarnation) && r.limit.Known {
 			return r.limit
 		}
-		if r.maybeSaidBy(life) {
+		if r.limitMayBeOf(incarnation) {
 			inherited = inherited.With(r.limit)
 		}
 	}
 	return inherited
 }
 
-// HearHome takes what the home of a service knows of the limit of a life, by what other entries have heard, and returns what
-// stands then.
-func (b *Book) HearHome(life ids.Life, w ratelimit.Word) Standing {
-	s := b.Of(life)
+// ObserveOwner takes the limit of an incarnation that the owner of its service knows from other entries, and returns the
+// status that is in force then.
+func (b *Book) HearHome(incarnation ids.Life, w ratelimit.Word) Standing {
+	s := b.Of(incarnation)
 	if b == nil || !w.Known || s.Limit.With(w) == s.Limit || !w.Limits() && !s.Limit.Limits() {
 		return s
 	}
 	now := b.Clock.Now()
 	b.mu.Lock()
-	r := b.record(life)
-	changed := r.takeLimit(now, b.limitOf(life), w)
+	r := b.stateFor(incarnation)
+	changed := r.mergeLimit(now, b.limitOf(incarnation), w)
 	r.listedAt = now
 	s.Limit = r.limit
 	b.mu.Unlock()
-	b.noteLimit(logrus.Fields{"heard_from": "home"}, s, changed, false)
+	b.logLimit(logrus.Fields{"heard_from": "home"}, s, changed, false)
 	return s
 }
 
-// hasNamedLimit reports whether a life has named a limit, so that an answer without one says something. It goes on to do so for a
-// while after the first: the home may not have been able to tell that this was the later word.
-func (b *Book) hasNamedLimit(life ids.Life) bool {
+// hasReportedLimit reports whether an incarnation has reported a limit, so that an answer without one means something. It
+// stays true for a while after the first such answer: the owner may not have been able to tell that this report was the
+// later one.
+func (b *Book) hasReportedLimit(incarnation ids.Life) bool {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	return b.limitOf(life).Known
+	return b.limitOf(incarnation).Known
 }
 
-// maybeSaidBy reports whether the limit of a former life may be that of a life that was not read yet. One that does not hold
-// ends with the first answer, while without one as many requests as there are places go to a target that has named it.
-func (r *record) maybeSaidBy(life ids.Life) bool {
-	return r.limit.Limits() && r.limitedWith.of(life.Start) != former
+// limitMayBeOf reports whether the limit that was taken for a former incarnation's may be that of an incarnation that this
+// entry had not read yet. A limit that is applied in error ends with the first answer; one that is omitted in error lets
+// as many requests as there are free slots go to the target.
+func (r *incarnationState) limitMayBeOf(incarnation ids.Life) bool {
+	return r.limit.Limits() && r.limitSeen.senderOf(incarnation.Start) != formerIncarnation
 }
--- a/pkg/advisory/limit_test.go
+++ b/pkg/advisory/limit_test.go
@@ -11,7 +11,7 @@
 	"quaydock/pkg/ratelimit"
 )
 
-// answer is one answer of a target, and when its request was sent, counted back from when it is heard.
+// answer is one answer of a target. Its request was sent the given time before the answer arrived.
 type answer struct {
 	limit ratelimit.Named
 	sent  clock.Millis
@@ -21,81 +21,81 @@
 	return ratelimit.Named{Given: true, Readable: true, Rate: perSecond}
 }
 
-// TestALimitHoldsUntilALaterAnswerSaysOtherwise: answers a second apart.
-func TestALimitHoldsUntilALaterAnswerSaysOtherwise(t *testing.T) {
+// Answers arrive a second apart; the limit in force is that of the answer to the latest request.
+func TestLimitHoldsUntilALaterAnswerChangesIt(t *testing.T) {
 	const none = ratelimit.Rate(-1)
 	unreadable := ratelimit.Named{Given: true}
 	scenarios := []struct {
 		name    string
 		answers []answer
-		want    ratelimit.Rate // none is no limit
+		want    ratelimit.Rate // none: no limit
 	}{
-		{"nothing named", []answer{{ratelimit.Named{}, 10}}, none},
-		{"a limit", []answer{{limited(2), 10}}, 2},
-		{"a higher one", []answer{{limited(2), 10}, {limited(5), 10}}, 5},
-		{"a lower one", []answer{{limited(5), 10}, {limited(2), 10}}, 2},
-		{"none any more", []answer{{limited(2), 10}, {ratelimit.Named{}, 10}}, none},
-		{"an answer without one to an earlier request", []answer{{limited(2), 10}, {ratelimit.Named{}, 1500}}, 2},
-		{"a higher one in an answer to an earlier request", []answer{{limited(2), 10}, {limited(5), 1500}}, 2},
-		{"a lower one in an answer to an earlier request", []answer{{limited(5), 10}, {limited(2), 1500}}, 2},
-		{"one that is no number", []answer{{limited(2), 10}, {unreadable, 10}}, 2},
-		{"one that is no number, and none before", []answer{{unreadable, 10}}, none},
+		{"no limit", []answer{{ratelimit.Named{}, 10}}, none},
+		{"one limit", []answer{{limited(2), 10}}, 2},
+		{"then a higher one", []answer{{limited(2), 10}, {limited(5), 10}}, 5},
+		{"then a lower one", []answer{{limited(5), 10}, {limited(2), 10}}, 2},
+		{"then none", []answer{{limited(2), 10}, {ratelimit.Named{}, 10}}, none},
+		{"then none in the answer to an earlier request", []answer{{limited(2), 10}, {ratelimit.Named{}, 1500}}, 2},
+		{"then a higher one in the answer to an earlier request", []answer{{limited(2), 10}, {limited(5), 1500}}, 2},
+		{"then a lower one in the answer to an earlier request", []answer{{limited(5), 10}, {limited(2), 1500}}, 2},
+		{"then one that is not a number", []answer{{limited(2), 10}, {unreadable, 10}}, 2},
+		{"only one that is not a number", []answer{{unreadable, 10}}, none},
 	}
 	for _, s := range scenarios {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBook()
+			b := newTracker()
 			for _, a := range s.answers {
-				b.Hear(life, 0, "r", advisory.Advice{Limit: a.limit, Asked: b.Clock.Now() - a.sent})
+				b.Hear(incarnation, 0, "r", advisory.Advice{Limit: a.limit, Asked: b.Clock.Now() - a.sent})
 				time.Sleep(time.Second)
 			}
-			got := b.Of(life)
+			got := b.Of(incarnation)
 			if got.Limit.Limits() != (s.want != none) || s.want != none && got.Limit.Rate != s.want {
 				t.Errorf("%s: %+v, want %v", s.name, got.Limit, s.want)
 			}
 			if got.Bars() {
-				t.Errorf("%s: a limit bars the target", s.name)
+				t.Errorf("%s: a limit blocks the target", s.name)
 			}
 		})
 	}
 }
 
-// TestTheLimitOfALifeThatWasNotReadYet: it holds for the new life unless the former one surely named it, and ends with the
-// first answer without.
-func TestTheLimitOfALifeThatWasNotReadYet(t *testing.T) {
+// A limit that arrived before the new incarnation was read applies to it, unless the former incarnation has certainly
+// reported it. It ends with the first answer without a limit.
+func TestLimitOfAnIncarnationThatWasNotReadYet(t *testing.T) {
 	const start = 2_000_000
 	before, next := ids.Life{Target: "t", Start: 1_000_000}, ids.Life{Target: "t", Start: start}
 	scenarios := []struct {
 		name            string
-		connected, said ids.Start
+		connected, sent ids.Start
 		holds           bool
 	}{
 		{"dated before", start + 1000, start - 1000, false},
 		{"dated after", start - 1000, start, true},
 		{"connected long before", start - 3000, 0, false},
 		{"connected about the start", start, 0, true},
-		{"nobody knows when", 0, 0, false},
+		{"undated, time of the connection unknown", 0, 0, false},
 	}
 	for _, s := range scenarios {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBook()
-			b.Hear(before, s.connected, "r", advisory.Advice{Limit: limited(2), Said: s.said, Asked: b.Clock.Now()})
+			b := newTracker()
+			b.Hear(before, s.connected, "r", advisory.Advice{Limit: limited(2), Said: s.sent, Asked: b.Clock.Now()})
 			b.Follow(listed(next))
 			if got := b.Of(next).Limit.Limits(); got != s.holds {
-				t.Errorf("%s: holds %t, want %t", s.name, got, s.holds)
+				t.Errorf("%s: limit applies %t, want %t", s.name, got, s.holds)
 			}
 			time.Sleep(time.Second)
 			b.Hear(next, start+5000, "r", advisory.Advice{Asked: b.Clock.Now()})
 			if b.Of(next).Limit.Limits() {
-				t.Errorf("%s: holds after an answer without", s.name)
+				t.Errorf("%s: limit still applies after an answer without one", s.name)
 			}
 		})
 	}
 }
 
-// TestLimitsAreForgotten: once lifted, or long after their targets have gone.
-func TestLimitsAreForgotten(t *testing.T) {
+// Limits are removed some time after they were lifted, or after their targets are no longer listed.
+func TestLiftedAndUnlistedLimitsAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBook()
+		b := newTracker()
 		lifted, gone := ids.Life{Target: "lifted", Start: 1}, ids.Life{Target: "gone", Start: 1}
 		b.Hear(lifted, 0, "r", advisory.Advice{Limit: limited(2), Asked: b.Clock.Now()})
 		b.Hear(gone, 0, "r", advisory.Advice{Limit: limited(2), Asked: b.Clock.Now()})
@@ -104,33 +104,34 @@
 		time.Sleep(9 * time.Minute)
 		b.Prune(listed(lifted))
 		if !b.Of(gone).Limit.Limits() {
-			t.Error("forgotten after nine minutes off the list")
+			t.Error("removed after nine minutes off the list")
 		}
 		time.Sleep(2 * time.Minute)
 		b.Prune(listed(lifted))
 		if len(b.All()) > 0 {
-			t.Errorf("kept for ever: %+v", b.All())
+			t.Errorf("not removed: %+v", b.All())
 		}
 	})
 }
 
-// TestALiftedLimitIsHeardOfAgain guards against a home that goes on by a limit, as it could not tell that the first answer without it was the later one.
-func TestALiftedLimitIsHeardOfAgain(t *testing.T) {
+// Guards against an owner that keeps applying a lifted limit, as it could not tell that the first answer without the limit
+// was the later one. A further answer without it must still be passed on.
+func TestFurtherAnswersWithoutALimitAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBook()
-		b.Hear(life, 0, "r", advisory.Advice{Limit: limited(12), Asked: b.Clock.Now()})
-		home := b.Of(life).Limit
+		b := newTracker()
+		b.Hear(incarnation, 0, "r", advisory.Advice{Limit: limited(12), Asked: b.Clock.Now()})
+		owner := b.Of(incarnation).Limit
 		time.Sleep(50 * time.Millisecond)
-		b.Hear(life, 0, "r", advisory.Advice{Asked: b.Clock.Now()})
+		b.Hear(incarnation, 0, "r", advisory.Advice{Asked: b.Clock.Now()})
 		now := b.Clock.Now()
-		if home = home.With(b.Of(life).Limit.Aged(now).Word(now)); !home.Limits() {
-			t.Fatal("the home can tell after 50 ms")
+		if owner = owner.With(b.Of(incarnation).Limit.Aged(now).Word(now)); !owner.Limits() {
+			t.Fatal("the owner can tell after 50 ms")
 		}
 		time.Sleep(500 * time.Millisecond)
-		b.Hear(life, 0, "r", advisory.Advice{Asked: b.Clock.Now()})
+		b.Hear(incarnation, 0, "r", advisory.Advice{Asked: b.Clock.Now()})
 		now = b.Clock.Now()
-		if home = home.With(b.Of(life).Limit.Aged(now).Word(now)); home.Limits() {
-			t.Error("the home still goes by it after another answer without")
+		if owner = owner.With(b.Of(incarnation).Limit.Aged(now).Word(now)); owner.Limits() {
+			t.Error("the owner still applies the limit after another answer without it")
 		}
 	})
 }
--- a/pkg/advisory/record.go
+++ b/pkg/advisory/record.go
@@ -9,42 +9,44 @@
 	"quaydock/pkg/routing"
 )
 
-// mostRests is how many rests of one life are told apart by who may have asked for them.
-const mostRests = 4
+// maxBackoffs is how many back-offs of one incarnation are kept apart by which incarnation may have asked for them.
+const maxBackoffs = 4
 
-// record is the word of one life of a target, and, as long as its next one was not read, of that.
-type record struct {
-	life     ids.Life
-	leaving  bool
-	leftWith word // when leaving was last heard
-	// rests are the times of rest, the longest first. A shorter one that was asked for later may be the next life's, which
-	// the longer one says nothing of.
-	rests []rest
-	// limit is how many requests a second it takes, since when that stands, and when it last named a limit.
-	limit       ratelimit.Word
-	limitAt     clock.Millis
-	limitedWith word
-	listedAt    clock.Millis // when it was last listed, or heard
-	// next is the life that is listed in its place, and nextAt since when.
+// incarnationState is the advice of one incarnation of a target. Until this entry reads of the next incarnation, it
+// includes the advice of that one.
+type incarnationState struct {
+	incarnation ids.Life
+	leaving     bool
+	leavingSeen reportTime // when leaving was last reported
+	// backoffs are ordered from the longest. A shorter one that was asked for later may be the next incarnation's, to
+	// which the longer one does not apply.
+	backoffs []backoff
+	// limit is how many requests per second it takes, limitAt when that last changed, and limitSeen when it last
+	// reported a limit.
+	limit     ratelimit.Word
+	limitAt   clock.Millis
+	limitSeen reportTime
+	listedAt  clock.Millis // when it was last listed, or last gave advice
+	// next is the incarnation that is listed in its place, and nextAt since when.
 	next   ids.Life
 	nextAt clock.Millis
 }
 
-// rest is a time in which a target wants no request from this entry.
-type rest struct {
+// backoff is a time for which a target wants no requests from this entry.
+type backoff struct {
 	until clock.Millis
-	heard word
+	seen  reportTime
 }
 
-// leave notes that the target leaves, and reports whether that is new.
-func (r *record) leave(heard word) bool {
+// setLeaving records that the target is leaving, and reports whether that is new.
+func (r *incarnationState) setLeaving(at reportTime) bool {
 	isNew := !r.leaving
-	r.leaving, r.leftWith = true, r.leftWith.later(heard)
+	r.leaving, r.leavingSeen = true, r.leavingSeen.latest(at)
 	return isNew
 }
 
-// takeLimit takes a word on the limit, which was another one before, and reports whether it changes that.
-func (r *record) takeLimit(now clock.Millis, before, w ratelimit.Word) bool {
+// mergeLimit merges a report of the limit with the one in force before, and reports whether the limit changes.
+func (r *incarnationState) mergeLimit(now clock.Millis, before, w ratelimit.Word) bool {
 	r.limit = before.With(w)
 	changed := r.limit.Differs(before)
 	if changed {
@@ -53,86 +55,87 @@
 	return changed
 }
 
-// rest notes that the target wants no request for a while.
-func (r *record) rest(now, long clock.Millis, heard word) {
+// addBackoff records that the target wants no requests for a time.
+func (r *incarnationState) addBackoff(now, long clock.Millis, at reportTime) {
 	if long <= 0 {
 		return
 	}
 	until := now + long
-	r.rests = slices.DeleteFunc(r.rests, func(other rest) bool { return other.until <= until || other.until <= now })
-	if len(r.rests) < mostRests {
-		r.rests = append(r.rests, rest{until, heard})
+	r.backoffs = slices.DeleteFunc(r.backoffs, func(other backoff) bool { return other.until <= until || other.until <= now })
+	if len(r.backoffs) < maxBackoffs {
+		r.backoffs = append(r.backoffs, backoff{until, at})
 		return
 	}
-	last := &r.rests[mostRests-1] // a longer one
-	last.heard = last.heard.later(heard)
+	last := &r.backoffs[maxBackoffs-1] // it is longer than the new one
+	last.seen = last.seen.latest(at)
 }
 
-// restLeft is what is left of the longest rest.
-func (r *record) restLeft(now clock.Millis) clock.Millis {
-	if len(r.rests) == 0 {
+// backoffLeft returns the remaining time of the longest back-off.
+func (r *incarnationState) backoffLeft(now clock.Millis) clock.Millis {
+	if len(r.backoffs) == 0 {
 		return 0
 	}
-	return max(0, r.rests[0].until-now)
+	return max(0, r.backoffs[0].until-now)
 }
 
-func (r *record) standing(now clock.Millis) Standing {
-	return Standing{Life: r.life, Leaving: r.leaving, Rest: r.restLeft(now), Limit: r.limit}
+func (r *incarnationState) status(now clock.Millis) Standing {
+	return Standing{Life: r.incarnation, Leaving: r.leaving, Rest: r.backoffLeft(now), Limit: r.limit}
 }
 
-// of returns what the record says of a life. An entry that had not read of a target's new start took its word for the
-// former life's. What may be either's is heeded for a short time, as a rest: without this a new life that leaves or rests
-// gets requests as soon as its row is read, and for longer it would keep a sound one from its work.
-func (r *record) of(life ids.Life, now clock.Millis) (leaving bool, left clock.Millis) {
-	if r.life.Same(life) {
-		return r.leaving, r.restLeft(now)
+// adviceFor returns the advice for an incarnation. An entry that had not read of a target's new start took its reports for
+// the former incarnation's. A report that may be either's counts for a short time, as a back-off. Without this, a new
+// incarnation that is leaving or backing off would get requests as soon as its row is read; if it counted for longer, a
+// healthy one would be kept without requests.
+func (r *incarnationState) adviceFor(incarnation ids.Life, now clock.Millis) (leaving bool, left clock.Millis) {
+	if r.incarnation.Same(incarnation) {
+		return r.leaving, r.backoffLeft(now)
 	}
-	doubt := r.doubtLeft(life, now)
+	unclear := r.unclearLeft(incarnation, now)
 	if r.leaving {
-		switch r.leftWith.of(life.Start) {
-		case own:
+		switch r.leavingSeen.senderOf(incarnation.Start) {
+		case thisIncarnation:
 			leaving = true
-		case doubtful:
-			left = doubt
+		case unclearSender:
+			left = unclear
 		}
 	}
-	for _, x := range r.rests {
-		switch x.heard.of(life.Start) {
-		case own:
+	for _, x := range r.backoffs {
+		switch x.seen.senderOf(incarnation.Start) {
+		case thisIncarnation:
 			left = max(left, x.until-now)
-		case doubtful:
-			left = max(left, min(doubt, x.until-now))
+		case unclearSender:
+			left = max(left, min(unclear, x.until-now))
 		}
 	}
 	return leaving, left
 }
 
-// doubtLeft is for how long the word is heeded that may be a life's or its former one's.
-func (r *record) doubtLeft(life ids.Life, now clock.Millis) clock.Millis {
-	if r.next != life {
-		return doubtFor
+// unclearLeft returns for how much longer a report counts that may be an incarnation's or its former one's.
+func (r *incarnationState) unclearLeft(incarnation ids.Life, now clock.Millis) clock.Millis {
+	if r.next != incarnation {
+		return unclearHold
 	}
-	return max(0, r.nextAt+doubtFor-now)
+	return max(0, r.nextAt+unclearHold-now)
 }
 
-// follow notes what is listed under the target's id, nil if nothing is.
-func (r *record) follow(now clock.Millis, listed *routing.Target) {
+// setListed takes what is listed under the target's id, nil if nothing is.
+func (r *incarnationState) setListed(now clock.Millis, listed *routing.Target) {
 	if listed == nil {
 		return
 	}
-	life := listed.Life()
-	if !r.life.Same(life) && r.next != life {
-		r.next, r.nextAt = life, now
+	incarnation := listed.Life()
+	if !r.incarnation.Same(incarnation) && r.next != incarnation {
+		r.next, r.nextAt = incarnation, now
 	}
-	leaving, _ := r.of(life, now)
-	if leaving || r.life.Same(life) && r.limit.Limits() {
+	leaving, _ := r.adviceFor(incarnation, now)
+	if leaving || r.incarnation.Same(incarnation) && r.limit.Limits() {
 		r.listedAt = now
 	}
 }
 
-// over reports whether the record says nothing any more.
-func (r *record) over(now clock.Millis) bool {
-	stands := r.leaving || r.limit.Limits()
-	fresh := r.limit.Known && now-r.limitAt <= keepLifted
-	return r.restLeft(now) <= 0 && !fresh && (!stands || now-r.listedAt > keepUnlisted)
+// expired reports whether no advice is in force any more.
+func (r *incarnationState) expired(now clock.Millis) bool {
+	inForce := r.leaving || r.limit.Limits()
+	fresh := r.limit.Known && now-r.limitAt <= liftedLimitRetention
+	return r.backoffLeft(now) <= 0 && !fresh && (!inForce || now-r.listedAt > unlistedRetention)
 }
--- a/pkg/advisory/report.go
+++ b/pkg/advisory/report.go
@@ -9,8 +9,8 @@
 	"quaydock/pkg/routing"
 )
 
-// Report is what operators are shown of a target that has said something of itself: its own word at one entry,
-// beside what the list of targets says.
+// Report shows operators the advice that a target has given to one entry, beside the state of the target in the target
+// list.
 type Report struct {
 	Target  ids.Target  `json:"target"`
 	Start   ids.Start   `json:"start"`
@@ -19,12 +19,12 @@
 	Listed  string       `json:"listed"`
 	Leaving bool         `json:"leaving"`
 	Rest    clock.Millis `json:"rest_ms"`
-	// Limit is how many requests a second it takes from all entries, 0 with Limited false if it names no limit.
+	// Limit is how many requests per second it takes from all entries; it is 0, and Limited false, without a limit.
 	Limited bool    `json:"limited,omitempty"`
 	Limit   float64 `json:"limit_per_second,omitempty"`
 }
 
-// Reports describes all targets that leave, rest or are limited by their own word, by their ids.
+// Reports describes all targets that are leaving, backing off or limited by their own report, ordered by id.
 func (b *Book) Reports(listed *routing.Directory) []Report {
 	reports := []Report{}
 	for _, s := range b.All() {
@@ -36,7 +36,7 @@
 			r.Limit = float64(s.Limit.Rate)
 		}
 		if t := listed.Target(s.Life.Target); t != nil {
-			r.Service, r.Listed = t.Service, stateOf(t, s.Life)
+			r.Service, r.Listed = t.Service, listedState(t, s.Life)
 		}
 		reports = append(reports, r)
 	}
@@ -46,9 +46,9 @@
 	return reports
 }
 
-func stateOf(t *routing.Target, life ids.Life) string {
+func listedState(t *routing.Target, incarnation ids.Life) string {
 	switch {
-	case !t.Life().Same(life):
+	case !t.Life().Same(incarnation):
 		return "started again"
 	case t.Leaving:
 		return "leaving"
--- a/pkg/advisory/word.go
+++ b/pkg/advisory/word.go
@@ -5,53 +5,53 @@
 	"quaydock/pkg/ids"
 )
 
-// word is when something was heard of a target: it tells whose word it was, if the target has started again under
-// its id and this entry had not read that yet.
-type word struct {
-	// connected is when the connection was made, by the clock of this VM, and said when the answer was sent, by that of
-	// the target's, to the second; 0 if that is not known.
-	connected, said ids.Start
+// reportTime is when a report of a target arrived. It tells which incarnation has sent the report, if the target had
+// restarted under its id and this entry had not read that yet.
+type reportTime struct {
+	// connected is when the connection was made, by the clock of this VM. sent is when the answer was sent, by the clock
+	// of the target's VM, in whole seconds. Each is 0 if unknown.
+	connected, sent ids.Start
 }
 
-// origin tells whose word it was.
-type origin int
+// sender says which incarnation has sent a report.
+type sender int
 
 const (
-	former origin = iota
-	// doubtful: clocks may differ, so that it can't be told.
-	doubtful
-	own
+	formerIncarnation sender = iota
+	// unclearSender: as clocks may differ, it may be either.
+	unclearSender
+	thisIncarnation
 )
 
 const (
-	// clockTolerance is by how much the clocks of two VMs may differ.
+	// clockTolerance is how much the clocks of two VMs may differ, in ms.
 	clockTolerance ids.Start = 3000
-	// dateStep is how exactly answers are dated.
-	dateStep ids.Start = 1000
-	// doubtFor is for how long a word that may be a former life's is heeded once the new life is listed. A target
-	// that leaves shows it in its row by then, or has none any more; one that does not is not kept from work for longer.
-	doubtFor = 4 * clock.Second
+	// dateResolution is the resolution of the dates of answers, in ms.
+	dateResolution ids.Start = 1000
+	// unclearHold is how long a report that may be a former incarnation's counts after the new one is listed. By then,
+	// a leaving target shows it in its row, or has no row any more; a healthy one is kept without requests no longer.
+	unclearHold = 4 * clock.Second
 )
 
-// of returns whether the life with a start said this, if it was taken for the word of its former life. The answer's date is by
-// the same clock as the start, so that it decides whatever the clocks of other VMs say.
-func (w word) of(start ids.Start) origin {
+// senderOf returns whether the incarnation with a start has sent a report that was taken for its former incarnation's. The
+// answer's date is by the same clock as the start, so it takes precedence over times by the clocks of other VMs.
+func (w reportTime) senderOf(start ids.Start) sender {
 	switch {
-	case w.said > 0 && w.said+dateStep <= start:
-		return former
-	case w.said >= start:
-		return own
-	case w.said > 0:
-		return doubtful // in the same second
+	case w.sent > 0 && w.sent+dateResolution <= start:
+		return formerIncarnation
+	case w.sent >= start:
+		return thisIncarnation
+	case w.sent > 0:
+		return unclearSender // within the same second
 	case w.connected+clockTolerance <= start:
-		return former
+		return formerIncarnation
 	case w.connected >= start+clockTolerance:
-		return own
+		return thisIncarnation
 	}
-	return doubtful
+	return unclearSender
 }
 
-// later returns when the later of two words was heard.
-func (w word) later(other word) word {
-	return word{connected: max(w.connected, other.connected), said: max(w.said, other.said)}
+// latest returns the later time of two reports.
+func (w reportTime) latest(other reportTime) reportTime {
+	return reportTime{connected: max(w.connected, other.connected), sent: max(w.sent, other.sent)}
 }
