--- a/pkg/dispatch/dispatcher.go
+++ b/pkg/dispatch/dispatcher.go
@@ -5,7 +5,7 @@
 	"context"
 	"net/netip"
 	"slices"
-	gosync "sync"
+	"sync"
 
 	"quaydock/pkg/advisory"
 	"quaydock/pkg/clock"
@@ -44,7 +44,7 @@
 	trials  *trials
 	advice  *advisory.Book
 
-	mu         gosync.Mutex
+	mu         sync.Mutex
 	lastNumber uint64
 	waiting    map[uint64]chan decisionMessage
 	running    map[uint64]*assignment
--- a/pkg/dispatch/home.go
+++ b/pkg/dispatch/home.go
@@ -4,7 +4,7 @@
 	"context"
 	"net/netip"
 	"slices"
-	gosync "sync"
+	"sync"
 
 	"quaydock/pkg/clock"
 	"quaydock/pkg/common"
@@ -58,11 +58,11 @@
 	// stalls records when this process was stalled, whether or not it is an owner.
 	stalls clock.Stalls
 
-	mu       gosync.Mutex
+	mu       sync.Mutex
 	planners map[ids.Service]*servicePlanner
 	// loadEstimates reads the store when this entry first becomes an owner and has no estimates: most entries never
 	// become one.
-	loadEstimates gosync.Once
+	loadEstimates sync.Once
 }
 
 func newOwner(c common.Common, parts Parts, send func(netip.AddrPort, decisionMessage)) *Home {
--- a/pkg/dispatch/notes.go
+++ b/pkg/dispatch/notes.go
@@ -4,7 +4,7 @@
 	"context"
 	"maps"
 	"net/netip"
-	gosync "sync"
+	"sync"
 
 	"github.com/fxamacker/cbor/v2"
 
@@ -53,7 +53,7 @@
 	store   Notes
 	faults  *follow.Faults
 
-	mu       gosync.Mutex
+	mu       sync.Mutex
 	received map[ids.Service]*planner.Learned // from the owners
 	savedAt  map[ids.Service]clock.Millis     // time of this entry's last write to the store
 }
--- a/pkg/dispatch/notes_test.go
+++ b/pkg/dispatch/notes_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"math"
 	"net/netip"
-	gosync "sync"
+	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -24,7 +24,7 @@
 
 // rowSizeRecorder records the size of the last row that was written.
 type rowSizeRecorder struct {
-	mu   gosync.Mutex
+	mu   sync.Mutex
 	size int
 }
 
--- a/pkg/dispatch/place.go
+++ b/pkg/dispatch/place.go
@@ -1,7 +1,7 @@
 package dispatch
 
 import (
-	gosync "sync"
+	"sync"
 
 	"quaydock/pkg/clock"
 	"quaydock/pkg/planner"
@@ -29,7 +29,7 @@
 	sentAt     clock.Millis
 	begun      bool // guarded by the dispatcher's lock
 	moved      chan struct{}
-	moveOnce   gosync.Once
+	moveOnce   sync.Once
 }
 
 func (p *assignment) Target() *routing.Target { return p.target }
