--- a/pkg/domains/screen.go
+++ b/pkg/domains/screen.go
@@ -28,8 +28,8 @@
 }
 
 // NewFilter returns a filter without targets. It calls onChange, with its lock held, with each new directory.
-func NewScreen(c common.Common, marked func(*routing.Directory)) *Screen {
-	s := &Screen{Common: c, onChange: marked, drained: make(map[ids.FailureDomain]bool), restoredAt: make(map[ids.FailureDomain]clock.Millis)}
+func NewScreen(c common.Common, onChange func(*routing.Directory)) *Screen {
+	s := &Screen{Common: c, onChange: onChange, drained: make(map[ids.FailureDomain]bool), restoredAt: make(map[ids.FailureDomain]clock.Millis)}
 	c.Metrics.Figures.Gauge("failure_domains_drained", func() float64 { return float64(len(s.Drained())) })
 	return s
 }
@@ -42,23 +42,23 @@
 	s.publish()
 }
 
-// Order is an operators' order for a failure domain: to drain it, or to restore it.
+// DrainOrder is an operators' order for a failure domain: to drain it, or to restore it.
 type Order struct {
 	Domain  ids.FailureDomain
 	Drained bool
 }
 
 // Replace takes all orders in force; domains without one are restored.
-func (s *Screen) Replace(standing []Order) {
+func (s *Screen) Replace(inForce []Order) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	stands := make(map[ids.FailureDomain]bool, len(standing))
-	for _, o := range standing {
-		stands[o.Domain] = true
+	hasOrder := make(map[ids.FailureDomain]bool, len(inForce))
+	for _, o := range inForce {
+		hasOrder[o.Domain] = true
 	}
-	orders := slices.Clone(standing)
+	orders := slices.Clone(inForce)
 	for domain := range s.drained {
-		if !stands[domain] {
+		if !hasOrder[domain] {
 			orders = append(orders, Order{Domain: domain})
 		}
 	}
@@ -74,12 +74,12 @@
 
 // apply applies orders, and publishes the directory if any of them changes something; the caller holds the lock.
 func (s *Screen) apply(orders []Order) {
-	isNew := false
+	changed := false
 	for _, o := range orders {
 		if s.drained[o.Domain] == o.Drained {
 			continue
 		}
-		isNew = true
+		changed = true
 		if o.Drained {
 			s.drained[o.Domain] = true
 			s.log(o.Domain).Info("failure domain drained: its targets get no new requests")
@@ -89,7 +89,7 @@
 		s.restoredAt[o.Domain] = s.Clock.Now()
 		s.log(o.Domain).Info("failure domain restored: its targets get new requests again")
 	}
-	if isNew && s.listed != nil {
+	if changed && s.listed != nil {
 		s.publish()
 	}
 }
@@ -110,10 +110,10 @@
 func (s *Screen) publish() {
 	list := make([]*routing.Target, 0, len(s.listed))
 	for _, t := range s.listed {
-		if drained, back := s.drained[t.Domain], s.restoredAt[t.Domain]; drained || back > 0 {
-			marked := *t
-			marked.Drained, marked.BackAt = drained, back
-			t = &marked
+		if drained, restored := s.drained[t.Domain], s.restoredAt[t.Domain]; drained || restored > 0 {
+			copied := *t
+			copied.Drained, copied.BackAt = drained, restored
+			t = &copied
 		}
 		list = append(list, t)
 	}
--- a/pkg/domains/screen_test.go
+++ b/pkg/domains/screen_test.go
@@ -23,24 +23,24 @@
 
 func drain(d ids.FailureDomain) domains.Order { return domains.Order{Domain: d, Drained: true} }
 
-func giveBack(d ids.FailureDomain) domains.Order { return domains.Order{Domain: d} }
+func restore(d ids.FailureDomain) domains.Order { return domains.Order{Domain: d} }
 
 func TestOrders(t *testing.T) {
 	scenarios := []struct {
-		name    string
-		do      func(s *domains.Screen)
-		serving int  // of the service's two targets
-		onTrial int  // of its one target on trial
-		back    bool // the domain was restored once
+		name     string
+		do       func(s *domains.Screen)
+		serving  int  // of the service's two targets
+		onTrial  int  // of its one target on trial
+		restored bool // the domain was restored once
 	}{
 		{"no orders", func(*domains.Screen) {}, 2, 1, false},
 		{"drained", func(s *domains.Screen) { s.Change([]domains.Order{drain("d1")}) }, 1, 0, false},
-		{"restored", func(s *domains.Screen) { s.Change([]domains.Order{drain("d1"), giveBack("d1")}) }, 2, 1, true},
+		{"restored", func(s *domains.Screen) { s.Change([]domains.Order{drain("d1"), restore("d1")}) }, 2, 1, true},
 		{"restored and drained again in one read", func(s *domains.Screen) {
 			s.Change([]domains.Order{drain("d1")})
-			s.Change([]domains.Order{giveBack("d1"), drain("d1")})
+			s.Change([]domains.Order{restore("d1"), drain("d1")})
 		}, 1, 0, true},
-		{"restored without having been drained", func(s *domains.Screen) { s.Change([]domains.Order{giveBack("d1")}) }, 2, 1, false},
+		{"restored without having been drained", func(s *domains.Screen) { s.Change([]domains.Order{restore("d1")}) }, 2, 1, false},
 		{"snapshot with the order", func(s *domains.Screen) {
 			s.Change([]domains.Order{drain("d1")})
 			s.Replace([]domains.Order{drain("d1")})
@@ -71,8 +71,8 @@
 				if got.Len() != listed.Len() {
 					t.Errorf("the directory has %d targets, want all of them", got.Len())
 				}
-				if back := got.Target("b").BackAt > 0; back != sc.back {
-					t.Errorf("domain recorded as restored: %t", back)
+				if restored := got.Target("b").BackAt > 0; restored != sc.restored {
+					t.Errorf("domain recorded as restored: %t", restored)
 				}
 			})
 		})
--- a/pkg/routing/catalog.go
+++ b/pkg/routing/catalog.go
@@ -129,7 +129,7 @@
 	return c.keys[key]
 }
 
-// AccountNamed returns the account with a name, or nil.
+// AccountByName returns the account with a name, or nil.
 func (c *Catalog) AccountNamed(name ids.Account) *Account {
 	for _, a := range c.accounts {
 		if a.Name == name {
--- a/pkg/routing/route.go
+++ b/pkg/routing/route.go
@@ -24,7 +24,7 @@
 	Stream
 )
 
-// Share is one service that a fraction of a route's requests goes to, by weight.
+// WeightedService is one service that a fraction of a route's requests goes to, by weight.
 type Share struct {
 	Service ids.Service
 	Weight  int
--- a/pkg/routing/target.go
+++ b/pkg/routing/target.go
@@ -28,7 +28,7 @@
 	ColdUntil clock.Millis
 	// Version is the version of its software.
 	Version ids.Version
-	// Listed is a store revision at which this incarnation was listed: that of its first row, or a
+	// ListedRevision is a store revision at which this incarnation was listed: that of its first row, or a
 	// later one if this entry has not seen the first. Revision is that of its newest row.
 	Listed, Revision int64
 	// Admission says whether its version may get requests.
