--- a/pkg/domains/screen.go
+++ b/pkg/domains/screen.go
@@ -1,5 +1,5 @@
 // Package domains keeps which failure domains operators have drained: their targets get no new
-// requests until the domain is given back.
+// requests until the domain is restored.
 package domains
 
 import (
@@ -14,90 +14,90 @@
 	"quaydock/pkg/routing"
 )
 
-// Screen marks the targets of drained failure domains in the list of targets, anew whenever the list
-// or what is drained changes.
+// Filter marks the targets of drained failure domains in the directory, again whenever the directory
+// or the set of drained domains changes.
 type Filter struct {
 	common.Common
-	marked func(*routing.Directory)
+	onChange func(*routing.Directory)
 
 	mu      sync.Mutex
-	raw     []*routing.Target // nil before the first list
+	listed  []*routing.Target // as listed; nil before the first directory
 	drained map[ids.FailureDomain]bool
-	// backAt is when this entry has read that a domain was given back, the last time.
-	backAt map[ids.FailureDomain]clock.Millis
+	// restoredAt is when this entry last read that a domain was restored.
+	restoredAt map[ids.FailureDomain]clock.Millis
 }
 
-// NewScreen returns a screen without targets; marked is told of each new list.
-func NewFilter(c common.Common, marked func(*routing.Directory)) *Filter {
-	s := &Filter{Common: c, marked: marked, drained: make(map[ids.FailureDomain]bool), backAt: make(map[ids.FailureDomain]clock.Millis)}
+// NewFilter returns a filter without targets. It calls onChange, with its lock held, with each new directory.
+func NewFilter(c common.Common, onChange func(*routing.Directory)) *Filter {
+	s := &Filter{Common: c, onChange: onChange, drained: make(map[ids.FailureDomain]bool), restoredAt: make(map[ids.FailureDomain]clock.Millis)}
 	c.Metrics.Prometheus.Gauge("failure_domains_drained", func() float64 { return float64(len(s.Drained())) })
 	return s
 }
 
-// SetDirectory takes a new list.
+// SetDirectory takes a new version of the directory.
 func (s *Filter) SetDirectory(d *routing.Directory) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.raw = d.All()
-	s.mark()
+	s.listed = d.All()
+	s.publish()
 }
 
-// Order is what operators want of a failure domain: that it is drained, or given back.
+// DrainOrder is an operators' order for a failure domain: to drain it, or to restore it.
 type DrainOrder struct {
 	Domain  ids.FailureDomain
 	Drained bool
 }
 
-// Replace takes all orders that stand; domains without one are given back.
-func (s *Filter) Replace(standing []DrainOrder) {
+// Replace takes all orders in force; domains without one are restored.
+func (s *Filter) Replace(inForce []DrainOrder) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	stands := make(map[ids.FailureDomain]bool, len(standing))
-	for _, o := range standing {
-		stands[o.Domain] = true
+	hasOrder := make(map[ids.FailureDomain]bool, len(inForce))
+	for _, o := range inForce {
+		hasOrder[o.Domain] = true
 	}
-	orders := slices.Clone(standing)
+	orders := slices.Clone(inForce)
 	for domain := range s.drained {
-		if !stands[domain] {
+		if !hasOrder[domain] {
 			orders = append(orders, DrainOrder{Domain: domain})
 		}
 	}
-	s.change(orders)
+	s.apply(orders)
 }
 
-// Change takes orders in the order in which they were given.
+// Change applies new orders in sequence.
 func (s *Filter) Change(orders []DrainOrder) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.change(orders)
+	s.apply(orders)
 }
 
-// change marks the list if anything is new; the lock is held.
-func (s *Filter) change(orders []DrainOrder) {
-	isNew := false
+// apply applies orders, and publishes the directory if any of them changes something; the caller holds the lock.
+func (s *Filter) apply(orders []DrainOrder) {
+	changed := false
 	for _, o := range orders {
 		if s.drained[o.Domain] == o.Drained {
 			continue
 		}
-		isNew = true
+		changed = true
 		if o.Drained {
 			s.drained[o.Domain] = true
 			s.log(o.Domain).Info("failure domain drained: its targets get no new requests")
 			continue
 		}
 		delete(s.drained, o.Domain)
-		s.backAt[o.Domain] = s.Clock.Now()
-		s.log(o.Domain).Info("failure domain given back")
+		s.restoredAt[o.Domain] = s.Clock.Now()
+		s.log(o.Domain).Info("failure domain restored: its targets get new requests again")
 	}
-	if isNew && s.raw != nil {
-		s.mark()
+	if changed && s.listed != nil {
+		s.publish()
 	}
 }
 
-// log is a line about a domain, with how many targets it concerns.
+// log returns a log entry for a domain, with the number of its targets.
 func (s *Filter) log(domain ids.FailureDomain) *logrus.Entry {
 	targets := 0
-	for _, t := range s.raw {
+	for _, t := range s.listed {
 		if t.Domain == domain {
 			targets++
 		}
@@ -105,21 +105,22 @@
 	return s.Log.WithField("domain", string(domain)).WithField("targets", targets)
 }
 
-// mark passes the list on; the lock is held, so that an older list never follows a newer one.
-func (s *Filter) mark() {
-	list := make([]*routing.Target, 0, len(s.raw))
-	for _, t := range s.raw {
-		if drained, back := s.drained[t.Domain], s.backAt[t.Domain]; drained || back > 0 {
-			marked := *t
-			marked.Drained, marked.RestoredAt = drained, back
-			t = &marked
+// publish passes on the directory with its marks. The caller holds the lock, so that an older directory never follows a
+// newer one.
+func (s *Filter) publish() {
+	list := make([]*routing.Target, 0, len(s.listed))
+	for _, t := range s.listed {
+		if drained, restored := s.drained[t.Domain], s.restoredAt[t.Domain]; drained || restored > 0 {
+			copied := *t
+			copied.Drained, copied.RestoredAt = drained, restored
+			t = &copied
 		}
 		list = append(list, t)
 	}
-	s.marked(routing.NewDirectory(list))
+	s.onChange(routing.NewDirectory(list))
 }
 
-// Drained lists the failure domains that are drained, in no order.
+// Drained lists the drained failure domains, in no particular order.
 func (s *Filter) Drained() []ids.FailureDomain {
 	s.mu.Lock()
 	defer s.mu.Unlock()
