--- a/pkg/ingress/admission.go
+++ b/pkg/ingress/admission.go
@@ -210,7 +210,7 @@
 	q.route = route
 	q.service = route.Pick(q.draw)
 	q.account = nil
-	if !catalog.Keyed() || route.Anonymous {
+	if !catalog.RequiresKey() || route.Anonymous {
 		return nil
 	}
 	if !a.trustsKeys(now, age) {
--- a/pkg/metering/booking.go
+++ b/pkg/metering/booking.go
@@ -97,7 +97,7 @@
 	}
 	answer, known := m.given[message.Number]
 	if !known {
-		answer = m.answer(from, catalog.AccountNamed(message.Account), message)
+		answer = m.answer(from, catalog.AccountByName(message.Account), message)
 		m.remember(answer)
 	}
 	m.link.Send(from, packets.KindQuotaReply, answer)
--- a/pkg/rollout/book.go
+++ b/pkg/rollout/book.go
@@ -261,11 +261,11 @@
 		return routing.Withheld
 	case decided && r.State == Completed && r.Version == t.Version:
 		return routing.Admitted
-	case decided && r.State == Completed && Revision(t.Listed) < r.Written:
+	case decided && r.State == Completed && Revision(t.ListedRevision) < r.Written:
 		return routing.Withheld // it stopped when the other version had taken over
 	case b.usual[t.Service][t.Version]:
 		return routing.Admitted
-	case Revision(t.Listed) <= b.read && !b.ordered[t.Service][t.Version]:
+	case Revision(t.ListedRevision) <= b.read && !b.ordered[t.Service][t.Version]:
 		b.noteUse(t)
 		return routing.Admitted
 	}
@@ -301,5 +301,5 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r, has := b.records[t.Service]
-	return b.ordered[t.Service][t.Version] || has && (r.bars(t.Version) || r.State == Completed && Revision(t.Listed) < r.Written)
+	return b.ordered[t.Service][t.Version] || has && (r.bars(t.Version) || r.State == Completed && Revision(t.ListedRevision) < r.Written)
 }
--- a/pkg/rollout/book_test.go
+++ b/pkg/rollout/book_test.go
@@ -60,8 +60,8 @@
 				b.PutOrders(r.orders, nil, true, proof(r.up))
 				b.PutRecords(r.records, proof(r.up))
 			}
-			old := &routing.Target{ID: "a", Service: service, Version: "v1", Listed: 1}
-			fresh := &routing.Target{ID: "b", Service: service, Version: "v2", Listed: 12}
+			old := &routing.Target{ID: "a", Service: service, Version: "v1", ListedRevision: 1}
+			fresh := &routing.Target{ID: "b", Service: service, Version: "v2", ListedRevision: 12}
 			if got := b.Admission(old, true); got != s.old {
 				t.Errorf("the old version is %v, want %v", got, s.old)
 			}
@@ -75,8 +75,8 @@
 // TestOneRolloutAfterTheOther completes a version and orders the next one: what was completed serves
 // on meanwhile, at an entry that has seen all of it and at one that begins.
 func TestOneRolloutAfterTheOther(t *testing.T) {
-	second := &routing.Target{ID: "b", Service: service, Version: "v2", Listed: 12}
-	third := &routing.Target{ID: "c", Service: service, Version: "v3", Listed: 32}
+	second := &routing.Target{ID: "b", Service: service, Version: "v2", ListedRevision: 12}
+	third := &routing.Target{ID: "c", Service: service, Version: "v3", ListedRevision: 32}
 	completed := rollout.Record{Service: service, Version: "v2", Order: 10, State: rollout.Completed, Written: 15}
 	trial := rollout.Record{Service: service, Version: "v3", Order: 30, State: rollout.Running, Written: 35}
 	seen := rollout.NewTracker()
@@ -99,7 +99,7 @@
 // TestAVersionThatRanAlreadyNeedsNoTrial orders the version that the whole service runs.
 func TestAVersionThatRanAlreadyNeedsNoTrial(t *testing.T) {
 	b := rollout.NewTracker()
-	target := &routing.Target{ID: "a", Service: service, Version: "v1", Listed: 1}
+	target := &routing.Target{ID: "a", Service: service, Version: "v1", ListedRevision: 1}
 	b.PutOrders(nil, nil, true, proof(5))
 	b.Admission(target, false)
 	b.PutOrders([]rollout.Order{order("v1", 10)}, nil, false, proof(10))
--- a/pkg/roster/lives_test.go
+++ b/pkg/roster/lives_test.go
@@ -75,8 +75,8 @@
 				r.Changed([]follow.Row{row}, follow.Freshness{})
 			}
 			a := got.Target("a")
-			if a.Start != s.start || a.Listed != s.listed {
-				t.Errorf("start %d, listed from %d on; want %d, %d", a.Start, a.Listed, s.start, s.listed)
+			if a.Start != s.start || a.ListedRevision != s.listed {
+				t.Errorf("start %d, listed from %d on; want %d, %d", a.Start, a.ListedRevision, s.start, s.listed)
 			}
 		})
 	}
@@ -110,7 +110,7 @@
 				time.Sleep(time.Second)
 				r.Changed([]follow.Row{row{Start: s.back}.at(19)}, now())
 				time.Sleep(5 * time.Second)
-				if a := got.Target("a"); a == nil || a.Start != s.back || a.Listed != s.listed {
+				if a := got.Target("a"); a == nil || a.Start != s.back || a.ListedRevision != s.listed {
 					t.Errorf("%+v", a)
 				}
 			})
--- a/pkg/roster/roster_test.go
+++ b/pkg/roster/roster_test.go
@@ -176,7 +176,7 @@
 	r.Changed([]follow.Row{{Key: "a", Version: 21, Value: []byte("faulty")}}, follow.Freshness{})
 	r.Changed([]follow.Row{{Key: "a", Version: 22}}, follow.Freshness{})
 	for id, want := range map[ids.Target]int64{"a": 7, "b": 20} {
-		if listed := got.Target(id).Listed; listed != want {
+		if listed := got.Target(id).ListedRevision; listed != want {
 			t.Errorf("%s is listed from %d on, want %d", id, listed, want)
 		}
 	}
--- a/pkg/roster/rows.go
+++ b/pkg/roster/rows.go
@@ -63,7 +63,7 @@
 // the same, which a process keeps while it runs. A row with a start that follows one without is of
 // another life, since a process that tells its start always does.
 func inherit(before, target *routing.Target) {
-	target.Listed = target.Revision
+	target.ListedRevision = target.Revision
 	if before == nil {
 		return
 	}
@@ -71,9 +71,9 @@
 		target.Start = before.Start
 	}
 	target.Revision = max(target.Revision, before.Revision) // one that is not known is 0
-	target.Listed = target.Revision
+	target.ListedRevision = target.Revision
 	if before.Incarnation() == target.Incarnation() {
-		target.Listed = before.Listed
+		target.ListedRevision = before.ListedRevision
 	}
 }
 
--- a/pkg/routing/catalog.go
+++ b/pkg/routing/catalog.go
@@ -130,7 +130,7 @@
 }
 
 // AccountByName returns the account with a name, or nil.
-func (c *Catalog) AccountNamed(name ids.Account) *Account {
+func (c *Catalog) AccountByName(name ids.Account) *Account {
 	for _, a := range c.accounts {
 		if a.Name == name {
 			return a
@@ -145,7 +145,7 @@
 }
 
 // RequiresKey reports whether requests need a key: they do once there is a client account.
-func (c *Catalog) Keyed() bool {
+func (c *Catalog) RequiresKey() bool {
 	return len(c.accounts) > 0
 }
 
--- a/pkg/routing/target.go
+++ b/pkg/routing/target.go
@@ -30,7 +30,7 @@
 	Version ids.Version
 	// ListedRevision is a store revision at which this incarnation was listed: that of its first row, or a
 	// later one if this entry has not seen the first. Revision is that of its newest row.
-	Listed, Revision int64
+	ListedRevision, Revision int64
 	// Admission says whether its version may get requests.
 	Admission Admission
 }
