--- a/pkg/planner/wait.go
+++ b/pkg/planner/wait.go
@@ -4,76 +4,74 @@
 	"quaydock/pkg/clock"
 )
 
-// wait estimates how long a job waits for a target: until those ahead of it have been
-// given the places that are left for it and them.
-func (p *Planner) wait(now clock.Millis, w *waiting, ahead int) clock.Millis {
-	if len(p.list) == 0 && p.trial.Opens > now {
+// estimateWait estimates how long a job waits for a target: until the jobs ahead of it have been granted the slots
+// that are left for them and it.
+func (p *Planner) estimateWait(now clock.Millis, w *queuedJob, ahead int) clock.Millis {
+	if len(p.eligible) == 0 && p.trial.Opens > now {
 		return p.trial.Opens - now
 	}
-	return max(p.restLeft(now, &w.Job), clock.Millis(float64(ahead+1)*float64(clock.Second)/p.placesFor(now, w)))
+	return max(p.backoffLeft(now, &w.Job), clock.Millis(float64(ahead+1)*float64(clock.Second)/p.slotRateFor(now, w)))
 }
 
-// placesFor is how many places a second are left for a job and those ahead of it in the
-// queue: what becomes free, less what has lately been given to jobs that came after them
-// and went before. What was given counts, not what came: of tiers that are refused in
-// part, more come than are ever served.
-func (p *Planner) placesFor(now clock.Millis, w *waiting) float64 {
-	return max(minReleases, p.perSecond(now)-p.givenBefore(now, w))
+// slotRateFor returns how many slots per second are left for a job and those ahead of it in the queue: the release
+// rate less the recent grants to jobs that came after them and went before. Grants count, not arrivals: of tiers
+// that are refused in part, more jobs arrive than are ever served.
+func (p *Planner) slotRateFor(now clock.Millis, w *queuedJob) float64 {
+	return max(minReleaseRate, p.releaseRate(now)-p.grantRateBefore(now, w))
 }
 
-// givenBefore is how many jobs a second that go before a job have been given a target.
-func (p *Planner) givenBefore(now clock.Millis, w *waiting) float64 {
+// grantRateBefore returns the rate of grants to jobs that go before a given one.
+func (p *Planner) grantRateBefore(now clock.Millis, w *queuedJob) float64 {
 	sum := 0.0
-	for tier, r := range p.given {
+	for tier, r := range p.grantRates {
 		switch {
 		case tier < w.Tier:
 			sum += r.perSecond(now)
 		case tier == w.Tier:
-			sum += r.before(now, w)
+			sum += r.rateBefore(now, w)
 		}
 	}
 	return sum
 }
 
-// perSecond is how many jobs a second can end. While all places have been taken
-// for a while, it is how many do; before, what ends says too little, and it is the
-// slots over the mean time of a run.
-func (p *Planner) perSecond(now clock.Millis) float64 {
+// releaseRate returns how many jobs per second can end. Once no slot has been free for fullWindow it is the
+// measured rate; before that too few jobs end, and it is at least the rate expected from the slots and the mean run
+// time.
+func (p *Planner) releaseRate(now clock.Millis) float64 {
 	measured := p.releases.perSecond(now)
-	if p.fullSince > 0 && now-p.fullSince >= fullFor {
-		return max(minReleases, measured)
+	if p.fullSince > 0 && now-p.fullSince >= fullWindow {
+		return max(minReleaseRate, measured)
 	}
-	return max(minReleases, measured, p.turnover())
+	return max(minReleaseRate, measured, p.expectedReleases())
 }
 
-// fullFor is how long no target must have had room for the releases to tell the
-// capacity.
-const fullFor = clock.Second
+// fullWindow is how long no target must have had a free slot for the measured releases to show the capacity.
+const fullWindow = clock.Second
 
-// minReleases keeps estimates finite.
-const minReleases = 0.5
+// minReleaseRate keeps estimates finite.
+const minReleaseRate = 0.5
 
-// mean is a mean that forgets.
-type mean struct {
+// decayingMean is a mean in which newer values count more.
+type decayingMean struct {
 	sum, n float64
 }
 
 const (
-	// meanKeep is what each further value leaves of the earlier ones.
-	meanKeep = 0.99
-	// runGuess is the time of a run, in ms, before one has ended, and
-	// runGuessWeight for how many runs it counts.
-	runGuess       = 1000.0
-	runGuessWeight = 5.0
-	// leastRun keeps the mean above zero.
-	leastRun = 1.0
+	// meanDecay is the factor by which each value reduces the weight of the earlier ones.
+	meanDecay = 0.99
+	// defaultRunTime is the run time in ms before any run has ended, and defaultRunWeight the number of runs that
+	// it counts for.
+	defaultRunTime   = 1000.0
+	defaultRunWeight = 5.0
+	// minRunTime keeps the mean above zero.
+	minRunTime = 1.0
 )
 
-func (m *mean) add(x float64) {
-	m.sum = m.sum*meanKeep + x
-	m.n = m.n*meanKeep + 1
+func (m *decayingMean) add(x float64) {
+	m.sum = m.sum*meanDecay + x
+	m.n = m.n*meanDecay + 1
 }
 
-func (m *mean) get() float64 {
-	return max(leastRun, (m.sum+runGuess*runGuessWeight)/(m.n+runGuessWeight))
+func (m *decayingMean) get() float64 {
+	return max(minRunTime, (m.sum+defaultRunTime*defaultRunWeight)/(m.n+defaultRunWeight))
 }
--- a/pkg/ratelimit/parse.go
+++ b/pkg/ratelimit/parse.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// Parse reads a limit as targets name it: a decimal number, with an exponent or without. Several, in a list or in several
-// values, are all to hold, so that the least counts; among them those that are no numbers are passed over. A negative number
-// takes as little as 0, and one that is beyond all numbers is no limit.
+// Parse parses a limit as targets send it: a decimal number, with or without an exponent. If there are several, in
+// a list or in several values, all apply, so the lowest counts; those that are not numbers are ignored. A negative
+// number counts as 0, and one beyond the range of float64 as no limit.
 func Parse(values []string) Named {
 	named := Named{Given: len(values) > 0, Rate: Unlimited}
 	for _, value := range values {
@@ -28,7 +28,7 @@
 
 func parse(text string) (Rate, bool) {
 	if strings.Trim(text, "0123456789.eE+-") != "" {
-		return 0, false // strconv reads more, as hexadecimal numbers and words for infinity
+		return 0, false // strconv.ParseFloat also accepts hexadecimal numbers and infinities
 	}
 	number, err := strconv.ParseFloat(text, 64)
 	if errors.Is(err, strconv.ErrSyntax) {
--- a/pkg/ratelimit/word.go
+++ b/pkg/ratelimit/word.go
@@ -1,5 +1,5 @@
-// Package ratelimit holds how many requests a second targets say that they take from all entries together. It does no
-// I/O and reads no clock.
+// Package ratelimit holds the limits that targets report on the requests they take per second from all entries
+// together. It does no I/O and reads no clock.
 package ratelimit
 
 import (
@@ -8,84 +8,85 @@
 	"quaydock/pkg/clock"
 )
 
-// Rate is a number of requests a second, of all entries together.
+// Rate is a number of requests per second, of all entries together.
 type Rate float64
 
-// Unlimited is the rate of a target that names no limit.
+// Unlimited is the rate of a target that reports no limit.
 var Unlimited = Rate(math.Inf(1))
 
-// Named is what one answer says of its target's limit. The zero value names none.
+// ParsedLimit is the limit in one answer of a target. The zero value means none.
 type Named struct {
-	// Given says that the answer names a limit, and Readable that it can be read; Rate holds only then.
+	// Given is set if the answer names a limit, and Readable if that could be parsed; Rate is valid only then.
 	Given, Readable bool
 	Rate            Rate
 }
 
-// Silent reports whether the answer says nothing new: it names a limit that can't be read.
+// Unreadable reports whether the answer names a limit that cannot be parsed, and so tells nothing new.
 func (n Named) Silent() bool { return n.Given && !n.Readable }
 
-// Word is the rate that a target last named, Unlimited if it named none, as far as is known.
+// Report is the last known limit of a target, Unlimited if it named none.
 type Word struct {
-	// Known is false while nothing has been heard.
+	// Known is false while no report was received.
 	Known bool
 	Rate  Rate
-	// From and To are moments between which the target said it: when the request was sent and when its answer was
-	// read.
+	// From and To are moments between which the target made the report: when the request was sent and when its
+	// answer was read.
 	From, To clock.Millis
 }
 
-// Of returns the word of an answer that was made between two moments.
+// NewReport returns the report of an answer that was made between two moments.
 func Of(n Named, from, to clock.Millis) Word {
-	w := Word{Known: true, Rate: Unlimited, From: from, To: to}
+	r := Word{Known: true, Rate: Unlimited, From: from, To: to}
 	if n.Given {
-		w.Rate = n.Rate
+		r.Rate = n.Rate
 	}
-	return w
+	return r
 }
 
-// Limits reports whether the target takes only so many requests.
-func (w Word) Limits() bool { return w.Known && w.Rate < Unlimited }
+// Limits reports whether the target has a rate limit.
+func (r Word) Limits() bool { return r.Known && r.Rate < Unlimited }
 
-// Differs reports whether two words set different bounds.
-func (w Word) Differs(other Word) bool {
-	return w.Limits() != other.Limits() || w.Limits() && w.Rate != other.Rate
+// Differs reports whether two reports set different limits.
+func (r Word) Differs(other Word) bool {
+	return r.Limits() != other.Limits() || r.Limits() && r.Rate != other.Rate
 }
 
-// With returns what stands after another word was heard, be it older or newer: answers overtake one another on the way. Where
-// either may be the later one the lower rate stands, until an answer to a request that was sent afterwards.
-func (w Word) With(other Word) Word {
+// Merge returns the report in force after another one was received, be it older or newer: answers may arrive out of
+// order. Where either may be the later one, the lower rate is in force until an answer to a request that was sent
+// afterwards.
+func (r Word) With(other Word) Word {
 	switch {
-	case !w.Known || other.Known && other.From >= w.To:
+	case !r.Known || other.Known && other.From >= r.To:
 		return other
-	case !other.Known || w.From >= other.To:
-		return w
+	case !other.Known || r.From >= other.To:
+		return r
 	}
-	return Word{Known: true, Rate: min(w.Rate, other.Rate), From: max(w.From, other.From), To: max(w.To, other.To)}
+	return Word{Known: true, Rate: min(r.Rate, other.Rate), From: max(r.From, other.From), To: max(r.To, other.To)}
 }
 
-// transit is how long a word is reckoned to be on its way to another VM at the most.
-const transit = 100 * clock.Millisecond
+// maxTransit is the longest time that a report is assumed to be in transit to another VM.
+const maxTransit = 100 * clock.Millisecond
 
-// Aged is a word as another VM is told it: by its age, since moments mean nothing there.
+// AgedReport is a report as sent to another VM: with ages, since the clocks of VMs differ.
 type Aged struct {
 	_    struct{} `cbor:",toarray"`
 	Rate Rate
-	// From and To are how long ago the first and the last moment were at which it may have been said.
+	// From and To are the ages of the first and the last moment at which the target may have made the report.
 	From, To clock.Millis
 }
 
-// Aged returns a word as it is told at a moment, nil if nothing is known.
-func (w Word) Aged(now clock.Millis) *Aged {
-	if !w.Known {
+// Aged returns the report as sent to another VM at a moment, nil if nothing is known.
+func (r Word) Aged(now clock.Millis) *Aged {
+	if !r.Known {
 		return nil
 	}
-	return &Aged{Rate: w.Rate, From: now - w.From, To: now - w.To}
+	return &Aged{Rate: r.Rate, From: now - r.From, To: now - r.To}
 }
 
-// Word returns what was told, on the clock of the one that has received it at a moment. A nil one tells nothing.
+// Report returns the report on the receiver's clock, received at a moment. A nil one gives the zero Report.
 func (a *Aged) Word(now clock.Millis) Word {
 	if a == nil {
 		return Word{}
 	}
-	return Word{Known: true, Rate: a.Rate, From: now - a.From - transit, To: now - a.To}
+	return Word{Known: true, Rate: a.Rate, From: now - a.From - maxTransit, To: now - a.To}
 }
--- a/pkg/ratelimit/word_test.go
+++ b/pkg/ratelimit/word_test.go
@@ -8,24 +8,24 @@
 	"quaydock/pkg/ratelimit"
 )
 
-func word(rate ratelimit.Rate, from, to clock.Millis) ratelimit.Word {
+func report(rate ratelimit.Rate, from, to clock.Millis) ratelimit.Word {
 	return ratelimit.Word{Known: true, Rate: rate, From: from, To: to}
 }
 
-func TestWithKeepsTheLaterWord(t *testing.T) {
+func TestMergeKeepsTheLaterReport(t *testing.T) {
 	none := ratelimit.Unlimited
 	scenarios := []struct {
 		name         string
 		first, other ratelimit.Word
 		want         ratelimit.Word
 	}{
-		{"the first", ratelimit.Word{}, word(3, 10, 20), word(3, 10, 20)},
-		{"nothing else", word(3, 10, 20), ratelimit.Word{}, word(3, 10, 20)},
-		{"a later, higher one", word(3, 10, 20), word(5, 20, 30), word(5, 20, 30)},
-		{"a later one that names none", word(3, 10, 20), word(none, 25, 30), word(none, 25, 30)},
-		{"an earlier, lower one", word(3, 10, 20), word(1, 0, 10), word(3, 10, 20)},
-		{"either may be later", word(3, 10, 20), word(5, 15, 30), word(3, 15, 30)},
-		{"either may be later, one names none", word(none, 10, 20), word(5, 5, 15), word(5, 10, 20)},
+		{"the first report", ratelimit.Word{}, report(3, 10, 20), report(3, 10, 20)},
+		{"no other report", report(3, 10, 20), ratelimit.Word{}, report(3, 10, 20)},
+		{"a later, higher limit", report(3, 10, 20), report(5, 20, 30), report(5, 20, 30)},
+		{"a later report of no limit", report(3, 10, 20), report(none, 25, 30), report(none, 25, 30)},
+		{"an earlier, lower limit", report(3, 10, 20), report(1, 0, 10), report(3, 10, 20)},
+		{"either may be later", report(3, 10, 20), report(5, 15, 30), report(3, 15, 30)},
+		{"either may be later, one without a limit", report(none, 10, 20), report(5, 5, 15), report(5, 10, 20)},
 	}
 	for _, s := range scenarios {
 		if got := s.first.With(s.other); got != s.want {
@@ -34,28 +34,28 @@
 	}
 }
 
-// TestWordsOutOfOrderNeverHideALaterLowerOne: drawn answers, heard in drawn order.
-func TestWordsOutOfOrderNeverHideALaterLowerOne(t *testing.T) {
+// TestReorderedReportsNeverHideALaterLowerLimit: random reports, received in random order.
+func TestReorderedReportsNeverHideALaterLowerLimit(t *testing.T) {
 	for seed := range uint64(2000) {
 		random := rand.New(rand.NewPCG(seed, 1))
-		var said []ratelimit.Word // in the order in which the target said them
+		var reports []ratelimit.Word // in the order in which the target made them
 		for at := clock.Millis(100); at < 1000; at += clock.Millis(1 + random.IntN(100)) {
 			rate := ratelimit.Rate(1 + random.IntN(3))
 			if random.IntN(3) == 0 {
 				rate = ratelimit.Unlimited
 			}
-			said = append(said, word(rate, at-clock.Millis(random.IntN(100)), at+clock.Millis(1+random.IntN(300))))
+			reports = append(reports, report(rate, at-clock.Millis(random.IntN(100)), at+clock.Millis(1+random.IntN(300))))
 		}
-		last := said[len(said)-1]
-		var stands ratelimit.Word
-		for _, i := range random.Perm(len(said)) {
-			stands = stands.With(said[i])
+		last := reports[len(reports)-1]
+		var inForce ratelimit.Word
+		for _, i := range random.Perm(len(reports)) {
+			inForce = inForce.With(reports[i])
 		}
-		if stands.Rate > last.Rate {
-			t.Fatalf("seed %d: %v stands, the target last said %v", seed, stands.Rate, last.Rate)
+		if inForce.Rate > last.Rate {
+			t.Fatalf("seed %d: limit %v is in force, the target last reported %v", seed, inForce.Rate, last.Rate)
 		}
-		if after := stands.With(word(2, stands.To, stands.To+10)); after.Rate != 2 {
-			t.Fatalf("seed %d: a surely later word does not stand: %+v", seed, after)
+		if after := inForce.With(report(2, inForce.To, inForce.To+10)); after.Rate != 2 {
+			t.Fatalf("seed %d: a certainly later report is not in force: %+v", seed, after)
 		}
 	}
 }
