--- a/pkg/dispatch/home_answers.go
+++ b/pkg/dispatch/home_answers.go
@@ -99,7 +99,7 @@
 	h.withPlanner(now, s.Service, from, func(p *planner.Planner) {
 		switch s.Progress {
 		case begun:
-			p.Begin(now, id, s.Load)
+			p.RecordFirstEvent(now, id, s.Load)
 		case done:
 			flow := s.Flow
 			if since, granted := p.GrantedAt(id); granted {
@@ -124,7 +124,7 @@
 			id := planner.JobID{Entry: from.String(), Number: it.Number}
 			p.Restore(now, planner.Job{ID: id, Account: it.Account, Tier: it.Tier, Prompt: it.Prompt, Events: it.Events}, it.Incarnation, it.Begun)
 			if it.Begun {
-				p.Begin(now, id, nil)
+				p.RecordFirstEvent(now, id, nil)
 			}
 		}
 		p.RetainJobs(now, from.String(), func(id planner.JobID) bool {
--- a/pkg/loadmodel/targets.go
+++ b/pkg/loadmodel/targets.go
@@ -53,7 +53,7 @@
 	}
 	c.target.reading -= c.prompt
 	c.begun = now
-	p.planner.Begin(now, id, nil)
+	p.planner.RecordFirstEvent(now, id, nil)
 	p.heed(now)
 	rest := c.target.factor * p.load.Speed.Event * float64(c.events)
 	p.at(now+clock.Millis(rest), func(now clock.Millis) { p.end(now, c, id) })
--- a/pkg/planner/benchmark_test.go
+++ b/pkg/planner/benchmark_test.go
@@ -115,7 +115,7 @@
 				p.Submit(now, j)
 				for _, d := range p.Decisions() {
 					if g, ok := d.(planner.Grant); ok {
-						p.Begin(now, g.ID, nil)
+						p.RecordFirstEvent(now, g.ID, nil)
 						running = append(running, g.ID)
 					}
 				}
--- a/pkg/planner/cold_test.go
+++ b/pkg/planner/cold_test.go
@@ -64,7 +64,7 @@
 					when = "warm "
 				}
 				given[when+string(g.Incarnation.Target)]++
-				p.Begin(now, g.ID, nil)
+				p.RecordFirstEvent(now, g.ID, nil)
 				p.Finish(now, g.ID, planner.Served, planner.StreamStats{})
 			}
 		}
--- a/pkg/planner/example_test.go
+++ b/pkg/planner/example_test.go
@@ -18,7 +18,7 @@
 	p.Submit(0, first)
 	p.Submit(10, second)
 	show(p.Decisions())
-	p.Begin(50, first.ID, nil)
+	p.RecordFirstEvent(50, first.ID, nil)
 	p.Finish(900, first.ID, planner.Served, planner.StreamStats{Events: 1})
 	show(p.Decisions())
 	// Output:
--- a/pkg/planner/export_test.go
+++ b/pkg/planner/export_test.go
@@ -22,6 +22,6 @@
 }
 
 // Incarnations returns the number of known target incarnations.
-func (p *Planner) Lives() int {
+func (p *Planner) Incarnations() int {
 	return len(p.targets)
 }
--- a/pkg/planner/incarnations_test.go
+++ b/pkg/planner/incarnations_test.go
@@ -59,7 +59,7 @@
 		t.Errorf("granted %v, want both slots of the new incarnation", got)
 	}
 	// Late reports on the former runs have no effect.
-	p.Begin(now, job(0, 0).ID, &planner.Load{Running: 50})
+	p.RecordFirstEvent(now, job(0, 0).ID, &planner.Load{Running: 50})
 	p.Finish(now, job(1, 0).ID, planner.Unreached, planner.StreamStats{})
 	p.Finish(now, job(2, 0).ID, planner.Served, planner.StreamStats{})
 	p.Submit(now, job(5, 0))
@@ -88,7 +88,7 @@
 				j := job(100+n, 0)
 				j.Exclude = []ids.TargetIncarnation{{Target: "t1"}}
 				p.Submit(now, j)
-				p.Begin(now, j.ID, &planner.Load{Running: 40})
+				p.RecordFirstEvent(now, j.ID, &planner.Load{Running: 40})
 				p.Finish(now, j.ID, planner.Served, planner.StreamStats{})
 			}
 		}},
@@ -200,7 +200,7 @@
 		p.Submit(start, job(n, 0))
 		p.Finish(start, job(n, 0).ID, planner.Served, planner.StreamStats{})
 	}
-	if n := p.Lives(); n != 1 {
+	if n := p.Incarnations(); n != 1 {
 		t.Errorf("%d incarnations are known, want 1", n)
 	}
 }
--- a/pkg/planner/planner_test.go
+++ b/pkg/planner/planner_test.go
@@ -125,7 +125,7 @@
 		j.Arrived, j.Deadline = now, now+10*clock.Second
 		p.Submit(now, j)
 		now += each
-		p.Begin(now, j.ID, nil)
+		p.RecordFirstEvent(now, j.ID, nil)
 		p.Finish(now, j.ID, planner.Served, planner.StreamStats{})
 	}
 	p.Decisions()
@@ -280,7 +280,7 @@
 			if g.Incarnation.Target == "t1" {
 				load = &planner.Load{Running: 4, Waiting: 3}
 			}
-			p.Begin(now, j.ID, load)
+			p.RecordFirstEvent(now, j.ID, load)
 			p.Finish(now+20, j.ID, planner.Served, planner.StreamStats{})
 		}
 		now += 30
--- a/pkg/planner/prefill_stall_test.go
+++ b/pkg/planner/prefill_stall_test.go
@@ -41,7 +41,7 @@
 
 func (e *engines) begin(id planner.JobID, at ids.Target, prompt ids.Tokens) {
 	e.now += clock.Millis(e.factors[at] * (simulatedRead*float64(prompt) + 1))
-	e.p.Begin(e.now, id, nil)
+	e.p.RecordFirstEvent(e.now, id, nil)
 }
 
 func (e *engines) finish(id planner.JobID, at ids.Target, delayedBy ids.Tokens) {
--- a/pkg/planner/random_test.go
+++ b/pkg/planner/random_test.go
@@ -67,7 +67,7 @@
 		h.p.Submit(now, j)
 	case 2:
 		if n, runs := h.first(); runs {
-			h.p.Begin(now, planner.JobID{Entry: "e", Number: n}, nil)
+			h.p.RecordFirstEvent(now, planner.JobID{Entry: "e", Number: n}, nil)
 		}
 	case 3:
 		if n, runs := h.first(); runs {
--- a/pkg/planner/runs.go
+++ b/pkg/planner/runs.go
@@ -30,7 +30,7 @@
 
 // RecordFirstEvent records the first event of a job's answer, and the load that its target reported with it, if
 // any.
-func (p *Planner) Begin(now clock.Millis, id JobID, load *Load) {
+func (p *Planner) RecordFirstEvent(now clock.Millis, id JobID, load *Load) {
 	r := p.runs[id]
 	if r == nil || r.hasFirstEvent {
 		return
--- a/pkg/planner/targets_test.go
+++ b/pkg/planner/targets_test.go
@@ -28,7 +28,7 @@
 				stuck["t1"]++ // it never gets a first event
 				continue
 			}
-			p.Begin(now+20, g.ID, nil)
+			p.RecordFirstEvent(now+20, g.ID, nil)
 			p.Finish(now+20, g.ID, planner.Served, planner.StreamStats{})
 		}
 		now += 100
@@ -63,7 +63,7 @@
 			if g.Incarnation.Target == "t1" {
 				slow = 5
 			}
-			p.Begin(now+20*slow, g.ID, nil)
+			p.RecordFirstEvent(now+20*slow, g.ID, nil)
 			open = append(open, ending{id: g.ID, at: now + 120*slow})
 		}
 		now += 50
@@ -175,7 +175,7 @@
 			j.Prompt, j.Arrived, j.Deadline = 1000, now, now+10*clock.Second
 			j.Exclude = []ids.TargetIncarnation{{Target: ids.Target(fmt.Sprint("t", 1-n))}}
 			first.Submit(now, j)
-			first.Begin(now+took, j.ID, nil)
+			first.RecordFirstEvent(now+took, j.ID, nil)
 			first.Finish(now+took, j.ID, planner.Served, planner.StreamStats{})
 		}
 	}
--- a/pkg/planner/trial_test.go
+++ b/pkg/planner/trial_test.go
@@ -77,7 +77,7 @@
 func (b *trialBed) pass(ms clock.Millis) {
 	b.now += ms
 	for len(b.ends) > 0 && b.ends[0].at <= b.now {
-		b.Begin(b.now, b.ends[0].id, nil)
+		b.RecordFirstEvent(b.now, b.ends[0].id, nil)
 		b.Finish(b.now, b.ends[0].id, planner.Served, planner.StreamStats{Events: 10})
 		if n := b.runningNew[b.ends[0].on]; n > 0 {
 			b.runningNew[b.ends[0].on]--
