--- a/pkg/metering/bed_test.go
+++ b/pkg/metering/deployment_test.go
@@ -43,7 +43,7 @@
 	return netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:7600", i+1))
 }
 
-// deploy runs the usual entries, which have read the list of all.
+// deploy runs the default number of entries, all of which have read the list of entries.
 func deploy(ctx context.Context) *deployment {
 	account := &routing.Account{Name: "a", Keys: []string{"k"}, PerSecond: perSecond, Burst: burst, CountsTokens: true}
 	return deployMany(ctx, entries, account, bounds)
@@ -56,8 +56,8 @@
 	return d
 }
 
-// firstOf lists the first few entries.
-func firstOf(entries int) []follow.Row {
+// firstRows lists the first few entries.
+func firstRows(entries int) []follow.Row {
 	var rows []follow.Row
 	for i := range entries {
 		rows = append(rows, row(i))
@@ -65,10 +65,10 @@
 	return rows
 }
 
-// readList has all entries read the list of all.
+// readList has all entries read the complete list.
 func (d *deployment) readList() {
 	for _, m := range d.members {
-		m.Whole(firstOf(len(d.members)), follow.Proof{})
+		m.Whole(firstRows(len(d.members)), follow.Proof{})
 	}
 }
 
@@ -98,8 +98,7 @@
 	return d
 }
 
-// demand has each entry take as fast as it can for a while, and returns when
-// and what was taken.
+// demand has each entry take units as fast as it can for a while, and returns what was taken and when.
 func (d *deployment) demand(ctx context.Context, length time.Duration) []take {
 	return d.demandUnits(ctx, length, func() float64 { return 100 })
 }
@@ -133,14 +132,14 @@
 	return all
 }
 
-// take is what was taken at a moment.
+// take is an amount taken at a moment.
 type take struct {
 	at    clock.Millis
 	units float64
 }
 
-// worst is the most taken in any window.
-func worst(all []take) float64 {
+// maxInWindow is the most units taken in any window.
+func maxInWindow(all []take) float64 {
 	most := 0.0
 	for _, from := range all {
 		sum := 0.0
@@ -154,17 +153,17 @@
 	return most
 }
 
-func bound() float64 {
+func accountLimit() float64 {
 	const seconds = 8
 	return (perSecond*seconds+burst)*(1+bounds.Over) + bounds.Slack
 }
 
-// A large account's margin is small beside its rate.
+// The margin of a large account is small compared with its rate.
 const (
 	largeRate  = 400_000.0
 	largeLimit = (largeRate*8+largeRate)*1.1 + 140_000
-	// largeKept leaves a twentieth for what waits and is under way.
-	largeKept = 0.95 * largeLimit
+	// largeMax leaves a twentieth of the limit for requests that wait and are under way.
+	largeMax = 0.95 * largeLimit
 )
 
 var largeBounds = metering.Bounds{Over: 0.1, Slack: 140_000, Window: window}
@@ -178,16 +177,16 @@
 
 func largeUnits() float64 { return largeRequest }
 
-// checkMost checks the most that was taken in any window.
-func checkMost(t *testing.T, all []take, most float64) {
+// checkMaxInWindow checks the most that was taken in any window.
+func checkMaxInWindow(t *testing.T, all []take, most float64) {
 	t.Helper()
-	if got := worst(all); got > most {
-		t.Errorf("%.0f taken in a window, want %.0f at the most", got, most)
+	if got := maxInWindow(all); got > most {
+		t.Errorf("%.0f taken in a window, want at most %.0f", got, most)
 	}
 }
 
-// sum is all that was taken.
-func sum(all []take) float64 {
+// total is all that was taken.
+func total(all []take) float64 {
 	units := 0.0
 	for _, x := range all {
 		units += x.units
@@ -195,8 +194,8 @@
 	return units
 }
 
-// cutOffFirst cuts the first few entries off from one another and from the others.
-func (d *deployment) cutOffFirst(n int) {
+// isolateFirst cuts the first few entries off from one another and from the others.
+func (d *deployment) isolateFirst(n int) {
 	isCut := func(a netip.AddrPort) bool {
 		for i := range n {
 			if a == address(i) {
--- a/pkg/metering/large_requests_test.go
+++ b/pkg/metering/large_requests_test.go
@@ -13,9 +13,8 @@
 	"quaydock/pkg/routing"
 )
 
-// ask is demandUnits for callers that wait for the answer to their last request: it has no
-// deadline.
-func (d *deployment) ask(ctx context.Context, length clock.Millis, draw func() float64) []take {
+// demandWithoutDeadline is demandUnits for callers without a deadline, which wait for the answer to their last request.
+func (d *deployment) demandWithoutDeadline(ctx context.Context, length clock.Millis, draw func() float64) []take {
 	var (
 		mu    sync.Mutex
 		all   []take
@@ -39,8 +38,8 @@
 	return all
 }
 
-// mixedUnits returns a draw of units of a request: half are below 2,500, and some are a large
-// part of what a small account may have.
+// mixedUnits returns a function that draws the units of a request: half are below 2,500, and some are a large
+// fraction of a small account's limit.
 func (d *deployment) mixedUnits() func() float64 {
 	var mu sync.Mutex
 	random := d.Random.Fork()
@@ -51,22 +50,22 @@
 	}
 }
 
-// TestLargeRequestsOfASmallAccountAtEntriesCutOff has ten of thirty entries cut off from the
-// others, or all of them, while a small account asks for far more than its limit: in 8 s it had more than the limit bears. Order of events: the account is held
-// to its limit by its home; the cut entries do not reach it and spend their own shares, which
-// are small beside the requests. Cause: a request of any size is taken while anything is left of a
-// share, so that each cut entry gives out one that is many times its share. Evidence: with
-// requests of 2,000 units at most 0.75 of the bound is taken with a third cut off, and 0.93 with all; with
-// these, of which some are larger than the account's rate for a second, up to 1.16 and 1.75.
-func TestLargeRequestsOfASmallAccountAtEntriesCutOff(t *testing.T) {
+// TestLargeRequestsOfSmallAccountAtIsolatedEntries cuts ten of thirty entries off from the others, or all of them from
+// one another, while a small account asks for far more than its limit: in 8 s it used more than the limit. The
+// account's owner keeps it within its limit; the isolated entries do not reach the owner and spend their own shares,
+// which are small compared with the requests. A request of any size was taken while anything was left of a share, so
+// each isolated entry gave out many times its share. With requests of 2,000 units, at most 0.75 of the limit was taken
+// with a third isolated, and 0.93 with all; with these, some of which are larger than the account's rate for a second,
+// up to 1.16 and 1.75.
+func TestLargeRequestsOfSmallAccountAtIsolatedEntries(t *testing.T) {
 	scenarios := []struct {
 		name string
 		rate float64
 		cut  int
 	}{
-		{"a small account, a third cut off", 36_000, 10},
-		{"a small account, all cut off from one another", 36_000, 30},
-		{"a middling account, all cut off from one another", 100_000, 30},
+		{"small account, a third isolated", 36_000, 10},
+		{"small account, all isolated", 36_000, 30},
+		{"medium account, all isolated", 100_000, 30},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -75,43 +74,43 @@
 				account := &routing.Account{Name: "a", Keys: []string{"k"}, PerSecond: s.rate, Burst: s.rate, CountsTokens: true}
 				limits := metering.Bounds{Over: 0.1, Slack: 140_000, Window: window}
 				d := deployMany(ctx, 30, account, limits)
-				time.Sleep(3 * time.Second) // greetings are rarer among many
+				time.Sleep(3 * time.Second) // heartbeats are rarer among many entries
 				draw := d.mixedUnits()
-				all := d.ask(ctx, 4*clock.Second, draw)
-				d.cutOffFirst(s.cut)
-				all = append(all, d.ask(ctx, 8*clock.Second, draw)...)
+				all := d.demandWithoutDeadline(ctx, 4*clock.Second, draw)
+				d.isolateFirst(s.cut)
+				all = append(all, d.demandWithoutDeadline(ctx, 8*clock.Second, draw)...)
 				const seconds = 8
 				limit := (s.rate*seconds+s.rate)*(1+limits.Over) + limits.Slack
-				if got := worst(all); got > limit {
-					t.Errorf("%.0f taken in a window, bound %.0f", got, limit)
+				if got := maxInWindow(all); got > limit {
+					t.Errorf("%.0f taken in a window, limit %.0f", got, limit)
 				}
 			})
 		})
 	}
 }
 
-// TestLargeRequestsAtManyEntriesCutOff cuts entries off while one account asks for many times
-// its allowance, in requests of thousands of units. Users saw it have 2% more than its bound when
-// eight of thirty entries were cut off. Cause: each let one such request go beyond what it held.
-func TestLargeRequestsAtManyEntriesCutOff(t *testing.T) {
+// TestLargeRequestsAtManyIsolatedEntries isolates entries while one account asks for many times its allowance, in
+// requests of thousands of units. Users saw it use 2% more than its limit when eight of thirty entries were isolated,
+// because each let one such request exceed what it held.
+func TestLargeRequestsAtManyIsolatedEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		const many, cut, rate = 30, 10, 400_000.0
 		account := &routing.Account{Name: "a", Keys: []string{"k"}, PerSecond: rate, Burst: rate, CountsTokens: true}
 		limits := metering.Bounds{Over: 0.1, Slack: 140_000, Window: window}
 		d := deployMany(ctx, many, account, limits)
-		time.Sleep(3 * time.Second) // greetings are rarer among many
+		time.Sleep(3 * time.Second) // heartbeats are rarer among many entries
 		draw := d.mixedUnits()
 		all := d.demandUnits(ctx, 4*time.Second, draw)
-		d.cutOffFirst(cut)
+		d.isolateFirst(cut)
 		all = append(all, d.demandUnits(ctx, 8*time.Second, draw)...)
 		const seconds = 8
 		limit := (rate*seconds+rate)*(1+limits.Over) + limits.Slack
-		// What the engines count differs from what is taken here by what waits and
-		// is under way: a twentieth is kept for it.
+		// What the engines count differs from what is taken here by requests that wait and are under way: a twentieth is
+		// left for them.
 		const kept = 0.95
-		if got := worst(all); got > kept*limit {
-			t.Errorf("%.0f taken in a window, bound %.0f", got, limit)
+		if got := maxInWindow(all); got > kept*limit {
+			t.Errorf("%.0f taken in a window, limit %.0f", got, limit)
 		}
 	})
 }
--- a/pkg/metering/meter.go
+++ b/pkg/metering/meter.go
@@ -1,8 +1,7 @@
-// Package metering keeps what client accounts may have run within its bound
-// over all entries together. Each account has a home among the entries, which
-// keeps its one bucket; an entry asks it before a request runs. While no home
-// answers, an entry spends a small share of its own, which is taken from the
-// margin between the allowance and the bound.
+// Package metering keeps the usage of client accounts within their limits, summed over all entries. Each account
+// has an owner among the entries, which keeps its one bucket; an entry sends it a claim before a request runs. While
+// no owner replies, an entry spends a small share of its own, which is taken from the margin between the allowance
+// and the limit.
 package metering
 
 import (
@@ -21,159 +20,153 @@
 	"quaydock/pkg/view"
 )
 
-// Bounds say how far the sum over all entries may go beyond an account's
-// allowance.
+// Bounds set how far the sum over all entries may exceed an account's allowance in any window.
 type Bounds struct {
-	// Over is a part of the allowance, Slack is in units, both for any Window.
+	// Over is a fraction of the allowance, Slack is in units; both apply to any Window.
 	Over   float64
 	Slack  float64
 	Window clock.Millis
 }
 
-// leastWindow is the shortest window that bounds are kept for. Settings may name none, and with a
-// window of 0 the rates that are divided by it would be endless: accounts would have no limit.
-const leastWindow = clock.Second
+// minWindow is the shortest window in use. Settings may name none, and dividing by a window of 0 would make the
+// rates infinite, so that accounts had no limit.
+const minWindow = clock.Second
 
-// kept returns the bounds with a window of leastWindow at the least.
-func (b Bounds) kept() Bounds {
-	b.Window = max(b.Window, leastWindow)
+// withMinWindow returns the bounds with a window of at least minWindow.
+func (b Bounds) withMinWindow() Bounds {
+	b.Window = max(b.Window, minWindow)
 	return b
 }
 
 const (
-	// askAgain is after what time an unanswered claim is sent once more, askFor
-	// for how long an answer is awaited in all: a home is one hop away.
-	askAgain = 12 * clock.Millisecond
-	askFor   = 36 * clock.Millisecond
-	// askAtStart is that time at an entry that has just started: the home may have started
-	// with it and not know the accounts yet. Callers lose less by it than by a refusal, and
-	// it is within what they bear: an eighth of an objective of a second.
-	askAtStart = 120 * clock.Millisecond
-	// marginPart is the part of the margin that entries spend on their own.
-	marginPart = 0.2
-	// homePart is the part of the margin that homes give out beyond the
-	// allowance in any window, so that what an account may have run is never cut
-	// short by what is under way.
-	homePart = 0.1
-	// burstPart is the part of the margin up to which a home lets an account's
-	// burst flow again and again, once in each window, instead of once and then
-	// only when the account has asked for less for a while. The rest is for what
-	// is under way, and for homes that begin anew.
-	burstPart = 0.4
-	// freshMost and freshPart are how full a home's bucket is at first: the one at
-	// the most, and the other as a part of the margin. A home that begins anew
-	// hears from the entries what they have had of late; only if all have lost it
-	// does this count, and then nothing has been served for as long as it takes
-	// to start, while callers kept asking. With 0.28 of the margin, homes that change
-	// each second give out 0.03% more than is left for it, with 0.25 they do not.
-	freshMost = 0.5
-	freshPart = 0.25
-	// unlistedWait is when to come back to an entry that has no part of the allowance yet: it
-	// reads the list of entries within some ms of the store's answering.
-	unlistedWait = 300 * clock.Millisecond
-	// debtPart is the part of the margin up to which requests at all entries together may
-	// leave debts, where each entry holds a small part of the allowance (see debt).
-	debtPart = 0.1
-	// majority is the part of the entries beyond which a home's backing makes it the only one
-	// with so much.
+	// claimResendInterval is after what time a claim without a reply is sent again, claimTimeout how long to wait for
+	// the reply in all. The owner is one network hop away.
+	claimResendInterval = 12 * clock.Millisecond
+	claimTimeout        = 36 * clock.Millisecond
+	// claimTimeoutAtStart replaces claimTimeout at an entry that has just started: the owner may have started with it
+	// and not know the accounts yet. The wait costs callers less than a refusal and is acceptable to them: an eighth of
+	// a latency objective of one second.
+	claimTimeoutAtStart = 120 * clock.Millisecond
+	// localMarginFraction is the fraction of the margin that entries may spend without a reply from the owner.
+	localMarginFraction = 0.2
+	// ownerMarginFraction is the fraction of the margin that owners give out beyond the allowance in any window, so
+	// that requests under way never reduce what an account may use.
+	ownerMarginFraction = 0.1
+	// burstMarginFraction is the fraction of the margin up to which an owner grants an account's burst again in each
+	// window, instead of once and then only after the account has asked for less for a while. The rest is for requests
+	// under way, and for entries that have just become owners.
+	burstMarginFraction = 0.4
+	// maxInitialFill and initialFillMarginFraction set how full the bucket of a new owner is: the one is the maximum,
+	// the other a fraction of the margin. A new owner learns from the entries what they have served recently; the
+	// initial fill matters only if all of them have lost it, and then nothing was served for as long as a start takes,
+	// while callers kept asking. With 0.28 of the margin, owners that change each second give out 0.03% more than is
+	// left for it; with 0.25 they do not.
+	maxInitialFill            = 0.5
+	initialFillMarginFraction = 0.25
+	// unlistedRetryAfter is when callers should come back to an entry that has no share of the allowance yet: it reads
+	// the list of entries within some milliseconds of the store's answering.
+	unlistedRetryAfter = 300 * clock.Millisecond
+	// debtMarginFraction is the fraction of the margin that requests at all entries together may overdraw, where each
+	// entry holds a small fraction of the allowance (see maxDebt).
+	debtMarginFraction = 0.1
+	// majority is the fraction of the entries beyond which only one owner can have agreement.
 	majority = 0.5
-	// silentFor is how long a home that did not answer is not asked again.
-	silentFor = 150 * clock.Millisecond
+	// unresponsiveFor is how long an entry sends no claims to an owner that did not reply.
+	unresponsiveFor = 150 * clock.Millisecond
 )
 
-// claim asks the home of an account whether units may run.
+// claim asks the owner of an account whether units may run.
 type claim struct {
 	_       struct{} `cbor:",toarray"`
 	Number  uint64
 	Account ids.Account
 	Units   float64
-	// Keep is the part of the account's burst that it leaves to others.
+	// Keep is the fraction of the account's burst that is left to other requests.
 	Keep float64
-	// Had is what the account has had run at this entry in the last window.
-	Had float64
-	// Run tells the asker's process from earlier ones at its address.
-	Run uint64
-	// Lives is what the home has told the asker of itself, in its present and former lives.
-	Lives []lifeReport
+	// Used is what the account has used at this entry in the last window.
+	Used float64
+	// Incarnation distinguishes the sender's process from earlier ones at its address.
+	Incarnation uint64
+	// Incarnations holds what the owner's present and former processes have reported to the sender.
+	Incarnations []incarnationReport
 }
 
-// lifeReport is what an account had had run at one life of an entry, in the window before it was told.
-type lifeReport struct {
-	_   struct{} `cbor:",toarray"`
-	Run uint64
-	Had float64
-	// Age is how long ago it was told.
+// incarnationReport is what an account had used at one incarnation of an entry, in the window before the report.
+type incarnationReport struct {
+	_           struct{} `cbor:",toarray"`
+	Incarnation uint64
+	Used        float64
+	// Age is the time since the report.
 	Age clock.Millis
 }
 
-// reply is the home's answer. Wait says when to come back if not taken.
+// reply is the owner's reply to a claim. Wait says when to come back if nothing was taken.
 type reply struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
 	Taken  bool
 	Wait   clock.Millis
-	// Had is what the account has had run at the home itself, for the asker to
-	// know should it be the next home.
-	Had float64
-	// Run tells the home's process from earlier ones at its address.
-	Run uint64
-	// Unknown says that the home has no limit for the account: its configuration is older than the
-	// asker's, or newer. Nothing was counted.
+	// Used is what the account has used at the owner itself, in case the receiver is the next owner.
+	Used float64
+	// Incarnation distinguishes the owner's process from earlier ones at its address.
+	Incarnation uint64
+	// Unknown says that the owner has no limit for the account: its configuration is older or newer than the
+	// sender's. Nothing was counted.
 	Unknown bool
 }
 
-// giveBack says that units that were taken did not run.
-type giveBack struct {
+// unitReturn gives back units that were taken and did not run.
+type unitReturn struct {
 	_       struct{} `cbor:",toarray"`
 	Account ids.Account
 	Units   float64
 }
 
-// apart is the last time that some entries had another home than this one for what it was the home of.
-type apart struct {
-	seenAt clock.Millis
-	part   float64      // of the entries, the largest
-	length clock.Millis // for how long, up to a window
+// partition describes the last time that some entries had another owner for shards that this entry owned.
+type partition struct {
+	lastSeen clock.Millis
+	fraction float64      // of the entries, the largest seen
+	duration clock.Millis // at most a window
 }
 
-// Meter is one entry's part in the bookkeeping.
+// Meter counts the usage of client accounts at one entry.
 type Meter struct {
 	common.Common
-	bounds  Bounds
-	view    *view.View
-	members *membership.Members
-	link    *packets.Link
-	books   *quota.Allowance // of the accounts whose home this entry is
-	own     *quota.Allowance // spent while no home answers
-	had     *quota.Ledger    // what accounts had run at this entry
-	reports reports          // what they had run at others, as last told
-	run     uint64           // tells this process from earlier ones at its address
+	bounds         Bounds
+	view           *view.View
+	members        *membership.Members
+	link           *packets.Link
+	ownerAllowance *quota.Allowance // of the accounts that this entry owns
+	localAllowance *quota.Allowance // spent while no owner replies
+	usage          *quota.Ledger    // of accounts at this entry
+	reports        reports          // usage as the entries last reported it
+	incarnation    uint64           // distinguishes this process from earlier ones at its address
 
 	mu sync.Mutex
-	// agreedAt is when all entries were last known to take this one for the home where it is.
-	agreedAt clock.Millis
-	apart    apart
-	number   uint64
-	asked    map[uint64]chan reply
-	silent   map[netip.AddrPort]clock.Millis // homes not to be asked until
-	given    map[uint64]reply                // answers given to claims, by asker and number
-	order    []uint64
+	// lastFullAgreement is when all entries were last known to agree on the owner.
+	lastFullAgreement clock.Millis
+	partition         partition
+	lastNumber        uint64
+	pending           map[uint64]chan reply
+	unresponsiveUntil map[netip.AddrPort]clock.Millis // when claims may be sent to an owner again
+	sentReplies       map[uint64]reply                // by claim number
+	replyOrder        []uint64
 }
 
-// New returns a meter with nothing spent.
+// New returns a meter without usage.
 func New(c common.Common, bounds Bounds, v *view.View, members *membership.Members, link *packets.Link) *Meter {
 	m := &Meter{
-		Common: c, bounds: bounds.kept(), view: v, members: members, link: link,
-		own: quota.NewAllowance(),
-		had: quota.NewLedger(), reports: reports{of: make(map[ids.Account]map[reporter]report)},
-		run: c.Random.Fork().Uint64(), number: c.Random.Fork().Uint64(),
-		asked: make(map[uint64]chan reply), silent: make(map[netip.AddrPort]clock.Millis), given: make(map[uint64]reply),
-		agreedAt: c.Clock.Now(),
+		Common: c, bounds: bounds.withMinWindow(), view: v, members: members, link: link,
+		localAllowance: quota.NewAllowance(),
+		usage:          quota.NewLedger(), reports: reports{byAccount: make(map[ids.Account]map[reporter]report)},
+		incarnation: c.Random.Fork().Uint64(), lastNumber: c.Random.Fork().Uint64(),
+		pending: make(map[uint64]chan reply), unresponsiveUntil: make(map[netip.AddrPort]clock.Millis), sentReplies: make(map[uint64]reply),
+		lastFullAgreement: c.Clock.Now(),
 	}
-	m.books = quota.NewFilledAllowance(m.fresh)
-	link.Handle(packets.KindClaim, packets.Receive(link, m.claimed))
-	link.Handle(packets.KindReply, packets.Receive(link, m.replied))
-	link.Handle(packets.KindReturn, packets.Receive(link, m.returned))
+	m.ownerAllowance = quota.NewFilledAllowance(m.initialFill)
+	link.Handle(packets.KindClaim, packets.Receive(link, m.handleClaim))
+	link.Handle(packets.KindReply, packets.Receive(link, m.handleReply))
+	link.Handle(packets.KindReturn, packets.Receive(link, m.handleReturn))
 	return m
 }
 
@@ -181,7 +174,7 @@
 func (m *Meter) SetBounds(bounds Bounds) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.bounds = bounds.kept()
+	m.bounds = bounds.withMinWindow()
 }
 
 func (m *Meter) window() clock.Millis {
@@ -190,8 +183,8 @@
 	return m.bounds.Window
 }
 
-// margin is what the bounds leave beyond an account's allowance in a window, and
-// the window in seconds.
+// margin returns what the bounds allow beyond an account's allowance in a window, in units, and the window in
+// seconds.
 func (m *Meter) margin(account *routing.Account) (units, window float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -199,80 +192,79 @@
 	return m.bounds.Over*(account.PerSecond*window+account.Burst) + m.bounds.Slack, window
 }
 
-// Take counts units against an account's allowance. If it may not run them, it
-// returns when to come back. keep is the part of the account's burst that is to
-// be left for others.
+// Take counts units against an account's allowance. If they may not run, it returns when to come back. keep is the
+// fraction of the account's burst that is left to others.
 func (m *Meter) Take(ctx context.Context, account *routing.Account, units, keep float64) (bool, clock.Millis) {
 	if account.PerSecond <= 0 {
 		return true, 0
 	}
 	taken, wait := m.take(ctx, account, units, keep)
 	if taken {
-		m.had.Add(m.Clock.Now(), account.Name, m.window(), units)
+		m.usage.Add(m.Clock.Now(), account.Name, m.window(), units)
 	}
 	return taken, wait
 }
 
 func (m *Meter) take(ctx context.Context, account *routing.Account, units, keep float64) (bool, clock.Millis) {
 	if m.Ablation.Off(ablation.QuotaHomes) {
-		return m.spendOwn(account, units)
+		return m.takeLocally(account, units)
 	}
-	home, self := m.members.Home(matter(account.Name))
-	had := m.had.Sum(m.Clock.Now(), account.Name, m.window())
+	owner, self := m.members.Home(shardOf(account.Name))
+	used := m.usage.Sum(m.Clock.Now(), account.Name, m.window())
 	if self {
-		return m.book(netip.AddrPort{}, account, claim{Units: units, Keep: keep, Had: had, Run: m.run})
+		return m.takeAsOwner(netip.AddrPort{}, account, claim{Units: units, Keep: keep, Used: used, Incarnation: m.incarnation})
 	}
-	lives := m.reports.lives(m.Clock.Now(), account.Name, home, m.window())
-	question := claim{Account: account.Name, Units: units, Keep: keep, Had: had, Run: m.run, Lives: lives}
-	if answer, answered := m.ask(ctx, home, question); answered {
-		m.agreed()
-		m.reports.set(account.Name, reporter{home, answer.Run}, report{had: answer.Had, at: m.Clock.Now()})
+	incarnations := m.reports.incarnationsAt(m.Clock.Now(), account.Name, owner, m.window())
+	request := claim{Account: account.Name, Units: units, Keep: keep, Used: used, Incarnation: m.incarnation, Incarnations: incarnations}
+	if answer, answered := m.sendClaim(ctx, owner, request); answered {
+		m.recordOwnerReply()
+		m.reports.set(account.Name, reporter{owner, answer.Incarnation}, report{used: answer.Used, at: m.Clock.Now()})
 		if answer.Unknown {
 			m.Metrics.Links.Add("quota_homes_unaware", 1)
-			return m.spendOwn(account, units)
+			return m.takeLocally(account, units)
 		}
 		return answer.Taken, answer.Wait
 	}
 	m.Metrics.Links.Add("quota_homes_silent", 1)
-	return m.spendOwn(account, units)
+	return m.takeLocally(account, units)
 }
 
-// Return gives back units that were taken at a moment and did not run.
+// Return gives back units that were taken at the given time and did not run.
 func (m *Meter) Return(account *routing.Account, units float64, taken clock.Millis) {
 	if account.PerSecond <= 0 {
-		return // their taking was not noted
+		return // usage of unlimited accounts is not recorded
 	}
-	m.had.Refund(m.Clock.Now(), taken, account.Name, m.window(), units)
-	home, self := m.members.Home(matter(account.Name))
+	m.usage.Refund(m.Clock.Now(), taken, account.Name, m.window(), units)
+	owner, self := m.members.Home(shardOf(account.Name))
 	if self {
-		m.books.Return(account.Name, units)
+		m.ownerAllowance.Return(account.Name, units)
 		return
 	}
-	m.link.Send(home, packets.KindReturn, giveBack{Account: account.Name, Units: units})
+	m.link.Send(owner, packets.KindReturn, unitReturn{Account: account.Name, Units: units})
 }
 
-// Forget drops the buckets of accounts that are gone.
+// Forget drops the usage of accounts that are no longer known.
 func (m *Meter) Forget(known func(ids.Account) bool) {
-	m.books.Forget(known)
-	m.own.Forget(known)
-	m.had.Forget(known)
+	m.ownerAllowance.Forget(known)
+	m.localAllowance.Forget(known)
+	m.usage.Forget(known)
 	m.reports.forget(known)
 }
 
-func matter(account ids.Account) string {
+func shardOf(account ids.Account) string {
 	return "account/" + string(account)
 }
 
-// spendOwn counts against this entry's share of the margin.
-func (m *Meter) spendOwn(account *routing.Account, units float64) (bool, clock.Millis) {
+// takeLocally counts units against this entry's share of the margin.
+func (m *Meter) takeLocally(account *routing.Account, units float64) (bool, clock.Millis) {
 	margin, window := m.margin(account)
-	// Half of it flows over the window, half may go at once.
-	alone := *account
-	alone.PerSecond = marginPart * margin / 2 / window
-	alone.Burst = marginPart * margin / 2
+	// Half of the margin is a rate over the window, half may be taken at once.
+	local := *account
+	local.PerSecond = localMarginFraction * margin / 2 / window
+	local.Burst = localMarginFraction * margin / 2
 	share := m.members.Share()
-	if share <= 0 || alone.PerSecond <= 0 {
-		return false, unlistedWait // to an allowance a rate of 0 is no limit
+	if share <= 0 || local.PerSecond <= 0 {
+		return false, unlistedRetryAfter // an Allowance takes a rate of 0 for no limit
 	}
-	return m.own.Take(m.Clock.Now(), &alone, quota.Spending{Share: share, Units: units, Debt: debtPart * margin * share})
+	return m.localAllowance.Take(m.Clock.Now(), &local, quota.Spending{Share: share, Units: units, Debt: debtMarginFraction * margin * share})
 }
--- a/pkg/metering/meter_test.go
+++ b/pkg/metering/meter_test.go
@@ -11,21 +11,21 @@
 	"quaydock/pkg/packets"
 )
 
-func TestTheSumOverAllEntriesHolds(t *testing.T) {
+func TestSumOverAllEntriesStaysWithinLimit(t *testing.T) {
 	scenarios := []struct {
 		name string
 		lose func(from, to netip.AddrPort, kind packets.Kind) bool
-		// least is what must be taken in some window, as a part of the
-		// allowance: an entry that refuses everything keeps every bound.
+		// least is what must be taken in some window, as a fraction of the allowance: an entry that refuses
+		// everything stays within any limit.
 		least float64
 	}{
-		{"calm", nil, 0.90}, // a fresh bucket is nearly empty: a little over 8 of 9 s of the rate
-		{"cut in two halves", func(from, to netip.AddrPort, _ packets.Kind) bool { return half(from) != half(to) }, 0.5},
-		{"one entry cut off", func(from, to netip.AddrPort, _ packets.Kind) bool {
+		{"no loss", nil, 0.90}, // a new bucket is nearly empty: a little over 8 of 9 s of the rate
+		{"partition into two halves", func(from, to netip.AddrPort, _ packets.Kind) bool { return inFirstHalf(from) != inFirstHalf(to) }, 0.5},
+		{"one entry isolated", func(from, to netip.AddrPort, _ packets.Kind) bool {
 			return from == address(0) || to == address(0)
 		}, 0.6},
-		{"one way cut", func(from, _ netip.AddrPort, _ packets.Kind) bool { return from == address(1) }, 0.5},
-		{"nothing gets through", func(_, _ netip.AddrPort, _ packets.Kind) bool { return true }, 0.1},
+		{"messages of one entry are lost", func(from, _ netip.AddrPort, _ packets.Kind) bool { return from == address(1) }, 0.5},
+		{"all messages are lost", func(_, _ netip.AddrPort, _ packets.Kind) bool { return true }, 0.1},
 		{"claims are lost", func(_, _ netip.AddrPort, kind packets.Kind) bool { return kind == packets.KindClaim }, 0.1},
 	}
 	for _, s := range scenarios {
@@ -38,80 +38,80 @@
 				all = append(all, d.demand(ctx, 9*time.Second)...)
 				d.net.Lose(nil)
 				all = append(all, d.demand(ctx, 3*time.Second)...)
-				got := worst(all)
-				if got > bound() {
-					t.Errorf("%.0f taken in a window, bound %.0f", got, bound())
+				got := maxInWindow(all)
+				if got > accountLimit() {
+					t.Errorf("%.0f taken in a window, limit %.0f", got, accountLimit())
 				}
 				if least := s.least * (perSecond*8 + burst); got < least {
-					t.Errorf("%.0f taken in the fullest window, want %.0f at the least", got, least)
+					t.Errorf("%.0f taken in the fullest window, want at least %.0f", got, least)
 				}
 			})
 		})
 	}
 }
 
-func half(a netip.AddrPort) bool {
+func inFirstHalf(a netip.AddrPort) bool {
 	return a == address(0) || a == address(1)
 }
 
-func TestARepeatedClaimCountsOnce(t *testing.T) {
+func TestResentClaimCountsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		d := deploy(ctx)
-		// Every first answer is lost, so that each claim is sent again.
+		// Every first reply is lost, so that each claim is sent again.
 		var replies atomic.Int64
 		d.net.Lose(func(_, _ netip.AddrPort, kind packets.Kind) bool {
 			return kind == packets.KindReply && replies.Add(1)%2 == 1
 		})
 		all := d.demand(ctx, 5*time.Second)
-		if got, least := worst(all), 0.9*(perSecond*5); got < least {
-			t.Errorf("%.0f taken, want %.0f: claims are counted more than once", got, least)
+		if got, least := maxInWindow(all), 0.9*(perSecond*5); got < least {
+			t.Errorf("%.0f taken, want at least %.0f: claims are counted more than once", got, least)
 		}
 	})
 }
 
-func TestTheDeadAreNotWaitedForForEver(t *testing.T) {
+func TestDeadEntryIsReplacedAsOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		d := deploy(ctx)
 		dead := address(3)
 		d.net.Lose(func(from, to netip.AddrPort, _ packets.Kind) bool { return from == dead || to == dead })
 		time.Sleep(2 * time.Second)
-		if home, _ := d.members[0].Home("account/a"); home == dead {
-			t.Error("a dead entry is still the home")
+		if owner, _ := d.members[0].Home("account/a"); owner == dead {
+			t.Error("a dead entry is still the owner")
 		}
 		if got := d.members[0].Backing(); got != 0.75 {
-			t.Errorf("backing %.2f with three of four alive", got)
+			t.Errorf("agreement %.2f with three of four alive", got)
 		}
 	})
 }
 
-// TestABurstFlowsOnceInEachWindow has an account ask without end: it gets what
-// it may have in any window, not only the rate.
-func TestABurstFlowsOnceInEachWindow(t *testing.T) {
+// TestBurstIsGrantedOnceInEachWindow has an account ask without end: it gets its rate and its burst in any window,
+// not only its rate.
+func TestBurstIsGrantedOnceInEachWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		d := deploy(ctx)
 		d.demand(ctx, 10*time.Second) // the first burst is over
 		all := d.demand(ctx, 8*time.Second)
-		got := sum(all)
+		got := total(all)
 		if least := 0.97 * (perSecond*8 + burst); got < least {
-			t.Errorf("%.0f in a window long after the first, want %.0f", got, least)
+			t.Errorf("%.0f taken in a window after the first burst, want at least %.0f", got, least)
 		}
 	})
 }
 
-// TestSettingsWithoutAWindowBoundAccountsToo has settings that name no bounds for accounts: rate and burst
-// hold all the same, at the home and at entries that do not reach it. Users would see accounts without any
-// limit after a settings file that lacks these lines. Cause: what may flow in a window was divided by its length, and
-// 0 made it endless. Evidence: this test; it wasn't seen on a record.
-func TestSettingsWithoutAWindowBoundAccountsToo(t *testing.T) {
+// TestZeroWindowStillLimitsAccounts has settings that name no bounds for accounts: rate and burst still apply, at the
+// owner and at entries that do not reach it. Users would see accounts without any limit after a settings file that
+// lacks these lines, because a window of 0 made the rate that is divided by it infinite. It was not seen in any
+// recorded run.
+func TestZeroWindowStillLimitsAccounts(t *testing.T) {
 	scenarios := []struct {
 		name string
 		lose func(from, to netip.AddrPort, kind packets.Kind) bool
 	}{
-		{"calm", nil},
-		{"nothing gets through", func(_, _ netip.AddrPort, _ packets.Kind) bool { return true }},
+		{"no loss", nil},
+		{"all messages are lost", func(_, _ netip.AddrPort, _ packets.Kind) bool { return true }},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -120,28 +120,28 @@
 				d := deployMany(ctx, entries, largeAccount(), metering.Bounds{})
 				d.net.Lose(s.lose)
 				all := d.demandUnits(ctx, 9*time.Second, largeUnits)
-				// Each entry may go beyond its part by one request.
+				// Each entry may exceed its fraction by one request.
 				const most = largeRate*8 + largeRate + 2*entries*largeRequest
-				checkMost(t, all, most)
+				checkMaxInWindow(t, all, most)
 			})
 		})
 	}
 }
 
-// TestAnAccountWithoutABurstHasItsRate has an account with a rate alone: users would see all its requests
-// refused for good. Cause: what a home holds for an account was capped at its burst, so there was never
-// anything to take. Evidence: this test; it wasn't seen on a record.
-func TestAnAccountWithoutABurstHasItsRate(t *testing.T) {
+// TestAccountWithoutBurstGetsItsRate has an account with a rate alone: users would see all its requests refused for
+// good, because the owner's bucket was capped at the account's burst and never held anything to take. It was not seen
+// in any recorded run.
+func TestAccountWithoutBurstGetsItsRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		account := largeAccount()
 		account.Burst = 0
 		d := deployMany(ctx, entries, account, largeBounds)
 		all := d.demandUnits(ctx, 12*time.Second, largeUnits)
-		got := worst(all)
+		got := maxInWindow(all)
 		if least := 0.95 * largeRate * 8; got < least {
-			t.Errorf("%.0f taken in the fullest window, want %.0f at the least", got, least)
+			t.Errorf("%.0f taken in the fullest window, want at least %.0f", got, least)
 		}
-		checkMost(t, all, 0.95*(largeRate*8*(1+largeBounds.Over)+largeBounds.Slack))
+		checkMaxInWindow(t, all, 0.95*(largeRate*8*(1+largeBounds.Over)+largeBounds.Slack))
 	})
 }
--- a/pkg/metering/reports.go
+++ b/pkg/metering/reports.go
@@ -8,84 +8,82 @@
 	"quaydock/pkg/ids"
 )
 
-// report is what an account has had run at an entry in the window before a
-// moment.
+// report is what an account had used at an entry in the window before a moment.
 type report struct {
-	had float64
-	at  clock.Millis
+	used float64
+	at   clock.Millis
 }
 
-// reporter is one life of an entry; the address of this entry itself is left out. The first word of an
-// entry's next life does not take the place of what its former one told: an account's home that was killed several times in
-// a window, and began each time as if nothing had been served there, gave out more than the bound.
+// reporter is one incarnation of an entry; the address is empty for this entry itself. The first report of a new
+// incarnation does not replace that of the former one: an account's owner that was killed several times in a window,
+// and began each time as if nothing had been served there, gave out more than the limit.
 type reporter struct {
-	at  netip.AddrPort
-	run uint64
+	at          netip.AddrPort
+	incarnation uint64
 }
 
-// reports are what entries last told of accounts.
+// reports holds the latest reports of each entry on the usage of accounts.
 type reports struct {
-	mu sync.Mutex
-	of map[ids.Account]map[reporter]report
+	mu        sync.Mutex
+	byAccount map[ids.Account]map[reporter]report
 }
 
-func (r *reports) set(account ids.Account, from reporter, told report) {
+func (r *reports) set(account ids.Account, from reporter, latest report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.put(account, from, told)
+	r.setLocked(account, from, latest)
 }
 
-// put is set; the lock is held.
-func (r *reports) put(account ids.Account, from reporter, told report) {
-	if r.of[account] == nil {
-		r.of[account] = make(map[reporter]report)
+// setLocked is set for callers that hold the lock.
+func (r *reports) setLocked(account ids.Account, from reporter, latest report) {
+	if r.byAccount[account] == nil {
+		r.byAccount[account] = make(map[reporter]report)
 	}
-	r.of[account][from] = told
+	r.byAccount[account][from] = latest
 }
 
-// mostLives bounds what one claim tells of the lives of its home.
-const mostLives = 16
+// maxIncarnations limits how many incarnations of its receiver one claim reports.
+const maxIncarnations = 16
 
-// lives is what an entry has told in each of its lives, as far as it counts still.
-func (r *reports) lives(now clock.Millis, account ids.Account, at netip.AddrPort, window clock.Millis) []lifeReport {
+// incarnationsAt returns what each incarnation of an entry has reported, as far as it still counts.
+func (r *reports) incarnationsAt(now clock.Millis, account ids.Account, at netip.AddrPort, window clock.Millis) []incarnationReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var lives []lifeReport
-	for from, told := range r.of[account] {
-		if from.at == at && now-told.at <= window && len(lives) < mostLives {
-			lives = append(lives, lifeReport{Run: from.run, Had: told.had, Age: now - told.at})
+	var incarnations []incarnationReport
+	for from, latest := range r.byAccount[account] {
+		if from.at == at && now-latest.at <= window && len(incarnations) < maxIncarnations {
+			incarnations = append(incarnations, incarnationReport{Incarnation: from.incarnation, Used: latest.used, Age: now - latest.at})
 		}
 	}
-	return lives
+	return incarnations
 }
 
-// learn takes what this entry's former lives told others, who tell it back: a process does not know what
-// the one before it has served.
-func (r *reports) learn(now clock.Millis, account ids.Account, own uint64, lives []lifeReport) {
+// merge takes in what this entry's former incarnations reported to others, which report it back: a process does
+// not know what the one before it has served.
+func (r *reports) merge(now clock.Millis, account ids.Account, own uint64, incarnations []incarnationReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, l := range lives {
-		former := reporter{run: l.Run}
-		told := report{had: l.Had, at: now - l.Age}
-		if before, known := r.of[account][former]; l.Run != own && (!known || before.at < told.at) {
-			r.put(account, former, told)
+	for _, l := range incarnations {
+		former := reporter{incarnation: l.Incarnation}
+		latest := report{used: l.Used, at: now - l.Age}
+		if before, known := r.byAccount[account][former]; l.Incarnation != own && (!known || before.at < latest.at) {
+			r.setLocked(account, former, latest)
 		}
 	}
 }
 
-// sum is what an account has had run in the window up to now, as far as it was
-// told, and never less: an entry's report counts whole until it tells another,
-// or until the window has passed.
+// sum returns what an account has used in the window up to now by the reports, and never less: an entry's report
+// counts in full until the entry reports again, or until the window has passed.
 func (r *reports) sum(now clock.Millis, account ids.Account, window clock.Millis) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	sum := 0.0
-	for from, told := range r.of[account] {
-		if now-told.at > window {
-			delete(r.of[account], from)
+	for from, latest := range r.byAccount[account] {
+		if now-latest.at > window {
+			delete(r.byAccount[account], from)
 			continue
 		}
-		sum += told.had
+		sum += latest.used
 	}
 	return sum
 }
@@ -93,9 +91,9 @@
 func (r *reports) forget(known func(ids.Account) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for name := range r.of {
+	for name := range r.byAccount {
 		if !known(name) {
-			delete(r.of, name)
+			delete(r.byAccount, name)
 		}
 	}
 }
--- a/pkg/metering/series_bed_test.go
+++ b/pkg/metering/series_deployment_test.go
@@ -27,7 +27,7 @@
 )
 
 // series is a deployment in which entries live, die and start again one by one, beside a store that
-// each may or may not reach, while callers ask for far more than an account may have.
+// each may or may not reach, while callers ask for far more than the account's limit.
 type series struct {
 	common.Common
 	ctx     context.Context
@@ -37,81 +37,81 @@
 	store   *entryStore
 	entries []*seriesEntry
 	bounds  metering.Bounds
-	limits  []limit // that were ever sent, the newest last
+	limits  []limit // all that ever applied, the newest last
 	load    load
-	// revision is of the newest catalog.
+	// revision is that of the newest catalog.
 	revision atomic.Int64
 
 	mu      sync.Mutex
 	ran     []run
-	refused float64 // units that were told to wait
+	refused float64 // units that were refused
 }
 
-// limit is an account's limit, sent at a moment and gone at another.
+// limit is an account's limit and the time for which it applied.
 type limit struct {
 	account  *routing.Account
 	from, to clock.Millis
 }
 
-// load is what callers ask for, and what becomes of what was admitted.
+// load is what callers ask for, and what becomes of admitted requests.
 type load struct {
-	workers  int
-	pause    time.Duration
-	units    func(*rand.Rand) float64
-	returned float64       // the part that is given back, and does not run
-	longest  time.Duration // between the admission and the run, or the giving back
+	workers          int
+	pause            time.Duration
+	units            func(*rand.Rand) float64
+	returnedFraction float64       // the fraction that is given back, and does not run
+	maxDelay         time.Duration // from the admission until the request runs or is given back
 }
 
-// run is what has run, and when it was admitted.
+// run is a request that ran, with the times of its admission and its start.
 type run struct {
 	sent, began clock.Millis
 	units       float64
 }
 
-// seriesEntry is an entry through all its lives.
+// seriesEntry is an entry through all its incarnations.
 type seriesEntry struct {
-	weight  float64 // how likely its callers ask at all
-	account atomic.Pointer[routing.Account]
-	quiet   atomic.Bool  // no callers come to it
-	cut     atomic.Bool  // from the store
-	proven  atomic.Int64 // when it last was in reach of the store, while it is cut
-	life    atomic.Pointer[life]
+	weight           float64 // the probability that its callers send a request at all
+	account          atomic.Pointer[routing.Account]
+	idle             atomic.Bool  // no callers come to it
+	storeCut         atomic.Bool  // it does not reach the store
+	lastStoreContact atomic.Int64 // when it last reached the store, while it is cut off
+	current          atomic.Pointer[incarnation]
 }
 
-// life is one process of an entry.
-type life struct {
+// incarnation is one process of an entry.
+type incarnation struct {
 	ctx     context.Context
-	end     context.CancelFunc
+	stop    context.CancelFunc
 	meter   *metering.Meter
 	members *membership.Members
 	view    *view.View
-	load    load // as it was set when the life began
+	load    load // as it was set when the process started
 }
 
 // entryStore keeps the rows of the entries.
 type entryStore struct {
 	mu   sync.Mutex
 	rows map[string]follow.Row
-	// changed is told of rows behind the lock.
-	changed func(follow.Row)
+	// onChange is called with changed rows, without the lock.
+	onChange func(follow.Row)
 }
 
-// storeOf is the store as one entry reaches it.
-type storeOf struct {
+// storeClient is the store as one entry reaches it.
+type storeClient struct {
 	store *entryStore
 	entry *seriesEntry
 }
 
-var errAway = errors.New("the store is away")
+var errStoreUnavailable = errors.New("the store is unavailable")
 
-// never is the end of a limit in force.
-const never = clock.Millis(math.MaxInt64 / 2)
+// noEnd is the end of a limit in force.
+const noEnd = clock.Millis(math.MaxInt64 / 2)
 
-func (s storeOf) Put(_ context.Context, key string, value []byte) error {
+func (s storeClient) Put(_ context.Context, key string, value []byte) error {
 	return s.change(follow.Row{Key: key, Value: value})
 }
 
-func (s storeOf) PutAll(_ context.Context, rows map[string][]byte) error {
+func (s storeClient) PutAll(_ context.Context, rows map[string][]byte) error {
 	for key, value := range rows {
 		if err := s.change(follow.Row{Key: key, Value: value}); err != nil {
 			return err
@@ -120,7 +120,7 @@
 	return nil
 }
 
-func (s storeOf) Remove(_ context.Context, keys ...string) error {
+func (s storeClient) Remove(_ context.Context, keys ...string) error {
 	for _, key := range keys {
 		if err := s.change(follow.Row{Key: key, Gone: true}); err != nil {
 			return err
@@ -129,9 +129,9 @@
 	return nil
 }
 
-func (s storeOf) change(row follow.Row) error {
-	if s.entry.cut.Load() {
-		return errAway
+func (s storeClient) change(row follow.Row) error {
+	if s.entry.storeCut.Load() {
+		return errStoreUnavailable
 	}
 	s.store.mu.Lock()
 	if row.Gone {
@@ -140,7 +140,7 @@
 		s.store.rows[row.Key] = row
 	}
 	s.store.mu.Unlock()
-	s.store.changed(row)
+	s.store.onChange(row)
 	return nil
 }
 
@@ -154,7 +154,7 @@
 	return list
 }
 
-// newSeries returns a deployment of a drawn size and account, of which all entries are listed and none runs.
+// newSeries returns a deployment of a drawn size and account, in which all entries are listed and none runs.
 func newSeries(t *testing.T, seed uint64) *series {
 	drawn := rand.New(rand.NewPCG(seed, 44))
 	s := &series{
@@ -163,13 +163,13 @@
 		bounds: metering.Bounds{Over: 0.1, Slack: 140_000, Window: window},
 	}
 	s.Random = random.NewSource(seed + 1)
-	s.store.changed = s.tell
+	s.store.onChange = s.notifyEntries
 	rate := []float64{36_000, 100_000, 400_000}[drawn.IntN(3)]
 	s.setLimit(rate, rate*[]float64{0.25, 1, 1.8}[drawn.IntN(3)])
-	s.load = load{workers: 2, pause: *seriesPause, longest: time.Duration(drawn.IntN(1500)) * time.Millisecond}
+	s.load = load{workers: 2, pause: *seriesPause, maxDelay: time.Duration(drawn.IntN(1500)) * time.Millisecond}
 	size := rate / 50
 	s.load.units = func(r *rand.Rand) float64 { return min(rate/2, size*math.Exp(0.7*r.NormFloat64())) }
-	s.load.returned = []float64{0, 0, 0.3, 0.7}[drawn.IntN(4)]
+	s.load.returnedFraction = []float64{0, 0, 0.3, 0.7}[drawn.IntN(4)]
 	for i := range []int{3, 4, 4, 6}[drawn.IntN(4)] {
 		s.add()
 		s.store.rows[row(i).Key] = row(i)
@@ -192,11 +192,11 @@
 	if n := len(s.limits); n > 0 {
 		s.limits[n-1].to = now
 	}
-	s.limits = append(s.limits, limit{account: account, from: now, to: never})
+	s.limits = append(s.limits, limit{account: account, from: now, to: noEnd})
 	for _, e := range s.entries {
 		time.AfterFunc(time.Duration(s.random.IntN(300))*time.Millisecond, func() {
 			e.account.Store(account)
-			if l := e.life.Load(); l != nil {
+			if l := e.current.Load(); l != nil {
 				l.view.SetCatalog(s.catalogOf(account))
 			}
 		})
@@ -207,14 +207,14 @@
 	return routing.NewCatalog(routing.Revision(s.revision.Add(1)), routing.Limits{}, nil, nil, []*routing.Account{account})
 }
 
-// tell has the entries that reach the store hear of a row.
-func (s *series) tell(row follow.Row) {
+// notifyEntries reports a changed row to the entries that reach the store.
+func (s *series) notifyEntries(row follow.Row) {
 	s.mu.Lock()
 	entries := slices.Clone(s.entries)
 	s.mu.Unlock()
 	for _, e := range entries {
-		l := e.life.Load()
-		if l == nil || e.cut.Load() {
+		l := e.current.Load()
+		if l == nil || e.storeCut.Load() {
 			continue
 		}
 		time.AfterFunc(5*time.Millisecond, func() {
@@ -225,71 +225,71 @@
 	}
 }
 
-// setCut cuts an entry off from the store, or ends that.
-func (s *series) setCut(e *seriesEntry, cut bool) {
-	if cut && !e.cut.Load() {
-		e.proven.Store(int64(s.Clock.Now()))
+// setStoreCut cuts an entry off from the store, or restores the connection.
+func (s *series) setStoreCut(e *seriesEntry, cut bool) {
+	if cut && !e.storeCut.Load() {
+		e.lastStoreContact.Store(int64(s.Clock.Now()))
 	}
-	e.cut.Store(cut)
+	e.storeCut.Store(cut)
 }
 
-// trust is for how long entries that most others hear go on without the store, and alone for how long
-// the others do: what they may know of keys is too old then.
+// maxOutageWithMajority is how long an entry that most others take for alive goes on without the store, and
+// maxOutageAlone how long the others do: after that, what they know of keys may be too old.
 const (
-	trust = 60 * clock.Second
-	alone = membership.ForgetAfter - clock.Second/2
+	maxOutageWithMajority = 60 * clock.Second
+	maxOutageAlone        = membership.ForgetAfter - clock.Second/2
 )
 
-// serves reports whether an entry knows enough to admit anything.
-func (s *series) serves(e *seriesEntry, l *life) bool {
-	proven := clock.Millis(e.proven.Load())
-	return !e.quiet.Load() && (!e.cut.Load() || s.Clock.Now()-proven <= alone || l.members.Assured(proven))
+// canAdmit reports whether an entry has callers and knows enough to admit requests.
+func (s *series) canAdmit(e *seriesEntry, l *incarnation) bool {
+	lastContact := clock.Millis(e.lastStoreContact.Load())
+	return !e.idle.Load() && (!e.storeCut.Load() || s.Clock.Now()-lastContact <= maxOutageAlone || l.members.Assured(lastContact))
 }
 
-// start has an entry live. It reads a list after a while; nil is that of the store.
+// start starts a process of an entry. It reads a list after a while: the given one, or the store's if nil.
 func (s *series) start(i int, after time.Duration, list []follow.Row) {
 	e := s.entries[i]
 	ctx, end := context.WithCancel(s.ctx)
 	link := packets.NewLink(s.Common, s.net.Socket(address(i)))
 	self := membership.Self{Name: ids.Process(fmt.Sprint("entry-", i)), Address: address(i), Weight: 1}
-	l := &life{ctx: ctx, end: end, view: view.New(s.Check), members: membership.New(s.Common, self, storeOf{s.store, e}, link), load: s.load}
-	l.members.SetTrust(trust)
+	l := &incarnation{ctx: ctx, stop: end, view: view.New(s.Check), members: membership.New(s.Common, self, storeClient{s.store, e}, link), load: s.load}
+	l.members.SetTrust(maxOutageWithMajority)
 	l.view.SetCatalog(s.catalogOf(e.account.Load()))
 	l.meter = metering.New(s.Common, s.bounds, l.view, l.members, link)
-	e.life.Store(l)
+	e.current.Store(l)
 	go link.Run(ctx)
 	go l.members.Run(ctx)
-	time.AfterFunc(after, func() { s.read(l, e, list) })
+	time.AfterFunc(after, func() { s.readList(l, e, list) })
 	for range l.load.workers {
-		go s.call(e, l, rand.New(rand.NewPCG(s.Random.Fork().Uint64(), 0)))
+		go s.runCaller(e, l, rand.New(rand.NewPCG(s.Random.Fork().Uint64(), 0)))
 	}
 }
 
-// read has an entry read a list, and again while it does not reach the store.
-func (s *series) read(l *life, e *seriesEntry, list []follow.Row) {
+// readList has an entry read a list, and try again while it does not reach the store.
+func (s *series) readList(l *incarnation, e *seriesEntry, list []follow.Row) {
 	switch {
 	case l.ctx.Err() != nil:
 	case list != nil:
 		l.members.Whole(list, follow.Proof{})
-	case !e.cut.Load():
+	case !e.storeCut.Load():
 		l.members.Whole(s.store.list(), follow.Proof{})
 	default:
-		time.AfterFunc(50*time.Millisecond, func() { s.read(l, e, nil) })
+		time.AfterFunc(50*time.Millisecond, func() { s.readList(l, e, nil) })
 	}
 }
 
 // kill ends an entry's process.
 func (s *series) kill(i int) {
-	if l := s.entries[i].life.Swap(nil); l != nil {
-		l.end()
+	if l := s.entries[i].current.Swap(nil); l != nil {
+		l.stop()
 	}
 }
 
-// call asks as callers do, for as long as a process lives.
-func (s *series) call(e *seriesEntry, l *life, r *rand.Rand) {
+// runCaller sends requests for as long as a process lives.
+func (s *series) runCaller(e *seriesEntry, l *incarnation, r *rand.Rand) {
 	for l.ctx.Err() == nil {
 		clock.Pause(l.ctx, clock.Millis(l.load.pause.Milliseconds()))
-		if !s.serves(e, l) || r.Float64() > e.weight {
+		if !s.canAdmit(e, l) || r.Float64() > e.weight {
 			continue
 		}
 		account := e.account.Load()
@@ -298,7 +298,7 @@
 		switch {
 		case l.ctx.Err() != nil:
 		case taken:
-			s.follow(l, account, units, r)
+			s.settle(l, account, units, r)
 		default:
 			s.mu.Lock()
 			s.refused += units
@@ -307,12 +307,12 @@
 	}
 }
 
-// follow has what was admitted run after a while, or gives it back then. What a process that has
-// died meanwhile had sent to its target runs all the same.
-func (s *series) follow(l *life, account *routing.Account, units float64, r *rand.Rand) {
+// settle has an admitted request run after a while, or gives its units back then. A request whose process has died
+// meanwhile still runs if it had been sent to its target.
+func (s *series) settle(l *incarnation, account *routing.Account, units float64, r *rand.Rand) {
 	sent := s.Clock.Now()
-	after := time.Duration(r.Float64() * float64(l.load.longest))
-	if r.Float64() >= l.load.returned {
+	after := time.Duration(r.Float64() * float64(l.load.maxDelay))
+	if r.Float64() >= l.load.returnedFraction {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.ran = append(s.ran, run{sent: sent, began: sent + clock.Millis(after.Milliseconds()), units: units})
@@ -326,11 +326,11 @@
 }
 
 // lowerAfter is how long after a change a window counts against the lower limit alone: entries learn
-// it within 300 ms, and it takes hold a window later.
+// it within 300 ms, and it takes effect a window later.
 const lowerAfter = window + 300*clock.Millisecond
 
-// allowed is the bound of a window that begins at a moment.
-func (s *series) allowed(from clock.Millis) float64 {
+// limitAt is the limit of a window that begins at a moment.
+func (s *series) limitAt(from clock.Millis) float64 {
 	most := 0.0
 	for _, l := range s.limits {
 		if l.from <= from+window && from <= l.to+lowerAfter {
@@ -341,15 +341,15 @@
 	return most
 }
 
-// share is the largest part of its bound that any window had, by when requests were sent and by when
+// maxLimitFraction is the largest fraction of its limit that any window used, by when requests were sent and by when
 // they began to run.
-func (s *series) share() (bySent, byRun float64) {
+func (s *series) maxLimitFraction() (bySent, byRun float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.largest(func(r run) clock.Millis { return r.sent }), s.largest(func(r run) clock.Millis { return r.began })
+	return s.maxFractionBy(func(r run) clock.Millis { return r.sent }), s.maxFractionBy(func(r run) clock.Millis { return r.began })
 }
 
-func (s *series) largest(at func(run) clock.Millis) float64 {
+func (s *series) maxFractionBy(at func(run) clock.Millis) float64 {
 	all := slices.Clone(s.ran)
 	slices.SortFunc(all, func(a, b run) int { return int(at(a) - at(b)) })
 	most, sum, end := 0.0, 0.0, 0
@@ -358,17 +358,17 @@
 			sum += all[end].units
 			end++
 		}
-		most = max(most, sum/s.allowed(at(first)))
+		most = max(most, sum/s.limitAt(at(first)))
 		sum -= first.units
 	}
 	return most
 }
 
-// home is the entry that most living ones take for the account's home.
-func (s *series) home() int {
+// owner is the entry that most living ones take for the account's owner.
+func (s *series) owner() int {
 	votes := make([]int, len(s.entries))
 	for _, e := range s.entries {
-		if l := e.life.Load(); l != nil {
+		if l := e.current.Load(); l != nil {
 			at, _ := l.members.Home("account/a")
 			for i := range s.entries {
 				if at == address(i) {
@@ -380,29 +380,29 @@
 	return slices.Index(votes, slices.Max(votes))
 }
 
-// pause waits between two lengths, in ms.
+// pause sleeps for a drawn time between two limits, in ms.
 func (s *series) pause(least, most int) {
-	time.Sleep(s.draw(least, most))
+	time.Sleep(s.randomDuration(least, most))
 }
 
-func (s *series) draw(least, most int) time.Duration {
+func (s *series) randomDuration(least, most int) time.Duration {
 	return time.Duration(least+s.random.IntN(most-least+1)) * time.Millisecond
 }
 
-// forget drops what has run and what was refused.
-func (s *series) forget() {
+// resetCounts drops what has run and what was refused.
+func (s *series) resetCounts() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ran, s.refused = nil, 0
 }
 
-// refusedPart is the part of what was asked that was refused.
-func (s *series) refusedPart() float64 {
+// refusedFraction is the fraction of the requested units that was refused.
+func (s *series) refusedFraction() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	asked := s.refused
+	requested := s.refused
 	for _, r := range s.ran {
-		asked += r.units
+		requested += r.units
 	}
-	return s.refused / asked
+	return s.refused / requested
 }
