--- a/pkg/quota/allowance.go
+++ b/pkg/quota/allowance.go
@@ -1,7 +1,6 @@
-// Package quota bounds, at one entry, what must hold over all entries together:
-// what a client account may have run, and how often requests are repeated. Each
-// entry spends its own share, so that nothing need be asked at a request. It
-// does no I/O and reads no clock.
+// Package quota keeps, at one entry, limits that apply to all entries together: on what client accounts may run, and
+// on how often requests are retried. Each entry spends its own share, so that no other entry need be queried at a
+// request. The package does no I/O and reads no clock.
 package quota
 
 import (
@@ -13,57 +12,57 @@
 	"quaydock/pkg/routing"
 )
 
-// bucket is what one account may still have run at this entry.
+// bucket is a token bucket: what one account may still run at this entry.
 type bucket struct {
-	level    float64 // units; below zero after a request larger than the rest
-	capacity float64
-	share    float64 // the largest that was held
-	at       clock.Millis
+	level     float64 // units; below zero after a request larger than what was left
+	capacity  float64
+	share     float64 // the largest so far
+	updatedAt clock.Millis
 }
 
-// Allowance keeps the accounts' buckets.
+// Allowance holds the token buckets of accounts.
 type Allowance struct {
-	fresh   func(*routing.Account) float64
-	mu      sync.Mutex
-	buckets map[ids.Account]*bucket
+	initialFill func(*routing.Account) float64
+	mu          sync.Mutex
+	buckets     map[ids.Account]*bucket
 }
 
 // NewAllowance returns an allowance without history, its buckets nearly empty.
 func NewAllowance() *Allowance {
-	return NewFilledAllowance(func(*routing.Account) float64 { return startFill })
+	return NewFilledAllowance(func(*routing.Account) float64 { return defaultInitialFill })
 }
 
-// NewFilledAllowance returns an allowance whose buckets are full to a part
-// between 0 and 1 at first. What is added to the share later is as full.
-func NewFilledAllowance(part func(*routing.Account) float64) *Allowance {
-	return &Allowance{fresh: part, buckets: make(map[ids.Account]*bucket)}
+// NewFilledAllowance returns an allowance whose buckets are initially full to a fraction between 0 and 1. Capacity
+// that a larger share adds later is filled to the same fraction.
+func NewFilledAllowance(fraction func(*routing.Account) float64) *Allowance {
+	return &Allowance{initialFill: fraction, buckets: make(map[ids.Account]*bucket)}
 }
 
-// startFill is how full a bucket is at first: an entry that has just started
-// cannot know what its earlier run has spent.
-const startFill = 0.1
+// defaultInitialFill is how full a bucket is at first: an entry that has just started
+// cannot know what its previous process has spent.
+const defaultInitialFill = 0.1
 
-// Spending is a request to an account's bucket, and how it may use the bucket.
+// Spending is a request for units of an account's bucket, with the limits that apply to it.
 type Spending struct {
-	// Share is the part of the allowance that this entry holds, between 0 and 1.
+	// Share is the fraction of the allowance that this entry holds, between 0 and 1.
 	Share float64
 	Units float64
-	// Keep is the part of the bucket that is left to others.
+	// Keep is the fraction of the bucket that is left to other requests.
 	Keep float64
 	// Debt is how far below 0 this request may take the bucket; math.Inf(1) is no limit.
 	Debt float64
 }
 
-// Take counts units against an account's allowance. If the share is spent it returns false and
-// when to come back. A request larger than what is left is taken as long as more than Keep is
-// left and the debt that it leaves is within Debt, so that large requests are not starved.
+// Take counts units against an account's allowance. If the share is spent, it returns false and when to come back. A
+// request larger than what is left is admitted while more than Keep is left and its debt is within Debt, so that
+// large requests do not starve.
 func (a *Allowance) Take(now clock.Millis, account *routing.Account, s Spending) (bool, clock.Millis) {
 	if account.PerSecond <= 0 {
 		return true, 0
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	b := a.fill(now, account, s.Share)
+	b := a.refill(now, account, s.Share)
 	kept := s.Keep * b.capacity
 	if b.level > kept && s.Units-b.level <= s.Debt {
 		b.level -= s.Units
@@ -74,7 +73,7 @@
 	return false, clock.Millis(math.Ceil(max(0, missing) / perMilli))
 }
 
-// Return gives back units that were not run after all.
+// Return gives back units that did not run.
 func (a *Allowance) Return(account ids.Account, units float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -83,25 +82,25 @@
 	}
 }
 
-// fill brings an account's bucket up to now; the lock is held.
-func (a *Allowance) fill(now clock.Millis, account *routing.Account, share float64) *bucket {
+// refill brings an account's bucket up to now; the lock is held.
+func (a *Allowance) refill(now clock.Millis, account *routing.Account, share float64) *bucket {
 	capacity := account.Burst * share
 	b := a.buckets[account.Name]
 	if b == nil {
-		b = &bucket{at: now}
+		b = &bucket{updatedAt: now}
 		a.buckets[account.Name] = b
 	}
 	if share > b.share {
-		b.level += account.Burst * (share - b.share) * a.fresh(account)
+		b.level += account.Burst * (share - b.share) * a.initialFill(account)
 		b.share = share
 	}
 	b.capacity = capacity
-	b.level = min(capacity, b.level+float64(now-b.at)*account.PerSecond*share/float64(clock.Second))
-	b.at = now
+	b.level = min(capacity, b.level+float64(now-b.updatedAt)*account.PerSecond*share/float64(clock.Second))
+	b.updatedAt = now
 	return b
 }
 
-// Forget drops the buckets of accounts that are gone.
+// Forget drops the buckets of accounts that are no longer known.
 func (a *Allowance) Forget(known func(ids.Account) bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/pkg/quota/example_test.go
+++ b/pkg/quota/example_test.go
@@ -7,7 +7,7 @@
 	"quaydock/pkg/routing"
 )
 
-// An account may have 100 units a second run, and 100 at once; a fresh bucket is
+// An account may run 100 units a second, and 100 at once; a new bucket is
 // nearly empty, and one request may leave a debt.
 func ExampleAllowance() {
 	account := &routing.Account{Name: "acme", PerSecond: 100, Burst: 100, CountsTokens: true}
--- a/pkg/quota/ledger.go
+++ b/pkg/quota/ledger.go
@@ -7,78 +7,77 @@
 	"quaydock/pkg/ids"
 )
 
-// ledgerSteps is how finely a ledger tells times: what is older than the window
-// by less than one step still counts.
+// ledgerSteps is the number of steps into which a ledger divides the window: units older than the window
+// by less than one step still count.
 const ledgerSteps = 32
 
-// Ledger remembers what accounts have had in the last window.
+// Ledger records what accounts have used in the last window.
 type Ledger struct {
 	mu       sync.Mutex
-	accounts map[ids.Account]*ledgerLine
+	accounts map[ids.Account]*accountUsage
 }
 
-// ledgerLine is a ring of steps of one account.
-type ledgerLine struct {
-	steps [ledgerSteps + 1]float64
-	at    clock.Millis // the number of the newest step
+// accountUsage is a ring of the steps of one account.
+type accountUsage struct {
+	steps      [ledgerSteps + 1]float64
+	newestStep clock.Millis // counted in steps of the clock
 }
 
-// NewLedger returns a ledger without entries.
+// NewLedger returns a ledger without usage.
 func NewLedger() *Ledger {
-	return &Ledger{accounts: make(map[ids.Account]*ledgerLine)}
+	return &Ledger{accounts: make(map[ids.Account]*accountUsage)}
 }
 
-// Add notes units that an account has had.
+// Add records units that an account has used.
 func (l *Ledger) Add(now clock.Millis, account ids.Account, window clock.Millis, units float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	line := l.line(now, account, window)
-	line.steps[line.at%clock.Millis(len(line.steps))] += units
+	usage := l.advance(now, account, window)
+	usage.steps[usage.newestStep%clock.Millis(len(usage.steps))] += units
 }
 
-// Refund notes that an account has not had units after all that were noted at a
-// moment. They are taken from what was noted then, so that the sum of a window that
-// begins later is not less than what was had in it.
-func (l *Ledger) Refund(now, noted clock.Millis, account ids.Account, window clock.Millis, units float64) {
+// Refund records that an account has not used units that were recorded at an earlier time. They are subtracted from
+// the step of that time, so that the sum of a window that begins later is not less than what was used in it.
+func (l *Ledger) Refund(now, recorded clock.Millis, account ids.Account, window clock.Millis, units float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	line := l.line(now, account, window)
-	step := noted / stepOf(window)
-	n := clock.Millis(len(line.steps))
-	if step > line.at || step <= line.at-n {
-		return // it does not count any more
+	usage := l.advance(now, account, window)
+	step := recorded / stepOf(window)
+	n := clock.Millis(len(usage.steps))
+	if step > usage.newestStep || step <= usage.newestStep-n {
+		return // it no longer counts
 	}
-	line.steps[step%n] -= units
+	usage.steps[step%n] -= units
 }
 
-// line returns an account's line, brought up to now; the lock is held.
-func (l *Ledger) line(now clock.Millis, account ids.Account, window clock.Millis) *ledgerLine {
-	line := l.accounts[account]
-	if line == nil {
-		line = &ledgerLine{}
-		l.accounts[account] = line
+// advance returns an account's usage, brought up to now; the lock is held.
+func (l *Ledger) advance(now clock.Millis, account ids.Account, window clock.Millis) *accountUsage {
+	usage := l.accounts[account]
+	if usage == nil {
+		usage = &accountUsage{}
+		l.accounts[account] = usage
 	}
-	line.move(now / stepOf(window))
-	return line
+	usage.advanceTo(now / stepOf(window))
+	return usage
 }
 
-// Sum is what an account has had in the window up to now, and never less.
+// Sum is what an account has used in the window up to now, and never less.
 func (l *Ledger) Sum(now clock.Millis, account ids.Account, window clock.Millis) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	line := l.accounts[account]
-	if line == nil {
+	usage := l.accounts[account]
+	if usage == nil {
 		return 0
 	}
-	line.move(now / stepOf(window))
+	usage.advanceTo(now / stepOf(window))
 	sum := 0.0
-	for _, units := range line.steps {
+	for _, units := range usage.steps {
 		sum += units
 	}
 	return max(0, sum)
 }
 
-// Forget drops the accounts that are gone.
+// Forget drops the accounts that are no longer known.
 func (l *Ledger) Forget(known func(ids.Account) bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,16 +92,16 @@
 	return max(1, window/ledgerSteps)
 }
 
-// move clears the steps up to a new one.
-func (l *ledgerLine) move(to clock.Millis) {
+// advanceTo clears the steps up to a new one.
+func (l *accountUsage) advanceTo(to clock.Millis) {
 	n := clock.Millis(len(l.steps))
-	if to-l.at >= n {
+	if to-l.newestStep >= n {
 		clear(l.steps[:])
-		l.at = to
+		l.newestStep = to
 		return
 	}
-	for l.at < to {
-		l.at++
-		l.steps[l.at%n] = 0
+	for l.newestStep < to {
+		l.newestStep++
+		l.steps[l.newestStep%n] = 0
 	}
 }
--- a/pkg/quota/ledger_test.go
+++ b/pkg/quota/ledger_test.go
@@ -9,8 +9,8 @@
 	"quaydock/pkg/quota"
 )
 
-// TestALedgerNeverTellsTooLittle compares sums with what was really noted.
-func TestALedgerNeverTellsTooLittle(t *testing.T) {
+// TestLedgerNeverUnderstatesUsage compares sums with what was recorded.
+func TestLedgerNeverUnderstatesUsage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 8 * clock.Second
 		l := quota.NewLedger()
@@ -39,23 +39,23 @@
 			}
 		}
 		if got := l.Sum(now, "b", window); got != 0 {
-			t.Fatalf("another account has had %.3f", got)
+			t.Fatalf("another account has used %.3f", got)
 		}
 	})
 }
 
-// TestARefundLeavesWithItsUnits gives units back long after they were noted: once
-// they have left the window, the sum is not less than what was had since.
-func TestARefundLeavesWithItsUnits(t *testing.T) {
+// TestRefundExpiresWithItsUnits gives units back long after they were recorded: once they have left the window, the
+// sum must not be less than what was used since.
+func TestRefundExpiresWithItsUnits(t *testing.T) {
 	const window = 8 * clock.Second
 	scenarios := []struct {
 		name        string
-		refund, sum clock.Millis // after the units were noted
+		refund, sum clock.Millis // after the units were recorded
 		want        float64
 	}{
-		{"while they count", 3 * clock.Second, 4 * clock.Second, 50},
-		{"and they have left since", 7 * clock.Second, 8500, 50},
-		{"after they have left", 8600, 8700, 50},
+		{"while the units are in the window", 3 * clock.Second, 4 * clock.Second, 50},
+		{"summed after the units left the window", 7 * clock.Second, 8500, 50},
+		{"refunded after the units left the window", 8600, 8700, 50},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -13,15 +13,14 @@
 
 const start = clock.Millis(1_000_000)
 
-// spend is a spending that leaves nothing to others and may leave any debt.
+// spend is a spending that leaves nothing to other requests and may leave any debt.
 func spend(units float64) quota.Spending {
 	return quota.Spending{Share: 1, Units: units, Debt: math.Inf(1)}
 }
 
-// TestAllowanceHoldsInEveryWindow takes at random times and sizes, and checks
-// each window against rate x window + burst, and on top one request or the debt that
-// one may leave, whichever is less.
-func TestAllowanceHoldsInEveryWindow(t *testing.T) {
+// TestAllowanceLimitsEveryWindow takes at random times and sizes, and checks each window against rate x window + burst,
+// plus one request or the debt that one may leave, whichever is less.
+func TestAllowanceLimitsEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		account := &routing.Account{Name: "a", PerSecond: 1000, Burst: 500, CountsTokens: true}
 		share := rapid.Float64Range(0.1, 1).Draw(t, "share")
@@ -52,9 +51,9 @@
 				}
 				sum += x.units
 			}
-			bound := share*(account.PerSecond*4+account.Burst) + min(largest, debt)
-			if sum > bound+1e-6 {
-				t.Fatalf("%.0f in a window, bound %.0f", sum, bound)
+			limit := share*(account.PerSecond*4+account.Burst) + min(largest, debt)
+			if sum > limit+1e-6 {
+				t.Fatalf("%.0f in a window, limit %.0f", sum, limit)
 			}
 		}
 	})
@@ -70,10 +69,10 @@
 		pause   clock.Millis
 		want    []bool
 	}{
-		{"without a rate there is no bound", free, []float64{1e9, 1e9}, 0, []bool{true, true}},
-		{"a fresh bucket is nearly empty", account, []float64{10, 1}, 0, []bool{true, false}},
+		{"without a rate there is no limit", free, []float64{1e9, 1e9}, 0, []bool{true, true}},
+		{"a new bucket is nearly empty", account, []float64{10, 1}, 0, []bool{true, false}},
 		{"a large request leaves a debt", account, []float64{250, 1, 1}, clock.Second, []bool{true, false, false}},
-		{"the rate fills it again", account, []float64{50, 50, 50}, clock.Second / 2, []bool{true, true, true}},
+		{"the rate refills the bucket", account, []float64{50, 50, 50}, clock.Second / 2, []bool{true, true, true}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -89,7 +88,7 @@
 	}
 }
 
-func TestWhatIsGivenBackMayBeTakenAgain(t *testing.T) {
+func TestReturnedUnitsMayBeTakenAgain(t *testing.T) {
 	account := &routing.Account{Name: "a", PerSecond: 1, Burst: 100, CountsTokens: true}
 	a := quota.NewAllowance()
 	a.Take(start, account, spend(50))
@@ -99,13 +98,12 @@
 	}
 }
 
-// TestRetriesOfAllEntriesHoldTheBound lets several entries repeat whenever they
-// may, and checks the sum in each window against ratio x requests + slack. Entries start
-// again now and then. Repeats went beyond the bound when they did so more than once in a window: a
-// budget of a new run took what the one before had repeated for nothing, and had the whole slack
-// at once. Evidence: 86 and 123 repeats where 72 were allowed, at ten requests a second with two
-// and three runs in a window.
-func TestRetriesOfAllEntriesHoldTheBound(t *testing.T) {
+// TestRetriesOfAllEntriesStayWithinLimit lets several entries retry whenever they may, and checks the sum in each
+// window against ratio x requests + slack. Entries restart now and then. Retries exceeded the limit when entries
+// restarted more than once in a window: the budget of a new process did not know the retries of the one before, and had
+// the whole slack at once. With ten requests a second and two and three processes in a window, 86 and 123 retries were
+// made where 72 were allowed.
+func TestRetriesOfAllEntriesStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bounds := quota.RetryBounds{Ratio: 0.2, Slack: 20, Window: 10 * clock.Second}
 		const entries = 3
@@ -113,7 +111,7 @@
 		for i := range budgets {
 			budgets[i] = quota.NewRetryBudget(bounds, start-bounds.Window)
 		}
-		var requests, repeats []clock.Millis
+		var requests, retries []clock.Millis
 		now := start
 		for range rapid.IntRange(50, 400).Draw(t, "events") {
 			now += clock.Millis(rapid.IntRange(0, 100).Draw(t, "pause"))
@@ -124,29 +122,29 @@
 			b := budgets[entry]
 			if rapid.Bool().Draw(t, "repeat") {
 				if b.Repeat(now, "s", 1/float64(entries)) {
-					repeats = append(repeats, now)
+					retries = append(retries, now)
 				}
 				continue
 			}
 			b.Request(now, "s")
 			requests = append(requests, now)
 		}
-		for _, from := range repeats {
-			bound := bounds.Ratio*float64(most(requests, from, bounds.Window)) + bounds.Slack
-			if got := within(repeats, from, from+bounds.Window); float64(got) > bound {
-				t.Fatalf("%d repeats in a window, bound %.1f", got, bound)
+		for _, from := range retries {
+			limit := bounds.Ratio*float64(maxRequests(requests, from, bounds.Window)) + bounds.Slack
+			if got := countWithin(retries, from, from+bounds.Window); float64(got) > limit {
+				t.Fatalf("%d retries in a window, limit %.1f", got, limit)
 			}
 		}
 	})
 }
 
-// most is how many requests count for a window: its own, those of the window
-// before, or of the one half a window before.
-func most(list []clock.Millis, from, window clock.Millis) int {
-	return max(within(list, from, from+window), within(list, from-window, from), within(list, from-window/2, from+window/2))
+// maxRequests is how many requests count for a window: its own, those of the window
+// before, or those of the one half a window before.
+func maxRequests(list []clock.Millis, from, window clock.Millis) int {
+	return max(countWithin(list, from, from+window), countWithin(list, from-window, from), countWithin(list, from-window/2, from+window/2))
 }
 
-func within(list []clock.Millis, from, to clock.Millis) int {
+func countWithin(list []clock.Millis, from, to clock.Millis) int {
 	n := 0
 	for _, at := range list {
 		if at >= from && at < to {
@@ -156,9 +154,9 @@
 	return n
 }
 
-// TestAPartIsKeptForOthers spends a bucket down to a tenth of it: what leaves more
-// than that to others gets nothing, and what leaves nothing does.
-func TestAPartIsKeptForOthers(t *testing.T) {
+// TestKeptFractionIsLeftToOthers spends a bucket down to a tenth: a request that must leave more than that
+// to others is refused, and one that need not is admitted.
+func TestKeptFractionIsLeftToOthers(t *testing.T) {
 	account := &routing.Account{Name: "a", PerSecond: 100, Burst: 100, CountsTokens: true}
 	a := quota.NewFilledAllowance(func(*routing.Account) float64 { return 1 })
 	a.Take(start, account, spend(90))
@@ -166,16 +164,16 @@
 		t.Errorf("taken %t, come back after %d ms, want 60", ok, wait)
 	}
 	if ok, _ := a.Take(start, account, quota.Spending{Share: 1, Units: 2, Keep: 0.05, Debt: math.Inf(1)}); !ok {
-		t.Error("refused although more is left than is to be kept")
+		t.Error("refused although more is left than must be kept")
 	}
 	if ok, _ := a.Take(start, account, spend(2)); !ok {
-		t.Error("refused what leaves nothing to others")
+		t.Error("refused a request that need leave nothing to others")
 	}
 }
 
-// TestALimitedDebt has requests larger than what is left and the debt that they may leave
-// together wait until enough has flowed.
-func TestALimitedDebt(t *testing.T) {
+// TestDebtIsLimited has requests that are larger than what is left plus their permitted debt wait until the bucket has
+// refilled enough.
+func TestDebtIsLimited(t *testing.T) {
 	account := &routing.Account{Name: "a", PerSecond: 100, Burst: 100, CountsTokens: true}
 	a := quota.NewFilledAllowance(func(*routing.Account) float64 { return 0.5 })
 	large := quota.Spending{Share: 1, Units: 80, Debt: 20}
--- a/pkg/quota/retry_budget.go
+++ b/pkg/quota/retry_budget.go
@@ -7,7 +7,7 @@
 	"quaydock/pkg/ids"
 )
 
-// RetryBounds bound the repeats at a service in a window, over all entries:
+// RetryBounds limit the retries at a service in a window, over all entries:
 // Ratio of the requests for it, and Slack on top.
 type RetryBounds struct {
 	Ratio  float64
@@ -15,19 +15,18 @@
 	Window clock.Millis
 }
 
-// part is how much of the bounds is used: repeats are counted at the target,
-// where a window may gather what entries sent in two of theirs.
-const part = 0.7
+// usableFraction is the fraction of the bounds in use: retries are counted at the target,
+// where one window may contain what entries sent in two of theirs.
+const usableFraction = 0.7
 
-// steps is into how many steps a window is divided.
-const steps = 10
+// windowSteps is the number of steps into which a window is divided.
+const windowSteps = 10
 
-// RetryBudget counts requests and repeats by service. Each entry may repeat in
-// proportion to its own requests, so that the sum over all entries keeps the
-// bounds without a word between them; of the slack each has its share.
+// RetryBudget counts requests and retries by service. Each entry may retry in proportion to its own requests, so that
+// the sum over all entries stays within the bounds without coordination; of the slack each has its share.
 type RetryBudget struct {
-	bounds RetryBounds
-	began  clock.Millis // when the entry did
+	bounds    RetryBounds
+	startedAt clock.Millis // when the entry started
 
 	mu       sync.Mutex
 	services map[ids.Service]*tally
@@ -35,13 +34,13 @@
 
 type tally struct {
 	step     clock.Millis
-	requests [steps]float64
-	repeats  [steps]float64
+	requests [windowSteps]float64
+	retries  [windowSteps]float64
 }
 
-// NewRetryBudget returns the budget of an entry that begins now.
+// NewRetryBudget returns the budget of an entry that starts now.
 func NewRetryBudget(bounds RetryBounds, now clock.Millis) *RetryBudget {
-	return &RetryBudget{bounds: bounds, began: now, services: make(map[ids.Service]*tally)}
+	return &RetryBudget{bounds: bounds, startedAt: now, services: make(map[ids.Service]*tally)}
 }
 
 // SetBounds changes the bounds; what has been counted stays.
@@ -55,64 +54,64 @@
 func (b *RetryBudget) Request(now clock.Millis, service ids.Service) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t := b.at(now, service)
-	t.requests[t.step%steps]++
+	t := b.tallyAt(now, service)
+	t.requests[t.step%windowSteps]++
 }
 
 // Repeat reports whether a request may be sent to one more target of a service,
-// and counts it if so. share is this entry's part of the slack, from 0 to 1.
+// and counts the retry if so. share is this entry's fraction of the slack, from 0 to 1.
 func (b *RetryBudget) Repeat(now clock.Millis, service ids.Service, share float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t := b.at(now, service)
-	allowed := part * (b.bounds.Ratio*sum(&t.requests) + b.slack(now)*share)
-	if sum(&t.repeats)+1 > allowed {
+	t := b.tallyAt(now, service)
+	allowed := usableFraction * (b.bounds.Ratio*sum(&t.requests) + b.availableSlack(now)*share)
+	if sum(&t.retries)+1 > allowed {
 		return false
 	}
-	t.repeats[t.step%steps]++
+	t.retries[t.step%windowSteps]++
 	return true
 }
 
-// Return takes back a repeat that was counted at a moment, and has reached no target.
+// Return takes back a retry that was counted at the given time and reached no target.
 func (b *RetryBudget) Return(counted clock.Millis, service ids.Service) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.services[service]
-	step := counted / max(1, b.bounds.Window/steps)
-	if t != nil && t.step-step < steps && t.repeats[step%steps] > 0 {
-		t.repeats[step%steps]--
+	step := counted / max(1, b.bounds.Window/windowSteps)
+	if t != nil && t.step-step < windowSteps && t.retries[step%windowSteps] > 0 {
+		t.retries[step%windowSteps]--
 	}
 }
 
-// slack is 0 until a window has passed since this entry began: what an earlier run of it has
-// repeated is not known, and may have been the whole slack. Two runs in a window made 86 repeats where 72 were allowed, three 123,
-// at ten requests a second. The lock is held.
-func (b *RetryBudget) slack(now clock.Millis) float64 {
-	if now-b.began < b.bounds.Window {
+// availableSlack is 0 until a window has passed since this entry started: the retries of its previous process are not
+// known, and may have been the whole slack. At ten requests a second, two processes in a window made 86 retries
+// where 72 were allowed, and three made 123. The lock is held.
+func (b *RetryBudget) availableSlack(now clock.Millis) float64 {
+	if now-b.startedAt < b.bounds.Window {
 		return 0
 	}
 	return b.bounds.Slack
 }
 
-func (b *RetryBudget) at(now clock.Millis, service ids.Service) *tally {
+func (b *RetryBudget) tallyAt(now clock.Millis, service ids.Service) *tally {
 	t := b.services[service]
-	step := now / max(1, b.bounds.Window/steps)
+	step := now / max(1, b.bounds.Window/windowSteps)
 	if t == nil {
 		t = &tally{step: step}
 		b.services[service] = t
 	}
-	if step-t.step >= steps {
+	if step-t.step >= windowSteps {
 		*t = tally{step: step}
 	}
 	for t.step < step {
 		t.step++
-		t.requests[t.step%steps] = 0
-		t.repeats[t.step%steps] = 0
+		t.requests[t.step%windowSteps] = 0
+		t.retries[t.step%windowSteps] = 0
 	}
 	return t
 }
 
-func sum(list *[steps]float64) float64 {
+func sum(list *[windowSteps]float64) float64 {
 	total := 0.0
 	for _, x := range list {
 		total += x
