--- a/pkg/gate/drain_meter.go
+++ b/pkg/gate/drain_meter.go
@@ -12,13 +12,13 @@
 	drainGain = 0.5
 )
 
-// drainMeter measures the work that a target finishes a second while it is
-// busy. Idle time is left out, since it says nothing of the target's speed.
+// drainMeter measures the work that a target finishes per second while it is
+// busy. Idle time is left out, since it says nothing about the target's speed.
 type drainMeter struct {
-	perSecond float64
-	since     clock.Millis
-	busy      bool
-	finish    ids.Tokens
+	perSecond    float64
+	windowStart  clock.Millis
+	busy         bool
+	finishedWork ids.Tokens
 }
 
 func (d *drainMeter) started(now clock.Millis) {
@@ -26,18 +26,18 @@
 		return
 	}
 	d.busy = true
-	d.since = now
-	d.finish = 0
+	d.windowStart = now
+	d.finishedWork = 0
 }
 
 func (d *drainMeter) finished(now clock.Millis, work ids.Tokens, idle bool) {
-	d.finish += work
-	elapsed := now - d.since
+	d.finishedWork += work
+	elapsed := now - d.windowStart
 	if elapsed >= drainWindow {
-		rate := float64(d.finish) * float64(clock.Second) / float64(elapsed)
+		rate := float64(d.finishedWork) * float64(clock.Second) / float64(elapsed)
 		d.perSecond += drainGain * (rate - d.perSecond)
-		d.since = now
-		d.finish = 0
+		d.windowStart = now
+		d.finishedWork = 0
 	}
 	if idle {
 		d.busy = false
--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -7,44 +7,44 @@
 	"quaydock/pkg/invariant"
 )
 
-// Limits bound what a gate holds.
+// Limits are the limits of a gate's queue and grants.
 type Limits struct {
 	// Slots is how many requests the target runs at once.
 	Slots int
-	// QueueTime bounds the queue: work that the target drains in this time.
+	// QueueTime limits the queue to the work that the target drains in this time.
 	QueueTime clock.Millis
-	// QueueMin is the work that may always wait, before a rate is measured.
+	// QueueMin is the work that may always wait, also before a drain rate is measured.
 	QueueMin ids.Tokens
-	// GrantLife is the time in which a grant must be used.
+	// GrantLife is the time within which a grant must be used.
 	GrantLife clock.Millis
-	// FloorHold is how long lower tiers stay refused after a tier was refused.
+	// FloorHold is how long lower tiers are refused after a tier was refused.
 	FloorHold clock.Millis
-	// Remember is how long the fate of a grant is kept after its end.
+	// Remember is how long a grant outcome is kept after the grant's end.
 	Remember clock.Millis
 }
 
-// Notice is a later verdict for the session that placed the ticket.
+// Notice is a verdict that became known after Place returned, for the session that placed the ticket.
 type Notice struct {
 	Session Session
 	Verdict control.Verdict
 }
 
-// grantRecord is what the gate knows of one grant.
-type grantRecord struct {
-	grant    ids.Grant
-	request  ids.Request
-	turn     int // of the ticket
-	session  Session
-	work     ids.Tokens
-	tier     ids.TierRank
-	fate     control.Fate
-	open     bool // may still be used
-	running  bool
-	deadline clock.Millis // of the grant while open
-	begun    clock.Millis // of the dispatch
+// grantState is the state of one grant.
+type grantState struct {
+	grant     ids.Grant
+	request   ids.Request
+	attempt   int // of the ticket
+	session   Session
+	work      ids.Tokens
+	tier      ids.TierRank
+	fate      control.Fate
+	open      bool // may still be used
+	running   bool
+	deadline  clock.Millis // for using the grant while it is open
+	startedAt clock.Millis // when the request was dispatched
 }
 
-// Gate is the one way to a target. It is not safe for concurrent use; its
+// Gate admits requests to one target; every dispatch goes through it. It is not safe for concurrent use: its
 // agent guards it with a lock.
 type Gate struct {
 	agent    ids.Incarnation
@@ -53,26 +53,26 @@
 	queue    *Queue
 	services map[ids.Service]bool
 	leaving  bool
-	// restsUntil is until when the target wants no requests, by its own word.
-	restsUntil clock.Millis
-
-	sequence   uint64
-	grants     map[ids.Grant]*grantRecord
-	open       []*grantRecord // oldest first; closed ones are skipped
-	forget     []forgetting   // oldest first
-	dispatched map[ids.Request]ids.Grant
-	openCount  int
-	inside     []int // by tier: grants that are out or running
-	runCount   int
-	runWork    ids.Tokens
-
-	shedUntil []clock.Millis // by tier: until when lower ones stay out
-	drain     drainMeter
-	unit      unitMeter
-	notices   []Notice
-}
-
-type forgetting struct {
+	// backoffUntil is the end of the back-off that the target asked for.
+	backoffUntil clock.Millis
+
+	sequence     uint64
+	grants       map[ids.Grant]*grantState
+	open         []*grantState // oldest first; closed ones are skipped
+	fateExpiries []fateExpiry  // oldest first
+	dispatched   map[ids.Request]ids.Grant
+	openCount    int
+	activeByTier []int // by tier: grants that are open or running
+	runCount     int
+	runWork      ids.Tokens
+
+	floorUntil []clock.Millis // by tier: until when lower tiers are refused
+	drain      drainMeter
+	unit       unitMeter
+	notices    []Notice
+}
+
+type fateExpiry struct {
 	grant ids.Grant
 	at    clock.Millis
 }
@@ -85,13 +85,13 @@
 		check:      check,
 		queue:      NewQueue(),
 		services:   make(map[ids.Service]bool),
-		grants:     make(map[ids.Grant]*grantRecord),
+		grants:     make(map[ids.Grant]*grantState),
 		dispatched: make(map[ids.Request]ids.Grant),
 	}
 }
 
-// SetServices says what the target serves from now on, and in how many slots.
-// Tickets for other services are handed back.
+// SetServices sets the services that the target runs from now on, and its number of slots.
+// Tickets for other services are declined.
 func (g *Gate) SetServices(services []ids.Service, slots int) {
 	g.limits.Slots = slots
 	g.services = make(map[ids.Service]bool, len(services))
@@ -100,26 +100,25 @@
 	}
 	for _, w := range g.queue.all() {
 		if !g.services[w.ticket.Service] {
-			g.handBack(w, control.NotPlaced)
+			g.declineQueued(w, control.NotPlaced)
 		}
 	}
 }
 
-// Leave stops all new work. Tickets are handed back; grants that are out stay
-// good until they expire.
+// Leave stops all new work. Queued tickets are declined; open grants stay valid until they expire.
 func (g *Gate) Leave() {
 	g.leaving = true
 	for _, w := range g.queue.all() {
-		g.handBack(w, control.Leaving)
+		g.declineQueued(w, control.Leaving)
 	}
 }
 
-// Idle reports whether nothing runs and no grant is out.
+// Idle reports whether nothing runs and no grant is open.
 func (g *Gate) Idle() bool {
 	return g.runCount == 0 && g.openCount == 0
 }
 
-func (g *Gate) handBack(w *waiting, reason control.RefuseReason) {
+func (g *Gate) declineQueued(w *queuedTicket, reason control.RefuseReason) {
 	g.queue.remove(w)
 	g.notify(w.session, control.Verdict{Request: w.ticket.Request, Turn: w.ticket.Turn, Kind: control.Declined, Reason: reason})
 }
@@ -128,7 +127,7 @@
 	g.notices = append(g.notices, Notice{Session: session, Verdict: verdict})
 }
 
-// Notices takes the verdicts that have become known since the last call.
+// Notices returns and clears the verdicts that have become known since the last call.
 func (g *Gate) Notices() []Notice {
 	taken := g.notices
 	g.notices = nil
@@ -146,41 +145,41 @@
 	}
 	g.queue.push(session, ticket, now+ticket.Remaining)
 	g.evict(now, ticket.Tier)
-	g.pump(now)
+	g.grantQueued(now)
 	return control.Verdict{Request: ticket.Request, Turn: ticket.Turn, Kind: control.Queued}
 }
 
-// supersede drops what an earlier ticket of the same request has left: its entry has given it up, though its word may still be
-// on the way, or lost with a session whose end isn't noticed yet.
+// supersede drops what an earlier ticket of the same request has left. Its entry has given that ticket up, though the
+// withdrawal may still be under way, or lost with a session whose end has not been noticed yet.
 func (g *Gate) supersede(now clock.Millis, ticket *control.Ticket) {
-	if w := g.queue.byID[ticket.Request]; w != nil && w.ticket.Turn < ticket.Turn {
+	if w := g.queue.byRequest[ticket.Request]; w != nil && w.ticket.Turn < ticket.Turn {
 		g.queue.remove(w)
 	}
 	if ticket.Turn > 1 {
-		g.buryUpTo(now, ticket.Request, ticket.Turn-1)
+		g.closeUnusedUpTo(now, ticket.Request, ticket.Turn-1)
 	}
 }
 
-// Rest keeps the target from new dispatches for a while, as it has asked for that. Grants that are out stay good.
+// Rest stops new dispatches to the target for a time that the target asked for. Open grants stay valid.
 func (g *Gate) Rest(now, left clock.Millis) {
-	g.restsUntil = max(g.restsUntil, now+left)
+	g.backoffUntil = max(g.backoffUntil, now+left)
 }
 
-// rest is how much longer the target wants no requests.
-func (g *Gate) rest(now clock.Millis) clock.Millis {
-	return max(0, g.restsUntil-now)
+// backoffLeft is how much longer the target wants no requests.
+func (g *Gate) backoffLeft(now clock.Millis) clock.Millis {
+	return max(0, g.backoffUntil-now)
 }
 
 // free is how many more requests could be granted now.
 func (g *Gate) free(now clock.Millis) int {
-	if g.rest(now) > 0 {
+	if g.backoffLeft(now) > 0 {
 		return 0
 	}
 	return g.limits.Slots - g.runCount - g.openCount
 }
 
-// pump grants while there is room.
-func (g *Gate) pump(now clock.Millis) {
+// grantQueued grants queued tickets while slots are free.
+func (g *Gate) grantQueued(now clock.Millis) {
 	for !g.leaving && g.free(now) > 0 {
 		highest, waits := g.queue.highest()
 		if !waits {
@@ -189,7 +188,7 @@
 		w := g.queue.pop()
 		g.check.That(w.ticket.Tier == highest, invariant.TierOrder,
 			"granted tier %d while tier %d waits", w.ticket.Tier, highest)
-		if now+g.unit.least(w.ticket.Work()) >= w.deadline {
+		if now+g.unit.minRunTime(w.ticket.Work()) >= w.deadline {
 			g.notify(w.session, control.Verdict{Request: w.ticket.Request, Turn: w.ticket.Turn, Kind: control.Declined, Reason: control.Late})
 			continue
 		}
@@ -197,8 +196,8 @@
 	}
 }
 
-// DropSession forgets the tickets of a session that has ended. Its grants stay
-// good until they expire, since the entry may be using them.
+// DropSession drops the tickets of a session that has ended. Its grants stay
+// valid until they expire, since the entry may be using them.
 func (g *Gate) DropSession(session Session) {
 	for _, w := range g.queue.all() {
 		if w.session == session {
@@ -207,27 +206,26 @@
 	}
 }
 
-// Tick closes grants that have expired, forgets old fates, and grants what
-// room there is.
+// Tick closes expired grants, drops old grant outcomes, and grants queued tickets while slots are free.
 func (g *Gate) Tick(now clock.Millis) {
 	for len(g.open) > 0 && (!g.open[0].open || now >= g.open[0].deadline) {
 		if g.open[0].open {
-			g.bury(now, g.open[0])
+			g.closeUnused(now, g.open[0])
 		}
 		g.open[0] = nil
 		g.open = g.open[1:]
 	}
-	for len(g.forget) > 0 && now >= g.forget[0].at {
-		g.forgetGrant(g.forget[0].grant)
-		g.forget = g.forget[1:]
+	for len(g.fateExpiries) > 0 && now >= g.fateExpiries[0].at {
+		g.forgetGrant(g.fateExpiries[0].grant)
+		g.fateExpiries = g.fateExpiries[1:]
 	}
-	g.pump(now)
+	g.grantQueued(now)
 }
 
-// NextTick returns when only time changes something next, and whether it does: the oldest unused grant expires, or
-// a rest is over for which tickets wait.
+// NextTick returns the next time at which Tick has something to do without another call, and whether there is one: when
+// the oldest open grant expires, or when a back-off ends for which tickets wait.
 func (g *Gate) NextTick(now clock.Millis) (clock.Millis, bool) {
-	next, waits := g.restsUntil, g.rest(now) > 0 && g.queue.Len() > 0
+	next, waits := g.backoffUntil, g.backoffLeft(now) > 0 && g.queue.Len() > 0
 	for _, r := range g.open {
 		if !r.open {
 			continue
@@ -240,13 +238,13 @@
 	return next, waits
 }
 
-// Load describes the gate for replies.
+// Load describes the gate for replies to entries.
 func (g *Gate) Load(now clock.Millis) control.Load {
 	return control.Load{
 		Agent:          g.agent,
 		Slots:          g.limits.Slots,
 		Free:           max(0, g.free(now)-g.queue.Len()),
-		Rest:           g.rest(now),
+		Rest:           g.backoffLeft(now),
 		Queued:         g.queue.workByTier(),
 		Running:        g.runWork,
 		Floor:          g.floorAt(now),
--- a/pkg/gate/gate_test.go
+++ b/pkg/gate/gate_test.go
@@ -18,8 +18,8 @@
 	"quaydock/pkg/invariant"
 )
 
-// TestMain fixes the seed, so that every run gives the same verdict; the flag
-// -rapid.seed takes another.
+// TestMain fixes the seed, so that every run gives the same result; the flag
+// -rapid.seed sets another.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -45,9 +45,9 @@
 	return control.Ticket{Request: ids.Request(id), Service: service, Tier: tier, Account: account, Decode: decode, Remaining: clock.Minute}
 }
 
-// granted runs the gate dry: each grant is used and finished at once. It
+// useAllGrants uses and finishes each grant at once, until there are no more. It
 // returns the requests in the order of their grants.
-func granted(g *gate.Gate, now clock.Millis) []string {
+func useAllGrants(g *gate.Gate, now clock.Millis) []string {
 	var order []string
 	for notices := g.Notices(); len(notices) > 0; notices = g.Notices() {
 		for _, n := range notices {
@@ -74,7 +74,7 @@
 			want:    []string{"pilot", "notice", "tag"},
 		},
 		{
-			name: "accounts of one tier take turns by work",
+			name: "accounts of one tier share by work",
 			tickets: []control.Ticket{
 				ticket("a1", 1, "a", 10), ticket("a2", 1, "a", 10), ticket("a3", 1, "a", 10), ticket("b1", 1, "b", 10), ticket("b2", 1, "b", 10),
 			},
@@ -97,15 +97,15 @@
 				}
 			}
 			g.Finish(0, first.Grant, true)
-			if got := granted(g, 0); fmt.Sprint(got) != fmt.Sprint(s.want) {
+			if got := useAllGrants(g, 0); fmt.Sprint(got) != fmt.Sprint(s.want) {
 				t.Errorf("order %v, want %v", got, s.want)
 			}
 		})
 	}
 }
 
-// A full queue gives up the lowest tier first; once a tier is refused, lower
-// ones stay out for a while.
+// A full queue evicts the lowest tier first; once a tier is refused, lower
+// ones are refused too for a while.
 func TestEvictionAndFloor(t *testing.T) {
 	g := newGate(1)
 	running := g.Place(0, 1, ticket("running", 0, "a", 10))
@@ -122,15 +122,15 @@
 		t.Fatalf("notice: %v", v)
 	}
 	if v := g.Place(1000, 1, ticket("small tag", 3, "a", 1)); v.Reason != control.Full {
-		t.Errorf("a tag was taken within the hold after a notice was refused: %v", v)
+		t.Errorf("tag was admitted during the floor hold after notice was refused: %v", v)
 	}
 	if v := g.Place(2001, 1, ticket("small tag", 3, "a", 1)); v.Kind != control.Queued {
-		t.Errorf("a tag was refused after the hold: %v", v)
+		t.Errorf("tag was refused after the floor hold: %v", v)
 	}
 }
 
-// While lower work runs, a higher tier is not refused even beyond the bound.
-func TestNoRefusalAboveServedWork(t *testing.T) {
+// While lower tiers run, a higher tier is not refused even beyond the queue limit.
+func TestHigherTierIsNotRefusedWhileLowerRuns(t *testing.T) {
 	g := newGate(1)
 	running := g.Place(0, 1, ticket("tag", 3, "a", 10))
 	g.Use(0, running.Grant, "tag")
@@ -141,10 +141,10 @@
 	}
 }
 
-// Random histories of one gate. What is checked holds after every step.
+// Random histories of one gate. The checks hold after every step.
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		h := &history{t: r, gate: newGate(rapid.IntRange(1, 3).Draw(r, "slots")), used: make(map[ids.Request]bool), never: make(map[ids.Grant]bool)}
+		h := &history{t: r, gate: newGate(rapid.IntRange(1, 3).Draw(r, "slots")), used: make(map[ids.Request]bool), neverDispatched: make(map[ids.Grant]bool)}
 		for range 60 {
 			h.step()
 		}
@@ -153,14 +153,14 @@
 
 // history is what a random run knows of its gate.
 type history struct {
-	t      *rapid.T
-	gate   *gate.Gate
-	now    clock.Millis
-	next   int
-	grants []control.Verdict
-	runs   []control.Verdict
-	used   map[ids.Request]bool
-	never  map[ids.Grant]bool
+	t               *rapid.T
+	gate            *gate.Gate
+	now             clock.Millis
+	next            int
+	grants          []control.Verdict
+	runs            []control.Verdict
+	used            map[ids.Request]bool
+	neverDispatched map[ids.Grant]bool
 }
 
 func (h *history) step() {
@@ -173,16 +173,16 @@
 	case 4:
 		h.finish()
 	case 5:
-		h.ask()
+		h.queryFate()
 	case 6:
 		h.gate.Tick(h.now)
 	}
 	for _, n := range h.gate.Notices() {
-		h.take(n.Verdict)
+		h.recordGrant(n.Verdict)
 	}
 }
 
-func (h *history) take(v control.Verdict) {
+func (h *history) recordGrant(v control.Verdict) {
 	if v.Kind == control.Granted {
 		h.grants = append(h.grants, v)
 	}
@@ -193,7 +193,7 @@
 	tier := ids.TierRank(rapid.IntRange(0, 3).Draw(h.t, "tier"))
 	account := ids.Account(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(h.t, "account"))
 	work := ids.Tokens(rapid.IntRange(1, 80).Draw(h.t, "work"))
-	h.take(h.gate.Place(h.now, 1, ticket(fmt.Sprint(h.next), tier, account, work)))
+	h.recordGrant(h.gate.Place(h.now, 1, ticket(fmt.Sprint(h.next), tier, account, work)))
 }
 
 func (h *history) pick(list []control.Verdict) (control.Verdict, bool) {
@@ -211,8 +211,8 @@
 	if h.used[v.Request] {
 		h.t.Fatalf("request %s was dispatched twice", v.Request)
 	}
-	if h.never[v.Grant] {
-		h.t.Fatalf("grant %v was used after it was called never dispatched", v.Grant)
+	if h.neverDispatched[v.Grant] {
+		h.t.Fatalf("grant %v was used after it was reported as never dispatched", v.Grant)
 	}
 	h.used[v.Request] = true
 	h.runs = append(h.runs, v)
@@ -224,7 +224,7 @@
 	}
 }
 
-func (h *history) ask() {
+func (h *history) queryFate() {
 	v, some := h.pick(h.grants)
 	if !some {
 		return
@@ -232,17 +232,17 @@
 	switch h.gate.Fate(h.now, v.Grant, v.Request) {
 	case control.FateNever:
 		if h.used[v.Request] {
-			h.t.Fatalf("grant %v was used and is called never dispatched", v.Grant)
+			h.t.Fatalf("grant %v was used but is reported as never dispatched", v.Grant)
 		}
-		h.never[v.Grant] = true
+		h.neverDispatched[v.Grant] = true
 	case control.FateDispatched:
 		if !h.used[v.Request] {
-			h.t.Fatalf("grant %v was not used and is called dispatched", v.Grant)
+			h.t.Fatalf("grant %v was not used but is reported as dispatched", v.Grant)
 		}
 	}
 }
 
-// The cost of a decision against the tickets that wait.
+// BenchmarkPlaceAndGrant measures the cost of a decision by the number of queued tickets.
 func BenchmarkPlaceAndGrant(b *testing.B) {
 	for _, waiting := range []int{0, 100, 1000, 10000} {
 		b.Run(fmt.Sprint("waiting=", waiting), func(b *testing.B) {
--- a/pkg/gate/grants.go
+++ b/pkg/gate/grants.go
@@ -11,10 +11,10 @@
 
 func (g *Gate) grant(now clock.Millis, session Session, ticket *control.Ticket) control.Verdict {
 	g.sequence++
-	r := &grantRecord{
+	r := &grantState{
 		grant:    ids.Grant{Agent: g.agent, Sequence: g.sequence},
 		request:  ticket.Request,
-		turn:     ticket.Turn,
+		attempt:  ticket.Turn,
 		session:  session,
 		work:     ticket.Work(),
 		tier:     ticket.Tier,
@@ -24,11 +24,11 @@
 	g.grants[r.grant] = r
 	g.open = append(g.open, r)
 	g.openCount++
-	g.enter(ticket.Tier)
+	g.countActive(ticket.Tier)
 	return control.Verdict{Request: ticket.Request, Turn: ticket.Turn, Kind: control.Granted, Grant: r.grant}
 }
 
-// Use turns a grant into a dispatch. It reports false if the grant may not be
+// Use turns a grant into a dispatch. It returns false if the grant may not be
 // used: the request was not dispatched by it and never will be, unless it
 // already was.
 func (g *Gate) Use(now clock.Millis, grant ids.Grant, request ids.Request) bool {
@@ -44,7 +44,7 @@
 	}
 	r.open = false
 	r.running = true
-	r.begun = now
+	r.startedAt = now
 	r.fate = control.FateDispatched
 	g.dispatched[request] = grant
 	g.openCount--
@@ -54,8 +54,8 @@
 	return true
 }
 
-// Finish frees the room of a dispatched grant. Reached is false if the request
-// was not sent to the target after all; the record then says so.
+// Finish frees the slot of a dispatched grant. reached is false if the request
+// was not sent to the target; the grant outcome then says that it was never dispatched.
 func (g *Gate) Finish(now clock.Millis, grant ids.Grant, reached bool) {
 	r := g.grants[grant]
 	if r == nil || !r.running {
@@ -63,40 +63,40 @@
 	}
 	r.running = false
 	g.runCount--
-	g.inside[r.tier]--
+	g.activeByTier[r.tier]--
 	g.runWork -= r.work
 	if reached {
 		g.drain.finished(now, r.work, g.runCount == 0)
-		g.unit.learn(now-r.begun, r.work)
+		g.unit.learn(now-r.startedAt, r.work)
 	} else {
 		r.fate = control.FateNever
 		delete(g.dispatched, r.request)
 	}
-	g.retire(now, r)
+	g.scheduleForget(now, r)
 	g.Tick(now)
 }
 
-func (g *Gate) retire(now clock.Millis, r *grantRecord) {
-	g.forget = append(g.forget, forgetting{grant: r.grant, at: now + g.limits.Remember})
+func (g *Gate) scheduleForget(now clock.Millis, r *grantState) {
+	g.fateExpiries = append(g.fateExpiries, fateExpiry{grant: r.grant, at: now + g.limits.Remember})
 }
 
-// bury closes an unused grant for good.
-func (g *Gate) bury(now clock.Millis, r *grantRecord) {
+// closeUnused closes an unused grant for good.
+func (g *Gate) closeUnused(now clock.Millis, r *grantState) {
 	r.open = false
 	r.fate = control.FateNever
 	g.openCount--
-	g.inside[r.tier]--
-	g.retire(now, r)
+	g.activeByTier[r.tier]--
+	g.scheduleForget(now, r)
 }
 
-// Fate says what became of a grant, after closing it if it was unused.
+// Fate returns the outcome of a grant, after closing it if it is unused.
 func (g *Gate) Fate(now clock.Millis, grant ids.Grant, request ids.Request) control.Fate {
 	r := g.grants[grant]
 	if r == nil || r.request != request {
 		return control.FateUnknown
 	}
 	if r.open {
-		g.bury(now, r)
+		g.closeUnused(now, r)
 		g.Tick(now)
 	}
 	return r.fate
@@ -107,22 +107,22 @@
 	g.WithdrawTurn(now, session, request, math.MaxInt)
 }
 
-// WithdrawTurn takes back the tickets of a request up to a turn, and unused grants for them. It spares what was placed since:
-// messages of a session may pass one another.
-func (g *Gate) WithdrawTurn(now clock.Millis, session Session, request ids.Request, turn int) {
-	if w := g.queue.byID[request]; w != nil && w.session == session && w.ticket.Turn <= turn {
+// WithdrawTurn takes back the tickets of a request up to an attempt number, and unused grants for them. Later attempts
+// are kept, since messages of a session may overtake one another.
+func (g *Gate) WithdrawTurn(now clock.Millis, session Session, request ids.Request, attempt int) {
+	if w := g.queue.byRequest[request]; w != nil && w.session == session && w.ticket.Turn <= attempt {
 		g.queue.remove(w)
 		return
 	}
-	g.buryUpTo(now, request, turn)
+	g.closeUnusedUpTo(now, request, attempt)
 	g.Tick(now)
 }
 
-// buryUpTo closes the unused grants of a request for tickets up to a turn.
-func (g *Gate) buryUpTo(now clock.Millis, request ids.Request, turn int) {
+// closeUnusedUpTo closes the unused grants of a request for tickets up to an attempt number.
+func (g *Gate) closeUnusedUpTo(now clock.Millis, request ids.Request, attempt int) {
 	for _, r := range g.open {
-		if r.open && r.request == request && r.turn <= turn {
-			g.bury(now, r)
+		if r.open && r.request == request && r.attempt <= attempt {
+			g.closeUnused(now, r)
 		}
 	}
 }
--- a/pkg/gate/heaps.go
+++ b/pkg/gate/heaps.go
@@ -1,13 +1,13 @@
 package gate
 
-// element is what an indexedHeap holds: it has an order, and knows its place,
-// so that it can be taken out from anywhere.
+// element is an item of an indexedHeap: it has an order, and knows its index,
+// so that it can be removed from anywhere.
 type element[T any] interface {
 	before(T) bool
 	setIndex(int)
 }
 
-// indexedHeap is a heap for container/heap, the first by order at its top.
+// indexedHeap is a heap for container/heap with the first element by order at its top.
 type indexedHeap[T element[T]] []T
 
 func (h indexedHeap[T]) Len() int           { return len(h) }
@@ -18,14 +18,14 @@
 	h[j].setIndex(j)
 }
 
-// Push adds an element; it is called by container/heap.
+// Push appends an element; it is called by container/heap.
 func (h *indexedHeap[T]) Push(x any) {
 	added := x.(T)
 	added.setIndex(len(*h))
 	*h = append(*h, added)
 }
 
-// Pop takes the last element; it is called by container/heap.
+// Pop removes the last element; it is called by container/heap.
 func (h *indexedHeap[T]) Pop() any {
 	last := len(*h) - 1
 	taken := (*h)[last]
@@ -35,23 +35,23 @@
 	return taken
 }
 
-// before puts the earliest deadline first; of equal ones, the first to arrive.
-func (w *waiting) before(other *waiting) bool {
+// before orders tickets by deadline, and by arrival if deadlines are equal.
+func (w *queuedTicket) before(other *queuedTicket) bool {
 	if w.deadline != other.deadline {
 		return w.deadline < other.deadline
 	}
 	return w.arrival < other.arrival
 }
 
-func (w *waiting) setIndex(i int) { w.index = i }
+func (w *queuedTicket) setIndex(i int) { w.index = i }
 
-// before puts the least served account first; names decide a tie, so that the
+// before orders accounts by work served, the least first; names break ties, so that the
 // same tickets always give the same order.
-func (l *lane) before(other *lane) bool {
-	if l.service != other.service {
-		return l.service < other.service
+func (l *accountQueue) before(other *accountQueue) bool {
+	if l.served != other.served {
+		return l.served < other.served
 	}
 	return l.account < other.account
 }
 
-func (l *lane) setIndex(i int) { l.index = i }
+func (l *accountQueue) setIndex(i int) { l.index = i }
--- a/pkg/gate/queue.go
+++ b/pkg/gate/queue.go
@@ -1,5 +1,5 @@
-// Package gate decides, at one agent, which ticket gets the next room on the
-// target, and keeps what became of every grant. It does no I/O, starts no
+// Package gate decides, at one agent, which ticket gets the next free slot of the
+// target, and keeps the outcome of every grant. It does no I/O, starts no
 // goroutine and reads no clock: the time is an argument, the decision a result.
 package gate
 
@@ -11,74 +11,74 @@
 	"quaydock/pkg/ids"
 )
 
-// Session names one connection from an entry, for as long as it lasts.
+// Session identifies one connection from an entry, for as long as it lasts.
 type Session int64
 
-// waiting is a ticket in the queue.
-type waiting struct {
+// queuedTicket is a ticket in the queue.
+type queuedTicket struct {
 	ticket   control.Ticket
 	session  Session
 	deadline clock.Millis
 	arrival  uint64
 	index    int
-	lane     *lane
+	account  *accountQueue
 }
 
 // Queue orders tickets by tier, then by fair share between accounts, then by
 // deadline.
 type Queue struct {
-	tiers    []*tierQueue
-	byID     map[ids.Request]*waiting
-	work     ids.Tokens
-	tierWork []ids.Tokens
-	arrivals uint64
+	tiers     []*tierQueue
+	byRequest map[ids.Request]*queuedTicket
+	work      ids.Tokens
+	tierWork  []ids.Tokens
+	arrivals  uint64
 }
 
 // NewQueue returns an empty queue.
 func NewQueue() *Queue {
-	return &Queue{byID: make(map[ids.Request]*waiting)}
+	return &Queue{byRequest: make(map[ids.Request]*queuedTicket)}
 }
 
-// tierQueue holds the lanes of one tier, the least served first.
+// tierQueue holds the queues of the accounts of one tier, the least served first.
 type tierQueue struct {
-	lanes   indexedHeap[*lane]
-	byName  map[ids.Account]*lane
-	virtual float64
+	accounts    indexedHeap[*accountQueue]
+	byName      map[ids.Account]*accountQueue
+	virtualTime float64
 }
 
-// lane is what one account has waiting in one tier. Its service is the work
-// granted so far over its weight, as in start-time fair queueing.
-type lane struct {
+// accountQueue holds the tickets of one account in one tier. Its served value is the work
+// granted so far divided by its weight, as in start-time fair queueing.
+type accountQueue struct {
 	account ids.Account
-	service float64
-	tickets indexedHeap[*waiting]
+	served  float64
+	tickets indexedHeap[*queuedTicket]
 	index   int
 }
 
 func (q *Queue) tier(rank ids.TierRank) *tierQueue {
 	for len(q.tiers) <= int(rank) {
-		q.tiers = append(q.tiers, &tierQueue{byName: make(map[ids.Account]*lane)})
+		q.tiers = append(q.tiers, &tierQueue{byName: make(map[ids.Account]*accountQueue)})
 		q.tierWork = append(q.tierWork, 0)
 	}
 	return q.tiers[rank]
 }
 
-// Len returns how many tickets wait.
+// Len returns how many tickets are queued.
 func (q *Queue) Len() int {
-	return len(q.byID)
+	return len(q.byRequest)
 }
 
-// Work returns the estimated work that waits.
+// Work returns the estimated work of the queued tickets.
 func (q *Queue) Work() ids.Tokens {
 	return q.work
 }
 
-// Has reports whether a ticket of request waits.
+// Has reports whether a ticket of request is queued.
 func (q *Queue) Has(request ids.Request) bool {
-	return q.byID[request] != nil
+	return q.byRequest[request] != nil
 }
 
-// WorkAtOrAbove returns the work that waits in the tiers down to rank.
+// WorkAtOrAbove returns the queued work of the tiers down to rank.
 func (q *Queue) WorkAtOrAbove(rank ids.TierRank) ids.Tokens {
 	var sum ids.Tokens
 	for i, w := range q.tierWork {
@@ -89,7 +89,7 @@
 	return sum
 }
 
-// workByTier returns, for each tier, the work that waits in it and above.
+// workByTier returns, for each tier, the queued work of that tier and those above.
 func (q *Queue) workByTier() []ids.Tokens {
 	sums := make([]ids.Tokens, len(q.tierWork))
 	var sum ids.Tokens
@@ -105,34 +105,34 @@
 	t := q.tier(ticket.Tier)
 	l := t.byName[ticket.Account]
 	if l == nil {
-		l = &lane{account: ticket.Account, index: -1}
+		l = &accountQueue{account: ticket.Account, index: -1}
 		t.byName[ticket.Account] = l
 	}
 	if len(l.tickets) == 0 {
 		// An account that was idle starts level with the others: it neither
-		// keeps a credit for its idle time nor pays for having been served.
-		l.service = max(l.service, t.virtual)
-		heap.Push(&t.lanes, l)
+		// keeps a credit for its idle time nor pays for work served before.
+		l.served = max(l.served, t.virtualTime)
+		heap.Push(&t.accounts, l)
 	}
 	q.arrivals++
-	w := &waiting{ticket: ticket, session: session, deadline: deadline, arrival: q.arrivals, lane: l}
+	w := &queuedTicket{ticket: ticket, session: session, deadline: deadline, arrival: q.arrivals, account: l}
 	heap.Push(&l.tickets, w)
-	q.byID[ticket.Request] = w
+	q.byRequest[ticket.Request] = w
 	q.work += ticket.Work()
 	q.tierWork[ticket.Tier] += ticket.Work()
 }
 
-// pop takes the ticket that is next, or nil.
-func (q *Queue) pop() *waiting {
+// pop removes and returns the next ticket, or returns nil if the queue is empty.
+func (q *Queue) pop() *queuedTicket {
 	for _, t := range q.tiers {
-		if len(t.lanes) == 0 {
+		if len(t.accounts) == 0 {
 			continue
 		}
-		l := t.lanes[0]
+		l := t.accounts[0]
 		w := l.tickets[0]
-		t.virtual = l.service
-		l.service += float64(w.ticket.Work()+1) / weightOf(&w.ticket)
-		heap.Fix(&t.lanes, 0)
+		t.virtualTime = l.served
+		l.served += float64(w.ticket.Work()+1) / weightOf(&w.ticket)
+		heap.Fix(&t.accounts, 0)
 		q.remove(w)
 		return w
 	}
@@ -146,33 +146,33 @@
 	return t.Weight
 }
 
-// remove takes w out, wherever it stands.
-func (q *Queue) remove(w *waiting) {
+// remove removes a ticket from anywhere in the queue.
+func (q *Queue) remove(w *queuedTicket) {
 	t := q.tiers[w.ticket.Tier]
-	l := w.lane
+	l := w.account
 	heap.Remove(&l.tickets, w.index)
 	if len(l.tickets) == 0 {
-		heap.Remove(&t.lanes, l.index)
+		heap.Remove(&t.accounts, l.index)
 	}
-	if len(l.tickets) == 0 && l.service <= t.virtual {
+	if len(l.tickets) == 0 && l.served <= t.virtualTime {
 		delete(t.byName, l.account)
 	}
-	delete(q.byID, w.ticket.Request)
+	delete(q.byRequest, w.ticket.Request)
 	q.work -= w.ticket.Work()
 	q.tierWork[w.ticket.Tier] -= w.ticket.Work()
 }
 
-// lowest returns the ticket to give up first: of the lowest tier, the one with
-// the latest deadline in the most-served lane. It returns nil when empty.
-func (q *Queue) lowest() *waiting {
+// lowest returns the ticket to evict first: of the lowest tier, the one with
+// the latest deadline of the most-served account. It returns nil if the queue is empty.
+func (q *Queue) lowest() *queuedTicket {
 	for i := len(q.tiers) - 1; i >= 0; i-- {
 		t := q.tiers[i]
-		if len(t.lanes) == 0 {
+		if len(t.accounts) == 0 {
 			continue
 		}
-		most := t.lanes[0]
-		for _, l := range t.lanes {
-			if most.service < l.service {
+		most := t.accounts[0]
+		for _, l := range t.accounts {
+			if most.served < l.served {
 				most = l
 			}
 		}
@@ -187,30 +187,30 @@
 	return nil
 }
 
-// lowestTier returns the lowest tier that waits, and whether any does.
+// lowestTier returns the lowest queued tier, and whether any ticket is queued.
 func (q *Queue) lowestTier() (ids.TierRank, bool) {
 	for i := len(q.tiers) - 1; i >= 0; i-- {
-		if len(q.tiers[i].lanes) > 0 {
+		if len(q.tiers[i].accounts) > 0 {
 			return ids.TierRank(i), true
 		}
 	}
 	return 0, false
 }
 
-// highest returns the highest tier that waits, and whether any does.
+// highest returns the highest queued tier, and whether any ticket is queued.
 func (q *Queue) highest() (ids.TierRank, bool) {
 	for i, t := range q.tiers {
-		if len(t.lanes) > 0 {
+		if len(t.accounts) > 0 {
 			return ids.TierRank(i), true
 		}
 	}
 	return 0, false
 }
 
-// all lists the tickets that wait, in no order.
-func (q *Queue) all() []*waiting {
-	list := make([]*waiting, 0, len(q.byID))
-	for _, w := range q.byID {
+// all returns the queued tickets, in no particular order.
+func (q *Queue) all() []*queuedTicket {
+	list := make([]*queuedTicket, 0, len(q.byRequest))
+	for _, w := range q.byRequest {
 		list = append(list, w)
 	}
 	return list
--- a/pkg/gate/refusal.go
+++ b/pkg/gate/refusal.go
@@ -20,43 +20,43 @@
 		g.raiseFloor(now, ticket.Tier)
 		return control.Full
 	}
-	if g.unit.least(ticket.Work()) >= ticket.Remaining {
+	if g.unit.minRunTime(ticket.Work()) >= ticket.Remaining {
 		return control.Late
 	}
-	if rest := g.rest(now); rest > 0 && rest+g.unit.least(ticket.Work()) >= ticket.Remaining {
+	if backoff := g.backoffLeft(now); backoff > 0 && backoff+g.unit.minRunTime(ticket.Work()) >= ticket.Remaining {
 		g.raiseFloor(now, ticket.Tier)
-		return control.Full // and not late: it may come back when the target works again
+		return control.Full // not Late: the request may come back after the back-off
 	}
-	if (g.full(ticket) || g.hopeless(ticket)) && !g.servesBelow(ticket.Tier) {
+	if (g.full(ticket) || g.cannotMeetDeadline(ticket)) && !g.servesBelow(ticket.Tier) {
 		g.raiseFloor(now, ticket.Tier)
 		return control.Full
 	}
 	return control.NoReason
 }
 
-// full reports whether work of the ticket's tier and above fills the queue. A request that is back from a place that came to
-// nothing isn't turned away for those that have come meanwhile; there are few of them.
+// full reports whether work of the ticket's tier and above fills the queue. A request that returns from an assignment
+// that came to nothing is not refused because of requests that have come meanwhile; such returns are few.
 func (g *Gate) full(ticket *control.Ticket) bool {
 	return !ticket.Returned && g.queue.Len() > 0 && g.queue.WorkAtOrAbove(ticket.Tier)+ticket.Work() > g.queueLimit()
 }
 
-// hopeless reports whether the work that goes before the ticket takes longer
+// cannotMeetDeadline reports whether the work queued before the ticket takes longer
 // than its deadline allows, even if nothing of a higher tier arrives any more.
-func (g *Gate) hopeless(ticket *control.Ticket) bool {
+func (g *Gate) cannotMeetDeadline(ticket *control.Ticket) bool {
 	if g.drain.perSecond <= 0 || g.queue.Len() == 0 {
 		return false
 	}
 	before := float64(g.queue.WorkAtOrAbove(ticket.Tier)) / g.drain.perSecond
-	left := ticket.Remaining - g.unit.least(ticket.Work())
+	left := ticket.Remaining - g.unit.minRunTime(ticket.Work())
 	return before*float64(clock.Second) > float64(left)
 }
 
-// servesBelow reports whether work below tier waits, is granted or runs. While
-// it does, no ticket of tier is refused, even beyond the bound of the queue:
-// what runs is not cut to make room, but it is not served in the place of a
+// servesBelow reports whether work below tier is queued, granted or running. While
+// it is, no ticket of tier is refused, even beyond the queue limit: running work
+// is not aborted to free slots, but it must not be served in place of a
 // higher tier either.
 func (g *Gate) servesBelow(tier ids.TierRank) bool {
-	for i, n := range g.inside {
+	for i, n := range g.activeByTier {
 		if n > 0 && tier.Higher(ids.TierRank(i)) {
 			return true
 		}
@@ -65,28 +65,28 @@
 	return waits && tier.Higher(lowest)
 }
 
-func (g *Gate) enter(tier ids.TierRank) {
-	for len(g.inside) <= int(tier) {
-		g.inside = append(g.inside, 0)
+func (g *Gate) countActive(tier ids.TierRank) {
+	for len(g.activeByTier) <= int(tier) {
+		g.activeByTier = append(g.activeByTier, 0)
 	}
-	g.inside[tier]++
+	g.activeByTier[tier]++
 }
 
-// raiseFloor keeps tiers below one out for a while after a ticket of it was shed,
-// so that what was shed does not see lower work served in its place. Each tier has
-// a time of its own: a tier that is shed only because a higher one was a moment ago
-// still needs the whole while for itself.
+// raiseFloor refuses tiers below the given one for a while after a ticket of it was shed,
+// so that a shed request does not see lower work served in its place. Each tier has
+// its own hold time: a tier that is shed only because a higher one was shed a moment ago
+// still needs the full hold time for itself.
 func (g *Gate) raiseFloor(now clock.Millis, tier ids.TierRank) {
-	for len(g.shedUntil) <= int(tier) {
-		g.shedUntil = append(g.shedUntil, 0)
+	for len(g.floorUntil) <= int(tier) {
+		g.floorUntil = append(g.floorUntil, 0)
 	}
-	g.shedUntil[tier] = now + g.limits.FloorHold
+	g.floorUntil[tier] = now + g.limits.FloorHold
 }
 
-// floorAt returns the lowest tier that is still taken; ids.BelowAllTiers if every
+// floorAt returns the lowest tier that is still admitted; ids.BelowAllTiers if every
 // tier is.
 func (g *Gate) floorAt(now clock.Millis) ids.TierRank {
-	for i, until := range g.shedUntil {
+	for i, until := range g.floorUntil {
 		if now < until {
 			return ids.TierRank(i)
 		}
@@ -99,10 +99,10 @@
 	return max(g.limits.QueueMin, ids.Tokens(measured))
 }
 
-// evict hands back lower tiers until the queue is within its bound. What is
-// handed back is shed as much as what is refused on arrival, so that the same
-// holds for it: not while anything below it is served, and nothing below it is
-// taken for a while.
+// evict declines queued tickets of lower tiers until the queue is within its limit. An
+// evicted ticket is shed like one that is refused on arrival, so the same rules apply:
+// no eviction while anything below its tier is served, and nothing below its tier is
+// admitted for a while afterwards.
 func (g *Gate) evict(now clock.Millis, tier ids.TierRank) {
 	for g.queue.Work() > g.queueLimit() {
 		w := g.queue.lowest()
@@ -110,6 +110,6 @@
 			return
 		}
 		g.raiseFloor(now, w.ticket.Tier)
-		g.handBack(w, control.Full)
+		g.declineQueued(w, control.Full)
 	}
 }
--- a/pkg/gate/unit_meter.go
+++ b/pkg/gate/unit_meter.go
@@ -7,18 +7,18 @@
 
 const (
 	microsPerMilli = 1000
-	// unitKeep is the part of what is known that each further request leaves.
-	unitKeep = 0.95
-	// sureShare is the part of the estimated run time that a request is sure to
-	// take. Estimates are means; a request is only given up when well below its
-	// estimate it would still be late.
-	sureShare = 0.9
+	// unitDecay is the factor by which each new request reduces the weight of earlier ones.
+	unitDecay = 0.95
+	// certainFraction is the fraction of the estimated run time that a request takes for certain.
+	// Estimates are means: a request is only given up if it would be late even when it runs
+	// well below its estimate.
+	certainFraction = 0.9
 )
 
-// unitMeter learns how long a request runs for each token of its work. It
-// takes in how full the batch is, how fast the target is, and how the
-// estimates of work compare with what is really done. Requests count by their
-// work: short ones, whose run is mostly one step more or less, say little.
+// unitMeter estimates how long a request runs for each token of its work. The estimate
+// includes how full the batch is, how fast the target is, and how work estimates
+// compare with the work done. Requests count by their work: short ones, whose run time
+// varies mostly by one step more or less, carry little information.
 type unitMeter struct {
 	micros float64
 	ran    float64
@@ -26,12 +26,12 @@
 }
 
 func (u *unitMeter) learn(ran clock.Millis, work ids.Tokens) {
-	u.ran = u.ran*unitKeep + float64(ran)*microsPerMilli
-	u.work = u.work*unitKeep + float64(max(1, work))
+	u.ran = u.ran*unitDecay + float64(ran)*microsPerMilli
+	u.work = u.work*unitDecay + float64(max(1, work))
 	u.micros = u.ran / u.work
 }
 
-// least returns the time that work is sure to take; 0 before any is known.
-func (u *unitMeter) least(work ids.Tokens) clock.Millis {
-	return clock.Millis(sureShare * u.micros * float64(work) / microsPerMilli)
+// minRunTime returns the time that work takes for certain; 0 before any request has finished.
+func (u *unitMeter) minRunTime(work ids.Tokens) clock.Millis {
+	return clock.Millis(certainFraction * u.micros * float64(work) / microsPerMilli)
 }
