--- a/pkg/balance/affinity.go
+++ b/pkg/balance/affinity.go
@@ -10,32 +10,32 @@
 	"quaydock/pkg/prefix"
 )
 
-// tokensPerBlock is the prompt tokens of one block of a chain.
+// tokensPerBlock is the number of prompt tokens in one block of a prefix chain.
 const tokensPerBlock = prefix.BlockBytes / 4
 
-// runShare is the part of the time to the deadline that a run may take where the
-// target is chosen for what it holds rather than for its speed.
-const runShare = 0.7
+// maxRunFraction is the fraction of the time to the deadline that a run may take where the
+// target is chosen for its cached prompts rather than for its speed.
+const maxRunFraction = 0.7
 
-// affine orders candidates for a job with a long prompt: by the expected wait
-// less the time that the part of the prompt already held there saves. So the
-// targets that hold it come first as long as waiting for them is shorter than
-// computing it again. Without a holder its home comes first on the same terms.
-// Speed counts only where the run would come near the deadline: if it counted
-// always, all long prompts would crowd the fastest targets and drive one another
-// out of their caches.
-func (c *Chooser) affine(random *rand.Rand, job Job, candidates []Candidate) []int {
+// orderByAffinity orders candidates for a job with a long prompt: by the expected wait
+// less the time saved by the prompt blocks that the target has cached. So targets with
+// cached blocks come first as long as waiting for them takes less time than computing
+// the blocks again. If no candidate has any, the prompt's owner comes first on the same
+// terms. Speed counts only where the run would come near the deadline: if it always
+// counted, all long prompts would crowd the fastest targets and evict one another from
+// their caches.
+func (c *Chooser) orderByAffinity(random *rand.Rand, job Job, candidates []Candidate) []int {
 	order := random.Perm(len(candidates))
 	costs := make([]float64, len(candidates))
-	held := false
+	anyCached := false
 	for i := range candidates {
-		blocks := c.holdings.Held(candidates[i].Target, job.Prefix)
-		held = held || blocks > 0
-		costs[i] = candidates[i].affineCost(job) - candidates[i].saved(float64(blocks))
+		blocks := c.cached.Held(candidates[i].Target, job.Prefix)
+		anyCached = anyCached || blocks > 0
+		costs[i] = candidates[i].affineCost(job) - candidates[i].secondsSaved(float64(blocks))
 	}
-	if !held {
-		home := prefix.Home(job.Prefix[0], placesOf(candidates))
-		costs[home] -= candidates[home].saved(float64(len(job.Prefix)))
+	if !anyCached {
+		owner := prefix.Home(job.Prefix[0], weightedTargets(candidates))
+		costs[owner] -= candidates[owner].secondsSaved(float64(len(job.Prefix)))
 	}
 	slices.SortStableFunc(order, func(i, j int) int {
 		return cmp.Compare(costs[i], costs[j])
@@ -46,25 +46,25 @@
 func (c *Candidate) affineCost(job Job) float64 {
 	wait := c.expectedWait(job.Tier)
 	run := c.expectedEnd(job) - wait
-	if run > runShare*float64(job.Remaining)/float64(clock.Second) {
+	if run > maxRunFraction*float64(job.Remaining)/float64(clock.Second) {
 		return wait + run
 	}
 	return wait
 }
 
-// placesOf lists the candidates as homes of prompts, the faster ones with more
-// room for them.
-func placesOf(candidates []Candidate) []prefix.Place {
-	places := make([]prefix.Place, len(candidates))
+// weightedTargets lists the candidates as possible owners of prompts; faster ones get more
+// weight.
+func weightedTargets(candidates []Candidate) []prefix.Place {
+	targets := make([]prefix.Place, len(candidates))
 	for i := range candidates {
 		unit := max(1, candidates[i].Load.UnitMicros)
-		places[i] = prefix.Place{Target: candidates[i].Target, Weight: 1 / float64(unit)}
+		targets[i] = prefix.Place{Target: candidates[i].Target, Weight: 1 / float64(unit)}
 	}
-	return places
+	return targets
 }
 
-// saved is the time, in seconds, for computing blocks of a prompt.
-func (c *Candidate) saved(blocks float64) float64 {
+// secondsSaved is the time, in seconds, that a target needs to compute blocks of a prompt.
+func (c *Candidate) secondsSaved(blocks float64) float64 {
 	const unknownMicros = 1000
 	unit := float64(c.Load.UnitMicros)
 	if unit <= 0 {
--- a/pkg/balance/chooser.go
+++ b/pkg/balance/chooser.go
@@ -11,74 +11,73 @@
 	"quaydock/pkg/prefix"
 )
 
-// Chooser applies a policy and keeps what the policy has to remember from one
-// request to the next.
+// Chooser applies a policy and keeps the policy's state from one request to the next.
 type Chooser struct {
-	policy Policy
-	asked  int
-	lag    clock.Millis
-	// holdings is what this entry has lately sent where.
-	holdings *prefix.Holdings
+	policy    Policy
+	fanOut    int
+	reportLag clock.Millis
+	// cached estimates which prompts targets have cached, from what this entry sent them lately.
+	cached *prefix.Holdings
 
-	mu      sync.Mutex
-	turns   map[ids.Service]int
-	reports map[ids.Target]report
+	mu        sync.Mutex
+	rotations map[ids.Service]int
+	reports   map[ids.Target]report
 }
 
-// report is a load as a baseline knows it.
+// report is a load report as a baseline policy uses it.
 type report struct {
 	load control.Load
 	at   clock.Millis
 }
 
-// NewChooser returns a chooser. Asked is how many targets are asked at once;
-// lag is how old the load is that a baseline decides on.
-func NewChooser(policy Policy, asked int, lag clock.Millis) *Chooser {
+// NewChooser returns a chooser. fanOut is how many targets are queried at once;
+// reportLag is the age of the load reports that baseline policies decide on.
+func NewChooser(policy Policy, fanOut int, reportLag clock.Millis) *Chooser {
 	return &Chooser{
-		policy: policy, asked: asked, lag: lag, holdings: prefix.NewHoldings(),
-		turns: make(map[ids.Service]int), reports: make(map[ids.Target]report),
+		policy: policy, fanOut: fanOut, reportLag: reportLag, cached: prefix.NewHoldings(),
+		rotations: make(map[ids.Service]int), reports: make(map[ids.Target]report),
 	}
 }
 
-// Order returns the indexes of the candidates in the order in which to ask
+// Order returns the indexes of the candidates in the order in which to query
 // them.
 func (c *Chooser) Order(now clock.Millis, random *rand.Rand, job Job, candidates []Candidate) []int {
 	switch c.policy.(type) {
 	case RoundRobin:
-		return c.inTurn(job.Service, len(candidates))
+		return c.rotate(job.Service, len(candidates))
 	case LeastLoad:
-		return sortedByLoad(random.Perm(len(candidates)), len(candidates), c.reported(now, candidates))
+		return sortedByLoad(random.Perm(len(candidates)), len(candidates), c.reportedLoads(now, candidates))
 	case PowerOfTwo:
 		const drawn = 2
-		return sortedByLoad(random.Perm(len(candidates)), drawn, c.reported(now, candidates))
+		return sortedByLoad(random.Perm(len(candidates)), drawn, c.reportedLoads(now, candidates))
 	default:
 		if len(job.Prefix) > 0 && len(candidates) > 0 {
-			return c.affine(random, job, candidates)
+			return c.orderByAffinity(random, job, candidates)
 		}
-		return Order(random, job, candidates, c.asked)
+		return Order(random, job, candidates, c.fanOut)
 	}
 }
 
-// Asked returns how many targets to ask at once. A job with a long prompt is
-// placed with one, since the first of several to have room is rarely the one
-// that holds the prompt.
+// Asked returns how many targets to query at once. A job with a long prompt is
+// sent to one, since the first of several to have a free slot is rarely the one
+// that has cached the prompt.
 func (c *Chooser) Asked(job Job) int {
 	if len(job.Prefix) > 0 {
 		return 1
 	}
-	return c.asked
+	return c.fanOut
 }
 
-// Bound notes that a job with the given prefix was bound to a target.
+// Bound records that a job with the given prefix chain was bound to a target.
 func (c *Chooser) Bound(target ids.Target, chain []prefix.Fingerprint) {
-	c.holdings.Note(target, chain)
+	c.cached.Note(target, chain)
 }
 
-func (c *Chooser) inTurn(service ids.Service, n int) []int {
+func (c *Chooser) rotate(service ids.Service, n int) []int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	first := c.turns[service]
-	c.turns[service]++
+	first := c.rotations[service]
+	c.rotations[service]++
 	order := make([]int, n)
 	for i := range order {
 		order[i] = (first + i) % n
@@ -86,14 +85,14 @@
 	return order
 }
 
-// reported returns the candidates' running and queued work as last reported.
-func (c *Chooser) reported(now clock.Millis, candidates []Candidate) []ids.Tokens {
+// reportedLoads returns the candidates' running and queued work as last reported.
+func (c *Chooser) reportedLoads(now clock.Millis, candidates []Candidate) []ids.Tokens {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	loads := make([]ids.Tokens, len(candidates))
 	for i := range candidates {
 		r, known := c.reports[candidates[i].Target]
-		if !known || now-r.at >= c.lag {
+		if !known || now-r.at >= c.reportLag {
 			r = report{load: candidates[i].Load, at: now}
 			c.reports[candidates[i].Target] = r
 		}
@@ -102,7 +101,7 @@
 	return loads
 }
 
-// sortedByLoad puts the first drawn of order in the order of their loads.
+// sortedByLoad sorts the first drawn elements of order by load.
 func sortedByLoad(order []int, drawn int, loads []ids.Tokens) []int {
 	slices.SortStableFunc(order[:min(drawn, len(order))], func(i, j int) int {
 		return int(loads[i] - loads[j])
--- a/pkg/balance/chooser_test.go
+++ b/pkg/balance/chooser_test.go
@@ -21,7 +21,7 @@
 	scenarios := []struct {
 		name       string
 		job        balance.Job
-		held       ids.Target // holds the job's prompt
+		held       ids.Target // has cached the job's prompt
 		candidates []balance.Candidate
 		first      ids.Target
 	}{
@@ -30,29 +30,29 @@
 			candidates: []balance.Candidate{candidate("busy", 0, 5000, 100, 3000), candidate("idle", 4, 0, 100, 3000)}, first: "idle",
 		},
 		{
-			name: "of free ones the faster", job: balance.Job{Tier: 1, Work: 100},
+			name: "the faster of free targets", job: balance.Job{Tier: 1, Work: 100},
 			candidates: []balance.Candidate{candidate("slow", 8, 0, 0, 8000), candidate("fast", 1, 0, 0, 3000)}, first: "fast",
 		},
 		{
-			name: "lower tiers do not stand in the way", job: balance.Job{Tier: 0, Work: 100},
+			name: "lower tiers do not add to the wait", job: balance.Job{Tier: 0, Work: 100},
 			candidates: []balance.Candidate{candidate("fast", 0, 5000, 100, 3000), candidate("slow", 1, 0, 0, 8000)}, first: "fast",
 		},
 		{
-			name: "a leaving target last", job: balance.Job{Tier: 1, Work: 10},
+			name: "a draining target last", job: balance.Job{Tier: 1, Work: 10},
 			candidates: []balance.Candidate{
 				{Target: "leaving", Load: control.Load{Free: 8, Slots: 8, Leaving: true}}, candidate("busy", 0, 500, 100, 3000),
 			}, first: "busy",
 		},
 		{
-			name: "the holder of a long prompt, though another is free", job: balance.Job{Tier: 1, Work: 100, Remaining: 60_000, Prefix: long}, held: "holder",
+			name: "the target that cached a long prompt, though another is free", job: balance.Job{Tier: 1, Work: 100, Remaining: 60_000, Prefix: long}, held: "holder",
 			candidates: []balance.Candidate{candidate("free", 8, 0, 0, 3000), candidate("holder", 0, 100, 800, 3000)}, first: "holder",
 		},
 		{
-			name: "not if waiting for it takes longer than computing", job: balance.Job{Tier: 1, Work: 100, Remaining: 60_000, Prefix: long}, held: "holder",
+			name: "a free target if waiting for the cached prompt takes longer than computing it", job: balance.Job{Tier: 1, Work: 100, Remaining: 60_000, Prefix: long}, held: "holder",
 			candidates: []balance.Candidate{candidate("free", 8, 0, 0, 3000), candidate("holder", 0, 5000, 800, 3000)}, first: "free",
 		},
 		{
-			name: "not if it is too slow for the deadline", job: balance.Job{Tier: 1, Work: 1000, Remaining: 9000, Prefix: long}, held: "holder",
+			name: "a faster target if the one that cached the prompt is too slow for the deadline", job: balance.Job{Tier: 1, Work: 1000, Remaining: 9000, Prefix: long}, held: "holder",
 			candidates: []balance.Candidate{candidate("free", 8, 0, 0, 3000), candidate("holder", 8, 0, 0, 8000)}, first: "free",
 		},
 	}
--- a/pkg/balance/order.go
+++ b/pkg/balance/order.go
@@ -1,5 +1,5 @@
-// Package balance decides which targets a request's tickets go to first. It
-// does no I/O; the random numbers come from the caller, so that a seed repeats
+// Package balance decides to which targets a request's tickets go first. It
+// does no I/O; the random numbers come from the caller, so that a seed reproduces
 // a decision.
 package balance
 
@@ -14,16 +14,15 @@
 	"quaydock/pkg/prefix"
 )
 
-// Candidate is a target that could serve a request, as its entry last heard of
-// it.
+// Candidate is a target that could serve a request, with its last reported load.
 type Candidate struct {
 	Target ids.Target
 	Load   control.Load
-	// Outstanding is the work of this entry's tickets placed since that reply.
+	// Outstanding is the work of the tickets that this entry placed since that report.
 	Outstanding ids.Tokens
 }
 
-// Job is what is to be placed.
+// Job is a request to be placed.
 type Job struct {
 	Service ids.Service
 	Tier    ids.TierRank
@@ -43,8 +42,8 @@
 	return c.expectedWait(job.Tier) + float64(job.Work)*float64(c.Load.UnitMicros)/microsPerSecond
 }
 
-// expectedWait estimates in seconds how long new work of a tier waits, by the
-// queue before it and the measured drain rate.
+// expectedWait estimates in seconds how long new work of a tier waits, from the
+// work queued before it and the measured drain rate.
 func (c *Candidate) expectedWait(tier ids.TierRank) float64 {
 	const unknownDrain = 1000
 	drain := float64(c.Load.DrainPerSecond)
@@ -53,20 +52,20 @@
 	}
 	work := float64(c.Load.QueuedBefore(tier) + c.Outstanding)
 	if c.Load.Free == 0 {
-		// The next of the running requests ends after about its share of the
+		// The next of the running requests ends after about its fraction of the
 		// time in which all of them end.
 		work += float64(c.Load.Running) / float64(max(1, c.Load.Slots))
 	}
 	return work/drain + c.Load.Rest.Duration().Seconds()
 }
 
-// Order returns the indexes of the candidates in the order in which to ask
-// them. Of twice as many as will be asked, drawn at random, the ones with the
-// earliest expected end go first: reports are stale, so that always asking the
-// best would make all entries crowd the same target.
-func Order(random *rand.Rand, job Job, candidates []Candidate, asked int) []int {
+// Order returns the indexes of the candidates in the order in which to query
+// them. It draws twice as many as will be queried and puts those with the
+// earliest expected end first: load reports are stale, so if every entry always
+// chose the best, all would crowd the same target.
+func Order(random *rand.Rand, job Job, candidates []Candidate, fanOut int) []int {
 	order := random.Perm(len(candidates))
-	drawn := min(2*asked, len(order))
+	drawn := min(2*fanOut, len(order))
 	slices.SortStableFunc(order[:drawn], func(i, j int) int {
 		return compare(&candidates[i], &candidates[j], job)
 	})
--- a/pkg/balance/policy.go
+++ b/pkg/balance/policy.go
@@ -2,20 +2,20 @@
 
 import "github.com/juju/errors"
 
-// Policy is how targets are chosen.
+// Policy is a rule for choosing targets.
 type Policy interface{ isPolicy() }
 
-// LateBinding asks several agents and binds to the first that has room.
+// LateBinding queries several agents and binds to the first that has a free slot.
 type LateBinding struct{}
 
-// RoundRobin takes the targets in turn: a baseline.
+// RoundRobin uses the targets in rotation: a baseline.
 type RoundRobin struct{}
 
-// LeastLoad takes the target with the least load by its last report: a
+// LeastLoad uses the target with the least load by its last report: a
 // baseline.
 type LeastLoad struct{}
 
-// PowerOfTwo draws two targets and takes the one with less load by its last
+// PowerOfTwo draws two targets and uses the one with less load by its last
 // report: a baseline.
 type PowerOfTwo struct{}
 
--- a/pkg/claim/batcher.go
+++ b/pkg/claim/batcher.go
@@ -10,30 +10,30 @@
 	"quaydock/pkg/table"
 )
 
-// maxBatch bounds the claims of one transaction.
+// maxBatch is the maximum number of claims in one transaction.
 const maxBatch = 128
 
-// step is one conditional write.
-type step struct {
+// pendingWrite is one conditional write.
+type pendingWrite struct {
 	condition table.Condition
 	write     table.Write
 	done      chan error
 }
 
-// batcher puts the writes that come while a transaction is under way into the
+// batcher collects the writes that arrive while a transaction is under way into the
 // next one, since the table takes only several hundred transactions a second.
 type batcher struct {
 	table *table.Table
 
 	mu      sync.Mutex
-	waiting []step
+	pending []pendingWrite
 	running bool
 }
 
 // commit makes one conditional write; see table.Table.Commit for its errors.
-// It goes on in the background if ctx ends first.
+// The write goes on in the background if ctx ends first.
 func (b *batcher) commit(ctx context.Context, condition table.Condition, write table.Write) error {
-	s := step{condition: condition, write: write, done: make(chan error, 1)}
+	s := pendingWrite{condition: condition, write: write, done: make(chan error, 1)}
 	b.add(s)
 	select {
 	case err := <-s.done:
@@ -43,10 +43,10 @@
 	}
 }
 
-func (b *batcher) add(s step) {
+func (b *batcher) add(s pendingWrite) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.waiting = append(b.waiting, s)
+	b.pending = append(b.pending, s)
 	if !b.running {
 		b.running = true
 		go b.run()
@@ -54,27 +54,27 @@
 }
 
 func (b *batcher) run() {
-	for batch := b.take(); batch != nil; batch = b.take() {
+	for batch := b.nextBatch(); batch != nil; batch = b.nextBatch() {
 		b.write(batch)
 	}
 }
 
-func (b *batcher) take() []step {
+func (b *batcher) nextBatch() []pendingWrite {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	n := min(len(b.waiting), maxBatch)
+	n := min(len(b.pending), maxBatch)
 	if n == 0 {
 		b.running = false
 		return nil
 	}
-	batch := b.waiting[:n:n]
-	b.waiting = b.waiting[n:]
+	batch := b.pending[:n:n]
+	b.pending = b.pending[n:]
 	return batch
 }
 
-// write makes a batch's transaction. If a condition fails, the halves are tried
-// apart until the one that is at fault stands alone.
-func (b *batcher) write(batch []step) {
+// write commits a batch in one transaction. If a condition fails, it tries the halves
+// separately, until the failing write is alone.
+func (b *batcher) write(batch []pendingWrite) {
 	var transaction table.Transaction
 	for _, s := range batch {
 		transaction.Conditions = append(transaction.Conditions, s.condition)
--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -1,4 +1,4 @@
-// Package claim makes a call with an idempotency key run at most once, whichever
+// Package claim runs a call with an idempotency key at most once, whichever
 // entries its repeats come to: an entry first writes a claim to the platform's
 // table, and only the holder of the claim may run the call.
 package claim
@@ -18,10 +18,10 @@
 type Claim struct {
 	// Request is the attempt that holds the claim.
 	Request ids.Request `json:"request"`
-	// Entry is where it was made.
+	// Entry is the entry that wrote the claim.
 	Entry ids.Process `json:"entry"`
-	// Free says that the attempt did not run and never will: another attempt
-	// may take the claim over.
+	// Free means that the attempt did not run and never will: another attempt
+	// may take over the claim.
 	Free bool `json:"free"`
 	// At is when it was written, in milliseconds since the Unix epoch.
 	At clock.Millis `json:"at"`
@@ -29,9 +29,9 @@
 
 const keyPrefix = "claim/"
 
-// rowOf names the row of an account's idempotency key. The key itself is a
-// caller's text and goes in as a sum.
-func rowOf(account ids.Account, key string) table.Key {
+// rowKey returns the key of the row for an account's idempotency key. The idempotency key
+// is text from a caller, so the row key contains its hash.
+func rowKey(account ids.Account, key string) table.Key {
 	sum := sha256.Sum256([]byte(string(account) + "\x00" + key))
 	return table.Key(keyPrefix + hex.EncodeToString(sum[:]))
 }
@@ -39,7 +39,7 @@
 func (c Claim) write(key table.Key) (table.Write, error) {
 	value, err := json.Marshal(c)
 	if err != nil {
-		return table.Write{}, fmt.Errorf("writing a claim: %w", err)
+		return table.Write{}, fmt.Errorf("encoding claim: %w", err)
 	}
 	return table.Write{Key: key, Value: value}, nil
 }
@@ -47,7 +47,7 @@
 func readClaim(row table.Row) (Claim, error) {
 	var c Claim
 	if err := json.Unmarshal(row.Value, &c); err != nil {
-		return Claim{}, fmt.Errorf("reading a claim: %w", err)
+		return Claim{}, fmt.Errorf("decoding claim: %w", err)
 	}
 	return c, nil
 }
--- a/pkg/claim/claimer.go
+++ b/pkg/claim/claimer.go
@@ -16,11 +16,11 @@
 const (
 	minBackoff = 50 * clock.Millisecond
 	maxBackoff = 2 * clock.Second
-	// freeTime bounds the tries to free a claim whose attempt did not run.
-	freeTime = clock.Minute
+	// freeTimeout limits the attempts to free a claim whose request did not run.
+	freeTimeout = clock.Minute
 )
 
-// Claimer makes and frees claims for one entry.
+// Claimer acquires and frees claims for one entry.
 type Claimer struct {
 	common.Common
 	entry   ids.Process
@@ -33,11 +33,11 @@
 	return &Claimer{Common: c, entry: entry, table: table, batcher: &batcher{table: table}}
 }
 
-// Claim tries to win the claim of an idempotency key for a request. It returns
-// false if another attempt holds it. It tries for as long as ctx lasts; an error
-// means that the table could not say, and then the request must not run.
+// Claim tries to acquire the claim of an idempotency key for a request. It returns
+// false if another attempt holds it. It retries for as long as ctx lasts; an error
+// means that the table gave no definite answer, and then the request must not run.
 func (c *Claimer) Claim(ctx context.Context, account ids.Account, key string, request ids.Request) (bool, error) {
-	row := rowOf(account, key)
+	row := rowKey(account, key)
 	var version table.Version
 	backoff := c.Random.NewBackoff(minBackoff, maxBackoff)
 	for {
@@ -48,7 +48,7 @@
 		held, found, readErr := c.read(ctx, row)
 		switch {
 		case ctx.Err() != nil:
-			return false, fmt.Errorf("claiming: %w", ctx.Err())
+			return false, fmt.Errorf("acquiring claim: %w", ctx.Err())
 		case readErr != nil, !found:
 			// The write may still take effect: only the next try can tell.
 			version = 0
@@ -64,15 +64,15 @@
 	}
 }
 
-// Free gives a claim back after its request was refused as not run, so that a
-// repeat may run. It goes on in the background; if the table stays away, repeats
-// are told that the outcome is unknown.
+// Free frees a claim after its request was refused as not run, so that a
+// repeat may run. It goes on in the background; while the claim can't be freed, repeats
+// get the answer that the outcome is unknown.
 func (c *Claimer) Free(account ids.Account, key string, request ids.Request) {
-	go c.free(rowOf(account, key), request)
+	go c.free(rowKey(account, key), request)
 }
 
 func (c *Claimer) free(row table.Key, request ids.Request) {
-	ctx, cancel := context.WithTimeout(context.Background(), freeTime.Duration())
+	ctx, cancel := context.WithTimeout(context.Background(), freeTimeout.Duration())
 	defer cancel()
 	backoff := c.Random.NewBackoff(minBackoff, maxBackoff)
 	for ctx.Err() == nil {
@@ -97,20 +97,20 @@
 	return c.batcher.commit(ctx, table.Condition{Key: row, Version: version}, write)
 }
 
-// holding is a claim as it stands in the table.
-type holding struct {
+// storedClaim is a claim as stored in the table, with the version of its row.
+type storedClaim struct {
 	claim   Claim
 	version table.Version
 }
 
-func (c *Claimer) read(ctx context.Context, key table.Key) (held holding, found bool, err error) {
+func (c *Claimer) read(ctx context.Context, key table.Key) (held storedClaim, found bool, err error) {
 	row, err := c.table.Read(ctx, key)
 	if errors.Is(err, jujuerrors.NotFound) {
-		return holding{}, false, nil
+		return storedClaim{}, false, nil
 	}
 	if err != nil {
-		return holding{}, false, err
+		return storedClaim{}, false, err
 	}
 	claim, err := readClaim(row)
-	return holding{claim: claim, version: row.Version}, err == nil, err
+	return storedClaim{claim: claim, version: row.Version}, err == nil, err
 }
