--- a/pkg/metering/meter.go
+++ b/pkg/metering/meter.go
@@ -53,7 +53,7 @@
 	// that requests under way never reduce what an account may use.
 	ownerMarginFraction = 0.1
 	// burstMarginFraction is the fraction of the margin up to which an owner grants an account's burst again in each
-	// window, instead of once and then only after the account has asked for less for a while. The rest is for requests
+	// window, instead of once and then only after the account has used less for a while. The rest is for requests
 	// under way, and for entries that have just become owners.
 	burstMarginFraction = 0.4
 	// maxInitialFill and initialFillMarginFraction set how full the bucket of a new owner is: the one is the maximum,
@@ -69,7 +69,7 @@
 	// debtMarginFraction is the fraction of the margin that requests at all entries together may overdraw, where each
 	// entry holds a small fraction of the allowance (see maxDebt).
 	debtMarginFraction = 0.1
-	// majority is the fraction of the entries beyond which only one owner can have agreement.
+	// majority is the fraction of the entries beyond which only one owner of an account can have their agreement.
 	majority = 0.5
 	// unresponsiveFor is how long an entry sends no claims to an owner that did not reply.
 	unresponsiveFor = 150 * clock.Millisecond
