--- a/pkg/balance/chooser.go
+++ b/pkg/balance/chooser.go
@@ -61,7 +61,7 @@
 // Asked returns how many targets to query at once. A job with a long prompt is
 // sent to one, since the first of several to have a free slot is rarely the one
 // that has cached the prompt.
-func (c *Chooser) Asked(job Job) int {
+func (c *Chooser) FanOut(job Job) int {
 	if len(job.Prefix) > 0 {
 		return 1
 	}
--- a/pkg/entry/ticketing.go
+++ b/pkg/entry/ticketing.go
@@ -110,7 +110,7 @@
 		reached = fruitless
 	}
 	job := r.job(now)
-	next.asked = t.choose.Asked(job)
+	next.asked = t.choose.FanOut(job)
 	for _, i := range t.choose.Order(now, t.Random.Fork(), job, reached.candidates) {
 		next.untried = append(next.untried, reached.sessions[i])
 	}
--- a/pkg/ingress/delivery.go
+++ b/pkg/ingress/delivery.go
@@ -86,7 +86,7 @@
 // run serves a request. It returns why there is no whole answer, or nil.
 func (d *delivery) run(ctx context.Context, q *request, out *answerWriter) *Refusal {
 	admitted := q.account
-	d.retries.Request(d.Clock.Now(), q.service)
+	d.retries.CountRequest(d.Clock.Now(), q.service)
 	refusal := d.tries(ctx, q, out)
 	if refusal != nil && d.giveHeld(ctx, q, out, refusal) {
 		return nil
@@ -229,7 +229,7 @@
 	if q.sends >= maxSends || q.deadline-now < minLeft || d.Ablation.Off(ablation.Retries) {
 		return false
 	}
-	return d.untried(q) && d.retries.Repeat(now, q.service, d.entries.Share())
+	return d.untried(q) && d.retries.TakeRetry(now, q.service, d.entries.Share())
 }
 
 // untried reports whether there is a target that the request was not sent to in its present life, and may be.
--- a/pkg/ingress/moves_test.go
+++ b/pkg/ingress/moves_test.go
@@ -134,7 +134,7 @@
 
 // spendLeave uses the leave to repeat up, so that only a part of a request is left.
 func spendLeave(b *bed) {
-	for b.retries.Repeat(b.clock.Now(), "s", 1) {
+	for b.retries.TakeRetry(b.clock.Now(), "s", 1) {
 		continue
 	}
 }
--- a/pkg/ingress/search.go
+++ b/pkg/ingress/search.go
@@ -144,13 +144,13 @@
 	}
 	if refusal != nil {
 		s.end = SearchNoPlace
-		d.retries.Return(leaveAt, service)
+		d.retries.ReturnRetry(leaveAt, service)
 		return false
 	}
 	result := s.open(place)
 	reached := result == nil || s.countAttempt(place.Target(), result)
 	if !reached {
-		d.retries.Return(leaveAt, service)
+		d.retries.ReturnRetry(leaveAt, service)
 	}
 	return reached
 }
--- a/pkg/ingress/search_drawn_test.go
+++ b/pkg/ingress/search_drawn_test.go
@@ -93,7 +93,7 @@
 	}
 	// Of the leave, 0.7 of the slack of 100 and of a fifth of the one request, as many parts are left as were not used.
 	left := 0
-	for b.retries.Repeat(b.clock.Now(), "s", 1) {
+	for b.retries.TakeRetry(b.clock.Now(), "s", 1) {
 		left++
 	}
 	if want := 70 - (reached - 1); left != want {
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -121,12 +121,12 @@
 			}
 			b := budgets[entry]
 			if rapid.Bool().Draw(t, "repeat") {
-				if b.Repeat(now, "s", 1/float64(entries)) {
+				if b.TakeRetry(now, "s", 1/float64(entries)) {
 					retries = append(retries, now)
 				}
 				continue
 			}
-			b.Request(now, "s")
+			b.CountRequest(now, "s")
 			requests = append(requests, now)
 		}
 		for _, from := range retries {
--- a/pkg/quota/retry_budget.go
+++ b/pkg/quota/retry_budget.go
@@ -51,7 +51,7 @@
 }
 
 // Request counts a caller's request for a service.
-func (b *RetryBudget) Request(now clock.Millis, service ids.Service) {
+func (b *RetryBudget) CountRequest(now clock.Millis, service ids.Service) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.tallyAt(now, service)
@@ -60,7 +60,7 @@
 
 // Repeat reports whether a request may be sent to one more target of a service,
 // and counts the retry if so. share is this entry's fraction of the slack, from 0 to 1.
-func (b *RetryBudget) Repeat(now clock.Millis, service ids.Service, share float64) bool {
+func (b *RetryBudget) TakeRetry(now clock.Millis, service ids.Service, share float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.tallyAt(now, service)
@@ -73,7 +73,7 @@
 }
 
 // Return takes back a retry that was counted at the given time and reached no target.
-func (b *RetryBudget) Return(counted clock.Millis, service ids.Service) {
+func (b *RetryBudget) ReturnRetry(counted clock.Millis, service ids.Service) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.services[service]
