--- a/pkg/membership/owners.go
+++ b/pkg/membership/owners.go
@@ -57,7 +57,8 @@
 	return other.lastAliveAt + m.silenceLimit()
 }
 
-// SilenceLimit returns the time since an entry's last heartbeat after which it no longer counts as alive.
+// SilenceLimit returns the time since an entry's last heartbeat after which, at the latest, it no longer counts as
+// alive.
 func (m *Members) MissedAfter() clock.Millis {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/membership/registration_test.go
+++ b/pkg/membership/registration_test.go
@@ -139,7 +139,7 @@
 			t.Errorf("rank %d, rank among alive %d; want 3, 3", rank, rankAmongAlive)
 		}
 		if _, self := joiner.DomainHead("store"); self {
-			t.Error("the joining entry is the owner in its failure domain")
+			t.Error("the joining entry is the domain owner")
 		}
 		if owner, _ := b.members[0].Home("m"); owner == address(3) {
 			t.Error("the others take the joining entry for an owner")
