--- a/pkg/app/entry_figures.go
+++ b/pkg/app/entry_figures.go
@@ -41,7 +41,7 @@
 		return float64(entries)
 	})
 	f.Gauge("entries_list_read", func() float64 {
-		if p.members.Known() {
+		if p.members.ListRead() {
 			return 1
 		}
 		return 0
--- a/pkg/app/entry_follow.go
+++ b/pkg/app/entry_follow.go
@@ -24,7 +24,7 @@
 	select {
 	case <-p.members.FirstListed():
 	case <-time.After(membersFirst.Duration()):
-		p.Log.WithField("read", p.members.Known()).Warn("no entry seen on the list yet; reading the other tables without it")
+		p.Log.WithField("read", p.members.ListRead()).Warn("no entry seen on the list yet; reading the other tables without it")
 	case <-ctx.Done():
 		return
 	}
--- a/pkg/membership/members.go
+++ b/pkg/membership/members.go
@@ -196,7 +196,7 @@
 	m.list = make(map[ids.Process]*member, len(rows))
 	m.names = nil
 	starting := len(before) == 0
-	first := !m.Known()
+	first := !m.ListRead()
 	for _, row := range rows {
 		m.applyRow(row, before[ids.Process(row.Key)], !starting)
 	}
@@ -222,7 +222,7 @@
 func (m *Members) FirstListed() <-chan struct{} { return m.firstListed }
 
 // ListRead reports whether any list was read, including one without this entry.
-func (m *Members) Known() bool {
+func (m *Members) ListRead() bool {
 	select {
 	case <-m.ready:
 		return true
