--- a/pkg/ingress/bed_test.go
+++ b/pkg/ingress/bed_test.go
@@ -96,19 +96,19 @@
 	stuck  ids.Target // its requests are told to go elsewhere after 300 ms
 	placed func()     // called once there is a place, before it is used
 	// refuseLater refuses all asks but the first, and delayLater comes before the places of all but it.
-	refuseLater bool
-	delayLater  time.Duration
-	mu          sync.Mutex
-	asks        int
-	ends        []string // target and outcome of each place
+	refuseRepeats bool
+	repeatDelay   time.Duration
+	mu            sync.Mutex
+	acquires      int
+	ends          []string // target and outcome of each place
 }
 
 func (s *inOrder) Acquire(ctx context.Context, ask schedule.Ask) (schedule.Place, *schedule.Refused, error) {
 	s.mu.Lock()
-	s.asks++
-	later, delay := s.asks > 1, s.delay
+	s.acquires++
+	later, delay := s.acquires > 1, s.delay
 	if later {
-		delay += s.delayLater
+		delay += s.repeatDelay
 	}
 	s.mu.Unlock()
 	select {
@@ -129,7 +129,7 @@
 		if s.placed != nil {
 			s.placed()
 		}
-		return &orderedPlace{s, t}, nil, nil
+		return &orderedAssignment{s, t}, nil, nil
 	}
 	return nil, &schedule.Refused{RetryAfter: 500}, nil
 }
@@ -137,24 +137,24 @@
 func (s *inOrder) refuses(later bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.refuse || later && s.refuseLater
+	return s.refuse || later && s.refuseRepeats
 }
 
 // later changes what becomes of all asks but the first.
-func (s *inOrder) later(refuse bool, delay time.Duration) {
+func (s *inOrder) setRepeats(refuse bool, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refuseLater, s.delayLater = refuse, delay
+	s.refuseRepeats, s.repeatDelay = refuse, delay
 }
 
-type orderedPlace struct {
+type orderedAssignment struct {
 	s *inOrder
 	t *routing.Target
 }
 
-func (p *orderedPlace) Target() *routing.Target { return p.t }
-func (p *orderedPlace) Began(*planner.Load)     {}
-func (p *orderedPlace) Moved() <-chan struct{} {
+func (p *orderedAssignment) Target() *routing.Target { return p.t }
+func (p *orderedAssignment) Began(*planner.Load)     {}
+func (p *orderedAssignment) Moved() <-chan struct{} {
 	if p.t.ID == p.s.stuck {
 		moved := make(chan struct{})
 		time.AfterFunc(300*time.Millisecond, func() { close(moved) })
@@ -162,7 +162,7 @@
 	}
 	return nil
 }
-func (p *orderedPlace) Done(o planner.Outcome, _ planner.Flow) {
+func (p *orderedAssignment) Done(o planner.Outcome, _ planner.Flow) {
 	p.s.mu.Lock()
 	defer p.s.mu.Unlock()
 	p.s.ends = append(p.s.ends, string(p.t.ID)+" "+o.String())
@@ -196,7 +196,7 @@
 	keep       bool // callers ask for kept connections
 	lines      *logtest.Hook
 	metrics    *telemetry.Metrics
-	dialling   *dialling
+	dialer     *slowDialer
 	guard      *quarantine.Guard
 	path       string // of the one request of the table of endings
 	stopped    bool   // its server of callers
@@ -210,20 +210,20 @@
 type engine func(c net.Conn, r *http.Request) bool
 
 // dialling is the network as the entry has it.
-type dialling struct {
+type slowDialer struct {
 	*network.Memory
 	mu    sync.Mutex
 	slow  time.Duration // that a connection takes
 	fails error         // of further connections
 }
 
-func (d *dialling) set(slow time.Duration, fails error) {
+func (d *slowDialer) set(slow time.Duration, fails error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.slow, d.fails = slow, fails
 }
 
-func (d *dialling) Dial(ctx context.Context, address string) (net.Conn, error) {
+func (d *slowDialer) Dial(ctx context.Context, address string) (net.Conn, error) {
 	d.mu.Lock()
 	slow, fails := d.slow, d.fails
 	d.mu.Unlock()
@@ -245,8 +245,8 @@
 
 func newBed(t *testing.T, meter freely, engines ...engine) *bed {
 	b := &bed{t: t, reach: network.NewMemory(nil), started: make(map[net.Conn]ids.Start)}
-	b.dialling = &dialling{Memory: b.reach}
-	c := commontest.New(b.dialling)
+	b.dialer = &slowDialer{Memory: b.reach}
+	c := commontest.New(b.dialer)
 	b.spans = tracetest.NewSpanRecorder()
 	c.Tracer = sdktrace.NewTracerProvider(sdktrace.WithSpanProcessor(b.spans)).Tracer("test")
 	c.Clock, b.suspension = clock.NewSuspendable()
@@ -322,12 +322,12 @@
 			b.mu.Lock()
 			b.started[c] = b.targets[i].Start
 			b.mu.Unlock()
-			go b.converse(c, string(target.ID), e)
+			go b.serveConn(c, string(target.ID), e)
 		}
 	}()
 }
 
-func (b *bed) converse(c net.Conn, target string, e engine) {
+func (b *bed) serveConn(c net.Conn, target string, e engine) {
 	defer func() { _ = c.Close() }()
 	reader := bufio.NewReader(c)
 	for {
--- a/pkg/ingress/broken_off.go
+++ b/pkg/ingress/broken_off.go
@@ -8,43 +8,43 @@
 	"quaydock/pkg/forward"
 )
 
-// Ender is who ended an answer that had begun before it was whole.
+// EndedBy is who ended an answer that had begun before it was complete.
 type Ender int
 
 //go:generate stringer -type=Ender -trimprefix=Ender -output=ender_string.go
 
-// The enders.
+// Values of EndedBy.
 const (
-	// EnderTarget: its target broke it off, and no other one could go on.
+	// EnderTarget: its target broke it off, and no other one could continue it.
 	EnderTarget Ender = iota
-	// EnderNewStart: its target has started again.
+	// EnderNewStart: its target was restarted.
 	EnderNewStart
-	// EnderGivenUp: this entry gave its target up, as its VM did not answer, and the next one failed.
+	// EnderGivenUp: this entry gave its target up, as the target's VM did not answer, and the next target failed.
 	EnderGivenUp
-	// EnderDeadline: the time of the request is over.
+	// EnderDeadline: the request's deadline passed.
 	EnderDeadline
-	// EnderEntry: this entry ends.
+	// EnderEntry: this entry's process ended.
 	EnderEntry
-	// EnderCaller: its caller left before its time was over.
+	// EnderCaller: its caller left before its deadline.
 	EnderCaller
 )
 
-// errGivenUp says that this entry ended an exchange whose target went on, as far as is known.
-var errGivenUp = errors.New("its target was given up")
+// errGivenUp marks an exchange that this entry ended although its target may still have been running the request.
+var errGivenUp = errors.New("target was given up by this entry")
 
-// blame has the error of a lost exchange say if this entry ended it; the error of the connection would read the same
-// whoever did.
-func blame(ctx context.Context, result attempt) attempt {
+// wrapGivenUp marks the error of a lost exchange with errGivenUp if this entry ended it, as the error of the connection
+// reads the same whoever closed it.
+func wrapGivenUp(ctx context.Context, result attempt) attempt {
 	failed, ok := result.(lost)
-	if !ok || !errors.Is(context.Cause(ctx), errMoved) {
+	if !ok || !errors.Is(context.Cause(ctx), errRedispatched) {
 		return result
 	}
 	failed.err = fmt.Errorf("%w: %w", errGivenUp, failed.err)
 	return failed
 }
 
-// ender tells who ended the answer to a request.
-func (r *request) ender(cause Cause) Ender {
+// endedBy returns who ended the answer to a request.
+func (r *request) endedBy(cause Cause) Ender {
 	switch {
 	case cause == CauseLeft:
 		return EnderCaller
@@ -63,7 +63,7 @@
 
 // brokenOff counts and logs an answer that had begun and was broken off.
 func (c *Controller) brokenOff(q *request, refusal *Refusal) {
-	by := q.ender(refusal.Cause)
+	by := q.endedBy(refusal.Cause)
 	c.Metrics.Figures.Add("answers_broken_off", "by", by.String())
 	if !c.sampler.Allow("broken off") {
 		return
--- a/pkg/ingress/broken_off_test.go
+++ b/pkg/ingress/broken_off_test.go
@@ -56,7 +56,7 @@
 )
 
 // answersLong sends a part of a long answer, and the rest a while later; without a rest it closes the connection then.
-func answersLong(pause time.Duration, rest bool) engine {
+func longAnswer(pause time.Duration, rest bool) engine {
 	return func(c net.Conn, r *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\nContent-Length: %d\r\n\r\n", r.Header.Get("Id"), longBody)
 		_, _ = io.WriteString(c, strings.Repeat("a", longPart))
@@ -90,10 +90,10 @@
 		{"a stream that may be resumed, at the end", "/resume/a", trickles, time4 - 7*time.Millisecond, "Deadline"},
 		{"a call, at the end", "/unsafe/a", silent, time4 - 7*time.Millisecond, "Deadline"},
 		{"a call, half-way", "/unsafe/a", silent, time4 / 2, "Left"},
-		{"a long answer, at the end", "/unsafe/a", answersLong(8*time.Second, true), time4 - 7*time.Millisecond, "Deadline"},
-		{"a long answer, half-way", "/unsafe/a", answersLong(8*time.Second, true), time4 / 2, "Left"},
-		{"a long answer, and it never closes", "/unsafe/a", answersLong(8*time.Second, true), 0, "Deadline"},
-		{"a long answer that its target breaks off", "/unsafe/a", answersLong(time.Second, false), 0, "Lost"},
+		{"a long answer, at the end", "/unsafe/a", longAnswer(8*time.Second, true), time4 - 7*time.Millisecond, "Deadline"},
+		{"a long answer, half-way", "/unsafe/a", longAnswer(8*time.Second, true), time4 / 2, "Left"},
+		{"a long answer, and it never closes", "/unsafe/a", longAnswer(8*time.Second, true), 0, "Deadline"},
+		{"a long answer that its target breaks off", "/unsafe/a", longAnswer(time.Second, false), 0, "Lost"},
 	}
 	for _, s := range cases {
 		t.Run(s.name, func(t *testing.T) {
@@ -138,7 +138,7 @@
 	}{
 		{"its target", "/stream/a", []engine{streams(4)}, nil, "Target", 20},
 		{"its target, and the next one", "/resume/a", []engine{streams(4), streams(7)}, nil, "Target", 20},
-		{"its target, in a long answer", "/unsafe/a", []engine{answersLong(time.Second, false)}, nil, "Target", 1000},
+		{"its target, in a long answer", "/unsafe/a", []engine{longAnswer(time.Second, false)}, nil, "Target", 1000},
 		{"a new start of its target", "/stream/a", []engine{stallsAfter(3)}, (*bed).restart, "NewStart", 700},
 		{"the end of its time", "/stream/a", []engine{stallsAfter(3)}, nil, "Deadline", 2000},
 		{"the entry's end", "/stream/a", []engine{stallsAfter(3)}, func(b *bed) { b.controller.End() }, "Entry", 700},
--- a/pkg/ingress/deliver_bench_test.go
+++ b/pkg/ingress/deliver_bench_test.go
@@ -18,17 +18,17 @@
 )
 
 // refusing refuses all requests at once.
-type refusing struct{}
+type refusingScheduler struct{}
 
-func (refusing) Acquire(context.Context, schedule.Ask) (schedule.Place, *schedule.Refused, error) {
+func (refusingScheduler) Acquire(context.Context, schedule.Ask) (schedule.Place, *schedule.Refused, error) {
 	return nil, &schedule.Refused{Overloaded: true, RetryAfter: clock.Second}, nil
 }
 
 // assured is one entry that is all there are.
-type assured struct{}
+type onlyEntry struct{}
 
-func (assured) Share() float64            { return 1 }
-func (assured) Assured(clock.Millis) bool { return true }
+func (onlyEntry) Share() float64            { return 1 }
+func (onlyEntry) Assured(clock.Millis) bool { return true }
 
 // BenchmarkDeliver is what a request pays between its admission and its place: 4.3 µs and 18 allocations while each request had a context and a
 // function of its own for the end of the process, 2.2 µs and 10 allocations with one for all.
@@ -36,7 +36,7 @@
 	c := commontest.New(network.NewMemory(nil))
 	v := view.New(c.Check)
 	controller := NewController(Parts{
-		Common: c, View: v, Scheduler: refusing{}, Pool: forward.NewPool(c, nil, nil), Entries: assured{},
+		Common: c, View: v, Scheduler: refusingScheduler{}, Pool: forward.NewPool(c, nil, nil), Entries: onlyEntry{},
 		Retries: quota.NewRetryBudget(quota.RetryBounds{Ratio: 0.2, Slack: 100, Window: 10 * clock.Second}, c.Clock.Now()),
 	})
 	ctx, leave := context.WithCancel(controller.Context()) // when the caller leaves
--- a/pkg/ingress/delivery.go
+++ b/pkg/ingress/delivery.go
@@ -20,7 +20,7 @@
 	"quaydock/pkg/telemetry"
 )
 
-// delivery takes an admitted request to a target and its answer back.
+// delivery sends an admitted request to a target and relays the answer.
 type delivery struct {
 	common.Common
 	admission *admission
@@ -35,44 +35,42 @@
 }
 
 const (
-	// maxSends bounds the exchanges of one request, those included that surely
-	// did not run.
+	// maxSends is the limit on exchanges of one request, including those that surely did not run.
 	maxSends = 4
-	// mostWithheld is how many places a request leaves unused before it is not to get the same target again.
-	// Whoever gives the places soon hears what the target said; until a rest is over, the request may wait for it.
-	mostWithheld = 3
-	// minLeft is the least time for which it is worth asking a target.
-	minLeft = 20 * clock.Millisecond
-	// retryDeclined is when to come back if targets had no room.
-	retryDeclined = 500 * clock.Millisecond
+	// maxWithheld is how many assignments to a target a request may leave unused before the target is excluded. The
+	// planner soon learns what the target reported; until a back-off is over, the request may wait for the target.
+	maxWithheld = 3
+	// minRemaining is the minimum time that must remain before the deadline for another exchange.
+	minRemaining = 20 * clock.Millisecond
+	// declinedRetryAfter is the Retry-After if targets had no free slot.
+	declinedRetryAfter = 500 * clock.Millisecond
 )
 
-// attempt is how one exchange ended: completed, declined or lost.
+// attempt is how one exchange ended.
 type attempt interface{ attempt() }
 
 type (
-	// completed: the caller has its answer.
+	// completed: the caller has a complete answer.
 	completed struct{}
-	// withheld: nothing was sent, as the target had told this entry not to.
+	// withheld: nothing was sent, as the target had asked this entry not to.
 	withheld struct{}
 	// declined: the target surely did not run the request.
 	declined struct{ err error }
-	// lost: the target may have run the request. again says that one more
-	// exchange has been granted already, answered that the target did answer, final that no other
-	// target can go on with what the caller has.
+	// lost: the target may have run the request. retryTaken says that a retry has already been taken from the budget,
+	// answered that the target did answer, final that no other target can continue what the caller has.
 	lost struct {
-		err      error
-		again    bool
-		answered bool
-		final    bool
+		err        error
+		retryTaken bool
+		answered   bool
+		final      bool
 	}
-	// handedOver: the target fell silent, and another one has taken over; notRun says that it surely did not run the
-	// request.
+	// handedOver: the target was silent, and another one has taken over. notRun says that the first target surely did not
+	// run the request.
 	handedOver struct {
 		to     *takeover
 		notRun bool
 	}
-	// callerGone: the caller can no longer be written to.
+	// callerGone: writing to the caller failed.
 	callerGone struct{ err error }
 )
 
@@ -83,11 +81,11 @@
 func (handedOver) attempt() {}
 func (callerGone) attempt() {}
 
-// run serves a request. It returns why there is no whole answer, or nil.
+// run serves a request. It returns nil, or why there is no complete answer.
 func (d *delivery) run(ctx context.Context, q *request, out *answerWriter) *Refusal {
 	admitted := q.account
 	d.retries.Request(d.Clock.Now(), q.service)
-	refusal := d.tries(ctx, q, out)
+	refusal := d.runAttempts(ctx, q, out)
 	if refusal != nil && d.giveHeld(ctx, q, out, refusal) {
 		return nil
 	}
@@ -97,56 +95,55 @@
 	return refusal
 }
 
-func (d *delivery) tries(ctx context.Context, q *request, out *answerWriter) *Refusal {
-	var pass *quarantine.Pass
-	defer func() { pass.Release(false) }()
+func (d *delivery) runAttempts(ctx context.Context, q *request, out *answerWriter) *Refusal {
+	var permit *quarantine.Pass
+	defer func() { permit.Release(false) }()
 	for {
-		place, entered, refusal := d.enter(ctx, q, pass)
+		assignment, entered, refusal := d.enter(ctx, q, permit)
 		if refusal != nil {
-			return d.giveUp(ctx, q, refusal)
+			return d.finalRefusal(ctx, q, refusal)
 		}
-		target := place.Target()
-		result := d.exchange(ctx, q, out, place)
+		target := assignment.Target()
+		result := d.exchange(ctx, q, out, assignment)
 		for next, ok := result.(handedOver); ok; next, ok = result.(handedOver) {
 			if !next.notRun {
 				q.sent++
 			}
 			entered = d.observe(ctx, q, target, entered, result)
-			target = next.to.place.Target()
+			target = next.to.assignment.Target()
 			result = d.takeOver(ctx, q, out, next.to)
 		}
-		pass = d.observe(ctx, q, target, entered, result)
+		permit = d.observe(ctx, q, target, entered, result)
 		switch result := result.(type) {
 		case completed:
 			return nil
 		case callerGone:
-			return d.goneAway(q, result.err)
+			return d.callerGoneRefusal(q, result.err)
 		case withheld:
-			// Nothing has reached the target, so that this is no repeat.
-			q.passOver(target.Life())
+			// Nothing has reached the target, so the next attempt is not a retry.
+			q.recordWithheld(target.Life())
 		case declined:
 			q.declines++
-			if !d.again(q) {
-				return d.giveUp(ctx, q, &Refusal{Status: http.StatusServiceUnavailable, Cause: CauseDeclined, RetryAfter: d.afterDeclined(q), Err: result.err})
+			if !d.takeRetry(q) {
+				return d.finalRefusal(ctx, q, &Refusal{Status: http.StatusServiceUnavailable, Cause: CauseDeclined, RetryAfter: d.retryAfterDeclined(q), Err: result.err})
 			}
 		case lost:
 			q.sent++
 			q.lostBy = result.err
-			if ctx.Err() != nil || result.final || !result.again && (!d.repeatable(q, out) || !d.again(q)) {
-				return d.giveUp(ctx, q, &Refusal{Status: http.StatusBadGateway, Cause: CauseLost, Err: result.err})
+			if ctx.Err() != nil || result.final || !result.retryTaken && (!d.repeatable(q, out) || !d.takeRetry(q)) {
+				return d.finalRefusal(ctx, q, &Refusal{Status: http.StatusBadGateway, Cause: CauseLost, Err: result.err})
 			}
 		}
 	}
 }
 
-// acquire waits for a place on a target. What the request was admitted under
-// is looked up again once there is one.
+// acquire waits for an assignment to a target. It then checks again the configuration that the request was admitted under.
 func (d *delivery) acquire(ctx context.Context, q *request) (schedule.Place, *Refusal) {
 	ctx, span := d.Tracer.Start(ctx, "entry.place")
 	defer span.End()
-	place, refused, err := d.scheduler.Acquire(ctx, schedule.Ask{Service: q.service, Job: planner.Job{
+	assignment, refused, err := d.scheduler.Acquire(ctx, schedule.Ask{Service: q.service, Job: planner.Job{
 		Account: q.accountName(), Tier: q.tier(),
-		Prompt: q.Prompt, Events: d.admission.events(q), Gap: q.route.EventGap,
+		Prompt: q.Prompt, Events: d.admission.estimateEvents(q), Gap: q.route.EventGap,
 		Arrived: q.arrived, Before: q.before, Objective: q.route.Objective, Deadline: q.deadline, Patience: q.patience(),
 		Returned: q.returned(), Movable: d.movable(q), Exclude: q.tried,
 		Route: ids.Route(q.route.Name),
@@ -156,46 +153,46 @@
 	case errors.Is(err, errNotNeeded):
 		return nil, &Refusal{Cause: CauseNone}
 	case err != nil:
-		q.note(now, "no place in its time", "")
+		q.note(now, "no assignment before the deadline", "")
 		return nil, &Refusal{Status: http.StatusGatewayTimeout, Cause: CauseDeadline}
 	case refused != nil && refused.Overloaded:
 		q.note(now, fmt.Sprintf("refused: %d ahead, a wait of %d ms", refused.Ahead, refused.Wait), "")
 		return nil, notRun(CauseOverloaded, refused.RetryAfter)
 	case refused != nil && refused.Resting:
-		q.note(now, fmt.Sprintf("all targets rest from here, the first for %d ms more", refused.Wait), "")
+		q.note(now, fmt.Sprintf("all targets ask this entry to back off, the first for %d ms more", refused.Wait), "")
 		return nil, notRun(CauseResting, refused.RetryAfter)
 	case refused != nil:
 		return nil, notRun(CauseNoTarget, refused.RetryAfter)
 	}
-	q.note(now, "placed on", place.Target().ID)
+	q.note(now, "placed on", assignment.Target().ID)
 	if hasLeft(ctx) {
-		place.Done(planner.Abandoned, planner.Flow{})
+		assignment.Done(planner.Abandoned, planner.Flow{})
 		return nil, &Refusal{Cause: CauseLeft, Err: errEndSeen}
 	}
-	if refusal := d.recheck(q, place); refusal != nil {
-		q.note(now, "not sent after all: "+refusal.Cause.String(), "")
-		place.Done(planner.Abandoned, planner.Flow{})
+	if refusal := d.recheck(q, assignment); refusal != nil {
+		q.note(now, "not sent after a recheck: "+refusal.Cause.String(), "")
+		assignment.Done(planner.Abandoned, planner.Flow{})
 		return nil, refusal
 	}
-	return place, nil
+	return assignment, nil
 }
 
-// recheck looks up route, key and the end of a stop once more before a request is sent.
-func (d *delivery) recheck(q *request, place schedule.Place) *Refusal {
+// recheck looks up the route, the key and the limits of a drain again before a request is sent.
+func (d *delivery) recheck(q *request, assignment schedule.Place) *Refusal {
 	account := q.account
 	if refusal := d.admission.resolve(q); refusal != nil {
-		// It was allowed when it came: it may come back and be judged anew.
+		// It was allowed when it arrived, so the caller may come back and be checked again.
 		return notRun(refusal.Cause, comeBack)
 	}
-	if account != nil && q.account == nil || !q.route.Leads(place.Target().Service) {
+	if account != nil && q.account == nil || !q.route.Leads(assignment.Target().Service) {
 		return notRun(CauseNoRoute, comeBack)
 	}
-	if q.sent > 0 && !d.repeats(q) {
+	if q.sent > 0 && !d.mayRepeat(q) {
 		return notRun(CauseNoRoute, comeBack)
 	}
 	now := d.Clock.Now()
 	if now >= q.deadline {
-		// The VM was suspended, and the timer of the request's time with it.
+		// The VM was suspended, and with it the timer of the deadline.
 		return notRun(CauseDeadline, comeBack)
 	}
 	if q.sent == 0 && !d.admission.closing.sends(now, q.deadline, q.route) {
@@ -204,36 +201,36 @@
 	return nil
 }
 
-// repeatable reports whether a request that may have run may be sent again.
+// repeatable reports whether a request that may have run may be sent again, given what the caller has received.
 func (d *delivery) repeatable(q *request, out *answerWriter) bool {
-	if !d.repeats(q) {
+	if !d.mayRepeat(q) {
 		return false
 	}
 	return !out.started || q.route.Resumable && !d.Ablation.Off(ablation.Resumption)
 }
 
-// repeats reports whether the route in force lets one more target have a request that may have run.
-func (d *delivery) repeats(q *request) bool {
+// mayRepeat reports whether the route in force allows one more target for a request that may have run.
+func (d *delivery) mayRepeat(q *request) bool {
 	return q.route.Idempotent() && q.sent < q.route.Attempts
 }
 
-// movable reports whether a request that may have run could be sent to one more
-// target after this one.
+// movable reports whether a request could be sent to one more target after it may have run at the present one.
 func (d *delivery) movable(q *request) bool {
 	return q.route.Idempotent() && q.sent+1 < q.route.Attempts
 }
 
-// again reports whether one more exchange is within the bounds.
-func (d *delivery) again(q *request) bool {
+// takeRetry reports whether one more exchange is within the limits, and takes it from the retry budget.
+func (d *delivery) takeRetry(q *request) bool {
 	now := d.Clock.Now()
-	if q.sends >= maxSends || q.deadline-now < minLeft || d.Ablation.Off(ablation.Retries) {
+	if q.sends >= maxSends || q.deadline-now < minRemaining || d.Ablation.Off(ablation.Retries) {
 		return false
 	}
-	return d.untried(q) && d.retries.Repeat(now, q.service, d.entries.Share())
+	return d.hasUntriedTarget(q) && d.retries.Repeat(now, q.service, d.entries.Share())
 }
 
-// untried reports whether there is a target that the request was not sent to in its present life, and may be.
-func (d *delivery) untried(q *request) bool {
+// hasUntriedTarget reports whether there is a target that may get the request and did not get it in its present
+// incarnation.
+func (d *delivery) hasUntriedTarget(q *request) bool {
 	for _, t := range d.admission.view.Directory().Serving(q.service) {
 		if !slices.Contains(q.tried, t.Life()) && !d.advice.Of(t.Life()).Bars() {
 			return true
@@ -242,36 +239,37 @@
 	return false
 }
 
-// afterDeclined is when to come back after targets have declined a request.
-func (d *delivery) afterDeclined(q *request) clock.Millis {
+// retryAfterDeclined returns the Retry-After of a request that targets have declined.
+func (d *delivery) retryAfterDeclined(q *request) clock.Millis {
 	rest := d.advice.AllRest(d.admission.view.Directory().Serving(q.service))
-	return max(retryDeclined, planner.AfterRest(rest, d.Random.Fork().Float64()))
+	return max(declinedRetryAfter, planner.AfterRest(rest, d.Random.Fork().Float64()))
 }
 
-// goneAway is the final word on a request whose caller can't be written to.
-func (d *delivery) goneAway(q *request, err error) *Refusal {
-	if d.timeOver(q) {
+// callerGoneRefusal returns the refusal of a request whose caller can't be written to.
+func (d *delivery) callerGoneRefusal(q *request, err error) *Refusal {
+	if d.callerTimeOver(q) {
 		return &Refusal{Status: http.StatusGatewayTimeout, Cause: CauseDeadline, Err: err}
 	}
 	return &Refusal{Cause: CauseLeft, Err: err}
 }
 
 const (
-	// callerLead is how long before this entry's a caller's clock may begin: a connection has to be made, and the
-	// request to come. It is callerLeadPart of the caller's time at the most, so that one with little time can leave.
-	callerLead     = 100 * clock.Millisecond
-	callerLeadPart = 20
+	// callerLead is how much earlier than this entry a caller may begin to count its time, as the connection has to be made
+	// and the request to arrive. It is at most 1/callerLeadDivisor of the caller's time, so that a caller with little time
+	// can still be seen to leave early.
+	callerLead        = 100 * clock.Millisecond
+	callerLeadDivisor = 20
 )
 
-// timeOver reports whether a caller that closes its connection now does so because its time is over. Which end is seen first,
-// the caller's or this entry's, would be chance.
-func (d *delivery) timeOver(q *request) bool {
-	lead := min(callerLead, q.Deadline/callerLeadPart)
+// callerTimeOver reports whether a caller that closes its connection now does so because its time is over. Without this it
+// would be chance whether the caller's close or this entry's timer is seen first.
+func (d *delivery) callerTimeOver(q *request) bool {
+	lead := min(callerLead, q.Deadline/callerLeadDivisor)
 	return q.Deadline > 0 && d.Clock.Now() >= q.arrived+q.Deadline-lead
 }
 
-// giveUp is the final word on a request, given how far it got.
-func (d *delivery) giveUp(ctx context.Context, q *request, refusal *Refusal) *Refusal {
+// finalRefusal returns the refusal that the caller gets, given how far the request got.
+func (d *delivery) finalRefusal(ctx context.Context, q *request, refusal *Refusal) *Refusal {
 	ended := ctx.Err() != nil
 	switch {
 	case errors.Is(context.Cause(ctx), errEnded) && q.sent > 0:
@@ -279,8 +277,8 @@
 	case errors.Is(context.Cause(ctx), errEnded):
 		return notRun(CauseLeaving, d.admission.closing.retryAfter(d.Clock.Now()))
 	case refusal.Cause == CauseLeft:
-		return d.goneAway(q, refusal.Err)
-	case callerHasLeft(ctx) && !d.timeOver(q):
+		return d.callerGoneRefusal(q, refusal.Err)
+	case callerHasLeft(ctx) && !d.callerTimeOver(q):
 		return &Refusal{Cause: CauseLeft, Err: refusal.Err}
 	case ended && q.sent > 0:
 		return &Refusal{Status: http.StatusGatewayTimeout, Cause: CauseDeadline, Err: refusal.Err}
--- a/pkg/ingress/dialect.go
+++ b/pkg/ingress/dialect.go
@@ -8,32 +8,32 @@
 	"quaydock/pkg/ids"
 )
 
-// Call is what the headers of a caller's request say.
+// Call is what the headers of a caller's request declare.
 type Call struct {
 	ID string
 	// Key is the client account's key; empty without one.
 	Key string
-	// Deadline is how long the caller will wait; 0 if it does not say.
+	// Deadline is how long the caller waits; 0 if it is not declared.
 	Deadline clock.Millis
-	// Prompt and MostOut are the sizes of a generation, 0 if not told.
+	// Prompt and MaxOutput are the prompt's size and the output limit of a generation; 0 if they are not declared.
 	Prompt  ids.Tokens
 	MostOut ids.Tokens
-	// OutputGuess is the caller's guess at the length of the output.
+	// OutputEstimate is the caller's estimate of the output's length.
 	OutputGuess ids.Tokens
-	// Parts are the parts of the prompt in order; a target that keeps them all
-	// up to one need not read those again.
+	// PromptParts are the parts of the prompt in order. A target that has all parts up to one in its cache need not
+	// process those again.
 	Parts []Part
-	// LastEvent is the last event that the caller has of a stream.
+	// LastEvent is the id of the last event of a stream that the caller has.
 	LastEvent string
 }
 
-// Part is a part of a prompt that other requests may share.
+// PromptPart is a part of a prompt that other requests may have in common.
 type Part struct {
 	ID     uint64
 	Tokens ids.Tokens
 }
 
-// Onward is what changes in a request's headers on its way to a target.
+// TargetCall is what this entry sets in the headers that a target gets.
 type Onward struct {
 	Target    ids.Target
 	Account   ids.Account // empty on routes without keys
@@ -41,14 +41,14 @@
 	LastEvent string
 }
 
-// Dialect is the language of callers and targets in the headers of requests.
+// HeaderCodec reads and writes the headers that callers and targets use.
 type Dialect interface {
 	// Describe reads a caller's request.
 	Describe(h http.Header) Call
-	// Onward returns the headers that a target gets.
+	// TargetHeaders returns the headers that a target gets.
 	Onward(h http.Header, to Onward) http.Header
-	// Marks reads the head of a target's answer.
+	// AnswerMetadata reads the head of a target's answer.
 	Marks(h http.Header) forward.Marks
-	// Answer copies the headers of a target's answer that the caller gets.
+	// CopyAnswer copies the headers of a target's answer that the caller gets.
 	Answer(from, to http.Header)
 }
--- a/pkg/ingress/endings_table_test.go
+++ b/pkg/ingress/endings_table_test.go
@@ -29,10 +29,10 @@
 // them. A request that was allowed when it was sent runs to its end; what changes holds for the next one to be sent.
 
 // step is how far a request has come.
-type step int
+type requestStep int
 
 const (
-	stepWaiting step = iota
+	stepWaiting requestStep = iota
 	stepConnecting
 	stepSent
 	stepHead
@@ -43,7 +43,7 @@
 
 // steps are all of them, and the kinds of requests that come to them.
 var steps = []struct {
-	step  step
+	step  requestStep
 	name  string
 	paths []string
 }{
@@ -57,9 +57,9 @@
 }
 
 // pausesAt answers a request, and does nothing for a while once it has come to a step.
-func pausesAt(at step, pause time.Duration) engine {
+func pausesAt(at requestStep, pause time.Duration) engine {
 	return func(c net.Conn, r *http.Request) bool {
-		wait := func(s step) {
+		wait := func(s requestStep) {
 			if s == at {
 				time.Sleep(pause)
 			}
@@ -69,7 +69,7 @@
 		if strings.HasPrefix(r.URL.Path, "/stream/") || strings.HasPrefix(r.URL.Path, "/resume/") {
 			return streamsWith(c, r, head, wait)
 		}
-		body := answerTo(at, r.URL.Path)
+		body := completeAnswer(at, r.URL.Path)
 		_, _ = fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", head, len(body))
 		wait(stepHead)
 		part := min(len(body), longPart)
@@ -80,7 +80,7 @@
 	}
 }
 
-func streamsWith(c net.Conn, r *http.Request, head string, wait func(step)) bool {
+func streamsWith(c net.Conn, r *http.Request, head string, wait func(requestStep)) bool {
 	_, _ = io.WriteString(c, head+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
 	wait(stepHead)
 	last, _ := strconv.Atoi(r.Header.Get("Last"))
@@ -100,7 +100,7 @@
 }
 
 // answerTo is the whole answer to a request.
-func answerTo(at step, path string) string {
+func completeAnswer(at requestStep, path string) string {
 	switch {
 	case strings.HasPrefix(path, "/stream/") || strings.HasPrefix(path, "/resume/"):
 		return strings.Join(events(10), "")
@@ -111,47 +111,47 @@
 }
 
 // fate is what becomes of a request.
-type fate int
+type callerOutcome int
 
 const (
-	fateWhole fate = iota // its caller gets a whole answer of a target
-	fateTold              // its caller is told that it has not run, and when to come back
-	fateCut               // it may have run, and its caller gets no whole answer
+	outcomeComplete callerOutcome = iota // its caller gets a whole answer of a target
+	outcomeRefused                       // its caller is told that it has not run, and when to come back
+	outcomeBroken                        // it may have run, and its caller gets no whole answer
 )
 
 // happening is something that may end a request, and must not, unless its fate says so.
-type happening struct {
+type disturbance struct {
 	name    string
 	prepare func(*bed) // before the request comes
 	do      func(*bed) // while it is at a step
-	fate    func(at step, path string) fate
+	outcome func(at requestStep, path string) callerOutcome
 }
 
 // notSent is the fate of requests that no longer may be sent: the others run to their end.
-func notSent(at step, _ string) fate {
+func refusedUnlessSent(at requestStep, _ string) callerOutcome {
 	if at == stepWaiting {
-		return fateTold
+		return outcomeRefused
 	}
-	return fateWhole
+	return outcomeComplete
 }
 
-func whole(step, string) fate { return fateWhole }
+func alwaysComplete(requestStep, string) callerOutcome { return outcomeComplete }
 
 // anotherLife is the fate of requests whose target has started again: nobody works on them any more.
-func anotherLife(at step, path string) fate {
+func afterRestart(at requestStep, path string) callerOutcome {
 	resumable, safe := strings.HasPrefix(path, "/resume/"), strings.HasPrefix(path, "/safe/")
 	if at <= stepConnecting || resumable || safe && at != stepLongBody {
-		return fateWhole
+		return outcomeComplete
 	}
-	return fateCut
+	return outcomeBroken
 }
 
 // theEnd is the fate of requests that are left when the process ends.
-func theEnd(at step, _ string) fate {
+func afterProcessEnd(at requestStep, _ string) callerOutcome {
 	if at <= stepConnecting {
-		return fateTold
+		return outcomeRefused
 	}
-	return fateCut
+	return outcomeBroken
 }
 
 // eachRoute changes all routes of the configuration.
@@ -165,80 +165,80 @@
 }
 
 // endUnder has targets end under the request that the table makes.
-func (b *bed) endUnder(path string, targets int) {
+func (b *bed) endTargets(path string, targets int) {
 	request := quarantine.Request{Digest: quarantine.Identify("acme", path, []byte("question")), Account: "acme", Route: ids.Route(strings.Split(path, "/")[1])}
 	for n := range targets {
 		b.guard.Ended(quarantine.Run{Request: request, Life: ids.Life{Target: ids.Target(fmt.Sprint("ended", n))}, Again: n > 0})
 	}
 }
 
-var happenings = []happening{
-	{"nothing", nil, func(*bed) {}, whole},
-	{"settings with a shorter bound on keys", nil, func(b *bed) { b.controller.SetKeyTrust(ingress.KeyTrust{Bound: 1, Strict: true}) }, notSent},
-	{"settings without leave to repeat", nil, func(b *bed) { b.retries.SetBounds(quota.RetryBounds{Window: 10 * clock.Second}) }, whole},
+var disturbances = []disturbance{
+	{"nothing", nil, func(*bed) {}, alwaysComplete},
+	{"settings with a shorter bound on keys", nil, func(b *bed) { b.controller.SetKeyTrust(ingress.KeyTrust{Bound: 1, Strict: true}) }, refusedUnlessSent},
+	{"settings without leave to repeat", nil, func(b *bed) { b.retries.SetBounds(quota.RetryBounds{Window: 10 * clock.Second}) }, alwaysComplete},
 	{"its key is taken away", nil, func(b *bed) {
 		b.accounts = []*routing.Account{{Name: "acme", Keys: []string{"another"}}}
 		b.configure(2)
-	}, notSent},
-	{"its account is gone", nil, func(b *bed) { b.accounts = b.accounts[1:]; b.configure(2) }, notSent},
+	}, refusedUnlessSent},
+	{"its account is gone", nil, func(b *bed) { b.accounts = b.accounts[1:]; b.configure(2) }, refusedUnlessSent},
 	{"its account gets a limit", nil, func(b *bed) {
 		b.accounts = []*routing.Account{{Name: "acme", Keys: []string{"key"}, PerSecond: 0.001, Burst: 0.001}}
 		b.configure(2)
-	}, whole},
-	{"its route is taken away", nil, func(b *bed) { b.routes = nil; b.configure(2) }, notSent},
+	}, alwaysComplete},
+	{"its route is taken away", nil, func(b *bed) { b.routes = nil; b.configure(2) }, refusedUnlessSent},
 	{"its route leads elsewhere", nil, func(b *bed) {
 		b.eachRoute(func(r *routing.Route) { r.Split = []routing.Share{{Service: "other", Weight: 1}} })
-	}, notSent},
-	{"the time-out of its route is shortened", nil, func(b *bed) { b.eachRoute(func(r *routing.Route) { r.Timeout = 100 }) }, whole},
+	}, refusedUnlessSent},
+	{"the time-out of its route is shortened", nil, func(b *bed) { b.eachRoute(func(r *routing.Route) { r.Timeout = 100 }) }, alwaysComplete},
 	{"its route may not be repeated any more", nil, func(b *bed) {
 		b.eachRoute(func(r *routing.Route) { r.Attempts, r.Resumable = 1, false })
-	}, whole},
+	}, alwaysComplete},
 	{"its body would be too long now", nil, func(b *bed) {
 		b.view.SetCatalog(routing.NewCatalog(2, routing.Limits{BodyBytes: 1}, b.routes, nil, b.accounts))
-	}, whole},
-	{"the list forgets its target", nil, func(b *bed) { b.lapse() }, whole},
-	{"the list forgets all targets", nil, func(b *bed) { b.view.SetDirectory(routing.NewDirectory(nil)) }, whole},
-	{"the list says that its target leaves", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Leaving = true }) }, whole},
-	{"the list has its target elsewhere", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Address = "10.0.9.9:80" }) }, whole},
-	{"the list has its target in another service", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Service = "other" }) }, func(at step, _ string) fate {
-		return notSent(at, "")
+	}, alwaysComplete},
+	{"the list forgets its target", nil, func(b *bed) { b.expireFirst() }, alwaysComplete},
+	{"the list forgets all targets", nil, func(b *bed) { b.view.SetDirectory(routing.NewDirectory(nil)) }, alwaysComplete},
+	{"the list says that its target leaves", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Leaving = true }) }, alwaysComplete},
+	{"the list has its target elsewhere", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Address = "10.0.9.9:80" }) }, alwaysComplete},
+	{"the list has its target in another service", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Service = "other" }) }, func(at requestStep, _ string) callerOutcome {
+		return refusedUnlessSent(at, "")
 	}},
-	{"its target's version may get nothing any more", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Admission = routing.Withheld }) }, whole},
-	{"its target has started again", nil, (*bed).restart, anotherLife},
+	{"its target's version may get nothing any more", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Admission = routing.Withheld }) }, alwaysComplete},
+	{"its target has started again", nil, (*bed).restart, afterRestart},
 	{"its target says that it leaves", nil, func(b *bed) {
 		b.advice.Hear(ids.Life{Target: "t1", Start: formerStart}, 0, "other", advisory.Advice{Leaving: true})
-	}, whole},
+	}, alwaysComplete},
 	{"its target asks for rest", nil, func(b *bed) {
 		b.advice.Hear(ids.Life{Target: "t1", Start: formerStart}, 0, "other", advisory.Advice{Rest: 10 * clock.Second})
-	}, whole},
-	{"the VM was suspended for 3 s", nil, func(b *bed) { b.suspension.Add(3 * clock.Second) }, whole},
-	{"the VM was suspended for 20 s", nil, func(b *bed) { b.suspension.Add(20 * clock.Second) }, notSent},
-	{"the home of the service tells it to move", func(b *bed) { b.scheduler.stuck = "t1" }, func(*bed) {}, whole},
-	{"the home of the service refuses all further", nil, func(b *bed) { b.scheduler.later(true, 0) }, whole},
-	{"the home of the service is gone", nil, func(b *bed) { b.scheduler.later(false, time.Minute) }, whole},
+	}, alwaysComplete},
+	{"the VM was suspended for 3 s", nil, func(b *bed) { b.suspension.Add(3 * clock.Second) }, alwaysComplete},
+	{"the VM was suspended for 20 s", nil, func(b *bed) { b.suspension.Add(20 * clock.Second) }, refusedUnlessSent},
+	{"the home of the service tells it to move", func(b *bed) { b.scheduler.stuck = "t1" }, func(*bed) {}, alwaysComplete},
+	{"the home of the service refuses all further", nil, func(b *bed) { b.scheduler.setRepeats(true, 0) }, alwaysComplete},
+	{"the home of the service is gone", nil, func(b *bed) { b.scheduler.setRepeats(false, time.Minute) }, alwaysComplete},
 	{"the entry is stopped", nil, func(b *bed) {
 		b.controller.Leave(ingress.Stop{Narrows: b.clock.Now() + clock.Second, Ends: b.clock.Now() + 8*clock.Second})
-	}, whole},
+	}, alwaysComplete},
 	{"the entry is stopped, with a short grace", nil, func(b *bed) {
 		b.controller.Leave(ingress.Stop{Narrows: b.clock.Now(), Ends: b.clock.Now() + 3*clock.Second})
-	}, notSent},
-	{"the entry ends", nil, func(b *bed) { b.controller.End() }, theEnd},
-	{"no descriptor is left", nil, func(b *bed) { b.dialling.set(0, syscall.EMFILE) }, notSent},
+	}, refusedUnlessSent},
+	{"the entry ends", nil, func(b *bed) { b.controller.End() }, afterProcessEnd},
+	{"no descriptor is left", nil, func(b *bed) { b.dialer.set(0, syscall.EMFILE) }, refusedUnlessSent},
 	{"memory is short", func(b *bed) {
 		before := debug.SetMemoryLimit(-1)
 		b.t.Cleanup(func() { debug.SetMemoryLimit(before) })
-	}, func(*bed) { debug.SetMemoryLimit(1) }, whole},
-	{"it is suspected of ending its targets", nil, func(b *bed) { b.endUnder(b.path, 1) }, whole},
-	{"it is held back, as targets have ended under it", nil, func(b *bed) { b.endUnder(b.path, 3) }, notSent},
+	}, func(*bed) { debug.SetMemoryLimit(1) }, alwaysComplete},
+	{"it is suspected of ending its targets", nil, func(b *bed) { b.endTargets(b.path, 1) }, alwaysComplete},
+	{"it is held back, as targets have ended under it", nil, func(b *bed) { b.endTargets(b.path, 3) }, refusedUnlessSent},
 }
 
 func TestWhatEndsARequestUnderWay(t *testing.T) {
 	for _, s := range steps {
 		for _, path := range s.paths {
-			for _, h := range happenings {
+			for _, h := range disturbances {
 				for _, pause := range pauses(s.step) {
 					t.Run(fmt.Sprintf("%s %s, %v; %s", path, s.name, pause, h.name), func(t *testing.T) {
-						synctest.Test(t, func(t *testing.T) { meets(t, s.step, path, pause, h.prepare, h.do, h.fate(s.step, path)) })
+						synctest.Test(t, func(t *testing.T) { checkDisturbance(t, s.step, path, pause, h.prepare, h.do, h.outcome(s.step, path)) })
 					})
 				}
 			}
@@ -248,7 +248,7 @@
 
 // pauses are for how long a target does nothing at a step: within a target's usual gaps, and for so long that another one
 // is looked for.
-func pauses(at step) []time.Duration {
+func pauses(at requestStep) []time.Duration {
 	switch at {
 	case stepWaiting, stepConnecting:
 		return []time.Duration{0}
@@ -270,20 +270,20 @@
 				t.Run(fmt.Sprintf("%s %s, %v", path, s.name, pause), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
 						all := func(b *bed) {
-							for _, h := range happenings {
-								if h.fate(s.step, path) == fateWhole && h.fate(stepSent, "/unsafe/a") == fateWhole {
+							for _, h := range disturbances {
+								if h.outcome(s.step, path) == outcomeComplete && h.outcome(stepSent, "/unsafe/a") == outcomeComplete {
 									h.do(b)
 								}
 							}
 						}
 						prepare := func(b *bed) {
-							for _, h := range happenings {
+							for _, h := range disturbances {
 								if h.prepare != nil {
 									h.prepare(b)
 								}
 							}
 						}
-						meets(t, s.step, path, pause, prepare, all, fateWhole)
+						checkDisturbance(t, s.step, path, pause, prepare, all, outcomeComplete)
 					})
 				})
 			}
@@ -292,7 +292,7 @@
 }
 
 // meets has a request meet something at a step, and checks what its caller gets.
-func meets(t *testing.T, at step, path string, pause time.Duration, prepare, do func(*bed), want fate) {
+func checkDisturbance(t *testing.T, at requestStep, path string, pause time.Duration, prepare, do func(*bed), want callerOutcome) {
 	t.Helper()
 	const whileAtStep = 300 * time.Millisecond
 	b := newBed(t, freely{}, pausesAt(at, pause), pausesAt(at, 0))
@@ -303,7 +303,7 @@
 	case stepWaiting:
 		b.scheduler.delay = 2 * whileAtStep
 	case stepConnecting:
-		b.dialling.set(whileAtStep, nil)
+		b.dialer.set(whileAtStep, nil)
 		when = whileAtStep / 2
 	}
 	if prepare != nil {
@@ -312,12 +312,12 @@
 	time.AfterFunc(when, func() { do(b) })
 	got := b.call(context.Background(), path, nil)
 	arrived := len(b.arrived())
-	is := fateCut
+	is := outcomeBroken
 	switch {
-	case got.status == http.StatusOK && got.whole && got.body == answerTo(at, path):
-		is = fateWhole
+	case got.status == http.StatusOK && got.whole && got.body == completeAnswer(at, path):
+		is = outcomeComplete
 	case got.status == http.StatusServiceUnavailable && got.whole && got.header.Get("Retry-After") != "" && arrived == 0:
-		is = fateTold
+		is = outcomeRefused
 	case got.status == http.StatusOK && got.whole:
 		t.Error("an answer that is not whole looks so")
 	}
--- a/pkg/ingress/endings_test.go
+++ b/pkg/ingress/endings_test.go
@@ -50,10 +50,10 @@
 					next = says(200, "", "next")
 				}
 				var b *bed
-				b = newBed(t, freely{}, perLife(&b, s.former, next))
+				b = newBed(t, freely{}, perIncarnation(&b, s.former, next))
 				b.list(func(t *routing.Target) { t.Start = formerStart })
 				b.view.Watch(func(d *routing.Directory) {
-					if d.Target("t1").Start == nextStart {
+					if d.Target("t1").Start == secondStart {
 						time.Sleep(50 * time.Millisecond) // nobody else waits for the view's lock
 					}
 				})
@@ -62,7 +62,7 @@
 				if got.status != 200 || !got.whole || got.body != s.body {
 					t.Errorf("status %d, whole %t, body %q", got.status, got.whole, got.body)
 				}
-				b.checkLives([]ids.Start{formerStart, nextStart}, s.last)
+				b.checkIncarnations([]ids.Start{formerStart, secondStart}, s.last)
 			})
 		})
 	}
@@ -103,9 +103,9 @@
 						return then(c, r)
 					}
 				}
-				b := newBed(t, freely{}, earlier(hesitates(3*time.Second), says(503, "Not-Run: 1\r\n", "")), earlier(breaksLater, says(200, "", "yes")))
+				b := newBed(t, freely{}, earlier(pausesMidStream(3*time.Second), says(503, "Not-Run: 1\r\n", "")), earlier(breaksLater, says(200, "", "yes")))
 				b.call(context.Background(), "/safe/a", map[string]string{"Id": "earlier"})
-				time.AfterFunc(500*time.Millisecond, func() { b.dialling.set(0, s.err) })
+				time.AfterFunc(500*time.Millisecond, func() { b.dialer.set(0, s.err) })
 				got := b.call(context.Background(), "/resume/a", nil)
 				if cut := !got.whole; cut != s.cut {
 					t.Errorf("status %d, whole %t after %v, body %q", got.status, got.whole, got.took, got.body)
@@ -163,7 +163,7 @@
 			go func() { _ = s.Shutdown(context.Background()) }()
 		}},
 	}
-	for _, at := range []step{stepSent, stepHead, stepEvents, stepLastEvent, stepLongBody} {
+	for _, at := range []requestStep{stepSent, stepHead, stepEvents, stepLastEvent, stepLongBody} {
 		path := "/stream/a"
 		if at == stepLongBody {
 			path = "/unsafe/a"
@@ -174,7 +174,7 @@
 					b := newBed(t, freely{}, pausesAt(at, 3*time.Second))
 					server := b.serveCallers(descriptors.Shares{Callers: 2, Turned: 2, Extra: 1})
 					time.AfterFunc(300*time.Millisecond, func() { s.do(b, server) })
-					if got := bodyOn(dial(t, b.reach), path); got != answerTo(at, path) {
+					if got := bodyOn(dial(t, b.reach), path); got != completeAnswer(at, path) {
 						t.Errorf("%d bytes", len(got))
 					}
 					time.Sleep(5 * time.Second)
--- a/pkg/ingress/events.go
+++ b/pkg/ingress/events.go
@@ -9,19 +9,19 @@
 	"strconv"
 )
 
-// maxEvent bounds one event of a stream.
-const maxEvent = 1 << 20
+// maxEventBytes is the size limit of one event of a stream.
+const maxEventBytes = 1 << 20
 
-var errEventTooLong = errors.New("an event of the stream is too long")
+var errEventTooLong = errors.New("event of the stream is longer than 1 MiB")
 
-// eventReader splits an event stream into whole events.
+// eventReader splits an event stream into complete events.
 type eventReader struct {
-	from  *bufio.Reader
-	ahead *aheadEvent // what await has read
+	reader *bufio.Reader
+	peeked *peekedEvent // read by peek, nil if none
 }
 
-// aheadEvent is what next returned before it was asked for.
-type aheadEvent struct {
+// peekedEvent is a result of next that peek has read ahead.
+type peekedEvent struct {
 	event event
 	err   error
 }
@@ -29,29 +29,29 @@
 const eventBuffer = 4 << 10
 
 func newEventReader(from io.Reader) *eventReader {
-	return &eventReader{from: bufio.NewReaderSize(from, eventBuffer)}
+	return &eventReader{reader: bufio.NewReaderSize(from, eventBuffer)}
 }
 
-// event is one event as it came, with the number of its id line.
+// event is the bytes of one event, with the number of its id line.
 type event struct {
-	raw []byte
-	id  int64
-	has bool // an id was there
+	raw   []byte
+	id    int64
+	hasID bool // the event has a numeric id
 }
 
-// next returns the next whole event. Behind the last one it returns io.EOF if
-// the stream ended whole; bytes of an event that has not ended come with it.
+// next returns the next complete event. After the last one it returns io.EOF if the stream ended properly, together with
+// the bytes of an event that was not terminated.
 func (r *eventReader) next() (event, error) {
-	if ahead := r.ahead; ahead != nil {
-		r.ahead = nil
+	if ahead := r.peeked; ahead != nil {
+		r.peeked = nil
 		return ahead.event, ahead.err
 	}
 	var e event
 	for {
-		line, err := r.from.ReadSlice('\n')
+		line, err := r.reader.ReadSlice('\n')
 		e.raw = append(e.raw, line...)
 		switch {
-		case errors.Is(err, bufio.ErrBufferFull) && len(e.raw) < maxEvent:
+		case errors.Is(err, bufio.ErrBufferFull) && len(e.raw) < maxEventBytes:
 			continue
 		case errors.Is(err, bufio.ErrBufferFull):
 			return e, errEventTooLong
@@ -64,32 +64,32 @@
 		if len(line) == 0 {
 			return e, nil
 		}
-		e.note(line)
+		e.parseLine(line)
 	}
 }
 
-// await waits for the next event, or the end of a whole stream, which next then returns.
-func (r *eventReader) await() error {
+// peek reads ahead the next event, or the proper end of the stream, which next then returns.
+func (r *eventReader) peek() error {
 	e, err := r.next()
 	if err != nil && !errors.Is(err, io.EOF) {
 		return err
 	}
-	r.ahead = &aheadEvent{e, err}
+	r.peeked = &peekedEvent{e, err}
 	return nil
 }
 
-func (e *event) note(line []byte) {
+func (e *event) parseLine(line []byte) {
 	value, found := bytes.CutPrefix(line, []byte("id:"))
 	if !found {
 		return
 	}
 	if id, err := strconv.ParseInt(string(bytes.TrimSpace(value)), 10, 64); err == nil {
 		e.id = id
-		e.has = true
+		e.hasID = true
 	}
 }
 
-// buffered reports whether more bytes are at hand without waiting.
+// buffered reports whether more bytes can be read without waiting.
 func (r *eventReader) buffered() bool {
-	return r.from.Buffered() > 0
+	return r.reader.Buffered() > 0
 }
--- a/pkg/ingress/exchange.go
+++ b/pkg/ingress/exchange.go
@@ -10,19 +10,19 @@
 	"quaydock/pkg/schedule"
 )
 
-// exchange sends the request to the target of a place and relays the answer. If the target falls
-// silent meanwhile, another one may take over.
-func (d *delivery) exchange(ctx context.Context, q *request, out *answerWriter, place schedule.Place) attempt {
+// exchange sends the request to the target of an assignment and relays the answer. If the target is silent for too long,
+// another one may take over.
+func (d *delivery) exchange(ctx context.Context, q *request, out *answerWriter, assignment schedule.Place) attempt {
 	q.placedAt = d.Clock.Now()
 	ctx, span := d.Tracer.Start(ctx, "entry.exchange")
 	defer span.End()
-	w := d.watch(ctx, q, place)
+	w := d.watch(ctx, q, assignment)
 	defer w.close(q)
-	answer, result := d.send(w.exchangeCtx, q, place)
+	answer, result := d.send(w.exchangeCtx, q, assignment)
 	if answer != nil {
-		result = d.relay(w, q, out, place, answer)
+		result = d.relay(w, q, out, assignment, answer)
 	}
-	return w.awaitReplacement(blame(w.exchangeCtx, result))
+	return w.awaitReplacement(wrapGivenUp(w.exchangeCtx, result))
 }
 
 // takeOver relays the answer of a target that has taken over from a silent one.
@@ -33,40 +33,40 @@
 	defer t.answer.Close()
 	var result attempt
 	if t.events != nil {
-		result = d.relayStream(w, q, out, t.place, t.answer, t.events)
+		result = d.relayStream(w, q, out, t.assignment, t.answer, t.events)
 	} else {
-		result = d.passWhole(w, q, out, t.place, t.answer, t.body)
+		result = d.relayBuffered(w, q, out, t.assignment, t.answer, t.body)
 	}
-	return w.awaitReplacement(blame(w.exchangeCtx, result))
+	return w.awaitReplacement(wrapGivenUp(w.exchangeCtx, result))
 }
 
-// send sends the request to the target of a place. It returns the head of the answer, or else how the
-// exchange ended; the place has then been given back.
-func (d *delivery) send(ctx context.Context, q *request, place schedule.Place) (*forward.Answer, attempt) {
-	target := place.Target()
-	onward := Onward{Target: target.ID, Account: q.accountName(), Remaining: q.deadline - d.Clock.Now(), LastEvent: q.resumeAt()}
+// send sends the request to the target of an assignment. It returns the answer once its head has arrived, or else how the
+// exchange ended; the assignment has been returned in that case.
+func (d *delivery) send(ctx context.Context, q *request, assignment schedule.Place) (*forward.Answer, attempt) {
+	target := assignment.Target()
+	call := Onward{Target: target.ID, Account: q.accountName(), Remaining: q.deadline - d.Clock.Now(), LastEvent: q.resumeAfter()}
 	result := d.pool.Send(ctx, target, &forward.Request{
 		ID: q.ID, Method: q.http.Method, Path: q.http.RequestURI, Host: q.http.Host,
-		Header: d.dialect.Onward(q.http.Header, onward), Body: q.body,
+		Header: d.dialect.Onward(q.http.Header, call), Body: q.body,
 	})
-	if _, kept := result.(forward.Withheld); kept {
-		q.note(d.Clock.Now(), "not sent, by its own word, to", target.ID)
-		place.Done(planner.Withheld, planner.Flow{})
+	if _, isWithheld := result.(forward.Withheld); isWithheld {
+		q.note(d.Clock.Now(), "not sent, by its own report, to", target.ID)
+		assignment.Done(planner.Withheld, planner.Flow{})
 		return nil, withheld{}
 	}
 	q.tried = append(q.tried, target.Life())
 	switch result := result.(type) {
 	case forward.NotSent:
 		q.note(d.Clock.Now(), "not reached", target.ID)
-		place.Done(unreached(ctx), planner.Flow{})
+		assignment.Done(unreachedOutcome(ctx), planner.Flow{})
 		return nil, declined{result.Err}
 	case forward.Declined:
-		q.note(d.Clock.Now(), "not run, by its own word, at", target.ID)
+		q.note(d.Clock.Now(), "not run, by its own report, at", target.ID)
 		q.sends++
 		if result.Status == http.StatusMisdirectedRequest {
-			place.Done(planner.Moved, planner.Flow{})
+			assignment.Done(planner.Moved, planner.Flow{})
 		} else {
-			place.Done(planner.Full, planner.Flow{})
+			assignment.Done(planner.Full, planner.Flow{})
 		}
 		return nil, declined{}
 	case *forward.Answer:
@@ -75,22 +75,22 @@
 	default:
 		q.note(d.Clock.Now(), "broken off without an answer at", target.ID)
 		q.sends++
-		place.Done(failure(ctx), planner.Flow{})
+		assignment.Done(failureOutcome(ctx), planner.Flow{})
 		return nil, lost{err: result.(forward.Broken).Err}
 	}
 }
 
-// failure tells a target's failure from the end of the request's own time, and from that of a second run that
-// is not needed.
-func failure(ctx context.Context) planner.Outcome {
-	if ctx.Err() != nil && !errors.Is(context.Cause(ctx), errMoved) {
+// failureOutcome returns Failed for a failure of the target, and Abandoned if the request's time is over or the exchange
+// was a second run that is not needed.
+func failureOutcome(ctx context.Context) planner.Outcome {
+	if ctx.Err() != nil && !errors.Is(context.Cause(ctx), errRedispatched) {
 		return planner.Abandoned
 	}
 	return planner.Failed
 }
 
-// unreached tells a target that could not be reached from the end of the attempt to reach it.
-func unreached(ctx context.Context) planner.Outcome {
+// unreachedOutcome returns Unreached for a target that could not be reached, and Abandoned if the attempt was cancelled.
+func unreachedOutcome(ctx context.Context) planner.Outcome {
 	if ctx.Err() != nil {
 		return planner.Abandoned
 	}
--- a/pkg/ingress/first_tries.go
+++ b/pkg/ingress/first_tries.go
@@ -7,10 +7,9 @@
 	"quaydock/pkg/routing"
 )
 
-// firstTries learns for how long the callers of each route wait when they ask
-// for the first time, so that a request that comes back tells by its shorter
-// deadline how long ago that was. A late one then does not take the place of one
-// that can be in time: 0.6005 of the worth against 0.5943, mean of 15 played days.
+// firstTries learns the deadline of first tries on each route, so that the shorter deadline of a request that comes back
+// shows how long ago its first try was. A late request then does not take the slot of one that can be in time: 0.6005 of
+// the worth against 0.5943 without, mean of 15 simulated days.
 type firstTries struct {
 	mu     sync.Mutex
 	routes map[string]*longestWait
@@ -22,30 +21,28 @@
 
 // longestWait is the longest deadline seen on a route, and how common it is.
 type longestWait struct {
-	deadline  clock.Millis
-	seen, all float64 // requests with that deadline, and all, the newest counting most
+	deadline    clock.Millis
+	seen, total float64 // decayed counts of requests with that deadline, and of all requests
 }
 
 const (
-	// waitKeep is what each further request leaves of the earlier ones in the
-	// counts: about the last hundred count.
-	waitKeep = 0.99
-	// commonWait is the part of a route's requests that must have the longest
-	// deadline for it to be taken for that of all first tries. Where callers
-	// differ, a shorter deadline says nothing.
-	commonWait = 0.25
-	// leastSeen is how often it must have been seen lately.
-	leastSeen = 3
-	// goneWait is the count below which the longest deadline is forgotten: callers'
-	// deadlines have become shorter. Seen once, it is kept for some 230 requests.
-	goneWait = 0.1
-	// sameWait is by how much deadlines may differ that count as the same: opening
-	// a connection takes a few ms, and one that is refused is not back sooner.
-	sameWait = 30 * clock.Millisecond
+	// waitDecay is the factor by which each further request reduces the counts: about the last hundred requests count.
+	waitDecay = 0.99
+	// minCommonFraction is the minimum fraction of a route's requests with the longest deadline for that to count as the
+	// deadline of all first tries. Where callers differ, a shorter deadline says nothing.
+	minCommonFraction = 0.25
+	// minSeen is the minimum decayed count of the longest deadline.
+	minSeen = 3
+	// minWeight is the decayed count below which the longest deadline is dropped, as callers' deadlines have become
+	// shorter. A deadline that was seen once is kept for some 230 requests.
+	minWeight = 0.1
+	// waitTolerance is the difference up to which deadlines count as equal: opening a connection takes a few ms, and a
+	// refused caller does not come back sooner.
+	waitTolerance = 30 * clock.Millisecond
 )
 
-// before takes a request's deadline, and returns how long ago its caller first
-// asked; 0 if it just did, or if that cannot be told.
+// sinceFirstTry records a request's deadline, and returns how long ago its caller's first try was: 0 if this is the first
+// try, or if that is not known.
 func (f *firstTries) before(route *routing.Route, deadline clock.Millis) clock.Millis {
 	if deadline <= 0 {
 		return 0
@@ -57,27 +54,27 @@
 		w = &longestWait{}
 		f.routes[route.Name] = w
 	}
-	w.note(deadline)
-	if deadline >= w.deadline-sameWait || w.seen < max(leastSeen, commonWait*w.all) {
+	w.record(deadline)
+	if deadline >= w.deadline-waitTolerance || w.seen < max(minSeen, minCommonFraction*w.total) {
 		return 0
 	}
 	return w.deadline - deadline
 }
 
-func (w *longestWait) note(deadline clock.Millis) {
-	w.all = w.all*waitKeep + 1
-	w.seen *= waitKeep
+func (w *longestWait) record(deadline clock.Millis) {
+	w.total = w.total*waitDecay + 1
+	w.seen *= waitDecay
 	switch {
-	case deadline > w.deadline+sameWait:
-		w.deadline, w.seen, w.all = deadline, 1, 1
-	case deadline >= w.deadline-sameWait:
+	case deadline > w.deadline+waitTolerance:
+		w.deadline, w.seen, w.total = deadline, 1, 1
+	case deadline >= w.deadline-waitTolerance:
 		w.seen++
-	case w.seen < goneWait:
-		w.deadline, w.seen, w.all = deadline, 1, 1
+	case w.seen < minWeight:
+		w.deadline, w.seen, w.total = deadline, 1, 1
 	}
 }
 
-// forget drops the routes that are gone.
+// retain drops the routes that are not known any more.
 func (f *firstTries) forget(known func(route string) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/pkg/ingress/guarded.go
+++ b/pkg/ingress/guarded.go
@@ -14,88 +14,86 @@
 	"quaydock/pkg/telemetry"
 )
 
-// enter takes a place and the permission to run there. Without anything against a request of its
-// account, the permission costs nothing. One under which the request did not run yet still holds.
-// The permission comes first: what acquire checks has to hold when the request is sent, and it may
-// have to wait for its turn.
-func (d *delivery) enter(ctx context.Context, q *request, pass *quarantine.Pass) (schedule.Place, *quarantine.Pass, *Refusal) {
+// enter takes a permit of the quarantine and an assignment. A permit costs nothing while no target has ended under a
+// request of the account, and a permit that was not used yet stays valid. The permit is taken first: what acquire checks
+// must still hold when the request is sent, and the request may have to wait for an exclusive run.
+func (d *delivery) enter(ctx context.Context, q *request, permit *quarantine.Pass) (schedule.Place, *quarantine.Pass, *Refusal) {
 	for {
 		var refusal *Refusal
-		if pass, refusal = d.permit(ctx, q, pass); refusal != nil {
+		if permit, refusal = d.permit(ctx, q, permit); refusal != nil {
 			return nil, nil, refusal
 		}
-		place, refusal := d.acquire(ctx, q)
+		assignment, refusal := d.acquire(ctx, q)
 		if refusal != nil {
-			pass.Release(false)
+			permit.Release(false)
 			return nil, nil, refusal
 		}
-		if d.permitted(q, pass) {
-			return place, pass, nil
+		if d.permitted(q, permit) {
+			return assignment, permit, nil
 		}
-		// Targets have ended under it while it waited for the place.
-		place.Done(planner.Abandoned, planner.Flow{})
-		pass.Release(false)
-		pass = nil
+		// Targets have ended under the request while it waited for the assignment.
+		assignment.Done(planner.Abandoned, planner.Flow{})
+		permit.Release(false)
+		permit = nil
 	}
 }
 
-// permit returns the permission to run a request, nil if it needs none.
-func (d *delivery) permit(ctx context.Context, q *request, pass *quarantine.Pass) (*quarantine.Pass, *Refusal) {
-	if pass != nil || !d.guard.Watches(q.accountName()) {
-		return pass, nil
+// permit returns the permit to run a request, nil if it needs none.
+func (d *delivery) permit(ctx context.Context, q *request, permit *quarantine.Pass) (*quarantine.Pass, *Refusal) {
+	if permit != nil || !d.guard.Watches(q.accountName()) {
+		return permit, nil
 	}
-	pass, refused := d.guard.Enter(ctx, q.suspect())
+	permit, refused := d.guard.Enter(ctx, q.quarantineRequest())
 	if refused != nil {
-		q.note(d.Clock.Now(), "targets have ended under it", "")
-		return nil, heldBack(refused)
+		q.note(d.Clock.Now(), "quarantined, as targets have ended under it", "")
+		return nil, quarantinedRefusal(refused)
 	}
-	return pass, nil
+	return permit, nil
 }
 
-// permitted reports whether a request may still run with what permit returned.
-func (d *delivery) permitted(q *request, pass *quarantine.Pass) bool {
-	return !d.guard.Watches(q.accountName()) || d.guard.Allows(q.suspect(), pass)
+// permitted reports whether a request may still run under what permit returned.
+func (d *delivery) permitted(q *request, permit *quarantine.Pass) bool {
+	return !d.guard.Watches(q.accountName()) || d.guard.Allows(q.quarantineRequest(), permit)
 }
 
-// heldBack refuses a request under which targets have ended. It is told to come back when it may run
-// once more, if it ever does: there is no other answer that says that it has not run.
-func heldBack(r *quarantine.Refused) *Refusal {
+// quarantinedRefusal refuses a request under which targets have ended. Its Retry-After is when the request may run once
+// more, even if it may never run: no other answer tells the caller that it has not run.
+func quarantinedRefusal(r *quarantine.Refused) *Refusal {
 	if r.Held {
 		return notRun(CauseHeldBack, r.RetryAfter)
 	}
 	return notRun(CauseNoTurn, r.RetryAfter)
 }
 
-// suspect is the request as the guard knows it.
-func (r *request) suspect() quarantine.Request {
-	return quarantine.Request{Digest: r.identify(), Account: r.accountName(), Route: ids.Route(r.route.Name)}
+// quarantineRequest returns the request as the quarantine identifies it.
+func (r *request) quarantineRequest() quarantine.Request {
+	return quarantine.Request{Digest: r.requestDigest(), Account: r.accountName(), Route: ids.Route(r.route.Name)}
 }
 
-// observe tells the guard what a run says for or against its request, and returns the permission if
-// there was no run.
-func (d *delivery) observe(ctx context.Context, q *request, target *routing.Target, pass *quarantine.Pass, result attempt) *quarantine.Pass {
+// observe reports the outcome of a run to the quarantine, and returns the permit if there was no run.
+func (d *delivery) observe(ctx context.Context, q *request, target *routing.Target, permit *quarantine.Pass, result attempt) *quarantine.Pass {
 	switch result := result.(type) {
 	case declined, withheld:
-		return pass
+		return permit
 	case completed:
 		if d.guard.Watches(q.accountName()) {
-			d.guard.Succeeded(q.suspect())
+			d.guard.Succeeded(q.quarantineRequest())
 		}
 	case lost:
-		if run := d.suspected(ctx, q, target, pass); run != nil && !result.answered && d.ended(ctx, run) {
+		if run := d.possibleEnd(ctx, q, target, permit); run != nil && !result.answered && d.checkEnded(ctx, run) {
 			q.ended = append(q.ended, target.ID)
 		}
 	case handedOver:
-		if run := d.suspected(ctx, q, target, pass); run != nil {
-			go d.ended(ctx, run) // the other target's answer is not to wait for it
+		if run := d.possibleEnd(ctx, q, target, permit); run != nil {
+			go d.checkEnded(ctx, run) // not awaited, so that the other target's answer is not delayed
 		}
 	case callerGone: // says nothing of the target's process
 	}
-	pass.Release(true)
+	permit.Release(true)
 	return nil
 }
 
-// brokenRun is a run that a target broke off.
+// brokenRun is a run that its target broke off.
 type brokenRun struct {
 	quarantine.Run
 	id     string
@@ -103,21 +101,21 @@
 	began  clock.Millis
 }
 
-// suspected is a run that a target broke off, nil if that says nothing of the request.
-func (d *delivery) suspected(ctx context.Context, q *request, target *routing.Target, pass *quarantine.Pass) *brokenRun {
+// possibleEnd returns the run that a target broke off, nil if the break is no evidence against the request.
+func (d *delivery) possibleEnd(ctx context.Context, q *request, target *routing.Target, permit *quarantine.Pass) *brokenRun {
 	if ctx.Err() != nil {
-		return nil // this end broke off
+		return nil // this entry ended the exchange
 	}
 	if listed := d.admission.view.Directory().Target(target.ID); listed != nil && listed.Leaving || d.advice.Of(target.Life()).Leaving {
-		return nil // it was to end
+		return nil // the target was going to end anyway
 	}
-	run := quarantine.Run{Request: q.suspect(), Life: target.Life(), Again: pass != nil && pass.Again}
+	run := quarantine.Run{Request: q.quarantineRequest(), Life: target.Life(), Again: permit != nil && permit.Again}
 	return &brokenRun{Run: run, id: q.ID, target: target, began: q.placedAt}
 }
 
-// ended finds out whether a target broke off because its process has ended, and tells the guard. A connection that
-// was reset, or an answer that is cut short, says nothing of that.
-func (d *delivery) ended(ctx context.Context, run *brokenRun) bool {
+// checkEnded finds out whether a target broke off because its process has ended, and reports that to the quarantine. A
+// reset connection or a truncated answer alone does not show it.
+func (d *delivery) checkEnded(ctx context.Context, run *brokenRun) bool {
 	if !d.pool.Ended(ctx, run.target) {
 		d.guard.Doubt(run.Run)
 		return false
--- a/pkg/ingress/lateness.go
+++ b/pkg/ingress/lateness.go
@@ -1,25 +1,25 @@
 package ingress
 
-// Lateness says why an answer that was given came too late to be of full use.
+// Lateness is the reason why a complete answer was later than its objective.
 type Lateness int
 
 //go:generate stringer -type=Lateness -trimprefix=Late -output=lateness_string.go
 
-// The reasons.
+// Values of Lateness.
 const (
 	// LateNot: it was in time.
 	LateNot Lateness = iota
-	// LateReturn: its caller had been refused, and came back too late.
+	// LateReturn: its caller had been refused before, and came back too late.
 	LateReturn
-	// LatePlace: it waited for a place for more than half of its time.
+	// LatePlace: it waited for an assignment for more than half of the time to its first response.
 	LatePlace
-	// LateTarget: its target took too long to begin.
+	// LateTarget: its target took too long to give the first response.
 	LateTarget
-	// LatePause: two of its events were too far apart.
+	// LatePause: two of its events were further apart than the route's event gap.
 	LatePause
 )
 
-// lateness tells whether an answer that was given came too late, and why.
+// lateness returns whether a complete answer was late, and why.
 func (r *request) lateness() Lateness {
 	objective := r.route.Objective
 	first := r.firstAt - r.arrived
--- a/pkg/ingress/lives_test.go
+++ b/pkg/ingress/lives_test.go
@@ -23,13 +23,13 @@
 // set back meanwhile.
 const (
 	formerStart ids.Start = 5000
-	nextStart   ids.Start = 4000
+	secondStart ids.Start = 4000
 )
 
 // restart lists the first target as started again, with nothing but the news of it: its
 // connections stay open and silent, as those to a VM that was cut off and came back.
 func (b *bed) restart() {
-	b.list(func(t *routing.Target) { t.Start = nextStart })
+	b.list(func(t *routing.Target) { t.Start = secondStart })
 }
 
 // list replaces the list of targets by one in which the first one is changed.
@@ -43,12 +43,12 @@
 }
 
 // lapse takes the first target off what is read of the list.
-func (b *bed) lapse() {
+func (b *bed) expireFirst() {
 	b.view.SetDirectory(routing.NewDirectory(b.listed()[1:]))
 }
 
 // life is the start of the life that a connection leads to, 0 if its target tells none.
-func (b *bed) life(c net.Conn) ids.Start {
+func (b *bed) startOf(c net.Conn) ids.Start {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.started[c]
@@ -56,12 +56,12 @@
 
 // perLife answers as one engine in a target's former life and as another in the next. Nobody
 // answers any more on a connection to the former life once that is over.
-func perLife(b **bed, former, next engine) engine {
+func perIncarnation(b **bed, former, next engine) engine {
 	return func(c net.Conn, r *http.Request) bool {
 		switch {
-		case (*b).life(c) == nextStart:
+		case (*b).startOf(c) == secondStart:
 			return next(c, r)
-		case (*b).listed()[0].Start == nextStart:
+		case (*b).listed()[0].Start == secondStart:
 			return silent(c, r)
 		}
 		return former(c, r)
@@ -105,15 +105,15 @@
 		last   string      // Last-Event-Id of the last arrival
 	}{
 		{"sent", "/unsafe/a", silent, 502, "", true, []ids.Start{formerStart}, ""},
-		{"sent, and may be repeated", "/safe/a", silent, 200, "next", true, []ids.Start{formerStart, nextStart}, ""},
+		{"sent, and may be repeated", "/safe/a", silent, 200, "next", true, []ids.Start{formerStart, secondStart}, ""},
 		{"sent, a late answer of the former life", "/unsafe/a", repliesLate, 502, "", true, []ids.Start{formerStart}, ""},
 		{"sent, a stream", "/stream/a", silent, 502, "", true, []ids.Start{formerStart}, ""},
 		{"the first event", "/stream/a", stallsAfter(1), 200, strings.Join(events(1), ""), false, []ids.Start{formerStart}, ""},
-		{"the first event, resumable", "/resume/a", stallsAfter(1), 200, whole, true, []ids.Start{formerStart, nextStart}, "1"},
+		{"the first event, resumable", "/resume/a", stallsAfter(1), 200, whole, true, []ids.Start{formerStart, secondStart}, "1"},
 		{"in the middle", "/stream/a", stallsAfter(4), 200, strings.Join(events(4), ""), false, []ids.Start{formerStart}, ""},
-		{"in the middle, resumable", "/resume/a", stallsAfter(4), 200, whole, true, []ids.Start{formerStart, nextStart}, "4"},
+		{"in the middle, resumable", "/resume/a", stallsAfter(4), 200, whole, true, []ids.Start{formerStart, secondStart}, "4"},
 		{"after the last event, before the end", "/stream/a", stallsAfter(10), 200, whole, false, []ids.Start{formerStart}, ""},
-		{"after the last event, resumable", "/resume/a", stallsAfter(10), 200, whole, true, []ids.Start{formerStart, nextStart}, "10"},
+		{"after the last event, resumable", "/resume/a", stallsAfter(10), 200, whole, true, []ids.Start{formerStart, secondStart}, "10"},
 	}
 	next := func(c net.Conn, r *http.Request) bool {
 		if strings.HasPrefix(r.URL.Path, "/resume/") {
@@ -126,7 +126,7 @@
 			t.Run(fmt.Sprintf("%s, entry stops %t", s.name, stopping), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					var b *bed
-					b = newBed(t, freely{}, perLife(&b, s.former, next))
+					b = newBed(t, freely{}, perIncarnation(&b, s.former, next))
 					b.list(func(t *routing.Target) { t.Start = formerStart })
 					replies := make(chan reply, 1)
 					go func() { replies <- b.call(context.Background(), s.path, nil) }()
@@ -142,14 +142,14 @@
 					if limit := 400 * time.Millisecond; got.took > limit {
 						t.Errorf("told after %v, want within %v", got.took, limit)
 					}
-					b.checkLives(s.lives, s.last)
+					b.checkIncarnations(s.lives, s.last)
 				})
 			})
 		}
 	}
 }
 
-func (b *bed) checkLives(want []ids.Start, last string) {
+func (b *bed) checkIncarnations(want []ids.Start, last string) {
 	b.t.Helper()
 	var lives []ids.Start
 	for _, a := range b.arrived() {
@@ -203,7 +203,7 @@
 		if got := b.call(context.Background(), "/unsafe/a", nil); got.status != 200 {
 			t.Errorf("status %d", got.status)
 		}
-		b.checkLives([]ids.Start{nextStart}, "")
+		b.checkIncarnations([]ids.Start{secondStart}, "")
 		b.scheduler.mu.Lock()
 		defer b.scheduler.mu.Unlock()
 		if want := []string{"t1 Unreached", "t1 Served"}; !slices.Equal(b.scheduler.ends, want) {
@@ -217,7 +217,7 @@
 func TestNoConnectionOfAFormerLifeIsUsedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var b *bed
-		b = newBed(t, freely{}, perLife(&b, says(200, "", "former"), says(200, "", "next")))
+		b = newBed(t, freely{}, perIncarnation(&b, says(200, "", "former"), says(200, "", "next")))
 		b.list(func(t *routing.Target) { t.Start = formerStart })
 		for i, want := range []string{"former", "next"} {
 			if i > 0 {
@@ -227,7 +227,7 @@
 				t.Errorf("status %d, body %q, want %q", got.status, got.body, want)
 			}
 		}
-		b.checkLives([]ids.Start{formerStart, nextStart}, "")
+		b.checkIncarnations([]ids.Start{formerStart, secondStart}, "")
 	})
 }
 
@@ -241,7 +241,7 @@
 		status int
 	}{
 		{"the same life", formerStart, 200},
-		{"another life", nextStart, 502},
+		{"another life", secondStart, 502},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -251,13 +251,13 @@
 				replies := make(chan reply, 1)
 				go func() { replies <- b.call(context.Background(), "/unsafe/a", nil) }()
 				time.Sleep(100 * time.Millisecond)
-				b.lapse()
+				b.expireFirst()
 				time.Sleep(200 * time.Millisecond)
 				b.list(func(t *routing.Target) { t.Start = s.start })
 				if got := <-replies; got.status != s.status {
 					t.Errorf("status %d, want %d", got.status, s.status)
 				}
-				b.checkLives([]ids.Start{formerStart}, "")
+				b.checkIncarnations([]ids.Start{formerStart}, "")
 			})
 		})
 	}
@@ -280,6 +280,6 @@
 		}
 		b.restart()
 		time.Sleep(time.Second)
-		b.checkLives([]ids.Start{formerStart}, "")
+		b.checkIncarnations([]ids.Start{formerStart}, "")
 	})
 }
--- a/pkg/ingress/moves_test.go
+++ b/pkg/ingress/moves_test.go
@@ -29,7 +29,7 @@
 
 // hesitates streams like a sound target that is silent for a while behind its third event, as one whose memory is
 // short and that reads a prompt anew, or that reads the long prompt of another request.
-func hesitates(silence time.Duration) engine {
+func pausesMidStream(silence time.Duration) engine {
 	return func(c net.Conn, r *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"))
 		last, _ := strconv.Atoi(r.Header.Get("Last"))
@@ -50,7 +50,7 @@
 }
 
 // after answers as another engine does, but later.
-func after(wait time.Duration, then engine) engine {
+func delayed(wait time.Duration, then engine) engine {
 	return func(c net.Conn, r *http.Request) bool {
 		time.Sleep(wait)
 		return then(c, r)
@@ -61,7 +61,7 @@
 // the search for another one meanwhile, the caller gets a whole answer.
 func TestATargetThatWorksIsNotGivenUp(t *testing.T) {
 	const silence = 1500 * time.Millisecond
-	streaming, safe := hesitates(silence), after(900*time.Millisecond, says(200, "", "yes"))
+	streaming, safe := pausesMidStream(silence), delayed(900*time.Millisecond, says(200, "", "yes"))
 	failing := says(500, "", "failed")
 	full := says(503, "Not-Run: 1\r\n", "")
 	cases := []struct {
@@ -71,21 +71,21 @@
 	}{
 		{"there is no other target", nil, nil},
 		{"another one is free", []engine{streams(0)}, nil},
-		{"no leave to repeat is left", []engine{streams(0)}, spendLeave},
-		{"there is no place elsewhere", []engine{streams(0)}, func(b *bed) { b.scheduler.refuseLater = true }},
-		{"a place elsewhere comes late", []engine{streams(0)}, func(b *bed) { b.scheduler.delayLater = 10 * time.Second }},
+		{"no leave to repeat is left", []engine{streams(0)}, exhaustRetryBudget},
+		{"there is no place elsewhere", []engine{streams(0)}, func(b *bed) { b.scheduler.refuseRepeats = true }},
+		{"a place elsewhere comes late", []engine{streams(0)}, func(b *bed) { b.scheduler.repeatDelay = 10 * time.Second }},
 		{"the other declines", []engine{full}, nil},
 		{"all others decline", []engine{full, full, full}, nil},
 		{"the other is not reached", []engine{nil}, nil},
 		{"the other breaks off", []engine{closes}, nil},
-		{"the other breaks off behind its head", []engine{breaksBehindHead}, nil},
+		{"the other breaks off behind its head", []engine{breaksAfterHead}, nil},
 		{"the other fails", []engine{failing}, nil},
 		{"the other is silent", []engine{silent}, nil},
-		{"the other is slow", []engine{after(time.Second, streams(0))}, nil},
-		{"the key is taken away", []engine{streams(0)}, func(b *bed) { b.during(func() { b.accounts = b.accounts[1:] }) }},
-		{"the route is taken away", []engine{streams(0)}, func(b *bed) { b.during(func() { b.routes = b.routes[:1] }) }},
+		{"the other is slow", []engine{delayed(time.Second, streams(0))}, nil},
+		{"the key is taken away", []engine{streams(0)}, func(b *bed) { b.changeDuring(func() { b.accounts = b.accounts[1:] }) }},
+		{"the route is taken away", []engine{streams(0)}, func(b *bed) { b.changeDuring(func() { b.routes = b.routes[:1] }) }},
 		{"the route leads elsewhere now", []engine{streams(0)}, func(b *bed) {
-			b.during(func() {
+			b.changeDuring(func() {
 				for i, r := range b.routes {
 					moved := *r
 					moved.Split = []routing.Share{{Service: "other", Weight: 1}}
@@ -102,7 +102,7 @@
 		stuck      bool // the home tells the request to go elsewhere after 0.3 s
 	}{
 		{"a stream", "/resume/a", streaming, 200, strings.Join(events(10), ""), false},
-		{"a stream that has not begun", "/resume/a", after(900*time.Millisecond, streams(0)), 200, strings.Join(events(10), ""), true},
+		{"a stream that has not begun", "/resume/a", delayed(900*time.Millisecond, streams(0)), 200, strings.Join(events(10), ""), true},
 		{"a call", "/safe/a", safe, 200, "yes", true},
 		{"a call that its target failed", "/safe/a", failing, 500, "failed", false},
 	}
@@ -133,14 +133,14 @@
 }
 
 // spendLeave uses the leave to repeat up, so that only a part of a request is left.
-func spendLeave(b *bed) {
+func exhaustRetryBudget(b *bed) {
 	for b.retries.Repeat(b.clock.Now(), "s", 1) {
 		continue
 	}
 }
 
 // during changes what the operators declare once the first target has begun, and before it is silent for long.
-func (b *bed) during(change func()) {
+func (b *bed) changeDuring(change func()) {
 	time.AfterFunc(200*time.Millisecond, func() {
 		change()
 		b.configure(2)
@@ -148,7 +148,7 @@
 }
 
 // breaksBehindHead begins an answer and gives none of it.
-func breaksBehindHead(c net.Conn, r *http.Request) bool {
+func breaksAfterHead(c net.Conn, r *http.Request) bool {
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"))
 	return false
 }
@@ -169,7 +169,7 @@
 }
 
 // mostBothWork is for how long two targets may work on one request at the most.
-const mostBothWork = 400 * time.Millisecond
+const maxOverlap = 400 * time.Millisecond
 
 // TestATargetThatIsGoneIsLeftInTime: a target falls silent for good, with and without its process. Its caller gets the
 // rest from another one, in the time that it took when the first was given up at once: 1 s of silence, and what the other needs.
@@ -189,7 +189,7 @@
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				left := make(chan time.Time, 1)
-				b := newBed(t, freely{}, goesSilent(func() { left <- time.Now() }), after(s.other, streams(0)))
+				b := newBed(t, freely{}, goesSilent(func() { left <- time.Now() }), delayed(s.other, streams(0)))
 				if s.ended {
 					time.AfterFunc(500*time.Millisecond, func() { _ = b.listeners[0].Close() })
 				}
@@ -197,7 +197,7 @@
 				if !got.whole || got.body != strings.Join(events(10), "") || got.took > s.most {
 					t.Errorf("status %d, whole %t after %v, body %q", got.status, got.whole, got.took, got.body)
 				}
-				if both := (<-left).Sub(b.arrived()[1].at); both > mostBothWork {
+				if both := (<-left).Sub(b.arrived()[1].at); both > maxOverlap {
 					t.Errorf("two targets had the request for %v", both)
 				}
 			})
@@ -214,7 +214,7 @@
 			left <- time.Now()
 			return false
 		}
-		b := newBed(t, freely{}, hesitates(4*time.Second), other)
+		b := newBed(t, freely{}, pausesMidStream(4*time.Second), other)
 		got := b.call(context.Background(), "/resume/a", nil)
 		if !got.whole || got.body != strings.Join(events(10), "") {
 			t.Errorf("status %d, whole %t after %v, body %q", got.status, got.whole, got.took, got.body)
@@ -223,7 +223,7 @@
 		if len(arrived) != 2 {
 			t.Fatalf("%d arrivals", len(arrived))
 		}
-		if both := (<-left).Sub(arrived[1].at); both > mostBothWork {
+		if both := (<-left).Sub(arrived[1].at); both > maxOverlap {
 			t.Errorf("two targets had the request for %v", both)
 		}
 	})
@@ -239,9 +239,9 @@
 		status int
 		arrive int
 	}{
-		{"the first fails it", after(late, says(500, "", "failed")), 500, 2},
-		{"the first breaks off", after(late, closes), 502, 2},
-		{"the first declines it", after(late, says(503, "Not-Run: 1\r\n", "")), 200, 3},
+		{"the first fails it", delayed(late, says(500, "", "failed")), 500, 2},
+		{"the first breaks off", delayed(late, closes), 502, 2},
+		{"the first declines it", delayed(late, says(503, "Not-Run: 1\r\n", "")), 200, 3},
 	}
 	for _, s := range cases {
 		t.Run(s.name, func(t *testing.T) {
@@ -261,7 +261,7 @@
 // the places does not know; the search goes on to a third one.
 func TestASearchPassesOverATargetThatWantsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, freely{}, hesitates(4*time.Second), streams(0), streams(0))
+		b := newBed(t, freely{}, pausesMidStream(4*time.Second), streams(0), streams(0))
 		b.advice.Hear(ids.Life{Target: "t2"}, 0, "r", advisory.Advice{Leaving: true})
 		got := b.call(context.Background(), "/resume/a", nil)
 		if !got.whole || got.took > 1300*time.Millisecond {
--- a/pkg/ingress/relay.go
+++ b/pkg/ingress/relay.go
@@ -13,40 +13,40 @@
 	"quaydock/pkg/schedule"
 )
 
-// wholeLimit is up to which size an answer is read whole before any of it goes
-// to the caller, so that a broken one may be tried again.
+// maxBuffered is the number of bytes of an answer that are read before any of it goes to the caller, so that a request
+// whose answer breaks off may be retried.
 const wholeLimit = 1 << 20
 
-var errEncoded = errors.New("the answer is encoded, which was not asked for")
+var errEncoded = errors.New("answer has a Content-Encoding that was not requested")
 
-// resumeAt is the event behind which a stream goes on, if any.
-func (r *request) resumeAt() string {
+// resumeAfter returns the id of the event after which a stream goes on, empty at its beginning.
+func (r *request) resumeAfter() string {
 	if r.hasEvent {
 		return strconv.FormatInt(r.lastEvent, 10)
 	}
 	return r.LastEvent
 }
 
-// relay hands a target's answer to the caller.
-func (d *delivery) relay(w *watch, q *request, out *answerWriter, place schedule.Place, a *forward.Answer) attempt {
+// relay relays a target's answer to the caller.
+func (d *delivery) relay(w *watch, q *request, out *answerWriter, assignment schedule.Place, a *forward.Answer) attempt {
 	defer a.Close()
 	if isEncoded(a) {
-		place.Done(planner.Failed, planner.Flow{})
+		assignment.Done(planner.Failed, planner.Flow{})
 		return lost{err: errEncoded, answered: true}
 	}
 	if q.streams(a) {
-		return d.relayStream(w, q, out, place, a, newEventReader(a))
+		return d.relayStream(w, q, out, assignment, a, newEventReader(a))
 	}
-	body, err := readWhole(a)
+	body, err := readBuffered(a)
 	if err != nil {
-		q.note(d.Clock.Now(), "answer "+w.ending()+" at", place.Target().ID)
-		place.Done(failure(w.exchangeCtx), planner.Flow{})
+		q.note(d.Clock.Now(), "answer "+w.endText()+" at", assignment.Target().ID)
+		assignment.Done(failureOutcome(w.exchangeCtx), planner.Flow{})
 		return lost{err: err}
 	}
-	return d.passWhole(w, q, out, place, a, body)
+	return d.relayBuffered(w, q, out, assignment, a, body)
 }
 
-// isEncoded reports whether an answer is not the target's body as it made it.
+// isEncoded reports whether the body of an answer has a content encoding.
 func isEncoded(a *forward.Answer) bool { return a.Header.Get("Content-Encoding") != "" }
 
 // streams reports whether an answer to the request is a stream of events.
@@ -54,8 +54,8 @@
 	return r.route.Kind == routing.Stream && a.Status < http.StatusMultipleChoices
 }
 
-// readWhole reads an answer that is not a stream, up to wholeLimit.
-func readWhole(a *forward.Answer) ([]byte, error) {
+// readBuffered reads an answer that is not a stream, up to maxBuffered.
+func readBuffered(a *forward.Answer) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(a, wholeLimit))
 	if err != nil {
 		return nil, fmt.Errorf("reading the answer: %w", err)
@@ -63,47 +63,47 @@
 	return body, nil
 }
 
-// passWhole hands over an answer that is not a stream, of which the body was read up to wholeLimit.
-func (d *delivery) passWhole(w *watch, q *request, out *answerWriter, place schedule.Place, a *forward.Answer, body []byte) attempt {
+// relayBuffered relays an answer that is not a stream, whose body was read up to maxBuffered.
+func (d *delivery) relayBuffered(w *watch, q *request, out *answerWriter, assignment schedule.Place, a *forward.Answer, body []byte) attempt {
 	failed := a.Status >= http.StatusInternalServerError
-	if failed && !out.started && w.searches() {
-		q.note(d.Clock.Now(), "status "+strconv.Itoa(a.Status)+", while another target is asked, from", place.Target().ID)
+	if failed && !out.started && w.isSearching() {
+		q.note(d.Clock.Now(), "status "+strconv.Itoa(a.Status)+", while another target is tried, from", assignment.Target().ID)
 		q.hold(a, body)
-		place.Done(planner.Failed, planner.Flow{})
-		return lost{err: fmt.Errorf("target %s answered with status %d", place.Target().ID, a.Status), answered: true}
-	}
-	if !w.answered(q) {
-		place.Done(planner.Failed, planner.Flow{})
-		return lost{err: errMoved}
-	}
-	place.Began(load(a))
-	q.came(d.Clock.Now())
-	q.note(d.Clock.Now(), "status "+strconv.Itoa(a.Status)+" from", place.Target().ID)
-	// Without leave to try elsewhere, the caller gets this target's own answer.
-	if failed && !out.started && d.movable(q) && d.again(q) {
+		assignment.Done(planner.Failed, planner.Flow{})
+		return lost{err: fmt.Errorf("target %s answered with status %d", assignment.Target().ID, a.Status), answered: true}
+	}
+	if !w.answerComplete(q) {
+		assignment.Done(planner.Failed, planner.Flow{})
+		return lost{err: errRedispatched}
+	}
+	assignment.Began(load(a))
+	q.recordArrival(d.Clock.Now())
+	q.note(d.Clock.Now(), "status "+strconv.Itoa(a.Status)+" from", assignment.Target().ID)
+	// If no retry is allowed, the caller gets this target's own answer.
+	if failed && !out.started && d.movable(q) && d.takeRetry(q) {
 		q.hold(a, body)
-		place.Done(planner.Failed, planner.Flow{})
-		return lost{err: fmt.Errorf("target %s answered with status %d", place.Target().ID, a.Status), again: true, answered: true}
+		assignment.Done(planner.Failed, planner.Flow{})
+		return lost{err: fmt.Errorf("target %s answered with status %d", assignment.Target().ID, a.Status), retryTaken: true, answered: true}
 	}
 	if out.started {
-		place.Done(planner.Failed, planner.Flow{})
-		return lost{err: fmt.Errorf("status %d in the middle of a stream", a.Status), answered: true}
+		assignment.Done(planner.Failed, planner.Flow{})
+		return lost{err: fmt.Errorf("resuming a stream: target answered with status %d", a.Status), answered: true}
 	}
 	out.head(d.dialect, a, a.Length)
 	if result := d.relayBody(q, out, a, body); result != nil {
-		place.Done(failure(w.exchangeCtx), planner.Flow{})
+		assignment.Done(failureOutcome(w.exchangeCtx), planner.Flow{})
 		return result
 	}
 	q.sent++
 	if failed {
-		place.Done(planner.Failed, planner.Flow{})
+		assignment.Done(planner.Failed, planner.Flow{})
 	} else {
-		place.Done(planner.Served, planner.Flow{})
+		assignment.Done(planner.Served, planner.Flow{})
 	}
 	return completed{}
 }
 
-// load is a target's report of its load, in the planner's type.
+// load converts a target's report of its load to the planner's type.
 func load(a *forward.Answer) *planner.Load {
 	if a.Load == nil {
 		return nil
@@ -111,7 +111,7 @@
 	return &planner.Load{Running: a.Load.Running, Waiting: a.Load.Waiting}
 }
 
-// relayBody hands over a body of which a part has been read. It returns nil if it is whole.
+// relayBody relays a body of which a part has been read. It returns nil if the body is complete.
 func (d *delivery) relayBody(q *request, out *answerWriter, a *forward.Answer, part []byte) attempt {
 	if err := out.body(part); err != nil {
 		q.sent++
@@ -136,57 +136,57 @@
 	}
 }
 
-// relayStream hands over a stream event by event. Only whole events go out, so
-// that a resumable stream can go on elsewhere behind the last one.
-func (d *delivery) relayStream(w *watch, q *request, out *answerWriter, place schedule.Place, a *forward.Answer, events *eventReader) attempt {
+// relayStream relays a stream event by event. Only complete events are written, so that a resumable stream can go on at
+// another target after the last one.
+func (d *delivery) relayStream(w *watch, q *request, out *answerWriter, assignment schedule.Place, a *forward.Answer, events *eventReader) attempt {
 	var flow planner.Flow
 	last := q.placedAt
 	for ; ; flow.Events++ {
 		e, err := events.next()
-		whole := errors.Is(err, io.EOF)
-		if err != nil && !whole {
+		complete := errors.Is(err, io.EOF)
+		if err != nil && !complete {
 			now := d.Clock.Now()
-			q.note(now, fmt.Sprintf("stream %s after %d events, %d ms behind the last, at", w.ending(), flow.Events, now-last), place.Target().ID)
-			place.Done(failure(w.exchangeCtx), flow)
+			q.note(now, fmt.Sprintf("stream %s after %d events, %d ms after the last, at", w.endText(), flow.Events, now-last), assignment.Target().ID)
+			assignment.Done(failureOutcome(w.exchangeCtx), flow)
 			return lost{err: err}
 		}
-		if !w.sign(e) {
-			place.Done(planner.Failed, flow)
-			return lost{err: errMoved}
+		if !w.recordEvent(e) {
+			assignment.Done(planner.Failed, flow)
+			return lost{err: errRedispatched}
 		}
 		now := d.Clock.Now()
-		q.came(now)
+		q.recordArrival(now)
 		if flow.Events > 0 {
 			flow.Longest = max(flow.Longest, now-last)
 		}
 		last = now
 		if flow.Events == 0 {
-			q.note(d.Clock.Now(), "first event from", place.Target().ID)
-			place.Began(load(a))
+			q.note(d.Clock.Now(), "first event from", assignment.Target().ID)
+			assignment.Began(load(a))
 			if !out.started {
 				out.head(d.dialect, a, -1)
 			}
 		}
-		if err := d.passEvent(q, out, e, whole || !events.buffered()); err != nil {
-			place.Done(planner.Abandoned, flow)
+		if err := d.relayEvent(q, out, e, complete || !events.buffered()); err != nil {
+			assignment.Done(planner.Abandoned, flow)
 			q.sent++
 			return callerGone{err}
 		}
-		if whole {
-			place.Done(planner.Served, flow)
+		if complete {
+			assignment.Done(planner.Served, flow)
 			q.sent++
 			return completed{}
 		}
-		w.listen()
+		w.restartTimer()
 	}
 }
 
-// passEvent hands over one event, unless the caller has it already.
-func (d *delivery) passEvent(q *request, out *answerWriter, e event, flush bool) error {
-	if e.has && q.hasEvent && e.id <= q.lastEvent {
+// relayEvent relays one event, unless the caller has it already.
+func (d *delivery) relayEvent(q *request, out *answerWriter, e event, flush bool) error {
+	if e.hasID && q.hasEvent && e.id <= q.lastEvent {
 		return nil
 	}
-	if e.has {
+	if e.hasID {
 		q.lastEvent = e.id
 		q.hasEvent = true
 	}
--- a/pkg/ingress/request.go
+++ b/pkg/ingress/request.go
@@ -18,53 +18,52 @@
 	account  *routing.Account // nil on routes without keys
 	service  ids.Service
 	arrived  clock.Millis
-	before   clock.Millis // how long before that its caller first asked
+	before   clock.Millis // time from the caller's first try to this arrival
 	deadline clock.Millis
-	takenAt  clock.Millis // when it was counted against its account's allowance
-	draw     float64      // picks the service of a split route, the same each time
+	takenAt  clock.Millis // when it was charged to its account's allowance
+	draw     float64      // random number that picks the service of a split route, the same at each look-up
 
 	sent     int // exchanges that may have run at a target
 	declines int // exchanges that surely did not
 	sends    int // all exchanges that reached a target
-	withheld int // places that were not used, by their targets' own word
+	withheld int // assignments that were not used, by their targets' own reports
 	tried    []ids.Life
-	// held is a failure of a target's own, for the caller if no other target does better.
+	// held is a failure that a target answered; the caller gets it if no other target does better.
 	held      *heldAnswer
 	lastEvent int64
 	hasEvent  bool
 
 	trail []mark
-	// lostBy is how the newest exchange failed that may have run.
+	// lostBy is the error of the latest exchange that may have run.
 	lostBy error
-	// digest stands for what is asked for; it is worked out once a target breaks off.
+	// digest identifies what is requested; it is computed once a target breaks off.
 	digest quarantine.Digest
 	// ended lists the targets whose processes ended while they ran the request.
 	ended []ids.Target
 
 	placedAt clock.Millis // when it was last sent to a target
-	firstAt  clock.Millis // when its answer, or the first event, came
-	eventAt  clock.Millis // when the last event, or part of an answer, came
-	pause    clock.Millis // the longest between two events
+	firstAt  clock.Millis // when its answer, or the first event, arrived
+	eventAt  clock.Millis // when the last event, or part of an answer, arrived
+	pause    clock.Millis // the longest pause between two events
 }
 
-// Callers give up a stream that is silent for the longest of these, its first
-// event included.
+// Callers give up a stream that is silent for the longest of these, also before its first event.
 const (
-	patienceFloor      = 2 * clock.Second
+	minPatience        = 2 * clock.Second
 	patienceObjectives = 4
 	patienceGaps       = 8
 )
 
-// patience is how long a caller waits for the next event, 0 if to the deadline.
+// patience is how long a caller waits for the next event, 0 if until the deadline.
 func (r *request) patience() clock.Millis {
 	if r.route.Kind != routing.Stream {
 		return 0
 	}
-	return max(patienceFloor, patienceObjectives*r.route.Objective, patienceGaps*r.route.EventGap)
+	return max(minPatience, patienceObjectives*r.route.Objective, patienceGaps*r.route.EventGap)
 }
 
-// came notes that an event, or a whole answer, has come.
-func (r *request) came(now clock.Millis) {
+// recordArrival records that an event, or a complete answer, has arrived.
+func (r *request) recordArrival(now clock.Millis) {
 	if r.firstAt == 0 {
 		r.firstAt = now
 	} else {
@@ -73,8 +72,7 @@
 	r.eventAt = now
 }
 
-// tierStep keeps the tiers of accounts apart: an account's rank goes before the
-// route's.
+// tierStep is the number of route tiers within one account tier: the account's tier takes precedence over the route's.
 const tierStep = 16
 
 func (r *request) tier() ids.TierRank {
@@ -85,15 +83,15 @@
 	return tier
 }
 
-// identify returns the digest of what is asked for.
-func (r *request) identify() quarantine.Digest {
+// requestDigest returns the digest of what is requested, and computes it once.
+func (r *request) requestDigest() quarantine.Digest {
 	if r.digest == (quarantine.Digest{}) {
 		r.digest = quarantine.Identify(r.accountName(), r.http.RequestURI, r.body)
 	}
 	return r.digest
 }
 
-// returned reports whether a request was refused before, as far as can be told.
+// returned reports whether a request is known to have been refused before.
 func (r *request) returned() bool {
 	return r.before > 0
 }
@@ -105,8 +103,8 @@
 	return r.account.Name
 }
 
-// events guesses how many events a request's answer will have.
-func (a *admission) events(q *request) int {
+// estimateEvents estimates the number of events of a request's answer.
+func (a *admission) estimateEvents(q *request) int {
 	if q.route.Kind != routing.Stream {
 		return 0
 	}
@@ -121,9 +119,10 @@
 	return int(tokens)/perEvent + 1
 }
 
-// passOver notes that a place on a target was not used, by the target's own word.
-func (r *request) passOver(life ids.Life) {
-	if r.withheld++; r.withheld > mostWithheld {
-		r.tried = append(r.tried, life)
+// recordWithheld records that an assignment to a target was not used, by the target's own report. It excludes the target
+// after maxWithheld of them.
+func (r *request) recordWithheld(incarnation ids.Life) {
+	if r.withheld++; r.withheld > maxWithheld {
+		r.tried = append(r.tried, incarnation)
 	}
 }
--- a/pkg/ingress/search.go
+++ b/pkg/ingress/search.go
@@ -19,13 +19,13 @@
 	"quaydock/pkg/telemetry"
 )
 
-// bothWork is for how long two targets may have one request: a stream must not go on at one while another
-// has worked on it for 0.4 s longer, and the word that ends the work takes its way.
-const bothWork = 350 * clock.Millisecond
+// maxOverlap is for how long two targets may run one request. A stream must not go on at one target while another has
+// run it for more than 0.4 s; the difference is for the cancellation to reach the target.
+const maxOverlap = 350 * clock.Millisecond
 
 var (
-	errNotNeeded = errors.New("the first target goes on")
-	errTooSlow   = errors.New("no sign of life while two targets may work")
+	errNotNeeded = errors.New("first target has responded")
+	errTooSlow   = errors.New("no first response within the time for two concurrent runs")
 )
 
 // SearchEnd is how the search for another target ended.
@@ -33,79 +33,80 @@
 
 //go:generate stringer -type=SearchEnd -trimprefix=Search -output=search_end_string.go
 
-// The ends.
+// Outcomes of a search.
 const (
-	// SearchNotNeeded: the first target gave a sign of life, or its answer ended.
+	// SearchNotNeeded: the first target responded, or its answer ended.
 	SearchNotNeeded SearchEnd = iota
-	// SearchTookOver: another target has taken over.
+	// SearchTookOver: another target took over.
 	SearchTookOver
-	// SearchNoLeave: no other target, or no leave to repeat.
+	// SearchNoLeave: there was no other target, or no retry was allowed.
 	SearchNoLeave
-	// SearchNoPlace: no place on another one.
+	// SearchNoPlace: no other target could be assigned.
 	SearchNoPlace
-	// SearchFailed: the other one broke off or failed.
+	// SearchFailed: the other target broke off or failed.
 	SearchFailed
-	// SearchTooSlow: the other one gave no sign of life while both may work.
+	// SearchTooSlow: the other target gave no first response within maxOverlap.
 	SearchTooSlow
 )
 
-// search looks for another target for a request whose target is silent, and has it answer. Whatever fails on the
-// way, the first target goes on as if nothing had been.
+// search sends a request whose target is silent to another target as well, and lets that take over once it responds.
+// If the search fails, the exchange with the first target goes on unaffected.
 type search struct {
 	delivery *delivery
 	watch    *watch
 	q        *request // a copy: the first target's answer may go on meanwhile
-	began    request  // as q was at the beginning
+	began    request  // q as it was when the search began
 	beganAt  clock.Millis
-	silence  clock.Millis // of the first target, by then
+	silence  clock.Millis // of the first target when the search began
 	ctx      context.Context
 	cancel   context.CancelCauseFunc
-	done     chan struct{}
-	// firstGone says that the first target has failed, has ended, or can't be reached: the other one may take its time.
+	finished chan struct{}
+	// firstGone says that the first target has failed, has ended, or can't be reached. maxOverlap then no longer applies
+	// to the other target.
 	firstGone atomic.Bool
 	end       SearchEnd
 
-	// takeover is the other target's answer once it has taken over, and relayed that it is being relayed. They are read
-	// once done is closed.
+	// takeover is the answer of the target that has taken over, and relayed says that it is being relayed. Both are read
+	// only after finished is closed.
 	takeover *takeover
 	relayed  bool
 }
 
-// takeover is an answer as far as it had to come for its target to take over.
+// takeover is the part of an answer that had to arrive for its target to take over.
 type takeover struct {
-	place  schedule.Place
-	answer *forward.Answer
-	events *eventReader // of a stream; the next event is at hand
-	body   []byte       // of another answer, up to wholeLimit
-	sentAt clock.Millis
-	// ctx is that of the exchange, and end ends it.
-	ctx context.Context
-	end context.CancelCauseFunc
+	assignment schedule.Place
+	answer     *forward.Answer
+	events     *eventReader // of a stream; its next event has been read
+	body       []byte       // of any other answer, up to maxBuffered
+	sentAt     clock.Millis
+	// ctx is the context of the exchange, and endExchange cancels it.
+	ctx         context.Context
+	endExchange context.CancelCauseFunc
 }
 
-// newSearch returns a search that has not begun; the watch's lock is held.
+// newSearch returns a search that has not begun. The caller holds the watch's lock.
 func newSearch(w *watch) *search {
-	s := &search{delivery: w.delivery, watch: w, q: w.copied(), done: make(chan struct{})}
+	s := &search{delivery: w.delivery, watch: w, q: w.copyRequest(), finished: make(chan struct{})}
 	s.began = *s.q
 	s.beganAt = w.delivery.Clock.Now()
-	s.silence = s.beganAt - w.signAt
+	s.silence = s.beganAt - w.silentSince
 	s.ctx, s.cancel = context.WithCancelCause(w.requestCtx)
 	return s
 }
 
 func (s *search) isDone() bool {
 	select {
-	case <-s.done:
+	case <-s.finished:
 		return true
 	default:
 		return false
 	}
 }
 
-// run looks for another target until one has taken over, or none can. Once a request has reached one, the search ends, so
-// that the first target does not have it beside several others in a row; unless that is gone.
+// run tries other targets until one takes over or none can. The search ends once a request has reached one of them, so
+// that the first target does not run it beside several others in turn, unless the first target is gone.
 func (s *search) run() {
-	defer close(s.done)
+	defer close(s.finished)
 	for s.end = SearchNoLeave; s.mayTry(); {
 		reached := s.tryOne()
 		if s.takeover != nil || s.end == SearchNoPlace || s.ctx.Err() != nil || reached && !s.firstGone.Load() {
@@ -118,55 +119,55 @@
 	case errors.Is(context.Cause(s.ctx), errNotNeeded):
 		s.end = SearchNotNeeded
 	}
-	s.tell()
+	s.report()
 	if s.takeover == nil {
-		s.watch.failed(s)
+		s.watch.searchFailed(s)
 	}
 	s.cancel(nil)
 }
 
-// mayTry takes the leave to send the request to one more target. A request that is suspected of ending its targets
-// has one at a time.
+// mayTry reports whether the request may be sent to one more target, and takes a retry from the budget for it. A suspected
+// request runs at one target at a time.
 func (s *search) mayTry() bool {
 	d := s.delivery
-	return s.q.sent < s.q.route.Attempts && !d.guard.Watches(s.q.accountName()) && d.again(s.q)
+	return s.q.sent < s.q.route.Attempts && !d.guard.Watches(s.q.accountName()) && d.takeRetry(s.q)
 }
 
-// tryOne tries one other target, and reports whether the request has reached it. Leave that was not used is given back.
+// tryOne tries one other target, and reports whether the request has reached it. An unused retry goes back to the budget.
 func (s *search) tryOne() bool {
 	d := s.delivery
-	leaveAt, service := d.Clock.Now(), s.q.service
-	place, refusal := d.acquire(s.ctx, s.q)
-	if refusal == nil && (!d.permitted(s.q, nil) || slices.Contains(s.q.tried, place.Target().Life())) {
-		// Its turn has yet to come, or there is no target any more but those that it was sent to.
-		place.Done(planner.Abandoned, planner.Flow{})
+	retryAt, service := d.Clock.Now(), s.q.service
+	assignment, refusal := d.acquire(s.ctx, s.q)
+	if refusal == nil && (!d.permitted(s.q, nil) || slices.Contains(s.q.tried, assignment.Target().Life())) {
+		// It has to wait for its exclusive run, or there is no target left that it was not sent to.
+		assignment.Done(planner.Abandoned, planner.Flow{})
 		refusal = notRun(CauseNoTurn, comeBack)
 	}
 	if refusal != nil {
 		s.end = SearchNoPlace
-		d.retries.Return(leaveAt, service)
+		d.retries.Return(retryAt, service)
 		return false
 	}
-	result := s.open(place)
-	reached := result == nil || s.countAttempt(place.Target(), result)
+	result := s.open(assignment)
+	reached := result == nil || s.countAttempt(assignment.Target(), result)
 	if !reached {
-		d.retries.Return(leaveAt, service)
+		d.retries.Return(retryAt, service)
 	}
 	return reached
 }
 
-// countAttempt counts an attempt at a target, and reports whether the request has reached it.
+// countAttempt counts an attempt at a target, and reports whether the request has reached the target.
 func (s *search) countAttempt(target *routing.Target, result attempt) bool {
 	switch result := result.(type) {
 	case declined:
 		s.q.declines++
 		if result.err != nil && s.ctx.Err() != nil {
-			// This end gave the connection up while it was made: the target was not tried.
+			// This entry cancelled the connection attempt, so the target was not tried.
 			s.q.tried = s.q.tried[:len(s.q.tried)-1]
 		}
 		return result.err == nil
 	case withheld:
-		s.q.passOver(target.Life())
+		s.q.recordWithheld(target.Life())
 		return false
 	default:
 		s.q.sent++
@@ -174,21 +175,21 @@
 	}
 }
 
-// open sends the request to the target of a place, and has it take over with its answer. It returns how the exchange
-// ended if it does not.
-func (s *search) open(place schedule.Place) attempt {
+// open sends the request to the target of an assignment, and lets the target take over once it responds. It returns nil
+// then, and otherwise how the exchange ended.
+func (s *search) open(assignment schedule.Place) attempt {
 	d := s.delivery
 	ctx, end := context.WithCancelCause(s.watch.requestCtx)
 	detach := context.AfterFunc(s.ctx, func() { end(context.Cause(s.ctx)) })
-	limit := time.AfterFunc(bothWork.Duration(), func() { s.boundReached(end) })
+	limit := time.AfterFunc(maxOverlap.Duration(), func() { s.overlapLimitReached(end) })
 	defer limit.Stop()
 	opened := make(chan struct{})
 	defer close(opened)
-	go s.heedHome(place, opened, end)
-	go s.askFirst(place.Target(), opened)
-	t := &takeover{place: place, sentAt: d.Clock.Now(), ctx: ctx, end: end}
+	go s.followOwner(assignment, opened, end)
+	go s.probeFirst(assignment.Target(), opened)
+	t := &takeover{assignment: assignment, sentAt: d.Clock.Now(), ctx: ctx, endExchange: end}
 	var result attempt
-	if t.answer, result = d.send(ctx, s.q, place); t.answer != nil {
+	if t.answer, result = d.send(ctx, s.q, assignment); t.answer != nil {
 		result = s.read(t)
 	}
 	if result != nil {
@@ -200,31 +201,31 @@
 		end(nil)
 		return result
 	}
-	if detach() && s.watch.win(s, t) {
+	if detach() && s.watch.replaceTarget(s, t) {
 		return nil
 	}
 	t.drop()
 	return lost{err: errNotNeeded}
 }
 
-// heedHome ends an attempt once the home of the service tells that its target gives no sign of life, and the
-// first one is gone. While that may go on, the time for both is the bound.
-func (s *search) heedHome(place schedule.Place, opened <-chan struct{}, end context.CancelCauseFunc) {
-	moved := place.Moved()
-	if moved == nil {
+// followOwner ends an attempt once the owner of the service reports that its target gives no response, if the first target
+// is gone. While the first target may still respond, maxOverlap is the limit.
+func (s *search) followOwner(assignment schedule.Place, opened <-chan struct{}, end context.CancelCauseFunc) {
+	redispatched := assignment.Moved()
+	if redispatched == nil {
 		return
 	}
 	select {
-	case <-moved:
+	case <-redispatched:
 		if s.firstGone.Load() {
-			end(errMoved)
+			end(errRedispatched)
 		}
 	case <-opened:
 	}
 }
 
-// read waits for the sign of life that another target has to give to take over. What it fails is no answer for
-// a caller whose first target goes on.
+// read waits for the first response that lets another target take over. A failed answer doesn't count, as the first target
+// may still give a good one.
 func (s *search) read(t *takeover) attempt {
 	a := t.answer
 	var err error
@@ -233,23 +234,23 @@
 		err = errEncoded
 	case streams:
 		t.events = newEventReader(a)
-		err = t.events.await()
+		err = t.events.peek()
 	case a.Status >= http.StatusInternalServerError || s.q.route.Kind == routing.Stream:
-		err = fmt.Errorf("target %s answered with status %d", t.place.Target().ID, a.Status)
+		err = fmt.Errorf("target %s answered with status %d", t.assignment.Target().ID, a.Status)
 	default:
-		t.body, err = readWhole(a)
+		t.body, err = readBuffered(a)
 	}
 	if err == nil {
 		return nil
 	}
-	s.q.note(s.delivery.Clock.Now(), "no sign of life from", t.place.Target().ID)
+	s.q.note(s.delivery.Clock.Now(), "no first response from", t.assignment.Target().ID)
 	a.Close()
-	t.place.Done(failure(t.ctx), planner.Flow{})
+	t.assignment.Done(failureOutcome(t.ctx), planner.Flow{})
 	return lost{err: err}
 }
 
-// boundReached ends an attempt as both targets have had their time, or else the first target if that is gone.
-func (s *search) boundReached(end context.CancelCauseFunc) {
+// overlapLimitReached ends the attempt at the other target after maxOverlap, or the first exchange if that target is gone.
+func (s *search) overlapLimitReached(end context.CancelCauseFunc) {
 	w := s.watch
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -262,31 +263,31 @@
 	}
 }
 
-// askAgain is after what time the first target is asked a second time, beside the other one.
-const askAgain = 60 * clock.Millisecond
+// reprobeAfter is after which time the first target is probed a second time, together with the other one.
+const reprobeAfter = 60 * clock.Millisecond
 
-// askFirst finds out whether the first target can still be reached. One that refuses connections has ended. One that does not
-// answer is gone if it does not do so when asked again, as a packet may be lost, while the other one
-// answers, as it may be this end that reaches nobody.
-func (s *search) askFirst(other *routing.Target, opened <-chan struct{}) {
-	first := s.ask(s.watch.target)
+// probeFirst checks whether the first target can still be reached. A target that refuses connections has ended. A target
+// that doesn't answer counts as gone only if a second probe fails too, as a packet may have been lost, and if the other
+// target answers a probe, as otherwise this entry may be the one that reaches nobody.
+func (s *search) probeFirst(other *routing.Target, opened <-chan struct{}) {
+	first := s.probe(s.watch.target)
 	select {
 	case reach := <-first:
-		s.noteReach(reach)
+		s.recordReach(reach)
 		return
-	case <-time.After(askAgain.Duration()):
+	case <-time.After(reprobeAfter.Duration()):
 	case <-opened:
 		return
 	}
-	again, control := s.ask(s.watch.target), s.ask(other)
-	for range cap(first) + cap(again) {
+	second, control := s.probe(s.watch.target), s.probe(other)
+	for range cap(first) + cap(second) {
 		var reach forward.Reach
 		select {
 		case reach = <-first:
-		case reach = <-again:
+		case reach = <-second:
 		}
 		if reach != forward.Unreachable {
-			s.noteReach(reach)
+			s.recordReach(reach)
 			return
 		}
 	}
@@ -295,28 +296,28 @@
 	}
 }
 
-// noteReach notes what a target that answered a question for a connection has shown.
-func (s *search) noteReach(reach forward.Reach) {
+// recordReach records the result of a probe that the first target answered.
+func (s *search) recordReach(reach forward.Reach) {
 	if reach == forward.Refused {
 		s.firstGone.Store(true)
 	}
 }
 
-// ask asks a target for a connection.
-func (s *search) ask(t *routing.Target) <-chan forward.Reach {
+// probe tries to connect to a target.
+func (s *search) probe(t *routing.Target) <-chan forward.Reach {
 	answer := make(chan forward.Reach, 1)
 	go func() { answer <- s.delivery.pool.Reach(s.watch.requestCtx, t) }()
 	return answer
 }
 
-// drop ends an answer that nobody is to get.
+// drop ends an answer that is not needed.
 func (t *takeover) drop() {
 	t.answer.Close()
-	t.end(errNotNeeded)
-	t.place.Done(planner.Abandoned, planner.Flow{})
+	t.endExchange(errNotNeeded)
+	t.assignment.Done(planner.Abandoned, planner.Flow{})
 }
 
-// drop ends the answer of a target that has taken over, if it is not being relayed, and reports whether it has.
+// drop ends the answer of a target that has taken over, unless it is being relayed. It reports whether it ended one.
 func (s *search) drop() bool {
 	if s.takeover == nil || s.relayed {
 		return false
@@ -325,8 +326,8 @@
 	return true
 }
 
-// tell logs and counts how the search ended.
-func (s *search) tell() {
+// report logs and counts how the search ended.
+func (s *search) report() {
 	d := s.delivery
 	d.Metrics.Links.Add("searches_"+s.end.String(), 1)
 	if !d.sampler.Allow("search") {
@@ -337,7 +338,7 @@
 		"silence_ms": int64(s.silence), "took_ms": int64(d.Clock.Now() - s.beganAt),
 	}
 	if s.takeover != nil {
-		fields["replaced_by"] = string(s.takeover.place.Target().ID)
+		fields["replaced_by"] = string(s.takeover.assignment.Target().ID)
 	}
 	d.Log.WithFields(fields).Info("another target was looked for, as one was silent")
 }
--- a/pkg/ingress/search_drawn_test.go
+++ b/pkg/ingress/search_drawn_test.go
@@ -35,13 +35,13 @@
 	for _, attempts := range []int{2, 3, 4} {
 		for _, s := range ends {
 			for at := 900 * time.Millisecond; at <= 2600*time.Millisecond; at += 50 * time.Millisecond {
-				synctest.Test(t, func(t *testing.T) { searchEnds(t, attempts, s.name, at, s.do) })
+				synctest.Test(t, func(t *testing.T) { checkSearchEnds(t, attempts, s.name, at, s.do) })
 			}
 		}
 	}
 }
 
-func searchEnds(t *testing.T, attempts int, name string, at time.Duration, do func(*bed, context.CancelFunc)) {
+func checkSearchEnds(t *testing.T, attempts int, name string, at time.Duration, do func(*bed, context.CancelFunc)) {
 	var mu sync.Mutex
 	atWork, latest := 0, time.Time{}
 	count := func(then engine) engine {
@@ -59,9 +59,9 @@
 		}
 	}
 	b := newBed(t, freely{}, count(goesSilent(func() {})), count(silent), count(silent), count(silent))
-	b.allow(attempts)
-	b.scheduler.delayLater = 120 * time.Millisecond
-	b.dialling.set(70*time.Millisecond, nil)
+	b.allowAttempts(attempts)
+	b.scheduler.repeatDelay = 120 * time.Millisecond
+	b.dialer.set(70*time.Millisecond, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	began := time.Now()
@@ -103,7 +103,7 @@
 
 // drawn is a target whose course is drawn: it declines, fails, closes, or streams with silences, and may break off. It counts the
 // runs that it began.
-func drawn(random *rand.Rand, runs *atomic.Int64) engine {
+func randomTarget(random *rand.Rand, runs *atomic.Int64) engine {
 	var mu sync.Mutex
 	draw := func(n int) int {
 		mu.Lock()
@@ -149,27 +149,27 @@
 func TestDrawnCourses(t *testing.T) {
 	for seed := range uint64(1500) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { drawnCourse(t, seed) })
+			synctest.Test(t, func(t *testing.T) { checkRandomTargets(t, seed) })
 		})
 	}
 }
 
-func drawnCourse(t *testing.T, seed uint64) {
+func checkRandomTargets(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 44))
 	var runs atomic.Int64
 	attempts := 2 + random.IntN(3)
 	var targets []engine
 	for n := range 4 {
-		targets = append(targets, drawn(rand.New(rand.NewPCG(seed, uint64(n))), &runs))
+		targets = append(targets, randomTarget(rand.New(rand.NewPCG(seed, uint64(n))), &runs))
 	}
 	b := newBed(t, freely{}, targets...)
-	b.allow(attempts)
+	b.allowAttempts(attempts)
 	b.scheduler.delay = time.Duration(random.IntN(100)) * time.Millisecond
-	b.scheduler.delayLater = time.Duration(random.IntN(300)) * time.Millisecond
+	b.scheduler.repeatDelay = time.Duration(random.IntN(300)) * time.Millisecond
 	b.scheduler.stuck = []ids.Target{"", "t1", "t2", "t3"}[random.IntN(4)]
 	var places atomic.Int64
 	b.scheduler.placed = func() { places.Add(1) }
-	b.dialling.set(time.Duration(random.IntN(150))*time.Millisecond, nil)
+	b.dialer.set(time.Duration(random.IntN(150))*time.Millisecond, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if leaves := random.IntN(8000); leaves < 4000 {
--- a/pkg/ingress/search_test.go
+++ b/pkg/ingress/search_test.go
@@ -23,7 +23,7 @@
 // given up, or used up, before it is certain that the caller gets its answer from the other.
 
 // hesitatesThenBreaks streams three events, is silent for a while, goes on with two more and breaks off.
-func hesitatesThenBreaks(silence time.Duration) engine {
+func pausesThenBreaks(silence time.Duration) engine {
 	return func(c net.Conn, r *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"))
 		for n, text := range events(5) {
@@ -58,9 +58,9 @@
 	for _, s := range cases {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, freely{}, hesitatesThenBreaks(1100*time.Millisecond), after(s.first, streams(0)), streams(0))
-				time.AfterFunc(500*time.Millisecond, func() { b.dialling.set(s.connect, nil) })
-				time.AfterFunc(1120*time.Millisecond, func() { b.dialling.set(0, nil) })
+				b := newBed(t, freely{}, pausesThenBreaks(1100*time.Millisecond), delayed(s.first, streams(0)), streams(0))
+				time.AfterFunc(500*time.Millisecond, func() { b.dialer.set(s.connect, nil) })
+				time.AfterFunc(1120*time.Millisecond, func() { b.dialer.set(0, nil) })
 				got := b.call(context.Background(), "/resume/a", nil)
 				if n := len(b.arrived()); got.whole != s.whole || s.whole && got.body != strings.Join(events(10), "") || n != 2 {
 					t.Errorf("whole %t after %v, body %q, %d arrivals", got.whole, got.took, got.body, n)
@@ -76,7 +76,7 @@
 // What callers see: the first one's 500. The cause: any whole answer ends the search, also one that is to be repeated.
 func TestAFailureDoesNotEndASearchUnderWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, freely{}, after(400*time.Millisecond, says(500, "", "failed")), after(250*time.Millisecond, says(200, "", "yes")))
+		b := newBed(t, freely{}, delayed(400*time.Millisecond, says(500, "", "failed")), delayed(250*time.Millisecond, says(200, "", "yes")))
 		b.scheduler.stuck = "t1" // looked for elsewhere after 0.3 s
 		got := b.call(context.Background(), "/safe/a", nil)
 		if got.status != 200 || got.body != "yes" {
@@ -87,13 +87,13 @@
 
 // bulky streams large events without a pause, from one behind the last that the caller has, and tells when its connection has
 // ended, or it is through.
-func bulky(count int, ended func()) engine {
+func streamsLargeEvents(count int, ended func()) engine {
 	return func(c net.Conn, r *http.Request) bool {
 		defer ended()
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"))
 		last, _ := strconv.Atoi(r.Header.Get("Last"))
 		for n := last + 1; n <= count; n++ {
-			text := bulkyEvent(n)
+			text := largeEvent(n)
 			if _, err := fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text); err != nil {
 				return false
 			}
@@ -103,7 +103,7 @@
 	}
 }
 
-func bulkyEvent(n int) string {
+func largeEvent(n int) string {
 	return fmt.Sprintf("id: %d\ndata: %s\n\n", n, strings.Repeat("e", 32<<10))
 }
 
@@ -118,12 +118,12 @@
 		const count = 30
 		var mu sync.Mutex
 		var firstEnded time.Time
-		first := bulky(count, func() {
+		first := streamsLargeEvents(count, func() {
 			mu.Lock()
 			defer mu.Unlock()
 			firstEnded = time.Now()
 		})
-		b := newBed(t, freely{}, first, bulky(count, func() {}))
+		b := newBed(t, freely{}, first, streamsLargeEvents(count, func() {}))
 		c, err := b.reach.Dial(context.Background(), entryAt)
 		if err != nil {
 			t.Fatal(err)
@@ -139,7 +139,7 @@
 		_ = response.Body.Close()
 		var want strings.Builder
 		for n := 1; n <= count; n++ {
-			want.WriteString(bulkyEvent(n))
+			want.WriteString(largeEvent(n))
 		}
 		if err != nil || string(body) != want.String() {
 			t.Errorf("%d bytes of %d: %v", len(body), want.Len(), err)
@@ -151,14 +151,14 @@
 		t.Errorf("%d arrivals", len(arrived))
 		mu.Lock()
 		defer mu.Unlock()
-		if both := firstEnded.Sub(arrived[1].at); both > mostBothWork {
+		if both := firstEnded.Sub(arrived[1].at); both > maxOverlap {
 			t.Errorf("the first target kept the request for %v beside the other", both)
 		}
 	})
 }
 
 // allow lets the routes' requests go to more targets.
-func (b *bed) allow(attempts int) {
+func (b *bed) allowAttempts(attempts int) {
 	for _, r := range b.routes {
 		r.Attempts = attempts
 	}
@@ -174,8 +174,8 @@
 			left <- time.Now()
 			return false
 		}
-		b := newBed(t, freely{}, hesitates(4*time.Second), other, other)
-		b.allow(3)
+		b := newBed(t, freely{}, pausesMidStream(4*time.Second), other, other)
+		b.allowAttempts(3)
 		got := b.call(context.Background(), "/resume/a", nil)
 		if !got.whole || got.body != strings.Join(events(10), "") {
 			t.Errorf("whole %t after %v, body %q", got.whole, got.took, got.body)
@@ -186,7 +186,7 @@
 		}
 		secondLeft, thirdLeft := <-left, <-left
 		gap := arrived[2].at.Sub(secondLeft)
-		if both := thirdLeft.Sub(arrived[1].at); gap < 50*time.Millisecond && both > mostBothWork {
+		if both := thirdLeft.Sub(arrived[1].at); gap < 50*time.Millisecond && both > maxOverlap {
 			t.Errorf("the first target had the request for %v beside others, with a gap of %v", both, gap)
 		}
 	})
@@ -206,9 +206,9 @@
 				return then(c, r)
 			}
 		}
-		b := newBed(t, freely{}, earlier(hesitates(2*time.Second), says(503, "Not-Run: 1\r\n", "")), earlier(after(600*time.Millisecond, closes), says(200, "", "yes")))
+		b := newBed(t, freely{}, earlier(pausesMidStream(2*time.Second), says(503, "Not-Run: 1\r\n", "")), earlier(delayed(600*time.Millisecond, closes), says(200, "", "yes")))
 		b.call(context.Background(), "/safe/a", map[string]string{"Id": "earlier"})
-		time.AfterFunc(500*time.Millisecond, func() { b.dialling.set(300*time.Millisecond, nil) })
+		time.AfterFunc(500*time.Millisecond, func() { b.dialer.set(300*time.Millisecond, nil) })
 		got := b.call(context.Background(), "/resume/a", nil)
 		if !got.whole || got.body != strings.Join(events(10), "") {
 			t.Errorf("whole %t after %v, body %q, %d arrivals", got.whole, got.took, got.body, len(b.arrived()))
@@ -219,10 +219,10 @@
 // TestAnEventJustAsTheFirstIsGivenUp: nobody listens at a target's address any more, and it gives its next event just as it is given
 // up for another one. The other one is not let go for that.
 func TestAnEventJustAsTheFirstIsGivenUp(t *testing.T) {
-	for n := range plays {
+	for n := range repetitions {
 		t.Run(fmt.Sprint("play ", n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, freely{}, hesitates(1330*time.Millisecond), after(500*time.Millisecond, streams(0)))
+				b := newBed(t, freely{}, pausesMidStream(1330*time.Millisecond), delayed(500*time.Millisecond, streams(0)))
 				time.AfterFunc(500*time.Millisecond, func() { _ = b.listeners[0].Close() })
 				got := b.call(context.Background(), "/resume/a", nil)
 				if !got.whole || got.body != strings.Join(events(10), "") {
@@ -234,7 +234,7 @@
 }
 
 // plays is how often a moment is played at which two things happen at once: which comes first is chance.
-const plays = 200
+const repetitions = 200
 
 // TestTheFirstDeclinesJustAsTheOtherAnswers: what a target has run counts among those that a request may reach, and is never told as not
 // run, also if the first declines at that moment.
@@ -243,14 +243,14 @@
 		name   string
 		others []engine
 	}{
-		{"no third target", []engine{after(200*time.Millisecond, says(200, "", "yes"))}},
-		{"others that break off", []engine{after(200*time.Millisecond, says(200, "", "yes")), closes, says(200, "", "yes")}},
+		{"no third target", []engine{delayed(200*time.Millisecond, says(200, "", "yes"))}},
+		{"others that break off", []engine{delayed(200*time.Millisecond, says(200, "", "yes")), closes, says(200, "", "yes")}},
 	}
 	for _, s := range cases {
-		for n := range plays {
+		for n := range repetitions {
 			t.Run(fmt.Sprint(s.name, ", play ", n), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					first := after(500*time.Millisecond, says(503, "Not-Run: 1\r\n", ""))
+					first := delayed(500*time.Millisecond, says(503, "Not-Run: 1\r\n", ""))
 					b := newBed(t, freely{}, append([]engine{first}, s.others...)...)
 					b.scheduler.stuck = "t1"
 					got := b.call(context.Background(), "/safe/a", nil)
@@ -271,7 +271,7 @@
 func TestASearchHeedsTheHome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, freely{}, goesSilent(func() {}), silent, streams(0))
-		b.allow(3)
+		b.allowAttempts(3)
 		b.scheduler.stuck = "t2"
 		time.AfterFunc(500*time.Millisecond, func() { _ = b.listeners[0].Close() })
 		got := b.call(context.Background(), "/resume/a", nil)
@@ -301,7 +301,7 @@
 // holds no leave meanwhile.
 func TestSearchesWithoutEndUnderALongSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, freely{}, hesitates(4*time.Second), nil)
+		b := newBed(t, freely{}, pausesMidStream(4*time.Second), nil)
 		b.eachRoute(func(r *routing.Route) { r.Timeout = 20 * clock.Second })
 		got := b.call(context.Background(), "/resume/a", nil)
 		if !got.whole {
@@ -309,8 +309,8 @@
 		}
 		b.scheduler.mu.Lock()
 		defer b.scheduler.mu.Unlock()
-		if b.scheduler.asks > 5 {
-			t.Errorf("%d asks for places", b.scheduler.asks)
+		if b.scheduler.acquires > 5 {
+			t.Errorf("%d asks for places", b.scheduler.acquires)
 		}
 	})
 }
@@ -318,11 +318,11 @@
 // TestAnEntryThatReachesNobodyGivesNobodyUp: a target hesitates, and just then no connection that the entry makes comes about, to
 // whomever. That says nothing of the target.
 func TestAnEntryThatReachesNobodyGivesNobodyUp(t *testing.T) {
-	for n := range plays {
+	for n := range repetitions {
 		t.Run(fmt.Sprint("play ", n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, freely{}, hesitates(2*time.Second), streams(0), streams(0))
-				time.AfterFunc(500*time.Millisecond, func() { b.dialling.set(10*time.Second, nil) })
+				b := newBed(t, freely{}, pausesMidStream(2*time.Second), streams(0), streams(0))
+				time.AfterFunc(500*time.Millisecond, func() { b.dialer.set(10*time.Second, nil) })
 				got := b.call(context.Background(), "/resume/a", nil)
 				if !got.whole || got.body != strings.Join(events(10), "") {
 					t.Errorf("whole %t after %v, body %q, %d arrivals", got.whole, got.took, got.body, len(b.arrived()))
@@ -345,7 +345,7 @@
 	for _, s := range changes {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, freely{}, hesitates(2*time.Second), streams(0))
+				b := newBed(t, freely{}, pausesMidStream(2*time.Second), streams(0))
 				time.AfterFunc(200*time.Millisecond, func() { b.eachRoute(s.do) })
 				got := b.call(context.Background(), "/resume/a", nil)
 				if n := len(b.arrived()); !got.whole || n != 1 {
@@ -370,7 +370,7 @@
 		}
 		b := newBed(t, freely{}, earlier(goesSilent(func() {}), says(503, "Not-Run: 1\r\n", "")), earlier(streams(0), says(200, "", "yes")))
 		b.call(context.Background(), "/safe/a", map[string]string{"Id": "earlier"})
-		time.AfterFunc(500*time.Millisecond, func() { b.dialling.set(10*time.Second, nil) })
+		time.AfterFunc(500*time.Millisecond, func() { b.dialer.set(10*time.Second, nil) })
 		c, err := b.reach.Dial(context.Background(), entryAt)
 		if err != nil {
 			t.Fatal(err)
@@ -413,7 +413,7 @@
 	for _, s := range cases {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, freely{}, hesitates(600*time.Millisecond))
+				b := newBed(t, freely{}, pausesMidStream(600*time.Millisecond))
 				b.list(func(t *routing.Target) { t.Start = s.before })
 				time.AfterFunc(300*time.Millisecond, func() { b.list(func(t *routing.Target) { t.Start = s.later }) })
 				got := b.call(context.Background(), "/stream/a", nil)
@@ -431,10 +431,10 @@
 // What callers saw: the stream was cut. The cause: only a refusal within the first 60 ms was heeded.
 func TestARefusalThatComesLateIsOneAllTheSame(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, freely{}, goesSilent(func() {}), after(600*time.Millisecond, streams(0)))
+		b := newBed(t, freely{}, goesSilent(func() {}), delayed(600*time.Millisecond, streams(0)))
 		time.AfterFunc(500*time.Millisecond, func() {
 			_ = b.listeners[0].Close()
-			b.dialling.set(100*time.Millisecond, nil)
+			b.dialer.set(100*time.Millisecond, nil)
 		})
 		got := b.call(context.Background(), "/resume/a", nil)
 		if !got.whole || got.body != strings.Join(events(10), "") {
--- a/pkg/ingress/watch.go
+++ b/pkg/ingress/watch.go
@@ -15,40 +15,41 @@
 )
 
 const (
-	// stallFloor and stallGaps are after what silence in the middle of a stream another target is
-	// looked for: the answer is late by then, but can still be whole before the caller gives it up.
-	stallFloor = clock.Second
-	stallGaps  = 2
+	// minStallTime and stallEventGaps give the silence in the middle of a stream after which another target is
+	// searched for. The answer is late by then, but can still be complete before the caller gives up.
+	minStallTime   = clock.Second
+	stallEventGaps = 2
 )
 
-// errMoved ends an exchange whose target is given up for another one.
-var errMoved = errors.New("another target is to take over from a silent one")
+// errRedispatched ends an exchange whose target is given up for another one.
+var errRedispatched = errors.New("re-dispatched: another target takes over from a silent one")
 
 func stallTime(q *request) clock.Millis {
-	return max(stallFloor, stallGaps*q.route.EventGap)
+	return max(minStallTime, stallEventGaps*q.route.EventGap)
 }
 
-// watchState is how far a watch has come.
+// watchState is the state of a watch.
 type watchState int
 
 const (
 	// watchRunning: the target has the request, and may be silent.
 	watchRunning watchState = iota
-	// watchGivenUp: the target has been given up, as it is gone, for one that has not answered yet.
+	// watchGivenUp: the target is gone and has been given up for another one that has not answered yet.
 	watchGivenUp
 	// watchReplaced: another target has taken over.
 	watchReplaced
-	// watchClosed: the exchange is over, or what is left of its answer is passed on as it comes.
+	// watchClosed: the exchange is over, or the rest of its answer is relayed as it arrives.
 	watchClosed
 )
 
-// watch looks for another target while the one that has a request is silent. The silent one goes on
-// until the other has shown a sign of life: most silent targets are only slow, as all are
-// under load, and one that is given up before cannot be had back.
+// watch starts a search for another target while the target that runs a request is silent. The exchange with the silent
+// target goes on until the other one has responded: most silent targets are only slow, as all are under load, and an
+// exchange that has been ended can't be resumed.
 type watch struct {
 	delivery *delivery
 	target   *routing.Target
-	// movable is false if the request may not be sent to another target; nothing below is used then, but exchangeCtx.
+	// movable is false if the request may not be sent to another target. Of the fields below only exchangeCtx and
+	// endExchange are used then.
 	movable     bool
 	requestCtx  context.Context
 	exchangeCtx context.Context
@@ -57,50 +58,50 @@
 
 	mu    sync.Mutex
 	state watchState
-	// began is the request as it is for searches, with the present exchange counted.
-	began     request
-	lastEvent int64
-	hasEvent  bool
-	signAt    clock.Millis // when the target last gave a sign of life, or got the request
-	timer     *time.Timer
-	search    *search // the newest one, nil before the first
-	spent     spent
+	// began is the request as searches see it, with the present exchange counted.
+	began       request
+	lastEvent   int64
+	hasEvent    bool
+	silentSince clock.Millis // when the target last sent an event, or got the request
+	timer       *time.Timer
+	search      *search // the newest one, nil before the first
+	usage       searchUsage
 }
 
-// spent is what searches have used of what a request may use.
-type spent struct {
+// searchUsage is what searches have used of the request's limits.
+type searchUsage struct {
 	sends, sent, declines int
 	tried                 []ids.Life
 	trail                 []mark
 }
 
-// watch begins an exchange of a request with the target of a place.
-func (d *delivery) watch(ctx context.Context, q *request, place schedule.Place) *watch {
+// watch begins an exchange of a request with the target of an assignment.
+func (d *delivery) watch(ctx context.Context, q *request, assignment schedule.Place) *watch {
 	if !d.movable(q) || d.Ablation.Off(ablation.Moves) {
-		return &watch{delivery: d, target: place.Target(), exchangeCtx: ctx, endExchange: func(error) {}}
+		return &watch{delivery: d, target: assignment.Target(), exchangeCtx: ctx, endExchange: func(error) {}}
 	}
 	exchangeCtx, end := context.WithCancelCause(ctx)
-	w := d.newWatch(ctx, exchangeCtx, end, q, place)
+	w := d.newWatch(ctx, exchangeCtx, end, q, assignment)
 	w.began.sends++
-	w.began.tried = append(w.began.tried, place.Target().Life())
-	if moved := place.Moved(); moved != nil {
-		go w.heedHome(moved)
+	w.began.tried = append(w.began.tried, assignment.Target().Life())
+	if redispatched := assignment.Moved(); redispatched != nil {
+		go w.followOwner(redispatched)
 	}
 	return w
 }
 
-// watchTakeover goes on with an exchange that a search has begun, and has counted among its sends.
+// watchTakeover continues an exchange that a search has begun and has counted among its sends.
 func (d *delivery) watchTakeover(ctx context.Context, q *request, t *takeover) *watch {
 	if !d.movable(q) {
-		return &watch{delivery: d, target: t.place.Target(), exchangeCtx: t.ctx, endExchange: t.end}
+		return &watch{delivery: d, target: t.assignment.Target(), exchangeCtx: t.ctx, endExchange: t.endExchange}
 	}
-	return d.newWatch(ctx, t.ctx, t.end, q, t.place)
+	return d.newWatch(ctx, t.ctx, t.endExchange, q, t.assignment)
 }
 
-func (d *delivery) newWatch(requestCtx, exchangeCtx context.Context, end context.CancelCauseFunc, q *request, place schedule.Place) *watch {
+func (d *delivery) newWatch(requestCtx, exchangeCtx context.Context, end context.CancelCauseFunc, q *request, assignment schedule.Place) *watch {
 	w := &watch{
-		delivery: d, target: place.Target(), movable: true, requestCtx: requestCtx, exchangeCtx: exchangeCtx, endExchange: end,
-		closed: make(chan struct{}), began: *q, signAt: q.placedAt,
+		delivery: d, target: assignment.Target(), movable: true, requestCtx: requestCtx, exchangeCtx: exchangeCtx, endExchange: end,
+		closed: make(chan struct{}), began: *q, silentSince: q.placedAt,
 	}
 	w.began.sent++ // the target may run it
 	w.began.trail = nil
@@ -108,18 +109,18 @@
 	return w
 }
 
-// heedHome looks for another target once the home of the service tells that the present one gives no sign of life.
-func (w *watch) heedHome(moved <-chan struct{}) {
+// followOwner starts a search once the owner of the service reports that the present target gives no response.
+func (w *watch) followOwner(redispatched <-chan struct{}) {
 	select {
-	case <-moved:
-		w.fallSilent()
+	case <-redispatched:
+		w.startSearch()
 	case <-w.closed:
 	}
 }
 
-// sign notes an event of a stream, a sign of life of the target. It reports false if the target has been given up.
-// Until listen is called the target's silence does not count: the caller may take its time.
-func (w *watch) sign(e event) bool {
+// recordEvent records an event of a stream, which ends a search under way. It reports false if the target has been given
+// up. The target's silence doesn't count until restartTimer is called, as the caller may be slow to read the event.
+func (w *watch) recordEvent(e event) bool {
 	if !w.movable {
 		return true
 	}
@@ -134,94 +135,94 @@
 	if w.timer != nil {
 		w.timer.Stop()
 	}
-	if e.has {
+	if e.hasID {
 		w.lastEvent, w.hasEvent = e.id, true
 	}
 	return true
 }
 
-// listen has the target's silence count from now on.
-func (w *watch) listen() {
+// restartTimer counts the target's silence from now on.
+func (w *watch) restartTimer() {
 	if !w.movable {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.signAt = w.delivery.Clock.Now()
-	w.awaitSign()
+	w.silentSince = w.delivery.Clock.Now()
+	w.armTimer()
 }
 
-// awaitSign has another target looked for after a further silence; the lock is held.
-func (w *watch) awaitSign() {
+// armTimer schedules a search after a further silence. The caller holds the lock.
+func (w *watch) armTimer() {
 	wait := stallTime(&w.began).Duration()
 	if w.timer == nil {
-		w.timer = time.AfterFunc(wait, w.fallSilent)
+		w.timer = time.AfterFunc(wait, w.startSearch)
 		return
 	}
 	w.timer.Reset(wait)
 }
 
-// fallSilent looks for another target.
-func (w *watch) fallSilent() {
+// startSearch starts a search for another target, unless one is under way.
+func (w *watch) startSearch() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	switch {
 	case w.state != watchRunning:
 	case w.search != nil && !w.search.isDone():
-		w.awaitSign() // the one before is about to end
+		w.armTimer() // the previous search is about to end
 	default:
 		w.search = newSearch(w)
 		go w.search.run()
 	}
 }
 
-// copied is a copy of the request for a search; the lock is held.
-func (w *watch) copied() *request {
+// copyRequest returns a copy of the request for a search. The caller holds the lock.
+func (w *watch) copyRequest() *request {
 	q := w.began
-	q.sends += w.spent.sends
-	q.sent += w.spent.sent
-	q.declines += w.spent.declines
-	q.tried = slices.Concat(q.tried, w.spent.tried)
+	q.sends += w.usage.sends
+	q.sent += w.usage.sent
+	q.declines += w.usage.declines
+	q.tried = slices.Concat(q.tried, w.usage.tried)
 	if w.hasEvent {
 		q.lastEvent, q.hasEvent = w.lastEvent, true
 	}
 	return &q
 }
 
-// failed takes what a search without success has used, and has another one follow if the target stays silent.
-func (w *watch) failed(s *search) {
+// searchFailed counts what a failed search has used, and schedules another one in case the target stays silent.
+func (w *watch) searchFailed(s *search) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.spent.add(s)
+	w.usage.add(s)
 	if w.state == watchRunning && s.q.sent < w.began.route.Attempts {
-		w.awaitSign()
+		w.armTimer()
 	}
 }
 
-// win gives the target up for another one that has answered. It reports false if the target has shown a sign
-// of life just before.
-func (w *watch) win(s *search, t *takeover) bool {
+// replaceTarget gives the target up for another one that has responded. It reports false if the first target has responded
+// just before.
+func (w *watch) replaceTarget(s *search, t *takeover) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.state == watchClosed || s.ctx.Err() != nil || t.ctx.Err() != nil {
 		return false
 	}
 	w.state = watchReplaced
-	w.spent.add(s)
+	w.usage.add(s)
 	s.takeover = t
-	w.endExchange(errMoved)
+	w.endExchange(errRedispatched)
 	return true
 }
 
-// giveUp ends the exchange with a target that is gone, for a search that needs more time.
-// The lock is held.
+// giveUp ends the exchange with a target that is gone, so that the search may take longer than maxOverlap.
+// The caller holds the lock.
 func (w *watch) giveUp() {
 	w.state = watchGivenUp
-	w.endExchange(errMoved)
+	w.endExchange(errRedispatched)
 }
 
-// add takes in what a search has used. The exchange that has taken over counts as sent where it ends.
-func (u *spent) add(s *search) {
+// add adds what a search has used. The exchange that has taken over is counted as sent when it ends.
+func (u *searchUsage) add(s *search) {
 	u.sends += s.q.sends - s.began.sends
 	u.sent += s.q.sent - s.began.sent
 	u.declines += s.q.declines - s.began.declines
@@ -229,15 +230,15 @@
 	u.trail = append(u.trail, s.q.trail...)
 }
 
-// awaitReplacement returns what became of a request: the given result of the exchange, or that another target has
-// taken over. If the target has failed or declined while another one is looked for, this waits for the other.
+// awaitReplacement returns the outcome of a request: the given result of the exchange, or that another target has
+// taken over. If the target has failed or declined during a search, it waits for the search to end.
 func (w *watch) awaitReplacement(result attempt) attempt {
-	s := w.newest()
-	if s == nil || !leavesToAnother(result) {
+	s := w.newestSearch()
+	if s == nil || !allowsReplacement(result) {
 		return result
 	}
 	s.firstGone.Store(true)
-	<-s.done
+	<-s.finished
 	if s.takeover == nil {
 		return result
 	}
@@ -246,8 +247,8 @@
 	return handedOver{to: s.takeover, notRun: notRun}
 }
 
-// leavesToAnother reports whether a result leaves the request to another target.
-func leavesToAnother(result attempt) bool {
+// allowsReplacement reports whether another target may take over after a result.
+func allowsReplacement(result attempt) bool {
 	switch result.(type) {
 	case lost, declined:
 		return true
@@ -256,15 +257,15 @@
 	}
 }
 
-func (w *watch) newest() *search {
+func (w *watch) newestSearch() *search {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.search
 }
 
-// searches reports whether another target is being looked for.
-func (w *watch) searches() bool {
-	s := w.newest()
+// isSearching reports whether a search is under way.
+func (w *watch) isSearching() bool {
+	s := w.newestSearch()
 	return s != nil && !s.isDone() && s.ctx.Err() == nil
 }
 
@@ -275,17 +276,17 @@
 	return w.state == watchGivenUp || w.state == watchReplaced
 }
 
-// ending says who ended an answer: this entry, or something else.
-func (w *watch) ending() string {
+// endText describes the end of an answer in the request's trail: whether this entry ended it, or something else did.
+func (w *watch) endText() string {
 	if w.isGivenUp() {
 		return "given up"
 	}
 	return "broken off"
 }
 
-// answered ends the watch as a whole answer is there, and counts what searches have used. It reports false if
-// the target has been given up.
-func (w *watch) answered(q *request) bool {
+// answerComplete ends the watch when a complete answer has arrived, and counts what searches have used. It reports false
+// if the target has been given up.
+func (w *watch) answerComplete(q *request) bool {
 	if !w.movable {
 		return true
 	}
@@ -295,13 +296,13 @@
 	}
 	if s != nil {
 		s.cancel(errNotNeeded)
-		<-s.done
+		<-s.finished
 		w.settle(q)
 	}
 	return true
 }
 
-// close ends the watch, and with it the exchange, and counts what searches have used.
+// close ends the watch and its exchange, and counts what searches have used.
 func (w *watch) close(q *request) {
 	defer w.endExchange(nil)
 	if !w.movable {
@@ -310,16 +311,16 @@
 	close(w.closed)
 	if s, _ := w.stop(true); s != nil {
 		s.cancel(errNotNeeded)
-		<-s.done
+		<-s.finished
 		if s.drop() {
-			w.spent.sent++
+			w.usage.sent++
 		}
 	}
 	w.settle(q)
 }
 
-// stop has no further search begin, and returns the newest one. Unless it is to stop in any case, it reports false
-// and does nothing if the target has been given up.
+// stop prevents further searches, and returns the newest one. If the target has been given up and always is not set, it
+// does nothing and reports false.
 func (w *watch) stop(always bool) (*search, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -333,14 +334,14 @@
 	return w.search, true
 }
 
-// settle counts what searches have used, once. No search goes on any more.
+// settle adds what searches have used to the request, once. No search is running any more.
 func (w *watch) settle(q *request) {
-	q.count(&w.spent)
-	w.spent = spent{}
+	q.addUsage(&w.usage)
+	w.usage = searchUsage{}
 }
 
-// count adds what searches have used.
-func (r *request) count(u *spent) {
+// addUsage adds what searches have used.
+func (r *request) addUsage(u *searchUsage) {
 	r.sends += u.sends
 	r.sent += u.sent
 	r.declines += u.declines
