--- a/pkg/ingress/bed_test.go
+++ b/pkg/ingress/bed_test.go
@@ -34,7 +34,7 @@
 	"quaydock/pkg/view"
 )
 
-// dialect is a plain language for the headers of tests.
+// testCodec is a HeaderCodec with plain header names for tests.
 type dialect struct{}
 
 func (dialect) Describe(h http.Header) ingress.Call {
@@ -67,7 +67,7 @@
 	}
 }
 
-// freely is a meter that refuses the accounts it names.
+// fakeMeter is a meter that refuses the accounts it names. It also implements Entries.
 type freely map[ids.Account]bool
 
 func (f freely) Take(_ context.Context, a *routing.Account, _, _ float64) (bool, clock.Millis) {
@@ -82,25 +82,25 @@
 }
 func (f freely) Assured(clock.Millis) bool { return f[assuredAlways] }
 
-// shareless stands among the accounts for an entry without a part of what all may spend.
+// noShare is a pseudo-account of fakeMeter: the entry has no share of the allowances.
 const shareless ids.Account = "shareless"
 
-// assuredAlways stands among the accounts for an entry that the others hear.
+// alwaysLeased is a pseudo-account of fakeMeter: the entry always holds its membership lease.
 const assuredAlways ids.Account = "assured always"
 
-// inOrder places requests on the targets in order, passing over those tried.
+// orderedScheduler assigns requests to the targets in order, without those already tried.
 type inOrder struct {
 	b      *bed
-	delay  time.Duration // before each place
+	delay  time.Duration // before each assignment
 	refuse bool
-	stuck  ids.Target // its requests are told to go elsewhere after 300 ms
-	placed func()     // called once there is a place, before it is used
-	// refuseLater refuses all asks but the first, and delayLater comes before the places of all but it.
+	stuck  ids.Target // the target whose requests are re-dispatched after 300 ms
+	placed func()     // called before an assignment is returned
+	// refuseRepeats refuses all requests for an assignment but the first, and repeatDelay delays all but the first.
 	refuseRepeats bool
 	repeatDelay   time.Duration
 	mu            sync.Mutex
 	acquires      int
-	ends          []string // target and outcome of each place
+	ends          []string // target and outcome of each assignment
 }
 
 func (s *inOrder) Acquire(ctx context.Context, ask schedule.Ask) (schedule.Place, *schedule.Refused, error) {
@@ -140,7 +140,7 @@
 	return s.refuse || later && s.refuseRepeats
 }
 
-// later changes what becomes of all asks but the first.
+// setRepeats changes the result of all requests for an assignment but the first.
 func (s *inOrder) setRepeats(refuse bool, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,16 +168,16 @@
 	p.s.ends = append(p.s.ends, string(p.t.ID)+" "+o.String())
 }
 
-// arrival is a request as a target saw it.
+// arrival is a request as it arrived at a target.
 type arrival struct {
 	target string
-	start  ids.Start // of the life that its connection was made to
+	start  ids.Start // of the incarnation that its connection was made to
 	header http.Header
 	body   string
 	at     time.Time
 }
 
-// bed is an entry's controller between callers and scripted targets.
+// testbed is an entry's controller between callers and scripted targets.
 type bed struct {
 	t          *testing.T
 	reach      *network.Memory
@@ -185,7 +185,7 @@
 	scheduler  *inOrder
 	controller *ingress.Controller
 	targets    []*routing.Target
-	listeners  []net.Listener // of the targets, nil where nobody listens
+	listeners  []net.Listener // of the targets, nil where nothing listens
 	retries    *quota.RetryBudget
 	clock      clock.Clock
 	suspension *clock.Suspension
@@ -193,28 +193,28 @@
 	routes     []*routing.Route
 	accounts   []*routing.Account
 	spans      *tracetest.SpanRecorder
-	keep       bool // callers ask for kept connections
+	keep       bool // callers use persistent connections
 	lines      *logtest.Hook
 	metrics    *telemetry.Metrics
 	dialer     *slowDialer
 	guard      *quarantine.Guard
-	path       string // of the one request of the table of endings
-	stopped    bool   // its server of callers
+	path       string // of the request of TestDisturbancesOfRequestInProgress
+	stopped    bool   // the server of callers has been shut down
 
 	mu       sync.Mutex
 	arrivals []arrival
-	started  map[net.Conn]ids.Start // of the life that accepted a connection
+	started  map[net.Conn]ids.Start // of the incarnation that accepted a connection
 }
 
-// engine answers one request; the connection is closed when it returns false.
+// scriptedTarget answers one request; the connection is closed when it returns false.
 type engine func(c net.Conn, r *http.Request) bool
 
-// dialling is the network as the entry has it.
+// slowDialer is the network as seen by the entry, with slow or failing connections.
 type slowDialer struct {
 	*network.Memory
 	mu    sync.Mutex
-	slow  time.Duration // that a connection takes
-	fails error         // of further connections
+	slow  time.Duration // time to make a connection
+	fails error         // error of further connections
 }
 
 func (d *slowDialer) set(slow time.Duration, fails error) {
@@ -240,7 +240,7 @@
 
 const entryAt = "10.0.0.1:80"
 
-// places is how many requests beyond callers' share are served at once.
+// extraRequests is how many requests beyond the connection limit of callers are served at once.
 const places = 2
 
 func newBed(t *testing.T, meter freely, engines ...engine) *bed {
@@ -290,7 +290,7 @@
 	t.Cleanup(func() {
 		_ = server.Close()
 		pool.Close()
-		time.Sleep(10 * time.Second) // until all targets are through
+		time.Sleep(10 * time.Second) // until all targets have finished
 	})
 	return b
 }
@@ -305,7 +305,7 @@
 	b.targets = append(b.targets, target)
 	b.listeners = append(b.listeners, nil)
 	if e == nil {
-		return // nobody listens
+		return // nothing listens at the address
 	}
 	listener, err := b.reach.Listen(address)
 	if err != nil {
@@ -351,20 +351,20 @@
 	return b.arrivals
 }
 
-// listed is the newest list of targets.
+// listed returns the newest list of targets.
 func (b *bed) listed() []*routing.Target {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.targets)
 }
 
-// reply is what a caller got.
+// reply is the answer that a caller got.
 type reply struct {
 	status int
 	header http.Header
 	body   string
 	whole  bool
-	closes bool // the connection, after the answer
+	closes bool // the answer closes the connection
 	took   time.Duration
 }
 
@@ -396,7 +396,7 @@
 	return reply{status: response.StatusCode, header: response.Header, body: string(body), whole: err == nil, closes: response.Close, took: time.Since(began)}
 }
 
-// The engines of the scenarios.
+// Behaviours of scripted targets.
 
 func says(status int, header, body string) engine {
 	return func(c net.Conn, r *http.Request) bool {
@@ -412,8 +412,8 @@
 	return false
 }
 
-// streams sends events from one behind the last that the caller has up to the
-// tenth; it breaks off in the middle of the event numbered cut.
+// streams sends the events after the last one that the caller has, up to the tenth. It breaks off in the middle of the
+// event numbered cut.
 func streams(cut int) engine {
 	return func(c net.Conn, r *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s%d\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"), cut)
--- a/pkg/ingress/broken_off_test.go
+++ b/pkg/ingress/broken_off_test.go
@@ -16,17 +16,16 @@
 	"quaydock/pkg/routing"
 )
 
-// What operators saw: of twelve streams that ended at the end of their callers' time on one day, eight read `Left` in the logs and
-// four `Deadline`; four of the eight had been held for 14,993 to 15,000 ms of the 15,000 that their callers wait. So `Left` told
-// nothing of callers who go before their time is over, whom somebody made wait too long.
+// These tests guard against the cause `Left` for callers whose time was over. Of twelve streams that ended at their
+// callers' deadline on one day, eight were logged as `Left` and four as `Deadline`; four of the eight had run for
+// 14,993 to 15,000 ms of the 15,000 ms that their callers wait. `Left` then does not show callers who leave early
+// because they waited too long.
 //
-// The order of events: a caller's clock begins when it connects, that of the entry when the request is read. The caller
-// closes its connection as its time is over, and the entry reads the close a few ms before its own timer.
-//
-// The evidence: in virtual time the same stream reads `Left` or `Deadline` by whether the caller's clock began 1 ms
-// before or after the entry's.
+// A caller's clock starts when it connects, that of the entry when the request is read. The caller closes its
+// connection at its deadline, and the entry reads the close a few ms before its own timer. In virtual time the same
+// stream had `Left` or `Deadline` depending on whether the caller's clock started 1 ms before or after the entry's.
 
-// causeOf is why the newest request was not answered, as the logs tell it.
+// causeOf returns the cause in the log line of the request that was not answered.
 func (b *bed) causeOf() string {
 	synctest.Wait()
 	for _, line := range b.lines.AllEntries() {
@@ -37,7 +36,7 @@
 	return "none"
 }
 
-// trickles streams events as slowly as it takes for the stream to outlast its caller's time.
+// trickles streams events until its caller closes the connection, so that the stream outlasts the caller's time.
 func trickles(c net.Conn, r *http.Request) bool {
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"))
 	for n := 1; ; n++ {
@@ -49,13 +48,13 @@
 	}
 }
 
-// longBody is an answer that is longer than what an entry reads whole, and longPart what is sent of it at once.
+// longBody is the length of an answer that is longer than maxBuffered, and longPart how much of it is sent at once.
 const (
 	longBody = 1<<20 + 1<<19
 	longPart = 1<<20 + 1<<18
 )
 
-// answersLong sends a part of a long answer, and the rest a while later; without a rest it closes the connection then.
+// longAnswer sends a part of a long answer, and after a pause the rest; without a rest it closes the connection then.
 func longAnswer(pause time.Duration, rest bool) engine {
 	return func(c net.Conn, r *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\nContent-Length: %d\r\n\r\n", r.Header.Get("Id"), longBody)
@@ -69,29 +68,29 @@
 	}
 }
 
-func TestLeftIsACallerThatWentBeforeItsTime(t *testing.T) {
-	const time4 = 4 * time.Second // that the caller has
+func TestCauseLeftOnlyBeforeCallersDeadline(t *testing.T) {
+	const callerTime = 4 * time.Second // until the caller's deadline
 	cases := []struct {
 		name   string
 		path   string
 		engine engine
-		leaves time.Duration // the caller, behind the start of its request at the entry; 0 if it stays
+		leaves time.Duration // when the caller leaves, from the arrival of its request at the entry; 0 if it stays
 		cause  string
 	}{
-		{"its clock began 1 ms before the entry's", "/stream/a", trickles, time4 - time.Millisecond, "Deadline"},
-		{"its clock began 7 ms before the entry's", "/stream/a", trickles, time4 - 7*time.Millisecond, "Deadline"},
-		{"its clock began 40 ms before the entry's", "/stream/a", trickles, time4 - 40*time.Millisecond, "Deadline"},
-		{"its clock began with the entry's", "/stream/a", trickles, time4, "Deadline"},
-		{"it never closes", "/stream/a", trickles, 0, "Deadline"},
-		{"it goes half a second before", "/stream/a", trickles, time4 - 500*time.Millisecond, "Left"},
-		{"it goes at once", "/stream/a", trickles, 600 * time.Millisecond, "Left"},
-		{"before the first event, at the end", "/stream/a", silent, time4 - 7*time.Millisecond, "Deadline"},
-		{"before the first event, half-way", "/stream/a", silent, time4 / 2, "Left"},
-		{"a stream that may be resumed, at the end", "/resume/a", trickles, time4 - 7*time.Millisecond, "Deadline"},
-		{"a call, at the end", "/unsafe/a", silent, time4 - 7*time.Millisecond, "Deadline"},
-		{"a call, half-way", "/unsafe/a", silent, time4 / 2, "Left"},
-		{"a long answer, at the end", "/unsafe/a", longAnswer(8*time.Second, true), time4 - 7*time.Millisecond, "Deadline"},
-		{"a long answer, half-way", "/unsafe/a", longAnswer(8*time.Second, true), time4 / 2, "Left"},
+		{"its clock began 1 ms before the entry's", "/stream/a", trickles, callerTime - time.Millisecond, "Deadline"},
+		{"its clock began 7 ms before the entry's", "/stream/a", trickles, callerTime - 7*time.Millisecond, "Deadline"},
+		{"its clock began 40 ms before the entry's", "/stream/a", trickles, callerTime - 40*time.Millisecond, "Deadline"},
+		{"its clock began with the entry's", "/stream/a", trickles, callerTime, "Deadline"},
+		{"it never closes the connection", "/stream/a", trickles, 0, "Deadline"},
+		{"it leaves half a second early", "/stream/a", trickles, callerTime - 500*time.Millisecond, "Left"},
+		{"it leaves soon", "/stream/a", trickles, 600 * time.Millisecond, "Left"},
+		{"before the first event, at the end", "/stream/a", silent, callerTime - 7*time.Millisecond, "Deadline"},
+		{"before the first event, half-way", "/stream/a", silent, callerTime / 2, "Left"},
+		{"a stream that may be resumed, at the end", "/resume/a", trickles, callerTime - 7*time.Millisecond, "Deadline"},
+		{"a call, at the end", "/unsafe/a", silent, callerTime - 7*time.Millisecond, "Deadline"},
+		{"a call, half-way", "/unsafe/a", silent, callerTime / 2, "Left"},
+		{"a long answer, at the end", "/unsafe/a", longAnswer(8*time.Second, true), callerTime - 7*time.Millisecond, "Deadline"},
+		{"a long answer, half-way", "/unsafe/a", longAnswer(8*time.Second, true), callerTime / 2, "Left"},
 		{"a long answer, and it never closes", "/unsafe/a", longAnswer(8*time.Second, true), 0, "Deadline"},
 		{"a long answer that its target breaks off", "/unsafe/a", longAnswer(time.Second, false), 0, "Lost"},
 	}
@@ -101,13 +100,13 @@
 				b := newBed(t, freely{}, s.engine)
 				ctx := context.Background()
 				if s.leaves > 0 {
-					limited, leave := context.WithTimeout(ctx, s.leaves)
-					defer leave()
+					limited, cancel := context.WithTimeout(ctx, s.leaves)
+					defer cancel()
 					ctx = limited
 				}
-				got := b.call(ctx, s.path, map[string]string{"Wait": fmt.Sprint(time4.Milliseconds())})
+				got := b.call(ctx, s.path, map[string]string{"Wait": fmt.Sprint(callerTime.Milliseconds())})
 				if got.whole && got.status == http.StatusOK {
-					t.Errorf("the answer is whole, after %v", got.took)
+					t.Errorf("the answer is complete after %v", got.took)
 				}
 				if cause := b.causeOf(); cause != s.cause {
 					t.Errorf("cause %s, want %s", cause, s.cause)
@@ -117,35 +116,35 @@
 	}
 }
 
-// What operators saw: a caller told of an answer that had stopped in the middle, and its request's line read
-// `Lost` with "broken off" in the trail, whoever had ended it: the target, a new start of it, or the entry itself; no figure told
-// how often that comes, by which end.
+// The test of the log line guards against answers that stop in the middle without a trace of who ended them: the
+// request's line had the cause `Lost` and "broken off" in the trail whether the target, its restart or the entry itself
+// had ended the answer, and no metric counted them by that.
 
-// breaksLater is an answer of a target that gives no event before it breaks off.
+// breaksLater is a target that breaks off after 0.7 s without an event.
 func breaksLater(c net.Conn, r *http.Request) bool {
 	time.Sleep(700 * time.Millisecond)
 	return false
 }
 
-func TestAnAnswerThatIsBrokenOffHasItsLine(t *testing.T) {
+func TestBrokenOffAnswerIsLoggedAndCounted(t *testing.T) {
 	cases := []struct {
 		name    string
 		path    string
 		engines []engine
-		during  func(*bed) // 700 ms behind the start of the request
+		during  func(*bed) // 700 ms after the start of the request
 		by      string     // "" if there is no such line
 		silence int64      // ms since the last event
 	}{
 		{"its target", "/stream/a", []engine{streams(4)}, nil, "Target", 20},
 		{"its target, and the next one", "/resume/a", []engine{streams(4), streams(7)}, nil, "Target", 20},
 		{"its target, in a long answer", "/unsafe/a", []engine{longAnswer(time.Second, false)}, nil, "Target", 1000},
-		{"a new start of its target", "/stream/a", []engine{stallsAfter(3)}, (*bed).restart, "NewStart", 700},
-		{"the end of its time", "/stream/a", []engine{stallsAfter(3)}, nil, "Deadline", 2000},
-		{"the entry's end", "/stream/a", []engine{stallsAfter(3)}, func(b *bed) { b.controller.End() }, "Entry", 700},
+		{"a restart of its target", "/stream/a", []engine{stallsAfter(3)}, (*bed).restart, "NewStart", 700},
+		{"its deadline", "/stream/a", []engine{stallsAfter(3)}, nil, "Deadline", 2000},
+		{"the end of the entry", "/stream/a", []engine{stallsAfter(3)}, func(b *bed) { b.controller.End() }, "Entry", 700},
 		{"its caller", "/stream/a", []engine{stallsAfter(3)}, nil, "Caller", 900},
 		{"this entry, as the VM of its target is gone", "/resume/a", []engine{stallsAfter(3), breaksLater}, func(b *bed) { _ = b.listeners[0].Close() }, "GivenUp", 1700},
 		{"none, as another target went on", "/resume/a", []engine{streams(4), streams(0)}, nil, "", 0},
-		{"none, as it had not begun", "/unsafe/a", []engine{closes}, nil, "", 0},
+		{"none, as the answer had not begun", "/unsafe/a", []engine{closes}, nil, "", 0},
 	}
 	for _, s := range cases {
 		t.Run(s.name, func(t *testing.T) {
@@ -157,8 +156,8 @@
 				}
 				ctx := context.Background()
 				if s.by == "Caller" {
-					limited, leave := context.WithTimeout(ctx, 900*time.Millisecond)
-					defer leave()
+					limited, cancel := context.WithTimeout(ctx, 900*time.Millisecond)
+					defer cancel()
 					ctx = limited
 				}
 				b.call(ctx, s.path, map[string]string{"Wait": "2000"})
@@ -169,7 +168,7 @@
 	}
 }
 
-// checkBrokenOff looks for the one line and the count of an answer that was broken off.
+// checkBrokenOff checks the log line and the metric of an answer that was broken off.
 func (b *bed) checkBrokenOff(by string, silence int64) {
 	b.t.Helper()
 	lines := 0
@@ -188,9 +187,9 @@
 	if want := min(1, len(by)); lines != want {
 		b.t.Errorf("%d lines, want %d", lines, want)
 	}
-	figures := httptest.NewRecorder()
-	b.metrics.Figures.ServeHTTP(figures, nil)
-	if count := fmt.Sprintf("quaydock_answers_broken_off_total{by=%q} 1\n", by); by != "" && !strings.Contains(figures.Body.String(), count) {
+	metrics := httptest.NewRecorder()
+	b.metrics.Figures.ServeHTTP(metrics, nil)
+	if count := fmt.Sprintf("quaydock_answers_broken_off_total{by=%q} 1\n", by); by != "" && !strings.Contains(metrics.Body.String(), count) {
 		b.t.Errorf("no %s", count)
 	}
 }
--- a/pkg/ingress/deliver_bench_test.go
+++ b/pkg/ingress/deliver_bench_test.go
@@ -17,21 +17,22 @@
 	"quaydock/pkg/view"
 )
 
-// refusing refuses all requests at once.
+// refusingScheduler refuses all requests at once.
 type refusingScheduler struct{}
 
 func (refusingScheduler) Acquire(context.Context, schedule.Ask) (schedule.Place, *schedule.Refused, error) {
 	return nil, &schedule.Refused{Overloaded: true, RetryAfter: clock.Second}, nil
 }
 
-// assured is one entry that is all there are.
+// onlyEntry is the only entry of its deployment.
 type onlyEntry struct{}
 
 func (onlyEntry) Share() float64            { return 1 }
 func (onlyEntry) Assured(clock.Millis) bool { return true }
 
-// BenchmarkDeliver is what a request pays between its admission and its place: 4.3 µs and 18 allocations while each request had a context and a
-// function of its own for the end of the process, 2.2 µs and 10 allocations with one for all.
+// BenchmarkDeliver measures the cost of a request between its admission and its assignment. It was 4.3 µs and 18
+// allocations while each request had its own context and function for the end of the process, and 2.2 µs and 10
+// allocations with one for all.
 func BenchmarkDeliver(b *testing.B) {
 	c := commontest.New(network.NewMemory(nil))
 	v := view.New(c.Check)
@@ -39,8 +40,8 @@
 		Common: c, View: v, Scheduler: refusingScheduler{}, Pool: forward.NewPool(c, nil, nil), Entries: onlyEntry{},
 		Retries: quota.NewRetryBudget(quota.RetryBounds{Ratio: 0.2, Slack: 100, Window: 10 * clock.Second}, c.Clock.Now()),
 	})
-	ctx, leave := context.WithCancel(controller.Context()) // when the caller leaves
-	defer leave()
+	ctx, cancel := context.WithCancel(controller.Context()) // when the caller leaves
+	defer cancel()
 	r := httptest.NewRequestWithContext(ctx, http.MethodPost, "http://h/a", strings.NewReader(""))
 	route := &routing.Route{Name: "r", Kind: routing.Unsafe, Attempts: 1, Timeout: clock.Minute, Objective: clock.Second}
 	out := &answerWriter{writer: httptest.NewRecorder()}
--- a/pkg/ingress/endings_table_test.go
+++ b/pkg/ingress/endings_table_test.go
@@ -23,12 +23,12 @@
 	"quaydock/pkg/routing"
 )
 
-// What callers saw: an answer that had begun was cut, and its target would have gone on; a change of the configuration stood beside
-// it. The change was chance, and the cause that the entry gave a silent target up before it had another one. Whether
-// anything else that happens to an entry ends what is under way was known for few cases. Here each step of a request meets each of
-// them. A request that was allowed when it was sent runs to its end; what changes holds for the next one to be sent.
+// These tests combine each step of a request with each disturbance that an entry may meet. They were written after an
+// answer was broken off although its target would have gone on: the entry had given a silent target up before it had
+// another one, while a simultaneous change of the configuration turned out to be unrelated. A request that was allowed
+// when it was sent runs to its end; changes apply to the next one to be sent.
 
-// step is how far a request has come.
+// requestStep is how far a request has come.
 type requestStep int
 
 const (
@@ -41,13 +41,13 @@
 	stepLongBody
 )
 
-// steps are all of them, and the kinds of requests that come to them.
+// steps lists all steps, with the paths of the requests that reach them.
 var steps = []struct {
 	step  requestStep
 	name  string
 	paths []string
 }{
-	{stepWaiting, "waits for a place", []string{"/unsafe/a", "/safe/a", "/stream/a", "/resume/a"}},
+	{stepWaiting, "waits for an assignment", []string{"/unsafe/a", "/safe/a", "/stream/a", "/resume/a"}},
 	{stepConnecting, "connects", []string{"/unsafe/a", "/safe/a", "/stream/a", "/resume/a"}},
 	{stepSent, "is sent", []string{"/unsafe/a", "/safe/a", "/stream/a", "/resume/a"}},
 	{stepHead, "has its answer's head", []string{"/unsafe/a", "/safe/a", "/stream/a", "/resume/a"}},
@@ -56,7 +56,7 @@
 	{stepLongBody, "has a part of a long answer", []string{"/unsafe/a", "/safe/a"}},
 }
 
-// pausesAt answers a request, and does nothing for a while once it has come to a step.
+// pausesAt answers a request, and pauses at the given step.
 func pausesAt(at requestStep, pause time.Duration) engine {
 	return func(c net.Conn, r *http.Request) bool {
 		wait := func(s requestStep) {
@@ -99,7 +99,7 @@
 	return err == nil
 }
 
-// answerTo is the whole answer to a request.
+// completeAnswer returns the body of the complete answer to a request.
 func completeAnswer(at requestStep, path string) string {
 	switch {
 	case strings.HasPrefix(path, "/stream/") || strings.HasPrefix(path, "/resume/"):
@@ -110,24 +110,24 @@
 	return "yes"
 }
 
-// fate is what becomes of a request.
+// callerOutcome is what the caller gets for a request.
 type callerOutcome int
 
 const (
-	outcomeComplete callerOutcome = iota // its caller gets a whole answer of a target
-	outcomeRefused                       // its caller is told that it has not run, and when to come back
-	outcomeBroken                        // it may have run, and its caller gets no whole answer
+	outcomeComplete callerOutcome = iota // a complete answer of a target
+	outcomeRefused                       // a refusal that says that the request has not run, and when to come back
+	outcomeBroken                        // no complete answer, and the request may have run
 )
 
-// happening is something that may end a request, and must not, unless its fate says so.
+// disturbance is an event that must not end a request unless its outcome says so.
 type disturbance struct {
 	name    string
-	prepare func(*bed) // before the request comes
+	prepare func(*bed) // before the request arrives
 	do      func(*bed) // while it is at a step
 	outcome func(at requestStep, path string) callerOutcome
 }
 
-// notSent is the fate of requests that no longer may be sent: the others run to their end.
+// refusedUnlessSent is the outcome of a change that forbids to send the request: one already sent runs to its end.
 func refusedUnlessSent(at requestStep, _ string) callerOutcome {
 	if at == stepWaiting {
 		return outcomeRefused
@@ -137,7 +137,7 @@
 
 func alwaysComplete(requestStep, string) callerOutcome { return outcomeComplete }
 
-// anotherLife is the fate of requests whose target has started again: nobody works on them any more.
+// afterRestart is the outcome of requests whose target was restarted: nothing runs them any more.
 func afterRestart(at requestStep, path string) callerOutcome {
 	resumable, safe := strings.HasPrefix(path, "/resume/"), strings.HasPrefix(path, "/safe/")
 	if at <= stepConnecting || resumable || safe && at != stepLongBody {
@@ -146,7 +146,7 @@
 	return outcomeBroken
 }
 
-// theEnd is the fate of requests that are left when the process ends.
+// afterProcessEnd is the outcome of requests that are in progress when the entry's process ends.
 func afterProcessEnd(at requestStep, _ string) callerOutcome {
 	if at <= stepConnecting {
 		return outcomeRefused
@@ -154,7 +154,7 @@
 	return outcomeBroken
 }
 
-// eachRoute changes all routes of the configuration.
+// eachRoute changes all routes, and applies the configuration.
 func (b *bed) eachRoute(change func(*routing.Route)) {
 	for i, r := range b.routes {
 		changed := *r
@@ -164,7 +164,7 @@
 	b.configure(2)
 }
 
-// endUnder has targets end under the request that the table makes.
+// endTargets reports target ends under the request of the table to the quarantine.
 func (b *bed) endTargets(path string, targets int) {
 	request := quarantine.Request{Digest: quarantine.Identify("acme", path, []byte("question")), Account: "acme", Route: ids.Route(strings.Split(path, "/")[1])}
 	for n := range targets {
@@ -174,19 +174,19 @@
 
 var disturbances = []disturbance{
 	{"nothing", nil, func(*bed) {}, alwaysComplete},
-	{"settings with a shorter bound on keys", nil, func(b *bed) { b.controller.SetKeyTrust(ingress.KeyTrust{Bound: 1, Strict: true}) }, refusedUnlessSent},
-	{"settings without leave to repeat", nil, func(b *bed) { b.retries.SetBounds(quota.RetryBounds{Window: 10 * clock.Second}) }, alwaysComplete},
-	{"its key is taken away", nil, func(b *bed) {
+	{"settings with a shorter key grace", nil, func(b *bed) { b.controller.SetKeyTrust(ingress.KeyTrust{Bound: 1, Strict: true}) }, refusedUnlessSent},
+	{"settings without retries", nil, func(b *bed) { b.retries.SetBounds(quota.RetryBounds{Window: 10 * clock.Second}) }, alwaysComplete},
+	{"its key is removed", nil, func(b *bed) {
 		b.accounts = []*routing.Account{{Name: "acme", Keys: []string{"another"}}}
 		b.configure(2)
 	}, refusedUnlessSent},
-	{"its account is gone", nil, func(b *bed) { b.accounts = b.accounts[1:]; b.configure(2) }, refusedUnlessSent},
+	{"its account is removed", nil, func(b *bed) { b.accounts = b.accounts[1:]; b.configure(2) }, refusedUnlessSent},
 	{"its account gets a limit", nil, func(b *bed) {
 		b.accounts = []*routing.Account{{Name: "acme", Keys: []string{"key"}, PerSecond: 0.001, Burst: 0.001}}
 		b.configure(2)
 	}, alwaysComplete},
-	{"its route is taken away", nil, func(b *bed) { b.routes = nil; b.configure(2) }, refusedUnlessSent},
-	{"its route leads elsewhere", nil, func(b *bed) {
+	{"its route is removed", nil, func(b *bed) { b.routes = nil; b.configure(2) }, refusedUnlessSent},
+	{"its route leads to another service", nil, func(b *bed) {
 		b.eachRoute(func(r *routing.Route) { r.Split = []routing.Share{{Service: "other", Weight: 1}} })
 	}, refusedUnlessSent},
 	{"the time-out of its route is shortened", nil, func(b *bed) { b.eachRoute(func(r *routing.Route) { r.Timeout = 100 }) }, alwaysComplete},
@@ -196,30 +196,30 @@
 	{"its body would be too long now", nil, func(b *bed) {
 		b.view.SetCatalog(routing.NewCatalog(2, routing.Limits{BodyBytes: 1}, b.routes, nil, b.accounts))
 	}, alwaysComplete},
-	{"the list forgets its target", nil, func(b *bed) { b.expireFirst() }, alwaysComplete},
-	{"the list forgets all targets", nil, func(b *bed) { b.view.SetDirectory(routing.NewDirectory(nil)) }, alwaysComplete},
-	{"the list says that its target leaves", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Leaving = true }) }, alwaysComplete},
-	{"the list has its target elsewhere", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Address = "10.0.9.9:80" }) }, alwaysComplete},
-	{"the list has its target in another service", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Service = "other" }) }, func(at requestStep, _ string) callerOutcome {
+	{"its target is removed from the list", nil, func(b *bed) { b.expireFirst() }, alwaysComplete},
+	{"all targets are removed from the list", nil, func(b *bed) { b.view.SetDirectory(routing.NewDirectory(nil)) }, alwaysComplete},
+	{"its target is listed as leaving", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Leaving = true }) }, alwaysComplete},
+	{"its target is listed with another address", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Address = "10.0.9.9:80" }) }, alwaysComplete},
+	{"its target is listed in another service", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Service = "other" }) }, func(at requestStep, _ string) callerOutcome {
 		return refusedUnlessSent(at, "")
 	}},
-	{"its target's version may get nothing any more", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Admission = routing.Withheld }) }, alwaysComplete},
-	{"its target has started again", nil, (*bed).restart, afterRestart},
-	{"its target says that it leaves", nil, func(b *bed) {
+	{"its target's version is withheld", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Admission = routing.Withheld }) }, alwaysComplete},
+	{"its target was restarted", nil, (*bed).restart, afterRestart},
+	{"its target reports that it is leaving", nil, func(b *bed) {
 		b.advice.Hear(ids.Life{Target: "t1", Start: formerStart}, 0, "other", advisory.Advice{Leaving: true})
 	}, alwaysComplete},
-	{"its target asks for rest", nil, func(b *bed) {
+	{"its target asks for back-off", nil, func(b *bed) {
 		b.advice.Hear(ids.Life{Target: "t1", Start: formerStart}, 0, "other", advisory.Advice{Rest: 10 * clock.Second})
 	}, alwaysComplete},
 	{"the VM was suspended for 3 s", nil, func(b *bed) { b.suspension.Add(3 * clock.Second) }, alwaysComplete},
 	{"the VM was suspended for 20 s", nil, func(b *bed) { b.suspension.Add(20 * clock.Second) }, refusedUnlessSent},
-	{"the home of the service tells it to move", func(b *bed) { b.scheduler.stuck = "t1" }, func(*bed) {}, alwaysComplete},
-	{"the home of the service refuses all further", nil, func(b *bed) { b.scheduler.setRepeats(true, 0) }, alwaysComplete},
-	{"the home of the service is gone", nil, func(b *bed) { b.scheduler.setRepeats(false, time.Minute) }, alwaysComplete},
-	{"the entry is stopped", nil, func(b *bed) {
+	{"the owner of the service re-dispatches it", func(b *bed) { b.scheduler.stuck = "t1" }, func(*bed) {}, alwaysComplete},
+	{"the owner of the service refuses all further requests", nil, func(b *bed) { b.scheduler.setRepeats(true, 0) }, alwaysComplete},
+	{"the owner of the service is gone", nil, func(b *bed) { b.scheduler.setRepeats(false, time.Minute) }, alwaysComplete},
+	{"the entry is drained", nil, func(b *bed) {
 		b.controller.Leave(ingress.Stop{Narrows: b.clock.Now() + clock.Second, Ends: b.clock.Now() + 8*clock.Second})
 	}, alwaysComplete},
-	{"the entry is stopped, with a short grace", nil, func(b *bed) {
+	{"the entry is drained within a short time", nil, func(b *bed) {
 		b.controller.Leave(ingress.Stop{Narrows: b.clock.Now(), Ends: b.clock.Now() + 3*clock.Second})
 	}, refusedUnlessSent},
 	{"the entry ends", nil, func(b *bed) { b.controller.End() }, afterProcessEnd},
@@ -229,10 +229,10 @@
 		b.t.Cleanup(func() { debug.SetMemoryLimit(before) })
 	}, func(*bed) { debug.SetMemoryLimit(1) }, alwaysComplete},
 	{"it is suspected of ending its targets", nil, func(b *bed) { b.endTargets(b.path, 1) }, alwaysComplete},
-	{"it is held back, as targets have ended under it", nil, func(b *bed) { b.endTargets(b.path, 3) }, refusedUnlessSent},
+	{"it is quarantined, as targets have ended under it", nil, func(b *bed) { b.endTargets(b.path, 3) }, refusedUnlessSent},
 }
 
-func TestWhatEndsARequestUnderWay(t *testing.T) {
+func TestDisturbancesOfRequestInProgress(t *testing.T) {
 	for _, s := range steps {
 		for _, path := range s.paths {
 			for _, h := range disturbances {
@@ -246,8 +246,8 @@
 	}
 }
 
-// pauses are for how long a target does nothing at a step: within a target's usual gaps, and for so long that another one
-// is looked for.
+// pauses returns for how long a target pauses at a step: within a target's usual event gap, and so long that a search for
+// another one begins.
 func pauses(at requestStep) []time.Duration {
 	switch at {
 	case stepWaiting, stepConnecting:
@@ -259,8 +259,8 @@
 	return []time.Duration{600 * time.Millisecond, 1500 * time.Millisecond}
 }
 
-// TestAllThatEndsNothingTogether has a request that was sent meet all that ends nothing at once.
-func TestAllThatEndsNothingTogether(t *testing.T) {
+// TestAllHarmlessDisturbancesTogether applies all disturbances that must not end a request that was sent at once.
+func TestAllHarmlessDisturbancesTogether(t *testing.T) {
 	for _, s := range steps {
 		if s.step < stepSent {
 			continue
@@ -291,7 +291,7 @@
 	}
 }
 
-// meets has a request meet something at a step, and checks what its caller gets.
+// checkDisturbance applies a disturbance to a request at a step, and checks what the caller gets.
 func checkDisturbance(t *testing.T, at requestStep, path string, pause time.Duration, prepare, do func(*bed), want callerOutcome) {
 	t.Helper()
 	const whileAtStep = 300 * time.Millisecond
@@ -312,20 +312,20 @@
 	time.AfterFunc(when, func() { do(b) })
 	got := b.call(context.Background(), path, nil)
 	arrived := len(b.arrived())
-	is := outcomeBroken
+	outcome := outcomeBroken
 	switch {
 	case got.status == http.StatusOK && got.whole && got.body == completeAnswer(at, path):
-		is = outcomeComplete
+		outcome = outcomeComplete
 	case got.status == http.StatusServiceUnavailable && got.whole && got.header.Get("Retry-After") != "" && arrived == 0:
-		is = outcomeRefused
+		outcome = outcomeRefused
 	case got.status == http.StatusOK && got.whole:
-		t.Error("an answer that is not whole looks so")
+		t.Error("an incomplete answer looks complete")
 	}
-	if is != want {
-		t.Errorf("fate %d, want %d: status %d, whole %t, %d bytes after %v, %d arrivals", is, want, got.status, got.whole, len(got.body), got.took, arrived)
+	if outcome != want {
+		t.Errorf("outcome %d, want %d: status %d, complete %t, %d bytes after %v, %d arrivals", outcome, want, got.status, got.whole, len(got.body), got.took, arrived)
 	}
-	most := map[string]int{"/unsafe/a": 1, "/stream/a": 1, "/safe/a": 2, "/resume/a": 2}[path]
-	if arrived > most {
+	maxArrivals := map[string]int{"/unsafe/a": 1, "/stream/a": 1, "/safe/a": 2, "/resume/a": 2}[path]
+	if arrived > maxArrivals {
 		t.Errorf("%d arrivals", arrived)
 	}
 }
--- a/pkg/ingress/endings_test.go
+++ b/pkg/ingress/endings_test.go
@@ -21,17 +21,12 @@
 	"quaydock/pkg/routing"
 )
 
-// What callers saw: the connection to a target that had started again was silent, and the entry read of its next life. A call that
-// may be repeated got 502, and a stream that may be resumed was cut behind its last event, although the next life was listed,
-// and free. It came in 2 of 320 such calls and streams.
-//
-// The order of events: the news of the list ends the exchanges with the former life; the request looks for another target, by the
-// list in force; then the new list comes into force.
-//
-// The evidence: with 50 ms between the news and the list in force each such call and stream ends so.
-
-// TestAListIsInForceBeforeItEndsAnything has the news of a list take a while to be told to all.
-func TestAListIsInForceBeforeItEndsAnything(t *testing.T) {
+// TestTargetListInForceBeforeExchangesEnd guards against a request that fails although its restarted target is listed
+// and free. A new list ended the exchanges with the former incarnation, the request searched for another target in the
+// list in force, and only then the new list came into force. A call that may be repeated got 502, and a stream that may
+// be resumed was broken off after its last event: 2 of 320 such calls and streams, and all of them with 50 ms between
+// the two steps, as here.
+func TestTargetListInForceBeforeExchangesEnd(t *testing.T) {
 	cases := []struct {
 		name, path string
 		former     engine
@@ -40,7 +35,7 @@
 		{"a call", "/safe/a", silent, "next", ""},
 		{"a stream before its first event", "/resume/a", silent, strings.Join(events(10), ""), ""},
 		{"a stream in the middle", "/resume/a", stallsAfter(4), strings.Join(events(10), ""), "4"},
-		{"a stream behind its last event", "/resume/a", stallsAfter(10), strings.Join(events(10), ""), "10"},
+		{"a stream after its last event", "/resume/a", stallsAfter(10), strings.Join(events(10), ""), "10"},
 	}
 	for _, s := range cases {
 		t.Run(s.name, func(t *testing.T) {
@@ -54,13 +49,13 @@
 				b.list(func(t *routing.Target) { t.Start = formerStart })
 				b.view.Watch(func(d *routing.Directory) {
 					if d.Target("t1").Start == secondStart {
-						time.Sleep(50 * time.Millisecond) // nobody else waits for the view's lock
+						time.Sleep(50 * time.Millisecond) // nothing else waits for the view's lock
 					}
 				})
 				time.AfterFunc(100*time.Millisecond, b.restart)
 				got := b.call(context.Background(), s.path, nil)
 				if got.status != 200 || !got.whole || got.body != s.body {
-					t.Errorf("status %d, whole %t, body %q", got.status, got.whole, got.body)
+					t.Errorf("status %d, complete %t, body %q", got.status, got.whole, got.body)
 				}
 				b.checkIncarnations([]ids.Start{formerStart, secondStart}, s.last)
 			})
@@ -68,33 +63,29 @@
 	}
 }
 
-// What callers saw: a stream was cut in the middle while its target worked, at an entry that had no descriptor left.
-//
-// The order of events: the target is silent for a second; another one is asked on a connection that is at hand, and takes its
-// time; meanwhile the entry finds out whether the VM of the first one still answers. It can't make a connection for that, takes this for
-// the VM's silence, and gives the first target up for the other one, which then breaks off.
-//
-// The evidence: the same with one descriptor more, so that the question is answered, ends whole from the first target; and the
-// line of the cut answer says that its target was given up.
-
-// TestWhatThisEntryLacksSaysNothingOfATarget has connections fail for reasons of this end alone, and for one of the other.
-func TestWhatThisEntryLacksSaysNothingOfATarget(t *testing.T) {
+// TestLocalConnectionErrorsDoNotGiveUpTarget has connections fail for local reasons, and for one that is the target's.
+// It guards against a stream that is broken off while its target runs it, at an entry without a free descriptor. The
+// target was silent for a second, and another one got the request on an idle connection and was slow. The entry probed
+// the first target, failed to make the connection, took this for an unreachable VM, and gave the target up for the
+// other one, which then broke off. With one more descriptor the probe succeeded, and the first target completed the
+// answer.
+func TestLocalConnectionErrorsDoNotGiveUpTarget(t *testing.T) {
 	cases := []struct {
 		name string
 		err  error
-		cut  bool
+		cut  bool // the answer is broken off
 	}{
 		{"no descriptor left for the process", syscall.EMFILE, false},
 		{"no descriptor left for the VM", syscall.ENFILE, false},
 		{"no memory", syscall.ENOMEM, false},
-		{"no room in buffers", syscall.ENOBUFS, false},
+		{"no buffer space", syscall.ENOBUFS, false},
 		{"no port left", syscall.EADDRNOTAVAIL, false},
-		{"nobody listens", syscall.ECONNREFUSED, true},
+		{"nothing listens", syscall.ECONNREFUSED, true},
 	}
 	for _, s := range cases {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				// An earlier call leaves a connection to both targets.
+				// An earlier call leaves an idle connection to each of the two targets.
 				earlier := func(then, before engine) engine {
 					return func(c net.Conn, r *http.Request) bool {
 						if r.Header.Get("Id") == "earlier" {
@@ -108,14 +99,14 @@
 				time.AfterFunc(500*time.Millisecond, func() { b.dialer.set(0, s.err) })
 				got := b.call(context.Background(), "/resume/a", nil)
 				if cut := !got.whole; cut != s.cut {
-					t.Errorf("status %d, whole %t after %v, body %q", got.status, got.whole, got.took, got.body)
+					t.Errorf("status %d, complete %t after %v, body %q", got.status, got.whole, got.took, got.body)
 				}
 			})
 		})
 	}
 }
 
-// serveCallers has a server with real connections of callers before the controller.
+// serveCallers starts a server for callers' connections in front of the controller.
 func (b *bed) serveCallers(shares descriptors.Shares) *ingress.Server {
 	handlers := ingress.Handlers{Serve: b.controller, TurnAway: http.HandlerFunc(b.controller.TurnAway), Context: b.controller.Context()}
 	server := ingress.NewServer(commontest.New(b.reach), handlers, shares)
@@ -136,9 +127,9 @@
 	return server
 }
 
-// TestConnectionsOfAnswersUnderWay: what changes for callers' connections, limits, a crowd beyond the share, a stop, leaves
-// those alone on which an answer is under way.
-func TestConnectionsOfAnswersUnderWay(t *testing.T) {
+// TestConnectionChangesKeepAnswersInProgress: changed limits, many connections beyond the limit, and a drain leave the
+// callers' connections alone on which an answer is in progress.
+func TestConnectionChangesKeepAnswersInProgress(t *testing.T) {
 	cases := []struct {
 		name string
 		do   func(b *bed, s *ingress.Server)
@@ -151,13 +142,13 @@
 				s.SetLimits(routing.Limits{HeaderBytes: 4096, HeaderTime: 1000, IdleTime: clock.Millis(n + 1)})
 			}
 		}},
-		{"a crowd comes", func(b *bed, _ *ingress.Server) {
+		{"more connections than the limit", func(b *bed, _ *ingress.Server) {
 			for range 20 {
 				c := dial(b.t, b.reach)
 				go func() { askFor(c, "/safe/b") }()
 			}
 		}},
-		{"the entry is stopped", func(b *bed, s *ingress.Server) {
+		{"the entry is drained", func(b *bed, s *ingress.Server) {
 			b.controller.Leave(ingress.Stop{Narrows: b.clock.Now(), Ends: b.clock.Now() + 8*clock.Second})
 			b.stopped = true
 			go func() { _ = s.Shutdown(context.Background()) }()
@@ -184,7 +175,7 @@
 	}
 }
 
-// bodyOn makes a request on a connection, and returns the body of its answer if that is whole.
+// bodyOn makes a request on a connection, and returns the body of its answer, empty if that is incomplete.
 func bodyOn(c net.Conn, path string) string {
 	if _, err := io.WriteString(c, "GET "+path+" HTTP/1.1\r\nHost: h\r\nId: r1\r\nKey: key\r\n\r\n"); err != nil {
 		return ""
--- a/pkg/ingress/first_tries.go
+++ b/pkg/ingress/first_tries.go
@@ -12,15 +12,15 @@
 // the worth against 0.5943 without, mean of 15 simulated days.
 type firstTries struct {
 	mu     sync.Mutex
-	routes map[string]*longestWait
+	routes map[string]*longestDeadline
 }
 
 func newFirstTries() *firstTries {
-	return &firstTries{routes: make(map[string]*longestWait)}
+	return &firstTries{routes: make(map[string]*longestDeadline)}
 }
 
 // longestWait is the longest deadline seen on a route, and how common it is.
-type longestWait struct {
+type longestDeadline struct {
 	deadline    clock.Millis
 	seen, total float64 // decayed counts of requests with that deadline, and of all requests
 }
@@ -51,7 +51,7 @@
 	defer f.mu.Unlock()
 	w := f.routes[route.Name]
 	if w == nil {
-		w = &longestWait{}
+		w = &longestDeadline{}
 		f.routes[route.Name] = w
 	}
 	w.record(deadline)
@@ -61,7 +61,7 @@
 	return w.deadline - deadline
 }
 
-func (w *longestWait) record(deadline clock.Millis) {
+func (w *longestDeadline) record(deadline clock.Millis) {
 	w.total = w.total*waitDecay + 1
 	w.seen *= waitDecay
 	switch {
--- a/pkg/ingress/first_tries_test.go
+++ b/pkg/ingress/first_tries_test.go
@@ -7,7 +7,7 @@
 	"quaydock/pkg/routing"
 )
 
-func TestHowLongAgoACallerFirstAsked(t *testing.T) {
+func TestSinceFirstTry(t *testing.T) {
 	repeat := func(n int, deadlines ...clock.Millis) []clock.Millis {
 		var all []clock.Millis
 		for range n {
@@ -19,18 +19,18 @@
 		name          string
 		seen          []clock.Millis
 		deadline      clock.Millis
-		before, other clock.Millis // of the deadline, and then of one of 12 s
+		before, other clock.Millis // time since the first try: of deadline, and then of a deadline of 12 s
 	}{
 		{"nothing is known", nil, 9_000, 0, 0},
 		{"too little is known", repeat(1, 12_000), 9_000, 0, 0},
-		{"all first tries wait as long", repeat(20, 12_000), 9_000, 3_000, 0},
-		{"a few ms are the way", repeat(20, 12_000), 11_997, 0, 0},
+		{"all first tries have the same deadline", repeat(20, 12_000), 9_000, 3_000, 0},
+		{"a few ms less, for the connection", repeat(20, 12_000), 11_997, 0, 0},
 		{"most come back", repeat(20, 12_000, 8_000, 7_000), 7_000, 5_000, 0},
-		{"callers differ", repeat(20, 12_000, 11_000, 10_000, 9_000, 8_000, 7_000, 6_000, 5_000), 7_000, 0, 0},
+		{"callers have different deadlines", repeat(20, 12_000, 11_000, 10_000, 9_000, 8_000, 7_000, 6_000, 5_000), 7_000, 0, 0},
 		{"one caller waits far longer", append(repeat(20, 12_000), 60_000), 9_000, 0, 0},
 		{"callers begin to wait longer", append(repeat(20, 12_000), repeat(10, 15_000)...), 12_000, 3_000, 3_000},
 		{"callers begin to wait less", append(repeat(200, 15_000), repeat(900, 12_000)...), 9_000, 3_000, 0},
-		{"none is told", repeat(20, 12_000), 0, 0, 0},
+		{"no deadline", repeat(20, 12_000), 0, 0, 0},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -40,16 +40,16 @@
 				tries.before(route, d)
 			}
 			if got := tries.before(route, s.deadline); got != s.before {
-				t.Errorf("a deadline of %d: first asked %d ms ago, want %d", s.deadline, got, s.before)
+				t.Errorf("a deadline of %d: first try %d ms ago, want %d", s.deadline, got, s.before)
 			}
 			if got := tries.before(route, 12_000); got != s.other {
-				t.Errorf("a deadline of 12 s: first asked %d ms ago, want %d", got, s.other)
+				t.Errorf("a deadline of 12 s: first try %d ms ago, want %d", got, s.other)
 			}
 		})
 	}
 }
 
-func TestRoutesThatAreGoneAreForgotten(t *testing.T) {
+func TestRemovedRoutesAreDropped(t *testing.T) {
 	tries := newFirstTries()
 	for _, name := range []string{"kept", "gone"} {
 		tries.before(&routing.Route{Name: name}, 1_000)
--- a/pkg/ingress/lives_test.go
+++ b/pkg/ingress/lives_test.go
@@ -19,20 +19,20 @@
 	"quaydock/pkg/routing"
 )
 
-// The two lives of the first target. The second start is the lower one: the clock of its VM was
-// set back meanwhile.
+// The starts of the first target's two incarnations. The second one is lower, as if the clock of its VM had been set back
+// in between.
 const (
 	formerStart ids.Start = 5000
 	secondStart ids.Start = 4000
 )
 
-// restart lists the first target as started again, with nothing but the news of it: its
-// connections stay open and silent, as those to a VM that was cut off and came back.
+// restart lists the first target as restarted. Its connections stay open and silent, as those to a VM that was partitioned
+// and came back.
 func (b *bed) restart() {
 	b.list(func(t *routing.Target) { t.Start = secondStart })
 }
 
-// list replaces the list of targets by one in which the first one is changed.
+// updateFirst publishes a list of targets in which the first one is changed.
 func (b *bed) list(change func(*routing.Target)) {
 	b.mu.Lock()
 	first := *b.targets[0]
@@ -42,20 +42,20 @@
 	b.view.SetDirectory(routing.NewDirectory(b.listed()))
 }
 
-// lapse takes the first target off what is read of the list.
+// expireFirst publishes a list without the first target, as if its row had expired.
 func (b *bed) expireFirst() {
 	b.view.SetDirectory(routing.NewDirectory(b.listed()[1:]))
 }
 
-// life is the start of the life that a connection leads to, 0 if its target tells none.
+// startOf returns the start of the incarnation that a connection leads to, 0 if its target has none.
 func (b *bed) startOf(c net.Conn) ids.Start {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.started[c]
 }
 
-// perLife answers as one engine in a target's former life and as another in the next. Nobody
-// answers any more on a connection to the former life once that is over.
+// perIncarnation behaves as former in a target's first incarnation and as next in the second. Nothing answers on a
+// connection to the first one after the restart.
 func perIncarnation(b **bed, former, next engine) engine {
 	return func(c net.Conn, r *http.Request) bool {
 		switch {
@@ -68,7 +68,7 @@
 	}
 }
 
-// stallsAfter sends the events of a stream up to the nth, and then nothing, not even the end.
+// stallsAfter sends the events of a stream up to the nth, and then neither another event nor the end of the stream.
 func stallsAfter(n int) engine {
 	return func(c net.Conn, r *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"))
@@ -81,39 +81,39 @@
 	}
 }
 
-// repliesLate answers after a while, which outlasts the moment of the restart.
+// repliesLate answers after 0.4 s, which is after the restart.
 func repliesLate(c net.Conn, r *http.Request) bool {
 	time.Sleep(400 * time.Millisecond)
 	return says(200, "", "late")(c, r)
 }
 
-// TestATargetStartsAgainUnderItsID: callers waited until their time was over, got 504 or a
-// stream that stopped, because an engine whose VM was cut off had crashed and started again under
-// its id while requests were at it: no connection was reset, and nothing told that the list named
-// another process than the one that had been asked. The list of targets shows the new start; what
-// was sent to the former life ends by that, and is sent again only where it may be repeated.
-func TestATargetStartsAgainUnderItsID(t *testing.T) {
-	whole := strings.Join(events(10), "")
+// TestTargetRestartsUnderSameID guards against callers that wait until their deadline and get 504 or a stream that
+// stops. The VM of an engine was partitioned, and the engine's process ended and was started again under its id while
+// it ran requests. No connection was reset, and nothing showed that the list named another process than the one the
+// requests were sent to. The list has the new start: exchanges with the former incarnation end then, and are retried
+// only where the route allows it.
+func TestTargetRestartsUnderSameID(t *testing.T) {
+	allEvents := strings.Join(events(10), "")
 	scenarios := []struct {
-		name   string
-		path   string
-		former engine
-		status int
-		body   string // compared if the status is 200
-		whole  bool
-		lives  []ids.Start // at which the request arrived, in order
-		last   string      // Last-Event-Id of the last arrival
+		name     string
+		path     string
+		former   engine
+		status   int
+		body     string // compared if the status is 200
+		complete bool
+		starts   []ids.Start // of the incarnations at which the request arrived, in order
+		last     string      // Last-Event-Id of the last arrival
 	}{
 		{"sent", "/unsafe/a", silent, 502, "", true, []ids.Start{formerStart}, ""},
 		{"sent, and may be repeated", "/safe/a", silent, 200, "next", true, []ids.Start{formerStart, secondStart}, ""},
-		{"sent, a late answer of the former life", "/unsafe/a", repliesLate, 502, "", true, []ids.Start{formerStart}, ""},
+		{"sent, a late answer of the former incarnation", "/unsafe/a", repliesLate, 502, "", true, []ids.Start{formerStart}, ""},
 		{"sent, a stream", "/stream/a", silent, 502, "", true, []ids.Start{formerStart}, ""},
 		{"the first event", "/stream/a", stallsAfter(1), 200, strings.Join(events(1), ""), false, []ids.Start{formerStart}, ""},
-		{"the first event, resumable", "/resume/a", stallsAfter(1), 200, whole, true, []ids.Start{formerStart, secondStart}, "1"},
+		{"the first event, resumable", "/resume/a", stallsAfter(1), 200, allEvents, true, []ids.Start{formerStart, secondStart}, "1"},
 		{"in the middle", "/stream/a", stallsAfter(4), 200, strings.Join(events(4), ""), false, []ids.Start{formerStart}, ""},
-		{"in the middle, resumable", "/resume/a", stallsAfter(4), 200, whole, true, []ids.Start{formerStart, secondStart}, "4"},
-		{"after the last event, before the end", "/stream/a", stallsAfter(10), 200, whole, false, []ids.Start{formerStart}, ""},
-		{"after the last event, resumable", "/resume/a", stallsAfter(10), 200, whole, true, []ids.Start{formerStart, secondStart}, "10"},
+		{"in the middle, resumable", "/resume/a", stallsAfter(4), 200, allEvents, true, []ids.Start{formerStart, secondStart}, "4"},
+		{"after the last event, before the end", "/stream/a", stallsAfter(10), 200, allEvents, false, []ids.Start{formerStart}, ""},
+		{"after the last event, resumable", "/resume/a", stallsAfter(10), 200, allEvents, true, []ids.Start{formerStart, secondStart}, "10"},
 	}
 	next := func(c net.Conn, r *http.Request) bool {
 		if strings.HasPrefix(r.URL.Path, "/resume/") {
@@ -136,13 +136,13 @@
 					}
 					b.restart()
 					got := <-replies
-					if got.status != s.status || got.whole != s.whole || s.status == 200 && got.body != s.body {
-						t.Errorf("status %d, whole %t, body %q", got.status, got.whole, got.body)
+					if got.status != s.status || got.whole != s.complete || s.status == 200 && got.body != s.body {
+						t.Errorf("status %d, complete %t, body %q", got.status, got.whole, got.body)
 					}
 					if limit := 400 * time.Millisecond; got.took > limit {
-						t.Errorf("told after %v, want within %v", got.took, limit)
+						t.Errorf("answered after %v, want within %v", got.took, limit)
 					}
-					b.checkIncarnations(s.lives, s.last)
+					b.checkIncarnations(s.starts, s.last)
 				})
 			})
 		}
@@ -151,22 +151,22 @@
 
 func (b *bed) checkIncarnations(want []ids.Start, last string) {
 	b.t.Helper()
-	var lives []ids.Start
+	var starts []ids.Start
 	for _, a := range b.arrived() {
-		lives = append(lives, a.start)
+		starts = append(starts, a.start)
 	}
-	if !slices.Equal(lives, want) {
-		b.t.Errorf("arrived at lives %v, want %v", lives, want)
+	if !slices.Equal(starts, want) {
+		b.t.Errorf("arrived at incarnations %v, want %v", starts, want)
 		return
 	}
-	if got := b.arrived()[len(lives)-1].header.Get("Last"); got != last {
-		b.t.Errorf("went on behind event %q, want %q", got, last)
+	if got := b.arrived()[len(starts)-1].header.Get("Last"); got != last {
+		b.t.Errorf("resumed after event %q, want %q", got, last)
 	}
 }
 
-// TestTheLineOfALostRequestTellsTheRestart reads what operators find of a request whose target had
-// started again: the cause, and its target under the id by which all other lines name it.
-func TestTheLineOfALostRequestTellsTheRestart(t *testing.T) {
+// TestLogOfLostRequestNamesRestart checks the log line of a request whose target was restarted: it has the cause, and
+// the target under the id by which all other lines name it.
+func TestLogOfLostRequestNamesRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, freely{}, silent)
 		b.list(func(t *routing.Target) { t.Start = formerStart })
@@ -189,10 +189,10 @@
 	})
 }
 
-// TestARequestNotSentYetLeavesTheFormerLife: the target of a request had started again between
-// the grant and the sending. The request ran at the new life, which no planner had counted there:
-// with all places of both lives taken a target had twice its slots.
-func TestARequestNotSentYetLeavesTheFormerLife(t *testing.T) {
+// TestUnsentRequestIsPlacedAgainAfterRestart guards against a request that runs at a new incarnation although it was
+// assigned to the former one, as the target was restarted between the grant and the sending. The planner had not
+// counted the request there, so that a target with all slots of both incarnations taken ran twice its slots.
+func TestUnsentRequestIsPlacedAgainAfterRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, freely{}, says(200, "", "yes"))
 		b.list(func(t *routing.Target) { t.Start = formerStart })
@@ -207,14 +207,14 @@
 		b.scheduler.mu.Lock()
 		defer b.scheduler.mu.Unlock()
 		if want := []string{"t1 Unreached", "t1 Served"}; !slices.Equal(b.scheduler.ends, want) {
-			t.Errorf("places ended %v, want %v", b.scheduler.ends, want)
+			t.Errorf("assignments ended %v, want %v", b.scheduler.ends, want)
 		}
 	})
 }
 
-// TestNoConnectionOfAFormerLifeIsUsedAgain: a request went out on a kept connection to a process
-// that was gone, and was told as perhaps run, though the target had long started again.
-func TestNoConnectionOfAFormerLifeIsUsedAgain(t *testing.T) {
+// TestConnectionOfFormerIncarnationNotReused guards against a request that is sent on an idle connection to a process
+// that has ended, and is reported as possibly run, although the target was restarted long before.
+func TestConnectionOfFormerIncarnationNotReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var b *bed
 		b = newBed(t, freely{}, perIncarnation(&b, says(200, "", "former"), says(200, "", "next")))
@@ -231,17 +231,16 @@
 	})
 }
 
-// TestAnEntryThatLapses has the entry of a target lapse while a request is at it, as when the store
-// is away, and come back: the request goes on if the target is the same process, and ends if
-// it is not.
-func TestAnEntryThatLapses(t *testing.T) {
+// TestTargetRowExpiresAndReturns: the row of a target expires while it runs a request, as when the store is
+// unreachable, and comes back. The request goes on if the target is the same incarnation, and ends if it is not.
+func TestTargetRowExpiresAndReturns(t *testing.T) {
 	scenarios := []struct {
 		name   string
 		start  ids.Start
 		status int
 	}{
-		{"the same life", formerStart, 200},
-		{"another life", secondStart, 502},
+		{"the same incarnation", formerStart, 200},
+		{"another incarnation", secondStart, 502},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -263,10 +262,10 @@
 	}
 }
 
-// TestABrokenConnectionShowsTheRestartFirst has the target's connections break and its address
-// refuse, before the list tells of the new start: what may not be repeated is told as lost, and goes
-// nowhere when the news come.
-func TestABrokenConnectionShowsTheRestartFirst(t *testing.T) {
+// TestConnectionBreaksBeforeRestartIsListed: the target's connections break and its address refuses connections before
+// the list has the new start. A request that may not be repeated is reported as lost, and is not sent again when the
+// new list arrives.
+func TestConnectionBreaksBeforeRestartIsListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		breaks := func(c net.Conn, _ *http.Request) bool {
 			time.Sleep(100 * time.Millisecond)
--- a/pkg/ingress/moves_test.go
+++ b/pkg/ingress/moves_test.go
@@ -17,18 +17,18 @@
 	"quaydock/pkg/routing"
 )
 
-// What users saw: a caller's stream ended in the middle although its target was sound and would have finished it, 3.5 s
-// into the 12 s that it had. The order of events: the target gave no event for a second; the entry closed its
-// connection to the target; 4 ms later it closed the caller's.
+// These tests guard against streams that are broken off although their target is healthy and would have finished them,
+// 3.5 s into the 12 s that the caller had. The target gave no event for a second, the entry closed its connection to
+// the target, and 4 ms later it closed the caller's.
 //
-// The cause: the entry ended the exchange with a silent target first, and asked for leave to repeat and for another place
-// behind that. Refused either, it had nothing left. The evidence: with one target and a silence of 1.5 s in the middle the
-// caller was cut after 1.04 s; so was it with no leave, no place, an other target that declines, is not reached, breaks off or
-// is silent, and with its key or route taken away meanwhile. A call that its home told to go elsewhere got 502 after 0.3 s in
-// the same cases, and one that its target had failed got 502 in place of the target's own answer: 51 of 65 cases.
+// The entry ended the exchange with a silent target first, and only then requested a retry and another assignment. If
+// either was refused, nothing was left. With one target and a pause of 1.5 s the stream was broken off after 1.04 s.
+// The same happened with no retry or no assignment, with another target that declines, is not reached, breaks off or is
+// silent, and with the key or the route removed meanwhile. In the same cases a call that the owner re-dispatched got
+// 502 after 0.3 s, and a call that its target had failed got 502 instead of the target's own answer: 51 of 65 cases.
 
-// hesitates streams like a sound target that is silent for a while behind its third event, as one whose memory is
-// short and that reads a prompt anew, or that reads the long prompt of another request.
+// pausesMidStream streams like a healthy target that is silent for a while after its third event, such as one that is
+// short of memory and processes the prompt again, or that processes the long prompt of another request.
 func pausesMidStream(silence time.Duration) engine {
 	return func(c net.Conn, r *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"))
@@ -49,7 +49,7 @@
 	}
 }
 
-// after answers as another engine does, but later.
+// delayed behaves as another scripted target does, but later.
 func delayed(wait time.Duration, then engine) engine {
 	return func(c net.Conn, r *http.Request) bool {
 		time.Sleep(wait)
@@ -57,49 +57,49 @@
 	}
 }
 
-// TestATargetThatWorksIsNotGivenUp: a target is silent for a while and would then go on to its end. Whatever becomes of
-// the search for another one meanwhile, the caller gets a whole answer.
-func TestATargetThatWorksIsNotGivenUp(t *testing.T) {
+// TestSilentTargetKeptUntilReplacementResponds: a target is silent for a while and would then finish the request.
+// However the search for another one ends, the caller gets a complete answer.
+func TestSilentTargetKeptUntilReplacementResponds(t *testing.T) {
 	const silence = 1500 * time.Millisecond
 	streaming, safe := pausesMidStream(silence), delayed(900*time.Millisecond, says(200, "", "yes"))
 	failing := says(500, "", "failed")
 	full := says(503, "Not-Run: 1\r\n", "")
 	cases := []struct {
-		name   string
-		others []engine // the targets besides the first
-		meets  func(*bed)
+		name    string
+		others  []engine // the targets besides the first
+		disturb func(*bed)
 	}{
 		{"there is no other target", nil, nil},
 		{"another one is free", []engine{streams(0)}, nil},
-		{"no leave to repeat is left", []engine{streams(0)}, exhaustRetryBudget},
-		{"there is no place elsewhere", []engine{streams(0)}, func(b *bed) { b.scheduler.refuseRepeats = true }},
-		{"a place elsewhere comes late", []engine{streams(0)}, func(b *bed) { b.scheduler.repeatDelay = 10 * time.Second }},
+		{"no retry is left", []engine{streams(0)}, exhaustRetryBudget},
+		{"there is no other assignment", []engine{streams(0)}, func(b *bed) { b.scheduler.refuseRepeats = true }},
+		{"another assignment comes late", []engine{streams(0)}, func(b *bed) { b.scheduler.repeatDelay = 10 * time.Second }},
 		{"the other declines", []engine{full}, nil},
 		{"all others decline", []engine{full, full, full}, nil},
 		{"the other is not reached", []engine{nil}, nil},
 		{"the other breaks off", []engine{closes}, nil},
-		{"the other breaks off behind its head", []engine{breaksAfterHead}, nil},
+		{"the other breaks off after its head", []engine{breaksAfterHead}, nil},
 		{"the other fails", []engine{failing}, nil},
 		{"the other is silent", []engine{silent}, nil},
 		{"the other is slow", []engine{delayed(time.Second, streams(0))}, nil},
-		{"the key is taken away", []engine{streams(0)}, func(b *bed) { b.changeDuring(func() { b.accounts = b.accounts[1:] }) }},
-		{"the route is taken away", []engine{streams(0)}, func(b *bed) { b.changeDuring(func() { b.routes = b.routes[:1] }) }},
-		{"the route leads elsewhere now", []engine{streams(0)}, func(b *bed) {
+		{"the key is removed", []engine{streams(0)}, func(b *bed) { b.changeDuring(func() { b.accounts = b.accounts[1:] }) }},
+		{"the route is removed", []engine{streams(0)}, func(b *bed) { b.changeDuring(func() { b.routes = b.routes[:1] }) }},
+		{"the route leads to another service now", []engine{streams(0)}, func(b *bed) {
 			b.changeDuring(func() {
 				for i, r := range b.routes {
-					moved := *r
-					moved.Split = []routing.Share{{Service: "other", Weight: 1}}
-					b.routes[i] = &moved
+					changed := *r
+					changed.Split = []routing.Share{{Service: "other", Weight: 1}}
+					b.routes[i] = &changed
 				}
 			})
 		}},
 	}
 	kinds := []struct {
-		name, path string
-		first      engine
-		status     int
-		body       string
-		stuck      bool // the home tells the request to go elsewhere after 0.3 s
+		name, path   string
+		first        engine
+		status       int
+		body         string
+		redispatched bool // the owner re-dispatches the request after 0.3 s
 	}{
 		{"a stream", "/resume/a", streaming, 200, strings.Join(events(10), ""), false},
 		{"a stream that has not begun", "/resume/a", delayed(900*time.Millisecond, streams(0)), 200, strings.Join(events(10), ""), true},
@@ -111,16 +111,16 @@
 			t.Run(k.name+", "+s.name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					b := newBed(t, freely{}, append([]engine{k.first}, s.others...)...)
-					if s.meets != nil {
-						s.meets(b)
+					if s.disturb != nil {
+						s.disturb(b)
 					}
-					if k.stuck {
+					if k.redispatched {
 						b.scheduler.stuck = "t1"
 					}
 					got := b.call(context.Background(), k.path, nil)
 					answeredElsewhere := k.path == "/safe/a" && got.status == 200 && got.body == strings.Join(events(10), "")
 					if !got.whole || !answeredElsewhere && (got.status != k.status || got.body != k.body) {
-						t.Errorf("status %d, whole %t after %v, body %q", got.status, got.whole, got.took, got.body)
+						t.Errorf("status %d, complete %t after %v, body %q", got.status, got.whole, got.took, got.body)
 					}
 					if len(b.arrived()) > 2+len(s.others)-1 && s.name != "all others decline" {
 						t.Errorf("%d arrivals", len(b.arrived()))
@@ -129,17 +129,17 @@
 			})
 		}
 	}
-	t.Run("two targets do not work for long", twoTargetsDoNotWorkForLong)
+	t.Run("two targets run the request for a limited time", checkOverlapLimit)
 }
 
-// spendLeave uses the leave to repeat up, so that only a part of a request is left.
+// exhaustRetryBudget takes retries until less than one is left.
 func exhaustRetryBudget(b *bed) {
 	for b.retries.Repeat(b.clock.Now(), "s", 1) {
 		continue
 	}
 }
 
-// during changes what the operators declare once the first target has begun, and before it is silent for long.
+// changeDuring changes the configuration after the first target has begun, and before its silence starts a search.
 func (b *bed) changeDuring(change func()) {
 	time.AfterFunc(200*time.Millisecond, func() {
 		change()
@@ -147,14 +147,14 @@
 	})
 }
 
-// breaksBehindHead begins an answer and gives none of it.
+// breaksAfterHead sends the head of an answer and closes the connection.
 func breaksAfterHead(c net.Conn, r *http.Request) bool {
 	_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"))
 	return false
 }
 
-// goesSilent streams three events and then says nothing more, without closing its connection; it tells when
-// the other end has.
+// goesSilent streams three events and then sends nothing more, without closing its connection. It calls closed when the
+// other end has closed it.
 func goesSilent(closed func()) engine {
 	return func(c net.Conn, r *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"))
@@ -168,17 +168,18 @@
 	}
 }
 
-// mostBothWork is for how long two targets may work on one request at the most.
+// maxOverlap is the longest time for which two targets may run one request.
 const maxOverlap = 400 * time.Millisecond
 
-// TestATargetThatIsGoneIsLeftInTime: a target falls silent for good, with and without its process. Its caller gets the
-// rest from another one, in the time that it took when the first was given up at once: 1 s of silence, and what the other needs.
-func TestATargetThatIsGoneIsLeftInTime(t *testing.T) {
+// TestGoneTargetReplacedInTime: a target becomes silent for good, with its process still there or ended. The caller
+// gets the rest from another one, in the time that it took when the first was given up at once: 1 s of silence, and
+// what the other one needs.
+func TestGoneTargetReplacedInTime(t *testing.T) {
 	cases := []struct {
 		name  string
 		other time.Duration // until its first event
-		ended bool          // nobody listens at the first one's address any more
-		most  time.Duration
+		ended bool          // nothing listens at the first one's address any more
+		limit time.Duration
 	}{
 		{"the other is quick", 0, false, 1300 * time.Millisecond},
 		{"the other needs some time", 300 * time.Millisecond, false, 1600 * time.Millisecond},
@@ -194,19 +195,19 @@
 					time.AfterFunc(500*time.Millisecond, func() { _ = b.listeners[0].Close() })
 				}
 				got := b.call(context.Background(), "/resume/a", nil)
-				if !got.whole || got.body != strings.Join(events(10), "") || got.took > s.most {
-					t.Errorf("status %d, whole %t after %v, body %q", got.status, got.whole, got.took, got.body)
+				if !got.whole || got.body != strings.Join(events(10), "") || got.took > s.limit {
+					t.Errorf("status %d, complete %t after %v, body %q", got.status, got.whole, got.took, got.body)
 				}
 				if both := (<-left).Sub(b.arrived()[1].at); both > maxOverlap {
-					t.Errorf("two targets had the request for %v", both)
+					t.Errorf("two targets ran the request for %v", both)
 				}
 			})
 		})
 	}
 }
 
-// twoTargetsDoNotWorkForLong: if the first of two targets goes on, the other one is left within the time that both may work.
-func twoTargetsDoNotWorkForLong(t *testing.T) {
+// checkOverlapLimit checks that the other target is left within maxOverlap if the first one goes on.
+func checkOverlapLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		left := make(chan time.Time, 1)
 		other := func(c net.Conn, r *http.Request) bool {
@@ -217,21 +218,21 @@
 		b := newBed(t, freely{}, pausesMidStream(4*time.Second), other)
 		got := b.call(context.Background(), "/resume/a", nil)
 		if !got.whole || got.body != strings.Join(events(10), "") {
-			t.Errorf("status %d, whole %t after %v, body %q", got.status, got.whole, got.took, got.body)
+			t.Errorf("status %d, complete %t after %v, body %q", got.status, got.whole, got.took, got.body)
 		}
 		arrived := b.arrived()
 		if len(arrived) != 2 {
 			t.Fatalf("%d arrivals", len(arrived))
 		}
 		if both := (<-left).Sub(arrived[1].at); both > maxOverlap {
-			t.Errorf("two targets had the request for %v", both)
+			t.Errorf("two targets ran the request for %v", both)
 		}
 	})
 }
 
-// TestASearchCountsWhatItUsed: what was sent to another target while the first was silent counts among the targets that a
-// request may reach, also if the first then fails it, or declines it.
-func TestASearchCountsWhatItUsed(t *testing.T) {
+// TestSearchCountsAgainstAttempts: a target that got the request while the first was silent counts against the targets
+// that the request may be sent to, also if the first one then fails or declines it.
+func TestSearchCountsAgainstAttempts(t *testing.T) {
 	const late = 900 * time.Millisecond
 	cases := []struct {
 		name   string
@@ -257,15 +258,15 @@
 	}
 }
 
-// TestASearchPassesOverATargetThatWantsNothing: the other target has told this entry that it leaves, but the one who gives
-// the places does not know; the search goes on to a third one.
-func TestASearchPassesOverATargetThatWantsNothing(t *testing.T) {
+// TestSearchSkipsLeavingTarget: the other target has reported to this entry that it is leaving, but the planner does
+// not know that yet. The search goes on to a third one.
+func TestSearchSkipsLeavingTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, freely{}, pausesMidStream(4*time.Second), streams(0), streams(0))
 		b.advice.Hear(ids.Life{Target: "t2"}, 0, "r", advisory.Advice{Leaving: true})
 		got := b.call(context.Background(), "/resume/a", nil)
 		if !got.whole || got.took > 1300*time.Millisecond {
-			t.Errorf("status %d, whole %t after %v", got.status, got.whole, got.took)
+			t.Errorf("status %d, complete %t after %v", got.status, got.whole, got.took)
 		}
 		if arrived := b.arrived(); len(arrived) != 2 || arrived[1].target != "t3" {
 			t.Errorf("%d arrivals", len(arrived))
--- a/pkg/ingress/search.go
+++ b/pkg/ingress/search.go
@@ -268,7 +268,7 @@
 
 // probeFirst checks whether the first target can still be reached. A target that refuses connections has ended. A target
 // that doesn't answer counts as gone only if a second probe fails too, as a packet may have been lost, and if the other
-// target answers a probe, as otherwise this entry may be the one that reaches nobody.
+// target answers a probe, as otherwise this entry itself may be disconnected.
 func (s *search) probeFirst(other *routing.Target, opened <-chan struct{}) {
 	first := s.probe(s.watch.target)
 	select {
--- a/pkg/ingress/search_drawn_test.go
+++ b/pkg/ingress/search_drawn_test.go
@@ -18,19 +18,20 @@
 	"quaydock/pkg/ids"
 )
 
-// What is drawn, or tried at each moment, of searches: whatever targets and callers do, a caller gets each event once, no more targets
-// than allowed run a request, and all that a search took is given back.
+// Randomized and exhaustive tests of searches: whatever targets and callers do, a caller gets each event once, no more
+// targets than allowed run a request, and all assignments and unused retries are returned.
 
-// TestASearchEndsWithItsRequest: at whatever moment of a search the caller leaves, the time is over, or the entry ends, nothing is sent
-// to a target afterwards, each target is left, and each place and all leave that reached nobody is given back.
-func TestASearchEndsWithItsRequest(t *testing.T) {
+// TestSearchEndsWithRequest: at whatever moment of a search the caller leaves, the deadline passes, or the entry ends:
+// nothing is sent to a target afterwards, all connections of the request are closed, and all assignments and unused
+// retries are returned.
+func TestSearchEndsWithRequest(t *testing.T) {
 	ends := []struct {
 		name string
 		do   func(b *bed, cancel context.CancelFunc)
 	}{
 		{"the caller leaves", func(_ *bed, cancel context.CancelFunc) { cancel() }},
 		{"the entry ends", func(b *bed, _ context.CancelFunc) { b.controller.End() }},
-		{"the time is over", nil},
+		{"the deadline passes", nil},
 	}
 	for _, attempts := range []int{2, 3, 4} {
 		for _, s := range ends {
@@ -43,16 +44,16 @@
 
 func checkSearchEnds(t *testing.T, attempts int, name string, at time.Duration, do func(*bed, context.CancelFunc)) {
 	var mu sync.Mutex
-	atWork, latest := 0, time.Time{}
+	running, latest := 0, time.Time{}
 	count := func(then engine) engine {
 		return func(c net.Conn, r *http.Request) bool {
 			mu.Lock()
-			atWork++
+			running++
 			mu.Unlock()
 			defer func() {
 				mu.Lock()
 				defer mu.Unlock()
-				atWork--
+				running--
 				latest = time.Now()
 			}()
 			return then(c, r)
@@ -75,10 +76,10 @@
 	time.Sleep(3 * time.Second)
 	mu.Lock()
 	defer mu.Unlock()
-	if over := began.Add(at + 150*time.Millisecond); atWork > 0 || latest.After(over) {
-		t.Errorf("%d targets allowed, %s after %v: %d at work, the last left %v after the beginning", attempts, name, at, atWork, latest.Sub(began))
+	if over := began.Add(at + 150*time.Millisecond); running > 0 || latest.After(over) {
+		t.Errorf("%d targets allowed, %s after %v: %d running, the last ended %v after the beginning", attempts, name, at, running, latest.Sub(began))
 	}
-	placesGiven, reached := 0, len(b.arrived())
+	assigned, reached := 0, len(b.arrived())
 	b.scheduler.mu.Lock()
 	ended := len(b.scheduler.ends)
 	b.scheduler.mu.Unlock()
@@ -86,23 +87,23 @@
 		if a.at.After(began.Add(at + 10*time.Millisecond)) {
 			t.Errorf("%d targets allowed, %s after %v: sent %v after the beginning", attempts, name, at, a.at.Sub(began))
 		}
-		placesGiven++
+		assigned++
 	}
-	if ended < placesGiven || reached > attempts {
-		t.Errorf("%d targets allowed, %s after %v: %d arrivals, %d places given back", attempts, name, at, reached, ended)
+	if ended < assigned || reached > attempts {
+		t.Errorf("%d targets allowed, %s after %v: %d arrivals, %d assignments returned", attempts, name, at, reached, ended)
 	}
-	// Of the leave, 0.7 of the slack of 100 and of a fifth of the one request, as many parts are left as were not used.
+	// The retry budget gives 0.7 of the slack of 100 and of a fifth of the one request, less the retries that were used.
 	left := 0
 	for b.retries.Repeat(b.clock.Now(), "s", 1) {
 		left++
 	}
 	if want := 70 - (reached - 1); left != want {
-		t.Errorf("%d targets allowed, %s after %v: leave for %d more, want %d (%d arrivals)", attempts, name, at, left, want, reached)
+		t.Errorf("%d targets allowed, %s after %v: %d retries left, want %d (%d arrivals)", attempts, name, at, left, want, reached)
 	}
 }
 
-// drawn is a target whose course is drawn: it declines, fails, closes, or streams with silences, and may break off. It counts the
-// runs that it began.
+// randomTarget is a target that behaves at random: it declines, fails, closes, or streams with pauses, and may break
+// off. It counts the runs that it began.
 func randomTarget(random *rand.Rand, runs *atomic.Int64) engine {
 	var mu sync.Mutex
 	draw := func(n int) int {
@@ -112,23 +113,23 @@
 	}
 	return func(c net.Conn, r *http.Request) bool {
 		time.Sleep(time.Duration(draw(500)) * time.Millisecond)
-		course := draw(10)
-		if course == 0 {
+		behaviour := draw(10)
+		if behaviour == 0 {
 			return says(503, "Not-Run: 1\r\n", "")(c, r)
 		}
 		runs.Add(1)
-		switch course {
+		switch behaviour {
 		case 1:
 			return says(500, "", "failed")(c, r)
 		case 2:
 			return false
 		}
-		cut, hesitate, goesOn := draw(20), draw(12), time.Duration(draw(2000))*time.Millisecond
+		cut, pauseAt, pause := draw(20), draw(12), time.Duration(draw(2000))*time.Millisecond
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"))
 		last, _ := strconv.Atoi(r.Header.Get("Last"))
 		for n := last + 1; n <= 10; n++ {
-			if n == hesitate {
-				time.Sleep(goesOn)
+			if n == pauseAt {
+				time.Sleep(pause)
 			}
 			text := events(n)[n-1]
 			if n == cut {
@@ -144,9 +145,10 @@
 	}
 }
 
-// TestDrawnCourses: whatever four targets do with a request, its caller gets each event once and in order, an answer that looks whole is,
-// no more targets than allowed run it, what has run is not told as not run, and each place is given back once.
-func TestDrawnCourses(t *testing.T) {
+// TestRandomTargetBehaviour: whatever four targets do with a request, its caller gets each event once and in order, an
+// answer that looks complete is complete, no more targets than allowed run the request, a request that has run is not
+// reported as not run, and each assignment is returned once.
+func TestRandomTargetBehaviour(t *testing.T) {
 	for seed := range uint64(1500) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { checkRandomTargets(t, seed) })
@@ -167,8 +169,8 @@
 	b.scheduler.delay = time.Duration(random.IntN(100)) * time.Millisecond
 	b.scheduler.repeatDelay = time.Duration(random.IntN(300)) * time.Millisecond
 	b.scheduler.stuck = []ids.Target{"", "t1", "t2", "t3"}[random.IntN(4)]
-	var places atomic.Int64
-	b.scheduler.placed = func() { places.Add(1) }
+	var assignments atomic.Int64
+	b.scheduler.placed = func() { assignments.Add(1) }
 	b.dialer.set(time.Duration(random.IntN(150))*time.Millisecond, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -180,16 +182,16 @@
 	all := strings.Join(events(10), "")
 	switch {
 	case got.status == 200 && (!strings.HasPrefix(all, got.body) || got.whole && got.body != all):
-		t.Errorf("whole %t, body %q", got.whole, got.body)
+		t.Errorf("complete %t, body %q", got.whole, got.body)
 	case got.status == 503 && runs.Load() > 0:
-		t.Errorf("told as not run after %d runs", runs.Load())
+		t.Errorf("reported as not run after %d runs", runs.Load())
 	}
 	if int(runs.Load()) > attempts {
 		t.Errorf("%d runs where %d are allowed", runs.Load(), attempts)
 	}
 	b.scheduler.mu.Lock()
 	defer b.scheduler.mu.Unlock()
-	if ended := len(b.scheduler.ends); ended != int(places.Load()) {
-		t.Errorf("%d places, %d given back: %v", places.Load(), ended, b.scheduler.ends)
+	if ended := len(b.scheduler.ends); ended != int(assignments.Load()) {
+		t.Errorf("%d assignments, %d returned: %v", assignments.Load(), ended, b.scheduler.ends)
 	}
 }
--- a/pkg/ingress/search_test.go
+++ b/pkg/ingress/search_test.go
@@ -19,10 +19,10 @@
 	"quaydock/pkg/routing"
 )
 
-// What these tests look for: while one target is silent another one is asked, and one of the two is given up. Each has one of them
-// given up, or used up, before it is certain that the caller gets its answer from the other.
+// These tests guard against a target being given up, or counted as tried, before it is certain that the caller gets its
+// answer from another one. While a target is silent, a second one gets the request, and one of the two is given up.
 
-// hesitatesThenBreaks streams three events, is silent for a while, goes on with two more and breaks off.
+// pausesThenBreaks streams three events, is silent for a while, goes on with two more and breaks off.
 func pausesThenBreaks(silence time.Duration) engine {
 	return func(c net.Conn, r *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"))
@@ -39,21 +39,22 @@
 	}
 }
 
-// TestASearchThatWasNotNeededLeavesTheOtherTarget: a target is silent, another one is about to be asked, the first gives a sign of
-// life, and then breaks off. What the search did not come to use is still there for the request.
+// TestCancelledSearchKeepsOtherTargetAvailable: a target is silent, a search begins, the first target goes on and then
+// breaks off. What the search has not used must still be available to the request.
 //
-// What callers see: the stream is cut behind its fifth event, though a target is free that can go on. The cause: the connection that
-// the search gave up counts as a target that was tried and could not be reached. A target that the request has reached is
-// one of the two that it may reach, also if it is left before it has answered: then the caller is cut, and no third one is asked.
-func TestASearchThatWasNotNeededLeavesTheOtherTarget(t *testing.T) {
+// It guards against a stream that is broken off after its fifth event although another target is free: the connection
+// attempt that the search cancelled counted as a target that was tried and could not be reached. A target that the
+// request has reached does count as one of the two allowed, also if it is left before it has answered. The stream is
+// then broken off.
+func TestCancelledSearchKeepsOtherTargetAvailable(t *testing.T) {
 	cases := []struct {
-		name    string
-		connect time.Duration // that a connection takes by then
-		first   time.Duration // until the other's first event
-		whole   bool
+		name     string
+		connect  time.Duration // time to connect during the search
+		first    time.Duration // until the other target's first event
+		complete bool
 	}{
-		{"given up while it connects", 200 * time.Millisecond, 0, true},
-		{"given up before the first event", 0, 200 * time.Millisecond, false},
+		{"cancelled while it connects", 200 * time.Millisecond, 0, true},
+		{"cancelled before the first event", 0, 200 * time.Millisecond, false},
 	}
 	for _, s := range cases {
 		t.Run(s.name, func(t *testing.T) {
@@ -62,22 +63,23 @@
 				time.AfterFunc(500*time.Millisecond, func() { b.dialer.set(s.connect, nil) })
 				time.AfterFunc(1120*time.Millisecond, func() { b.dialer.set(0, nil) })
 				got := b.call(context.Background(), "/resume/a", nil)
-				if n := len(b.arrived()); got.whole != s.whole || s.whole && got.body != strings.Join(events(10), "") || n != 2 {
-					t.Errorf("whole %t after %v, body %q, %d arrivals", got.whole, got.took, got.body, n)
+				if n := len(b.arrived()); got.whole != s.complete || s.complete && got.body != strings.Join(events(10), "") || n != 2 {
+					t.Errorf("complete %t after %v, body %q, %d arrivals", got.whole, got.took, got.body, n)
 				}
 			})
 		})
 	}
 }
 
-// TestAFailureDoesNotEndASearchUnderWay: a target is silent, another one is at work on the request, and the first answers that it has
-// failed. The other would have answered it within the time that both may work.
+// TestFailureOfFirstTargetDoesNotEndSearch: a target is silent, another one runs the request, and the first one answers
+// with a failure. The other one would have answered within the time that both may run the request.
 //
-// What callers see: the first one's 500. The cause: any whole answer ends the search, also one that is to be repeated.
-func TestAFailureDoesNotEndASearchUnderWay(t *testing.T) {
+// It guards against callers getting the first target's 500: any complete answer ended the search, also one to be
+// retried.
+func TestFailureOfFirstTargetDoesNotEndSearch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, freely{}, delayed(400*time.Millisecond, says(500, "", "failed")), delayed(250*time.Millisecond, says(200, "", "yes")))
-		b.scheduler.stuck = "t1" // looked for elsewhere after 0.3 s
+		b.scheduler.stuck = "t1" // a search begins after 0.3 s
 		got := b.call(context.Background(), "/safe/a", nil)
 		if got.status != 200 || got.body != "yes" {
 			t.Errorf("status %d after %v, body %q, %d arrivals", got.status, got.took, got.body, len(b.arrived()))
@@ -85,8 +87,8 @@
 	})
 }
 
-// bulky streams large events without a pause, from one behind the last that the caller has, and tells when its connection has
-// ended, or it is through.
+// streamsLargeEvents streams large events without a pause, from the one after the last that the caller has. It calls ended
+// when its connection has ended or all events are sent.
 func streamsLargeEvents(count int, ended func()) engine {
 	return func(c net.Conn, r *http.Request) bool {
 		defer ended()
@@ -107,13 +109,13 @@
 	return fmt.Sprintf("id: %d\ndata: %s\n\n", n, strings.Repeat("e", 32<<10))
 }
 
-// TestACallerThatReadsSlowlyDoesNotLookLikeASilentTarget: a caller reads nothing for 3 s, so that the entry can't write to it, while
-// its target has the next event ready.
+// TestSlowCallerDoesNotStartSearch: a caller reads nothing for 3 s, so that the entry can't write to it, while its
+// target has the next event ready.
 //
-// What happens: a second target gets the request. Once it has taken over, the first one's connection stays open until the caller
-// reads on, and both work. The cause: the time that the caller takes counts as the target's silence, and whoever would close the first one's
-// connection is waiting for the caller.
-func TestACallerThatReadsSlowlyDoesNotLookLikeASilentTarget(t *testing.T) {
+// It guards against a second target getting the request, as the caller's delay counted as the target's silence. Both
+// targets then ran the request until the caller read on: the goroutine that closes the first connection was blocked on
+// the caller.
+func TestSlowCallerDoesNotStartSearch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const count = 30
 		var mu sync.Mutex
@@ -152,21 +154,21 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if both := firstEnded.Sub(arrived[1].at); both > maxOverlap {
-			t.Errorf("the first target kept the request for %v beside the other", both)
+			t.Errorf("both targets ran the request for %v", both)
 		}
 	})
 }
 
-// allow lets the routes' requests go to more targets.
+// allowAttempts sets the number of targets that a request of any route may be sent to.
 func (b *bed) allowAttempts(attempts int) {
 	for _, r := range b.routes {
 		r.Attempts = attempts
 	}
 }
 
-// TestOneTargetAfterAnotherBesideTheFirst: with three targets allowed a silent one goes on while a second and a third are tried in turn.
-// Counted without a gap, the request is at two targets for twice the time.
-func TestOneTargetAfterAnotherBesideTheFirst(t *testing.T) {
+// TestSearchesInSequenceLimitOverlap: with three targets allowed, a silent one goes on while a second and a third are
+// tried in sequence. Without a gap between the two, the request would run at two targets for twice the permitted time.
+func TestSearchesInSequenceLimitOverlap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		left := make(chan time.Time, 2)
 		other := func(c net.Conn, r *http.Request) bool {
@@ -178,7 +180,7 @@
 		b.allowAttempts(3)
 		got := b.call(context.Background(), "/resume/a", nil)
 		if !got.whole || got.body != strings.Join(events(10), "") {
-			t.Errorf("whole %t after %v, body %q", got.whole, got.took, got.body)
+			t.Errorf("complete %t after %v, body %q", got.whole, got.took, got.body)
 		}
 		arrived := b.arrived()
 		if len(arrived) != 3 {
@@ -187,16 +189,16 @@
 		secondLeft, thirdLeft := <-left, <-left
 		gap := arrived[2].at.Sub(secondLeft)
 		if both := thirdLeft.Sub(arrived[1].at); gap < 50*time.Millisecond && both > maxOverlap {
-			t.Errorf("the first target had the request for %v beside others, with a gap of %v", both, gap)
+			t.Errorf("two targets ran the request for %v, with a gap of %v", both, gap)
 		}
 	})
 }
 
-// TestOneConnectionThatTakesLongIsNoProofOfAnEnd: a target hesitates. Another one gets the request on a connection that is at hand,
-// and is slow. A new connection to the first one takes 0.3 s just then, as with one packet lost or a full backlog.
+// TestSlowConnectionDoesNotGiveUpTarget: a target pauses. Another one gets the request on an idle connection, and is
+// slow. A new connection to the first one takes 0.3 s at that moment, as after a lost packet or with a full backlog.
 //
-// What callers see: the stream is cut, though its first target works, and would have gone on.
-func TestOneConnectionThatTakesLongIsNoProofOfAnEnd(t *testing.T) {
+// It guards against a stream that is broken off although its first target is healthy and would have gone on.
+func TestSlowConnectionDoesNotGiveUpTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		earlier := func(then, before engine) engine {
 			return func(c net.Conn, r *http.Request) bool {
@@ -211,34 +213,34 @@
 		time.AfterFunc(500*time.Millisecond, func() { b.dialer.set(300*time.Millisecond, nil) })
 		got := b.call(context.Background(), "/resume/a", nil)
 		if !got.whole || got.body != strings.Join(events(10), "") {
-			t.Errorf("whole %t after %v, body %q, %d arrivals", got.whole, got.took, got.body, len(b.arrived()))
+			t.Errorf("complete %t after %v, body %q, %d arrivals", got.whole, got.took, got.body, len(b.arrived()))
 		}
 	})
 }
 
-// TestAnEventJustAsTheFirstIsGivenUp: nobody listens at a target's address any more, and it gives its next event just as it is given
-// up for another one. The other one is not let go for that.
-func TestAnEventJustAsTheFirstIsGivenUp(t *testing.T) {
+// TestEventAtMomentOfGivingUpKeepsReplacement: nothing listens at a target's address any more, and the target sends its
+// next event just as it is given up for another one. The other one must be kept.
+func TestEventAtMomentOfGivingUpKeepsReplacement(t *testing.T) {
 	for n := range repetitions {
-		t.Run(fmt.Sprint("play ", n), func(t *testing.T) {
+		t.Run(fmt.Sprint("repetition ", n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newBed(t, freely{}, pausesMidStream(1330*time.Millisecond), delayed(500*time.Millisecond, streams(0)))
 				time.AfterFunc(500*time.Millisecond, func() { _ = b.listeners[0].Close() })
 				got := b.call(context.Background(), "/resume/a", nil)
 				if !got.whole || got.body != strings.Join(events(10), "") {
-					t.Errorf("whole %t after %v, body %q, %d arrivals", got.whole, got.took, got.body, len(b.arrived()))
+					t.Errorf("complete %t after %v, body %q, %d arrivals", got.whole, got.took, got.body, len(b.arrived()))
 				}
 			})
 		})
 	}
 }
 
-// plays is how often a moment is played at which two things happen at once: which comes first is chance.
+// repetitions is how often a test repeats a race of two events whose order is chance.
 const repetitions = 200
 
-// TestTheFirstDeclinesJustAsTheOtherAnswers: what a target has run counts among those that a request may reach, and is never told as not
-// run, also if the first declines at that moment.
-func TestTheFirstDeclinesJustAsTheOtherAnswers(t *testing.T) {
+// TestFirstDeclinesAsReplacementAnswers: a target that has run the request counts against the targets allowed, and the
+// request is never reported as not run, also if the first target declines at the moment when the other one answers.
+func TestFirstDeclinesAsReplacementAnswers(t *testing.T) {
 	cases := []struct {
 		name   string
 		others []engine
@@ -248,7 +250,7 @@
 	}
 	for _, s := range cases {
 		for n := range repetitions {
-			t.Run(fmt.Sprint(s.name, ", play ", n), func(t *testing.T) {
+			t.Run(fmt.Sprint(s.name, ", repetition ", n), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					first := delayed(500*time.Millisecond, says(503, "Not-Run: 1\r\n", ""))
 					b := newBed(t, freely{}, append([]engine{first}, s.others...)...)
@@ -263,12 +265,12 @@
 	}
 }
 
-// TestASearchHeedsTheHome: the first target is gone, and so is the second, on a connection that is at hand; its home tells that. A
-// third one is free, and allowed.
+// TestSearchFollowsOwner: the first target is gone, and so is the second, which the search reaches on an idle
+// connection. The owner of the service reports that the second gives no response. A third target is free and allowed.
 //
-// What callers see: nothing more until they give up. The cause: a search does not hear what the home says of the target that it asks,
-// and has no bound of its own once the first is gone.
-func TestASearchHeedsTheHome(t *testing.T) {
+// It guards against callers getting nothing more until they give up: a search did not follow the owner's reports on the
+// target that it tries, and has no time limit of its own once the first target is gone.
+func TestSearchFollowsOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, freely{}, goesSilent(func() {}), silent, streams(0))
 		b.allowAttempts(3)
@@ -276,13 +278,14 @@
 		time.AfterFunc(500*time.Millisecond, func() { _ = b.listeners[0].Close() })
 		got := b.call(context.Background(), "/resume/a", nil)
 		if !got.whole || got.took > 3*time.Second {
-			t.Errorf("whole %t after %v, body %q, %d arrivals", got.whole, got.took, got.body, len(b.arrived()))
+			t.Errorf("complete %t after %v, body %q, %d arrivals", got.whole, got.took, got.body, len(b.arrived()))
 		}
 	})
 }
 
-// TestAFailureIsNotGivenToACallerThatHasLeft: a target's failure that is kept for the caller goes to nobody once the caller has left.
-func TestAFailureIsNotGivenToACallerThatHasLeft(t *testing.T) {
+// TestHeldFailureNotSentToGoneCaller: a target's failure that is kept for the caller is not answered once the caller
+// has left.
+func TestHeldFailureNotSentToGoneCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, freely{}, says(500, "", "failed"), silent)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -297,49 +300,49 @@
 	})
 }
 
-// TestSearchesWithoutEndUnderALongSilence: a request that stays silent and may not be repeated looks for another target now and then, and
-// holds no leave meanwhile.
-func TestSearchesWithoutEndUnderALongSilence(t *testing.T) {
+// TestRepeatedSearchesDuringLongSilence: the target of a request stays silent and no other target can be reached.
+// Searches are repeated from time to time, and hold no retry of the budget in between.
+func TestRepeatedSearchesDuringLongSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, freely{}, pausesMidStream(4*time.Second), nil)
 		b.eachRoute(func(r *routing.Route) { r.Timeout = 20 * clock.Second })
 		got := b.call(context.Background(), "/resume/a", nil)
 		if !got.whole {
-			t.Errorf("whole %t after %v", got.whole, got.took)
+			t.Errorf("complete %t after %v", got.whole, got.took)
 		}
 		b.scheduler.mu.Lock()
 		defer b.scheduler.mu.Unlock()
 		if b.scheduler.acquires > 5 {
-			t.Errorf("%d asks for places", b.scheduler.acquires)
+			t.Errorf("%d acquired assignments, want 5 at most", b.scheduler.acquires)
 		}
 	})
 }
 
-// TestAnEntryThatReachesNobodyGivesNobodyUp: a target hesitates, and just then no connection that the entry makes comes about, to
-// whomever. That says nothing of the target.
-func TestAnEntryThatReachesNobodyGivesNobodyUp(t *testing.T) {
+// TestUnreachableNetworkDoesNotGiveUpTarget: a target pauses, and at the same time the entry can't connect to any
+// target. That says nothing about the first target.
+func TestUnreachableNetworkDoesNotGiveUpTarget(t *testing.T) {
 	for n := range repetitions {
-		t.Run(fmt.Sprint("play ", n), func(t *testing.T) {
+		t.Run(fmt.Sprint("repetition ", n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newBed(t, freely{}, pausesMidStream(2*time.Second), streams(0), streams(0))
 				time.AfterFunc(500*time.Millisecond, func() { b.dialer.set(10*time.Second, nil) })
 				got := b.call(context.Background(), "/resume/a", nil)
 				if !got.whole || got.body != strings.Join(events(10), "") {
-					t.Errorf("whole %t after %v, body %q, %d arrivals", got.whole, got.took, got.body, len(b.arrived()))
+					t.Errorf("complete %t after %v, body %q, %d arrivals", got.whole, got.took, got.body, len(b.arrived()))
 				}
 			})
 		})
 	}
 }
 
-// TestASearchGoesByTheRouteInForce: while a target is silent its route is changed, so that requests may not be sent to another target any
-// more. None is.
-func TestASearchGoesByTheRouteInForce(t *testing.T) {
+// TestSearchUsesRouteInForce: while a target is silent the route is changed so that its requests may not be sent to
+// another target any more. The search must not send it.
+func TestSearchUsesRouteInForce(t *testing.T) {
 	changes := []struct {
 		name string
 		do   func(*routing.Route)
 	}{
-		{"one target each", func(r *routing.Route) { r.Attempts = 1 }},
+		{"one attempt", func(r *routing.Route) { r.Attempts = 1 }},
 		{"no resumption", func(r *routing.Route) { r.Resumable = false }},
 	}
 	for _, s := range changes {
@@ -349,16 +352,16 @@
 				time.AfterFunc(200*time.Millisecond, func() { b.eachRoute(s.do) })
 				got := b.call(context.Background(), "/resume/a", nil)
 				if n := len(b.arrived()); !got.whole || n != 1 {
-					t.Errorf("whole %t after %v, %d arrivals", got.whole, got.took, n)
+					t.Errorf("complete %t after %v, %d arrivals", got.whole, got.took, n)
 				}
 			})
 		})
 	}
 }
 
-// TestWhatTheOtherHasSaidIsPassedOnAtOnce: a target that is gone has been replaced, and the other's first event is there. It does not
-// wait for the question whether the first one's process has ended.
-func TestWhatTheOtherHasSaidIsPassedOnAtOnce(t *testing.T) {
+// TestReplacementEventsRelayedWithoutDelay: a target that is gone has been replaced, and the first event of the other
+// target has arrived. It is relayed before it is known whether the process of the first target has ended.
+func TestReplacementEventsRelayedWithoutDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		earlier := func(then, before engine) engine {
 			return func(c net.Conn, r *http.Request) bool {
@@ -392,23 +395,23 @@
 			}
 		}
 		arrived := b.arrived()
-		const most = 20 * time.Millisecond
-		if late := time.Since(arrived[len(arrived)-1].at); late > most {
-			t.Errorf("the other's first event was passed on after %v", late)
+		const maxDelay = 20 * time.Millisecond
+		if late := time.Since(arrived[len(arrived)-1].at); late > maxDelay {
+			t.Errorf("the other target's first event was relayed after %v", late)
 		}
 		_, _ = io.Copy(io.Discard, lines)
 	})
 }
 
-// TestARowWithoutAStartIsNoNewStart: while a target streams, the list comes to tell its start, or no longer does, as its field is
-// optional. Nothing says that the process has changed.
-func TestARowWithoutAStartIsNoNewStart(t *testing.T) {
+// TestStartAppearingOrDisappearingIsNoRestart: while a target streams, its row gains or loses the start, which is an
+// optional field. That does not mean that the process was restarted.
+func TestStartAppearingOrDisappearingIsNoRestart(t *testing.T) {
 	cases := []struct {
 		name          string
 		before, later ids.Start
 	}{
-		{"the start is told from now on", 0, formerStart},
-		{"the start is no longer told", formerStart, 0},
+		{"the start appears", 0, formerStart},
+		{"the start disappears", formerStart, 0},
 	}
 	for _, s := range cases {
 		t.Run(s.name, func(t *testing.T) {
@@ -418,18 +421,19 @@
 				time.AfterFunc(300*time.Millisecond, func() { b.list(func(t *routing.Target) { t.Start = s.later }) })
 				got := b.call(context.Background(), "/stream/a", nil)
 				if !got.whole || got.body != strings.Join(events(10), "") {
-					t.Errorf("whole %t after %v, body %q", got.whole, got.took, got.body)
+					t.Errorf("complete %t after %v, body %q", got.whole, got.took, got.body)
 				}
 			})
 		})
 	}
 }
 
-// TestARefusalThatComesLateIsOneAllTheSame: a target's process has ended, and its VM refuses connections 0.1 s after they are asked for, as
-// one in another region. Another target needs longer than both may work. The caller gets the rest from that.
+// TestLateConnectionRefusalGivesUpTarget: a target's process has ended, and its VM refuses connections after 0.1 s, as
+// one in another region does. Another target needs longer than the time for two concurrent runs. The caller gets the
+// rest from that target.
 //
-// What callers saw: the stream was cut. The cause: only a refusal within the first 60 ms was heeded.
-func TestARefusalThatComesLateIsOneAllTheSame(t *testing.T) {
+// It guards against a stream that is broken off because only a refusal within the first 60 ms counted.
+func TestLateConnectionRefusalGivesUpTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, freely{}, goesSilent(func() {}), delayed(600*time.Millisecond, streams(0)))
 		time.AfterFunc(500*time.Millisecond, func() {
@@ -438,7 +442,7 @@
 		})
 		got := b.call(context.Background(), "/resume/a", nil)
 		if !got.whole || got.body != strings.Join(events(10), "") {
-			t.Errorf("whole %t after %v, body %q, %d arrivals", got.whole, got.took, got.body, len(b.arrived()))
+			t.Errorf("complete %t after %v, body %q, %d arrivals", got.whole, got.took, got.body, len(b.arrived()))
 		}
 	})
 }
--- a/pkg/ingress/suspension_test.go
+++ b/pkg/ingress/suspension_test.go
@@ -11,29 +11,29 @@
 	"quaydock/pkg/routing"
 )
 
-// TestASuspendedEntryWakes: a VM was suspended for seconds, in which the steady clock stands. What its
-// entry had proved before looked as young as if nothing had been, so that it took removed keys for good,
-// and timers of requests that it held had all their time left. The clock that counts suspensions
-// decides once it wakes.
-func TestASuspendedEntryWakes(t *testing.T) {
+// TestChecksAfterVMSuspension: a VM is suspended for seconds, during which the monotonic clock does not advance. The
+// freshness that its entry had before looked as recent as without the suspension, so that removed keys were accepted,
+// and the timers of its requests had all their time left. The clock that counts suspensions must decide after the VM
+// resumes.
+func TestChecksAfterVMSuspension(t *testing.T) {
 	for _, length := range []clock.Millis{500, 2 * clock.Second, 4500, 20 * clock.Second} {
 		scenarios := []struct {
 			name    string
 			path    string
-			place   time.Duration // how long the request waits for a place; it is suspended meanwhile
+			place   time.Duration // how long the request waits for an assignment; the VM is suspended during that time
 			status  int
 			arrived int
 		}{
-			// Of 5 s in which a removed key may still be used, 4.25 s are trusted without a proof.
+			// Of the 5 s in which a removed key may still be used, 4.25 s are the grace without freshness.
 			{"before a request with a key", "/unsafe/a", 0, statusUnless(length > 4250, 503), arrivedUnless(length > 4250)},
 			{"before a request without a key", "/open/a", 0, 200, 1},
-			{"while a request waits for its place", "/open/a", time.Second, statusUnless(length > 4000, 503), arrivedUnless(length > 4000)},
-			{"while a request with a key waits for its place", "/unsafe/a", time.Second, statusUnless(length > 3250, 503), arrivedUnless(length > 3250)},
+			{"while a request waits for its assignment", "/open/a", time.Second, statusUnless(length > 4000, 503), arrivedUnless(length > 4000)},
+			{"while a request with a key waits for its assignment", "/unsafe/a", time.Second, statusUnless(length > 3250, 503), arrivedUnless(length > 3250)},
 		}
 		for _, s := range scenarios {
 			t.Run(fmt.Sprint(s.name, ", for ", length, " ms"), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					b := newBed(t, freely{}, says(200, "", "whole"))
+					b := newBed(t, freely{}, says(200, "", "complete"))
 					b.scheduler.delay = s.place
 					if s.place > 0 {
 						time.AfterFunc(s.place/2, func() { b.suspension.Add(length) })
@@ -64,11 +64,11 @@
 	return 1
 }
 
-// TestTheTimeLeftAfterASuspension: a target is told what is left of a request's time, not what would be
-// had the clock stood.
-func TestTheTimeLeftAfterASuspension(t *testing.T) {
+// TestRemainingTimeAfterSuspension: a target gets the remaining time of a request with the suspension counted, not as
+// if the clock had stopped during it.
+func TestRemainingTimeAfterSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, freely{}, says(200, "", "whole"))
+		b := newBed(t, freely{}, says(200, "", "complete"))
 		b.routes = append(b.routes, &routing.Route{
 			Name: "long", Host: "h", Prefix: "/long/", Kind: routing.Safe, Timeout: 30 * clock.Second, Objective: 500, Attempts: 1, Anonymous: true,
 			Split: []routing.Share{{Service: "s", Weight: 1}},
