--- a/pkg/ingress/endings_table_test.go
+++ b/pkg/ingress/endings_table_test.go
@@ -23,16 +23,16 @@
 	"quaydock/pkg/routing"
 )
 
-// What callers saw: an answer that had begun was cut, and its target would have gone on; a change of the configuration stood beside
-// it. The change was chance, and the cause that the entry gave a silent target up before it had another one. Whether
-// anything else that happens to an entry ends what is under way was known for few cases. Here each step of a request meets each of
-// them. A request that was allowed when it was sent runs to its end; what changes holds for the next one to be sent.
+// These tests combine each step of a request with each disturbance that an entry may meet. They were written after an
+// answer was broken off although its target would have gone on: the entry had given a silent target up before it had
+// another one, while a simultaneous change of the configuration turned out to be unrelated. A request that was allowed
+// when it was sent runs to its end; changes apply to the next one to be sent.
 
-// step is how far a request has come.
-type step int
+// requestStep is how far a request has come.
+type requestStep int
 
 const (
-	stepWaiting step = iota
+	stepWaiting requestStep = iota
 	stepConnecting
 	stepSent
 	stepHead
@@ -41,13 +41,13 @@
 	stepLongBody
 )
 
-// steps are all of them, and the kinds of requests that come to them.
+// steps lists all steps, with the paths of the requests that reach them.
 var steps = []struct {
-	step  step
+	step  requestStep
 	name  string
 	paths []string
 }{
-	{stepWaiting, "waits for a place", []string{"/unsafe/a", "/safe/a", "/stream/a", "/resume/a"}},
+	{stepWaiting, "waits for an assignment", []string{"/unsafe/a", "/safe/a", "/stream/a", "/resume/a"}},
 	{stepConnecting, "connects", []string{"/unsafe/a", "/safe/a", "/stream/a", "/resume/a"}},
 	{stepSent, "is sent", []string{"/unsafe/a", "/safe/a", "/stream/a", "/resume/a"}},
 	{stepHead, "has its answer's head", []string{"/unsafe/a", "/safe/a", "/stream/a", "/resume/a"}},
@@ -56,10 +56,10 @@
 	{stepLongBody, "has a part of a long answer", []string{"/unsafe/a", "/safe/a"}},
 }
 
-// pausesAt answers a request, and does nothing for a while once it has come to a step.
-func pausesAt(at step, pause time.Duration) engine {
+// pausesAt answers a request, and pauses at the given step.
+func pausesAt(at requestStep, pause time.Duration) engine {
 	return func(c net.Conn, r *http.Request) bool {
-		wait := func(s step) {
+		wait := func(s requestStep) {
 			if s == at {
 				time.Sleep(pause)
 			}
@@ -69,7 +69,7 @@
 		if strings.HasPrefix(r.URL.Path, "/stream/") || strings.HasPrefix(r.URL.Path, "/resume/") {
 			return streamsWith(c, r, head, wait)
 		}
-		body := answerTo(at, r.URL.Path)
+		body := completeAnswer(at, r.URL.Path)
 		_, _ = fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", head, len(body))
 		wait(stepHead)
 		part := min(len(body), longPart)
@@ -80,7 +80,7 @@
 	}
 }
 
-func streamsWith(c net.Conn, r *http.Request, head string, wait func(step)) bool {
+func streamsWith(c net.Conn, r *http.Request, head string, wait func(requestStep)) bool {
 	_, _ = io.WriteString(c, head+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
 	wait(stepHead)
 	last, _ := strconv.Atoi(r.Header.Get("Last"))
@@ -99,8 +99,8 @@
 	return err == nil
 }
 
-// answerTo is the whole answer to a request.
-func answerTo(at step, path string) string {
+// completeAnswer returns the body of the complete answer to a request.
+func completeAnswer(at requestStep, path string) string {
 	switch {
 	case strings.HasPrefix(path, "/stream/") || strings.HasPrefix(path, "/resume/"):
 		return strings.Join(events(10), "")
@@ -110,51 +110,51 @@
 	return "yes"
 }
 
-// fate is what becomes of a request.
-type fate int
+// callerOutcome is what the caller gets for a request.
+type callerOutcome int
 
 const (
-	fateWhole fate = iota // its caller gets a whole answer of a target
-	fateTold              // its caller is told that it has not run, and when to come back
-	fateCut               // it may have run, and its caller gets no whole answer
+	outcomeComplete callerOutcome = iota // a complete answer of a target
+	outcomeRefused                       // a refusal that says that the request has not run, and when to come back
+	outcomeBroken                        // no complete answer, and the request may have run
 )
 
-// happening is something that may end a request, and must not, unless its fate says so.
-type happening struct {
+// disturbance is an event that must not end a request unless its outcome says so.
+type disturbance struct {
 	name    string
-	prepare func(*bed) // before the request comes
+	prepare func(*bed) // before the request arrives
 	do      func(*bed) // while it is at a step
-	fate    func(at step, path string) fate
+	outcome func(at requestStep, path string) callerOutcome
 }
 
-// notSent is the fate of requests that no longer may be sent: the others run to their end.
-func notSent(at step, _ string) fate {
+// refusedUnlessSent is the outcome of a change that forbids to send the request: one already sent runs to its end.
+func refusedUnlessSent(at requestStep, _ string) callerOutcome {
 	if at == stepWaiting {
-		return fateTold
+		return outcomeRefused
 	}
-	return fateWhole
+	return outcomeComplete
 }
 
-func whole(step, string) fate { return fateWhole }
+func alwaysComplete(requestStep, string) callerOutcome { return outcomeComplete }
 
-// anotherLife is the fate of requests whose target has started again: nobody works on them any more.
-func anotherLife(at step, path string) fate {
+// afterRestart is the outcome of requests whose target was restarted: nothing runs them any more.
+func afterRestart(at requestStep, path string) callerOutcome {
 	resumable, safe := strings.HasPrefix(path, "/resume/"), strings.HasPrefix(path, "/safe/")
 	if at <= stepConnecting || resumable || safe && at != stepLongBody {
-		return fateWhole
+		return outcomeComplete
 	}
-	return fateCut
+	return outcomeBroken
 }
 
-// theEnd is the fate of requests that are left when the process ends.
-func theEnd(at step, _ string) fate {
+// afterProcessEnd is the outcome of requests that are in progress when the entry's process ends.
+func afterProcessEnd(at requestStep, _ string) callerOutcome {
 	if at <= stepConnecting {
-		return fateTold
+		return outcomeRefused
 	}
-	return fateCut
+	return outcomeBroken
 }
 
-// eachRoute changes all routes of the configuration.
+// eachRoute changes all routes, and applies the configuration.
 func (b *bed) eachRoute(change func(*routing.Route)) {
 	for i, r := range b.routes {
 		changed := *r
@@ -164,81 +164,81 @@
 	b.configure(2)
 }
 
-// endUnder has targets end under the request that the table makes.
-func (b *bed) endUnder(path string, targets int) {
+// endTargets reports target ends under the request of the table to the quarantine.
+func (b *bed) endTargets(path string, targets int) {
 	request := quarantine.Request{Digest: quarantine.Identify("acme", path, []byte("question")), Account: "acme", Route: ids.Route(strings.Split(path, "/")[1])}
 	for n := range targets {
 		b.guard.Ended(quarantine.Run{Request: request, Incarnation: ids.TargetIncarnation{Target: ids.Target(fmt.Sprint("ended", n))}, Again: n > 0})
 	}
 }
 
-var happenings = []happening{
-	{"nothing", nil, func(*bed) {}, whole},
-	{"settings with a shorter bound on keys", nil, func(b *bed) { b.controller.SetKeyGrace(ingress.KeyGrace{Limit: 1, Strict: true}) }, notSent},
-	{"settings without leave to repeat", nil, func(b *bed) { b.retries.SetBounds(quota.RetryBounds{Window: 10 * clock.Second}) }, whole},
-	{"its key is taken away", nil, func(b *bed) {
+var disturbances = []disturbance{
+	{"nothing", nil, func(*bed) {}, alwaysComplete},
+	{"settings with a shorter key grace", nil, func(b *bed) { b.controller.SetKeyGrace(ingress.KeyGrace{Limit: 1, Strict: true}) }, refusedUnlessSent},
+	{"settings without retries", nil, func(b *bed) { b.retries.SetBounds(quota.RetryBounds{Window: 10 * clock.Second}) }, alwaysComplete},
+	{"its key is removed", nil, func(b *bed) {
 		b.accounts = []*routing.Account{{Name: "acme", Keys: []string{"another"}}}
 		b.configure(2)
-	}, notSent},
-	{"its account is gone", nil, func(b *bed) { b.accounts = b.accounts[1:]; b.configure(2) }, notSent},
+	}, refusedUnlessSent},
+	{"its account is removed", nil, func(b *bed) { b.accounts = b.accounts[1:]; b.configure(2) }, refusedUnlessSent},
 	{"its account gets a limit", nil, func(b *bed) {
 		b.accounts = []*routing.Account{{Name: "acme", Keys: []string{"key"}, PerSecond: 0.001, Burst: 0.001}}
 		b.configure(2)
-	}, whole},
-	{"its route is taken away", nil, func(b *bed) { b.routes = nil; b.configure(2) }, notSent},
-	{"its route leads elsewhere", nil, func(b *bed) {
+	}, alwaysComplete},
+	{"its route is removed", nil, func(b *bed) { b.routes = nil; b.configure(2) }, refusedUnlessSent},
+	{"its route leads to another service", nil, func(b *bed) {
 		b.eachRoute(func(r *routing.Route) { r.Split = []routing.WeightedService{{Service: "other", Weight: 1}} })
-	}, notSent},
-	{"the time-out of its route is shortened", nil, func(b *bed) { b.eachRoute(func(r *routing.Route) { r.Timeout = 100 }) }, whole},
+	}, refusedUnlessSent},
+	{"the time-out of its route is shortened", nil, func(b *bed) { b.eachRoute(func(r *routing.Route) { r.Timeout = 100 }) }, alwaysComplete},
 	{"its route may not be repeated any more", nil, func(b *bed) {
 		b.eachRoute(func(r *routing.Route) { r.Attempts, r.Resumable = 1, false })
-	}, whole},
+	}, alwaysComplete},
 	{"its body would be too long now", nil, func(b *bed) {
 		b.view.SetCatalog(routing.NewCatalog(2, routing.Limits{BodyBytes: 1}, b.routes, nil, b.accounts))
-	}, whole},
-	{"the list forgets its target", nil, func(b *bed) { b.lapse() }, whole},
-	{"the list forgets all targets", nil, func(b *bed) { b.view.SetDirectory(routing.NewDirectory(nil)) }, whole},
-	{"the list says that its target leaves", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Leaving = true }) }, whole},
-	{"the list has its target elsewhere", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Address = "10.0.9.9:80" }) }, whole},
-	{"the list has its target in another service", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Service = "other" }) }, func(at step, _ string) fate {
-		return notSent(at, "")
+	}, alwaysComplete},
+	{"its target is removed from the list", nil, func(b *bed) { b.expireFirst() }, alwaysComplete},
+	{"all targets are removed from the list", nil, func(b *bed) { b.view.SetDirectory(routing.NewDirectory(nil)) }, alwaysComplete},
+	{"its target is listed as leaving", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Leaving = true }) }, alwaysComplete},
+	{"its target is listed with another address", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Address = "10.0.9.9:80" }) }, alwaysComplete},
+	{"its target is listed in another service", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Service = "other" }) }, func(at requestStep, _ string) callerOutcome {
+		return refusedUnlessSent(at, "")
 	}},
-	{"its target's version may get nothing any more", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Admission = routing.Withheld }) }, whole},
-	{"its target has started again", nil, (*bed).restart, anotherLife},
-	{"its target says that it leaves", nil, func(b *bed) {
+	{"its target's version is withheld", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Admission = routing.Withheld }) }, alwaysComplete},
+	{"its target was restarted", nil, (*bed).restart, afterRestart},
+	{"its target reports that it is leaving", nil, func(b *bed) {
 		b.advice.Observe(ids.TargetIncarnation{Target: "t1", Start: formerStart}, 0, "other", advisory.Advice{Leaving: true})
-	}, whole},
-	{"its target asks for rest", nil, func(b *bed) {
+	}, alwaysComplete},
+	{"its target asks for back-off", nil, func(b *bed) {
 		b.advice.Observe(ids.TargetIncarnation{Target: "t1", Start: formerStart}, 0, "other", advisory.Advice{Backoff: 10 * clock.Second})
-	}, whole},
-	{"the VM was suspended for 3 s", nil, func(b *bed) { b.suspension.Add(3 * clock.Second) }, whole},
-	{"the VM was suspended for 20 s", nil, func(b *bed) { b.suspension.Add(20 * clock.Second) }, notSent},
-	{"the home of the service tells it to move", func(b *bed) { b.scheduler.stuck = "t1" }, func(*bed) {}, whole},
-	{"the home of the service refuses all further", nil, func(b *bed) { b.scheduler.later(true, 0) }, whole},
-	{"the home of the service is gone", nil, func(b *bed) { b.scheduler.later(false, time.Minute) }, whole},
-	{"the entry is stopped", nil, func(b *bed) {
+	}, alwaysComplete},
+	{"the VM was suspended for 3 s", nil, func(b *bed) { b.suspension.Add(3 * clock.Second) }, alwaysComplete},
+	{"the VM was suspended for 20 s", nil, func(b *bed) { b.suspension.Add(20 * clock.Second) }, refusedUnlessSent},
+	{"the owner of the service re-dispatches it", func(b *bed) { b.scheduler.stuck = "t1" }, func(*bed) {}, alwaysComplete},
+	{"the owner of the service refuses all further requests", nil, func(b *bed) { b.scheduler.setRepeats(true, 0) }, alwaysComplete},
+	{"the owner of the service is gone", nil, func(b *bed) { b.scheduler.setRepeats(false, time.Minute) }, alwaysComplete},
+	{"the entry is drained", nil, func(b *bed) {
 		b.controller.Leave(ingress.Stop{RestrictsFrom: b.clock.Now() + clock.Second, EndsAt: b.clock.Now() + 8*clock.Second})
-	}, whole},
-	{"the entry is stopped, with a short grace", nil, func(b *bed) {
+	}, alwaysComplete},
+	{"the entry is drained within a short time", nil, func(b *bed) {
 		b.controller.Leave(ingress.Stop{RestrictsFrom: b.clock.Now(), EndsAt: b.clock.Now() + 3*clock.Second})
-	}, notSent},
-	{"the entry ends", nil, func(b *bed) { b.controller.End() }, theEnd},
-	{"no descriptor is left", nil, func(b *bed) { b.dialling.set(0, syscall.EMFILE) }, notSent},
+	}, refusedUnlessSent},
+	{"the entry ends", nil, func(b *bed) { b.controller.End() }, afterProcessEnd},
+	{"no descriptor is left", nil, func(b *bed) { b.dialer.set(0, syscall.EMFILE) }, refusedUnlessSent},
 	{"memory is short", func(b *bed) {
 		before := debug.SetMemoryLimit(-1)
 		b.t.Cleanup(func() { debug.SetMemoryLimit(before) })
-	}, func(*bed) { debug.SetMemoryLimit(1) }, whole},
-	{"it is suspected of ending its targets", nil, func(b *bed) { b.endUnder(b.path, 1) }, whole},
-	{"it is held back, as targets have ended under it", nil, func(b *bed) { b.endUnder(b.path, 3) }, notSent},
+	}, func(*bed) { debug.SetMemoryLimit(1) }, alwaysComplete},
+	{"it is suspected of ending its targets", nil, func(b *bed) { b.endTargets(b.path, 1) }, alwaysComplete},
+	{"it is quarantined, as targets have ended under it", nil, func(b *bed) { b.endTargets(b.path, 3) }, refusedUnlessSent},
 }
 
-func TestWhatEndsARequestUnderWay(t *testing.T) {
+func TestDisturbancesOfRequestInProgress(t *testing.T) {
 	for _, s := range steps {
 		for _, path := range s.paths {
-			for _, h := range happenings {
+			for _, h := range disturbances {
 				for _, pause := range pauses(s.step) {
 					t.Run(fmt.Sprintf("%s %s, %v; %s", path, s.name, pause, h.name), func(t *testing.T) {
-						synctest.Test(t, func(t *testing.T) { meets(t, s.step, path, pause, h.prepare, h.do, h.fate(s.step, path)) })
+						synctest.Test(t, func(t *testing.T) { checkDisturbance(t, s.step, path, pause, h.prepare, h.do, h.outcome(s.step, path)) })
 					})
 				}
 			}
@@ -246,9 +246,9 @@
 	}
 }
 
-// pauses are for how long a target does nothing at a step: within a target's usual gaps, and for so long that another one
-// is looked for.
-func pauses(at step) []time.Duration {
+// pauses returns for how long a target pauses at a step: within a target's usual event gap, and so long that a search for
+// another one begins.
+func pauses(at requestStep) []time.Duration {
 	switch at {
 	case stepWaiting, stepConnecting:
 		return []time.Duration{0}
@@ -259,8 +259,8 @@
 	return []time.Duration{600 * time.Millisecond, 1500 * time.Millisecond}
 }
 
-// TestAllThatEndsNothingTogether has a request that was sent meet all that ends nothing at once.
-func TestAllThatEndsNothingTogether(t *testing.T) {
+// TestAllHarmlessDisturbancesTogether applies all disturbances that must not end a request that was sent at once.
+func TestAllHarmlessDisturbancesTogether(t *testing.T) {
 	for _, s := range steps {
 		if s.step < stepSent {
 			continue
@@ -270,20 +270,20 @@
 				t.Run(fmt.Sprintf("%s %s, %v", path, s.name, pause), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
 						all := func(b *bed) {
-							for _, h := range happenings {
-								if h.fate(s.step, path) == fateWhole && h.fate(stepSent, "/unsafe/a") == fateWhole {
+							for _, h := range disturbances {
+								if h.outcome(s.step, path) == outcomeComplete && h.outcome(stepSent, "/unsafe/a") == outcomeComplete {
 									h.do(b)
 								}
 							}
 						}
 						prepare := func(b *bed) {
-							for _, h := range happenings {
+							for _, h := range disturbances {
 								if h.prepare != nil {
 									h.prepare(b)
 								}
 							}
 						}
-						meets(t, s.step, path, pause, prepare, all, fateWhole)
+						checkDisturbance(t, s.step, path, pause, prepare, all, outcomeComplete)
 					})
 				})
 			}
@@ -291,8 +291,8 @@
 	}
 }
 
-// meets has a request meet something at a step, and checks what its caller gets.
-func meets(t *testing.T, at step, path string, pause time.Duration, prepare, do func(*bed), want fate) {
+// checkDisturbance applies a disturbance to a request at a step, and checks what the caller gets.
+func checkDisturbance(t *testing.T, at requestStep, path string, pause time.Duration, prepare, do func(*bed), want callerOutcome) {
 	t.Helper()
 	const whileAtStep = 300 * time.Millisecond
 	b := newBed(t, freely{}, pausesAt(at, pause), pausesAt(at, 0))
@@ -303,7 +303,7 @@
 	case stepWaiting:
 		b.scheduler.delay = 2 * whileAtStep
 	case stepConnecting:
-		b.dialling.set(whileAtStep, nil)
+		b.dialer.set(whileAtStep, nil)
 		when = whileAtStep / 2
 	}
 	if prepare != nil {
@@ -312,20 +312,20 @@
 	time.AfterFunc(when, func() { do(b) })
 	got := b.call(context.Background(), path, nil)
 	arrived := len(b.arrived())
-	is := fateCut
+	outcome := outcomeBroken
 	switch {
-	case got.status == http.StatusOK && got.whole && got.body == answerTo(at, path):
-		is = fateWhole
+	case got.status == http.StatusOK && got.whole && got.body == completeAnswer(at, path):
+		outcome = outcomeComplete
 	case got.status == http.StatusServiceUnavailable && got.whole && got.header.Get("Retry-After") != "" && arrived == 0:
-		is = fateTold
+		outcome = outcomeRefused
 	case got.status == http.StatusOK && got.whole:
-		t.Error("an answer that is not whole looks so")
+		t.Error("an incomplete answer looks complete")
 	}
-	if is != want {
-		t.Errorf("fate %d, want %d: status %d, whole %t, %d bytes after %v, %d arrivals", is, want, got.status, got.whole, len(got.body), got.took, arrived)
+	if outcome != want {
+		t.Errorf("outcome %d, want %d: status %d, complete %t, %d bytes after %v, %d arrivals", outcome, want, got.status, got.whole, len(got.body), got.took, arrived)
 	}
-	most := map[string]int{"/unsafe/a": 1, "/stream/a": 1, "/safe/a": 2, "/resume/a": 2}[path]
-	if arrived > most {
+	maxArrivals := map[string]int{"/unsafe/a": 1, "/stream/a": 1, "/safe/a": 2, "/resume/a": 2}[path]
+	if arrived > maxArrivals {
 		t.Errorf("%d arrivals", arrived)
 	}
 }
