--- a/pkg/rollout/book_test.go
+++ b/pkg/rollout/book_test.go
@@ -177,7 +177,7 @@
 func ExampleOrder_Check() {
 	o := rollout.Order{Service: "depths", Version: "v2"}
 	fmt.Println(o.Check())
-	// Output: order without a time limit
+	// Output: order without a time
 }
 
 // TestVersionsNamedByAnotherWriterAreBounded has target rows name new services and versions again and again, which
--- a/pkg/rollout/order.go
+++ b/pkg/rollout/order.go
@@ -35,7 +35,7 @@
 	case o.Version == "":
 		return errors.New("order without a version")
 	case o.Within <= 0:
-		return errors.New("order without a time limit")
+		return errors.New("order without a time")
 	}
 	return nil
 }
