--- a/pkg/quarantine/accounts.go
+++ b/pkg/quarantine/accounts.go
@@ -7,118 +7,119 @@
 	"quaydock/pkg/ids"
 )
 
-// An account that sends ever other requests under which targets end on a route is suspected itself there: what these
-// have in common is who sends them. Of its requests on that route only those that were completed meanwhile run as
-// ever; all others run in turn, one at a time over all entries, and after each further end none of them does for a
-// while, twice as long each time.
+// An account that keeps sending new requests under which targets end on a route comes under suspicion there itself:
+// what these requests have in common is their sender. Of its requests on that route only those that have been
+// completed meanwhile run without restriction. All others run exclusively, one at a time over all entries, and after
+// each further target end none of them runs for a pause that doubles each time.
 
 const (
-	// suspectAccount is from how many requests of one account held back on that the first end under another one of
-	// it is enough, and the account is suspected.
-	suspectAccount = 4
-	// suspectWithin is within what time these were held back for the account to be suspected, and for how long it
-	// is after the last end.
-	suspectWithin = clock.Minute
-	// heldApart is how long after one request another one has to be held back to count: where all targets are lost at
-	// once, many innocent requests of one account are in the same moment, and the account would be suspected for them.
-	heldApart = 500 * clock.Millisecond
-	// firstPause and mostPause bound for how long nothing of a suspected account runs after an end.
-	firstPause = clock.Second
-	mostPause  = 30 * clock.Second
-	// mostSound bounds the requests of a suspected account that are known to be completed.
-	mostSound = 4096
+	// accountHeldThreshold is the number of quarantined requests of one account from which on the account is
+	// suspected, and from which on the first target end is enough to quarantine a further request.
+	accountHeldThreshold = 4
+	// accountWindow is the time within which these must have been quarantined for the account to be suspected, and how
+	// long it stays so after the last target end.
+	accountWindow = clock.Minute
+	// minHeldInterval is the minimum time between two quarantined requests that both count: if all targets are lost at
+	// once, many innocent requests of one account are quarantined at the same moment, and would bring the account
+	// under suspicion.
+	minHeldInterval = 500 * clock.Millisecond
+	// minPause and maxPause limit how long nothing of a suspected account runs after a target end.
+	minPause = clock.Second
+	maxPause = 30 * clock.Second
+	// maxSucceeded limits the requests of a suspected account that are remembered as completed.
+	maxSucceeded = 4096
 )
 
-// holdings is what is known of one account: how many records it has, how many of them are held back, and what it
-// does on each route.
-type holdings struct {
+// accountState is what is known of one account: the number of its records, how many of them are quarantined, and its
+// state on each route.
+type accountState struct {
 	records, held int
-	routes        map[ids.Route]*conduct
+	routes        map[ids.Route]*routeState
 }
 
-// on returns what is known of the account on a route.
-func (h *holdings) on(route ids.Route) *conduct {
+// route returns the state of the account on a route, and creates it if necessary.
+func (h *accountState) route(route ids.Route) *routeState {
 	c := h.routes[route]
 	if c == nil {
-		c = &conduct{}
+		c = &routeState{}
 		if h.routes == nil {
-			h.routes = make(map[ids.Route]*conduct)
+			h.routes = make(map[ids.Route]*routeState)
 		}
 		h.routes[route] = c
 	}
 	return c
 }
 
-// conduct is what an account does on one route.
-type conduct struct {
-	// heldAt are the moments at which the last ones were held back, the oldest first.
-	heldAt [suspectAccount]clock.Millis
-	// suspectUntil is until when the account is suspected, freeAt when its next request may run, and pause the time
-	// between the last end and that.
+// routeState is what is known of one account on one route.
+type routeState struct {
+	// heldAt are the moments at which the last requests were quarantined, the oldest first.
+	heldAt [accountHeldThreshold]clock.Millis
+	// The account is suspected until suspectUntil, and its next request may run at freeAt. pause is the time between
+	// the last target end and freeAt.
 	suspectUntil, freeAt, pause clock.Millis
-	sound                       map[Digest]bool
+	succeeded                   map[Digest]bool
 }
 
-// noteHeld notes that one more request is held back.
-func (c *conduct) noteHeld(now clock.Millis) {
-	if last := c.heldAt[suspectAccount-1]; last > 0 && now-last < heldApart {
+// recordHeld records that one more request has been quarantined.
+func (c *routeState) recordHeld(now clock.Millis) {
+	if last := c.heldAt[accountHeldThreshold-1]; last > 0 && now-last < minHeldInterval {
 		return
 	}
 	copy(c.heldAt[:], c.heldAt[1:])
-	c.heldAt[suspectAccount-1] = now
-	if c.heldAt[0] > 0 && now-c.heldAt[0] <= suspectWithin {
-		c.suspectUntil = now + suspectWithin
+	c.heldAt[accountHeldThreshold-1] = now
+	if c.heldAt[0] > 0 && now-c.heldAt[0] <= accountWindow {
+		c.suspectUntil = now + accountWindow
 	}
 }
 
-// noteEnd notes that a target has ended under a request.
-func (c *conduct) noteEnd(now clock.Millis) {
+// recordEnd records that a target has ended under a request.
+func (c *routeState) recordEnd(now clock.Millis) {
 	if !c.suspected(now) {
-		c.pause, c.sound = 0, nil
+		c.pause, c.succeeded = 0, nil
 		return
 	}
-	c.suspectUntil = now + suspectWithin
-	c.pause = min(mostPause, max(firstPause, 2*c.pause))
+	c.suspectUntil = now + accountWindow
+	c.pause = min(maxPause, max(minPause, 2*c.pause))
 	c.freeAt = now + c.pause
 }
 
-func (c *conduct) suspected(now clock.Millis) bool { return now < c.suspectUntil }
+func (c *routeState) suspected(now clock.Millis) bool { return now < c.suspectUntil }
 
-// noteSound notes that a request was completed. Where there are too many, those known so far have to prove
-// themselves again.
-func (c *conduct) noteSound(d Digest) {
-	if c.sound == nil || len(c.sound) >= mostSound {
-		c.sound = make(map[Digest]bool)
+// recordSuccess records that a request was completed. If there are too many, all known ones are dropped and have to be
+// completed again.
+func (c *routeState) recordSuccess(d Digest) {
+	if c.succeeded == nil || len(c.succeeded) >= maxSucceeded {
+		c.succeeded = make(map[Digest]bool)
 	}
-	c.sound[d] = true
+	c.succeeded[d] = true
 }
 
-// Suspected reports whether a request runs in the turn of its account, which is suspected, and in what time it may at
-// the soonest.
+// Suspected reports whether a request runs exclusively for its account, which is suspected, and how long it must wait
+// at least.
 func (r *Register) Suspected(now clock.Millis, q Request) (suspected bool, wait clock.Millis) {
 	if r.count.Load() == 0 {
 		return false, 0
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c := r.conduct(q)
-	if c == nil || !c.suspected(now) || c.sound[q.Digest] {
+	c := r.routeState(q)
+	if c == nil || !c.suspected(now) || c.succeeded[q.Digest] {
 		return false, 0
 	}
 	return true, max(0, c.freeAt-now)
 }
 
-// Sound notes that a request of an account was completed.
+// Succeeded records that a request of an account was completed.
 func (r *Register) Sound(now clock.Millis, q Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if c := r.conduct(q); c != nil && c.suspected(now) {
-		c.noteSound(q.Digest)
+	if c := r.routeState(q); c != nil && c.suspected(now) {
+		c.recordSuccess(q.Digest)
 	}
 }
 
-// conduct is what is known of a request's account on its route, or nil; the lock is held.
-func (r *Register) conduct(q Request) *conduct {
+// routeState returns what is known of a request's account on its route, or nil. The caller holds the lock.
+func (r *Register) routeState(q Request) *routeState {
 	h := r.accounts[q.Account]
 	if h == nil {
 		return nil
@@ -126,7 +127,7 @@
 	return h.routes[q.Route]
 }
 
-// accountDigest stands for all requests of an account on a route, where turns are given.
+// accountDigest stands for all requests of an account on a route when exclusive runs are granted.
 func accountDigest(q Request) Digest {
 	sum := sha256.Sum256([]byte("account\x00" + string(q.Account) + "\x00" + string(q.Route)))
 	return Digest(sum[:len(Digest{})])
--- a/pkg/quarantine/accounts_test.go
+++ b/pkg/quarantine/accounts_test.go
@@ -11,10 +11,10 @@
 	"quaydock/pkg/network"
 )
 
-// holdBack has a number of requests of an account held back on a route, one after the other, the last at a moment.
+// holdBack quarantines count requests of an account on a route, minHeldInterval apart, the last one at now.
 func holdBack(r *Register, now clock.Millis, from, count int) {
 	for n := from; n < from+count; n++ {
-		holdBackOne(r, now-clock.Millis(from+count-1-n)*heldApart, n)
+		holdBackOne(r, now-clock.Millis(from+count-1-n)*minHeldInterval, n)
 	}
 }
 
@@ -28,8 +28,9 @@
 
 func other(n int) Request { return Request{Digest: digest(n), Account: "acme", Route: "r"} }
 
-// TestWhenAnAccountIsSuspected: four requests of it on one route were held back within a minute. Other routes and
-// accounts are not suspected, what was completed meanwhile runs as ever, and rows that were read are no news.
+// TestWhenAnAccountIsSuspected checks that an account is suspected once four of its requests on one route were
+// quarantined within a minute. Other routes and accounts must not be suspected, requests completed meanwhile run
+// without restriction, and rows read from the store don't count.
 func TestWhenAnAccountIsSuspected(t *testing.T) {
 	const start = 1_000_000
 	scenarios := []struct {
@@ -45,14 +46,14 @@
 		{"four, a minute later", func(r *Register) { holdBack(r, start, 1, 4) }, other(9), clock.Minute, false},
 		{"another route", func(r *Register) { holdBack(r, start, 1, 4) }, Request{Digest: digest(9), Account: "acme", Route: "r2"}, 0, false},
 		{"another account", func(r *Register) { holdBack(r, start, 1, 4) }, Request{Digest: digest(9), Account: "other", Route: "r"}, 0, false},
-		{"completed meanwhile", func(r *Register) { holdBack(r, start, 1, 4); r.Sound(start, other(9)) }, other(9), 0, false},
+		{"completed since", func(r *Register) { holdBack(r, start, 1, 4); r.Sound(start, other(9)) }, other(9), 0, false},
 		{"completed before", func(r *Register) { r.Sound(start, other(9)); holdBack(r, start, 1, 4) }, other(9), 0, true},
-		{"all at once, as where all targets are lost", func(r *Register) {
+		{"all at once, as when all targets are lost", func(r *Register) {
 			for n := range 20 {
 				holdBackOne(r, start, n+1)
 			}
 		}, other(9), 0, false},
-		{"four, and one of them is completed after all", func(r *Register) { holdBack(r, start, 1, 4); r.Completed(start, digest(2)) }, other(9), 0, false},
+		{"four, one of them completed later", func(r *Register) { holdBack(r, start, 1, 4); r.Completed(start, digest(2)) }, other(9), 0, false},
 		{"rows of the store", func(r *Register) {
 			for n := 1; n <= 4; n++ {
 				row := Record{Digest: digest(n), Account: "acme", Route: "r", Ends: []End{{Life: life(2 * n)}, {Life: life(2*n + 1), Again: true}}}
@@ -70,50 +71,50 @@
 	}
 }
 
-// TestPausesOfASuspectedAccount: each further end stops its requests for twice as long, half a minute at the most; after
-// a minute without one it begins anew.
+// TestPausesOfASuspectedAccount checks that each further target end stops the account's requests for twice as long, up
+// to half a minute, and that the suspicion ends after a minute without one.
 func TestPausesOfASuspectedAccount(t *testing.T) {
 	const start = 1_000_000
 	r := NewRegister()
 	r.Know(0)
 	holdBack(r, start, 1, 4)
 	if _, wait := r.Suspected(start, other(99)); wait != 0 {
-		t.Errorf("a wait of %d ms before a further end", wait)
+		t.Errorf("wait of %d ms before a further end, want none", wait)
 	}
 	now, n := clock.Millis(start), 10
 	for _, want := range []clock.Millis{1, 2, 4, 8, 16, 30, 30} {
 		r.Join(now, &Record{Digest: digest(n), Account: "acme", Route: "r", Ends: []End{{Life: life(100 + n)}}})
 		n++
 		if _, wait := r.Suspected(now, other(99)); wait != want*clock.Second {
-			t.Errorf("a wait of %d ms, want %d s", wait, want)
+			t.Errorf("wait of %d ms, want %d s", wait, want)
 		}
 		now += want * clock.Second
 		if suspected, wait := r.Suspected(now, other(99)); !suspected || wait != 0 {
-			t.Errorf("at the end suspected %t, a wait of %d ms", suspected, wait)
+			t.Errorf("after the pause: suspected %t, wait of %d ms", suspected, wait)
 		}
 	}
-	now += suspectWithin
+	now += accountWindow
 	if suspected, _ := r.Suspected(now, other(99)); suspected {
-		t.Error("suspected for ever")
+		t.Error("still suspected after a minute without an end")
 	}
 }
 
-// TestRequestsOfASuspectedAccountRunOneAtATime: whichever they are; and what had got its place before its account
-// was suspected is asked again.
+// TestRequestsOfASuspectedAccountRunOneAtATime checks that all requests of a suspected account, whichever they are,
+// run one at a time, and that a run permitted before the account was suspected must be permitted again.
 func TestRequestsOfASuspectedAccountRunOneAtATime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := commontest.New(network.NewMemory(nil))
 		g := New(Parts{Common: c})
 		if pass, refused := g.Enter(context.Background(), other(50)); pass != nil || refused != nil {
-			t.Fatal("suspected from the beginning")
+			t.Fatal("request restricted before its account is suspected")
 		}
 		holdBack(g.register, c.Clock.Now(), 1, 4)
 		if g.Allows(other(50), nil) {
-			t.Error("it runs without a turn")
+			t.Error("a request of a suspected account may run without a permit")
 		}
 		first, _ := g.Enter(context.Background(), other(50))
 		if first == nil || !g.Allows(other(50), first) {
-			t.Fatal("the first has no turn")
+			t.Fatal("the first request got no permit")
 		}
 		began := time.Now()
 		go func() {
@@ -122,12 +123,12 @@
 		}()
 		second, refused := g.Enter(context.Background(), other(51))
 		if took := time.Since(began); second == nil || took < 300*time.Millisecond || took > 400*time.Millisecond {
-			t.Errorf("the second: %+v after %v", refused, took)
+			t.Errorf("second request: refused %+v after %v, want a permit after 300 ms", refused, took)
 		}
 		g.Ended(Run{Request: other(51), Life: life(200)})
 		second.Release(true)
 		if _, refused := g.Enter(context.Background(), other(52)); refused == nil || refused.Held || refused.RetryAfter != clock.Second {
-			t.Errorf("after one more end: %+v", refused)
+			t.Errorf("after one more end: refused %+v, want for 1 s", refused)
 		}
 	})
 }
--- a/pkg/quarantine/digest.go
+++ b/pkg/quarantine/digest.go
@@ -1,5 +1,5 @@
-// Package quarantine keeps requests that end the processes of their targets from running again
-// and again. It knows a request by what it asks for, since each try of it has an id of its own.
+// Package quarantine prevents requests under which the processes of their targets end from running again and again. It
+// identifies a request by its content, since each try has an ID of its own.
 package quarantine
 
 import (
@@ -13,11 +13,11 @@
 	"quaydock/pkg/ids"
 )
 
-// digestBytes is short enough for datagrams, and long enough that nobody finds two requests of
-// one digest.
+// digestBytes is short enough for datagrams, and long enough to make finding two requests with the same digest
+// infeasible.
 const digestBytes = 16
 
-// Digest stands for a client account, a path with its query, and a body.
+// Digest identifies a client account, a path with its query, and a body.
 type Digest [digestBytes]byte
 
 // Identify returns the digest of a request. The account is empty on routes without keys.
@@ -26,20 +26,20 @@
 	for _, part := range [][]byte{[]byte(account), []byte(path), body} {
 		var length [8]byte
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
-		_, _ = h.Write(length[:]) // a hash takes everything
+		_, _ = h.Write(length[:]) // a hash never returns an error
 		_, _ = h.Write(part)
 	}
 	var sum [sha256.Size]byte
 	return Digest(h.Sum(sum[:0])[:digestBytes])
 }
 
-// String writes a digest in hexadecimal.
+// String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// MarshalText writes a digest for rows of the store.
+// MarshalText encodes the digest for rows of the store.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// UnmarshalText reads what MarshalText writes.
+// UnmarshalText decodes what MarshalText returns.
 func (d *Digest) UnmarshalText(text []byte) error {
 	read, err := ParseDigest(string(text))
 	if err != nil {
@@ -49,11 +49,11 @@
 	return nil
 }
 
-// ParseDigest reads a digest in hexadecimal. The error is of kind errors.NotValid.
+// ParseDigest parses a digest in hexadecimal. The error is of kind errors.NotValid.
 func ParseDigest(text string) (Digest, error) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != digestBytes {
-		return Digest{}, fmt.Errorf("digest of %d bytes: %w", len(text), errors.NotValid)
+		return Digest{}, fmt.Errorf("parsing digest of %d characters: %w", len(text), errors.NotValid)
 	}
 	return Digest(raw), nil
 }
--- a/pkg/quarantine/doubts.go
+++ b/pkg/quarantine/doubts.go
@@ -8,64 +8,64 @@
 )
 
 const (
-	// doubtFor is for how long a run that broke off may still turn out to have ended its target:
-	// rows lapse some seconds after their target has ended.
-	doubtFor = 6 * clock.Second
-	// mostDoubts bounds them.
-	mostDoubts = 512
+	// possibleEndWindow is how long a broken run may still turn out to have ended its target: rows of targets expire
+	// some seconds after the process has ended.
+	possibleEndWindow = 6 * clock.Second
+	// maxPossibleEnds limits the broken runs that are remembered.
+	maxPossibleEnds = 512
 )
 
-// doubts are runs that broke off while their targets could not be shown to have ended: a VM that
-// does not answer, or a process that was started again at once.
-type doubts struct {
+// possibleEnds are broken runs whose targets were not known to have ended, because the VM does not answer or because
+// the process was restarted at once.
+type possibleEnds struct {
 	mu   sync.Mutex
-	list []doubt
+	list []possibleEnd
 }
 
-type doubt struct {
+type possibleEnd struct {
 	run Run
 	at  clock.Millis
 }
 
-// Doubt notes a run that broke off at a target that may have ended.
+// PossibleEnd records a broken run whose target may have ended.
 func (g *Guard) Doubt(run Run) {
-	g.doubts.mu.Lock()
-	defer g.doubts.mu.Unlock()
-	if len(g.doubts.list) < mostDoubts {
-		g.doubts.list = append(g.doubts.list, doubt{run: run, at: g.Clock.Now()})
+	g.possibleEnds.mu.Lock()
+	defer g.possibleEnds.mu.Unlock()
+	if len(g.possibleEnds.list) < maxPossibleEnds {
+		g.possibleEnds.list = append(g.possibleEnds.list, possibleEnd{run: run, at: g.Clock.Now()})
 	}
 }
 
-// Follow takes the newest list of targets, which shows what has ended.
+// SetDirectory takes the newest target list, which shows which targets have ended.
 func (g *Guard) Follow(targets *routing.Directory) {
 	now := g.Clock.Now()
 	var ended []Run
-	g.doubts.mu.Lock()
-	kept := g.doubts.list[:0]
-	for _, d := range g.doubts.list {
+	g.possibleEnds.mu.Lock()
+	kept := g.possibleEnds.list[:0]
+	for _, d := range g.possibleEnds.list {
 		listed := targets.Target(d.run.Life.Target)
 		switch {
-		case now-d.at > doubtFor:
-		case listed != nil && listed.Leaving, g.leaves != nil && g.leaves(d.run.Life): // it is to end
+		case now-d.at > possibleEndWindow:
+		case listed != nil && listed.Leaving, g.leaves != nil && g.leaves(d.run.Life): // it ends because it drains, not because of the request
 		case listed == nil || targets.Replaced(d.run.Life):
 			ended = append(ended, d.run)
 		default:
 			kept = append(kept, d)
 		}
 	}
-	g.doubts.list = kept
-	g.doubts.mu.Unlock()
+	g.possibleEnds.list = kept
+	g.possibleEnds.mu.Unlock()
 	for _, run := range ended {
 		g.Ended(run)
 	}
 }
 
-// settle drops the doubts that are too old.
-func (g *Guard) settle() {
+// dropExpired drops possible ends that are too old.
+func (g *Guard) dropExpired() {
 	now := g.Clock.Now()
-	g.doubts.mu.Lock()
-	defer g.doubts.mu.Unlock()
-	for len(g.doubts.list) > 0 && now-g.doubts.list[0].at > doubtFor {
-		g.doubts.list = g.doubts.list[1:]
+	g.possibleEnds.mu.Lock()
+	defer g.possibleEnds.mu.Unlock()
+	for len(g.possibleEnds.list) > 0 && now-g.possibleEnds.list[0].at > possibleEndWindow {
+		g.possibleEnds.list = g.possibleEnds.list[1:]
 	}
 }
--- a/pkg/quarantine/guard.go
+++ b/pkg/quarantine/guard.go
@@ -13,124 +13,123 @@
 	"quaydock/pkg/packets"
 )
 
-// Request is what is to run.
+// Request is a request that is about to run.
 type Request struct {
 	Digest  Digest
 	Account ids.Account
 	Route   ids.Route
 }
 
-// Run is a request at a target that has broken off.
+// Run is a run of a request at a target that has broken off.
 type Run struct {
 	Request
 	Life ids.Life
-	// Again is that of the pass under which it ran.
+	// Again is that of the permit under which it ran.
 	Again bool
 }
 
 // Peers are the other entries.
 type Peers interface {
-	// Others returns the addresses of all of them.
+	// Others returns the addresses of all other entries.
 	Others() []netip.AddrPort
-	// Home returns the entry that is in charge of a matter, and whether it is this one.
-	Home(matter string) (netip.AddrPort, bool)
+	// Owner returns the owner of a shard, and whether it is this entry.
+	Home(shard string) (netip.AddrPort, bool)
 }
 
-// Store keeps what has to outlast all entries.
+// Store holds what must outlast all entries.
 type Store interface {
-	// Write replaces or removes a row if it still has the version of the write. It returns the new
-	// version. An error other than ErrOvertaken says nothing of whether it was done.
+	// Write replaces or removes a row if it still has the version given in the write, and returns the new version.
+	// After any error but ErrOvertaken it is unknown whether the row was written.
 	Write(ctx context.Context, w Write) (int64, error)
 }
 
-// Parts are what a guard works with.
+// Dependencies are what a guard works with.
 type Parts struct {
 	common.Common
-	// Address is this entry's own. Without Peers the guard knows only what it has seen itself.
+	// Address is that of this entry. Without Peers the guard knows only what it has seen itself.
 	Address netip.AddrPort
 	Peers   Peers
 	Link    *packets.Link
 	Store   Store
-	// Leaves reports whether a life of a target has said that it leaves; nil if that is not known.
+	// Leaves reports whether an incarnation of a target has reported that it drains; nil if that is not known.
 	Leaves func(ids.Life) bool
 }
 
-// Guard keeps requests that end their targets from running at one entry.
+// Guard prevents, at one entry, requests that end their targets from running.
 type Guard struct {
 	common.Common
-	register *Register
-	peers    Peers
-	store    Store
-	link     *packets.Link
-	turns    *turns
-	news     *news
-	doubts   doubts
-	leaves   func(ids.Life) bool
+	register     *Register
+	peers        Peers
+	store        Store
+	link         *packets.Link
+	runs         *exclusiveRuns
+	reports      *reportQueue
+	possibleEnds possibleEnds
+	leaves       func(ids.Life) bool
 }
 
-// New returns a guard that knows nothing yet.
+// New returns a guard without records.
 func New(p Parts) *Guard {
-	g := &Guard{Common: p.Common, register: NewRegister(), peers: p.Peers, store: p.Store, link: p.Link, news: newNews(), leaves: p.Leaves}
-	g.turns = newTurns(p.Common, p.Peers, p.Link, p.Address)
+	g := &Guard{Common: p.Common, register: NewRegister(), peers: p.Peers, store: p.Store, link: p.Link, reports: newReportQueue(), leaves: p.Leaves}
+	g.runs = newExclusiveRuns(p.Common, p.Peers, p.Link, p.Address)
 	p.Metrics.Figures.Gauge("requests_suspected", func() float64 { return float64(g.register.Len()) })
 	p.Metrics.Figures.Gauge("requests_held_back", func() float64 { return float64(g.register.HeldCount()) })
 	if p.Peers == nil {
 		g.register.Know(p.Clock.Now())
 		return g
 	}
-	p.Link.Handle(packets.KindEnds, packets.Receive(p.Link, g.heard))
+	p.Link.Handle(packets.KindEnds, packets.Receive(p.Link, g.receiveReports))
 	return g
 }
 
-// Watches reports whether there is anything against some request of an account; without, no
-// digest is needed of its requests.
+// Watches reports whether anything is recorded against a request of an account. Otherwise its requests need no digest.
 func (g *Guard) Watches(account ids.Account) bool { return g.register.Watches(account) }
 
 // Refused says that a request may not run.
 type Refused struct {
-	// Held says that it is held back; without, it only waited too long for its turn.
+	// Held says that it is quarantined; otherwise it only waited too long for an exclusive run.
 	Held       bool
 	RetryAfter clock.Millis
 }
 
-func (g *Guard) held(now clock.Millis, d Digest) *Refused {
+func (g *Guard) refusedHeld(now clock.Millis, d Digest) *Refused {
 	return &Refused{Held: true, RetryAfter: g.register.ReadyIn(now, d)}
 }
 
-// Pass is the permission for one run.
+// Permit permits one run.
 type Pass struct {
 	guard  *Guard
 	digest Digest
-	turn   *turn
-	// Again says that an end is known already.
+	run    *exclusiveRun
+	// Again says that a target end is already known.
 	Again bool
-	// retrial says that it is one of the few runs of a request that is held back.
+	// retrial says that it is one of the few permitted runs of a quarantined request.
 	retrial bool
 }
 
-// Release gives the turn to the next try, once the run has ended and what it showed was told; ran is
-// false if there was no run. Only the first call counts, and a nil pass needs none.
+// Release releases the exclusive run for the next try. It is called after the run has ended and its result has been
+// recorded; ran is false if there was no run. Only the first call has an effect, and a nil permit is allowed.
 func (p *Pass) Release(ran bool) {
-	if p == nil || p.turn == nil {
+	if p == nil || p.run == nil {
 		return
 	}
 	if p.retrial && !ran {
 		p.guard.register.Spare(p.digest)
 	}
-	p.guard.turns.release(p.turn)
-	p.turn = nil
+	p.guard.runs.release(p.run)
+	p.run = nil
 }
 
 const (
-	// turnPatience is for how long a suspected request waits for its turn, and turnAgain when it
-	// may come back. Turns take as long as its runs.
-	turnPatience = clock.Second
-	turnAgain    = 500 * clock.Millisecond
-	// turnPause is between two looks at whether it is a request's turn.
-	turnPause = 20 * clock.Millisecond
+	// runWait is how long a suspected request waits for an exclusive run, and runRetryAfter when it may come back
+	// otherwise. The wait for others depends on how long their runs take.
+	runWait       = clock.Second
+	runRetryAfter = 500 * clock.Millisecond
+	// runPollInterval is the time between two checks whether an exclusive run is available.
+	runPollInterval = 20 * clock.Millisecond
 )
 
-// Allows reports whether a request may still run with what Enter returned some time ago.
+// Allows reports whether a request may still run with the permit that Enter returned some time ago.
 func (g *Guard) Allows(r Request, p *Pass) bool {
 	s := g.suspicion(r)
 	switch {
@@ -143,7 +142,7 @@
 	}
 }
 
-// Enter waits until a request may run. The pass is nil if there is nothing against it or its account.
+// Enter waits until a request may run. The permit is nil if nothing is recorded against the request or its account.
 func (g *Guard) Enter(ctx context.Context, r Request) (*Pass, *Refused) {
 	if s := g.suspicion(r); s.none() {
 		return nil, nil
@@ -151,76 +150,76 @@
 	return g.await(ctx, r)
 }
 
-// suspicion is what stands against a request now.
+// suspicion is what is currently recorded against a request.
 type suspicion struct {
 	verdict Verdict
-	// account says that it runs in the turn of its account, wait in what time it may at the soonest.
-	account bool
-	wait    clock.Millis
+	// accountRun says that the request runs exclusively for its account, and wait how long it must wait at least.
+	accountRun bool
+	wait       clock.Millis
 }
 
-func (s suspicion) none() bool { return s.verdict == Free && !s.account }
+func (s suspicion) none() bool { return s.verdict == Free && !s.accountRun }
 
 func (g *Guard) suspicion(r Request) suspicion {
 	now := g.Clock.Now()
 	s := suspicion{verdict: g.register.Verdict(now, r.Digest)}
-	s.account, s.wait = g.register.Suspected(now, r)
+	s.accountRun, s.wait = g.register.Suspected(now, r)
 	return s
 }
 
-// await waits until a request may run against which, or whose account, something is known.
+// await waits until a request may run that is suspected or quarantined, or whose account is suspected.
 func (g *Guard) await(ctx context.Context, r Request) (*Pass, *Refused) {
-	var turn *turn
-	defer func() { g.turns.release(turn) }()
-	for until := g.Clock.Now() + turnPatience; ; clock.Pause(ctx, turnPause) {
+	var run *exclusiveRun
+	defer func() { g.runs.release(run) }()
+	for until := g.Clock.Now() + runWait; ; clock.Pause(ctx, runPollInterval) {
 		now, s := g.Clock.Now(), g.suspicion(r)
 		switch {
 		case s.none():
 			return nil, nil
 		case s.verdict == Held && !g.register.RetrialDue(now, r.Digest):
-			return nil, g.held(now, r.Digest)
+			return nil, g.refusedHeld(now, r.Digest)
 		case s.wait > 0:
 			return nil, &Refused{RetryAfter: s.wait}
 		}
-		turn = g.turnOf(turn, r, s)
-		if g.settled(now, r, s) && (s.verdict == Held && !s.account || g.turns.take(ctx, turn)) {
-			if s.verdict == Held && !g.retry(ctx, r.Digest) {
-				return nil, g.held(now, r.Digest)
+		run = g.runFor(run, r, s)
+		if g.settled(now, r, s) && (s.verdict == Held && !s.accountRun || g.runs.acquire(ctx, run)) {
+			if s.verdict == Held && !g.permitRetrial(ctx, r.Digest) {
+				return nil, g.refusedHeld(now, r.Digest)
 			}
-			taken := turn
-			turn = nil
-			return &Pass{guard: g, digest: r.Digest, turn: taken, Again: s.verdict != Free, retrial: s.verdict == Held}, nil
+			taken := run
+			run = nil
+			return &Pass{guard: g, digest: r.Digest, run: taken, Again: s.verdict != Free, retrial: s.verdict == Held}, nil
 		}
 		if ctx.Err() != nil || now >= until {
-			return nil, &Refused{RetryAfter: turnAgain}
+			return nil, &Refused{RetryAfter: runRetryAfter}
 		}
 	}
 }
 
-// settled reports whether what a run of a request shows would be about the request: what ended a target under it a
-// moment ago, and may end others, is over.
+// settled reports whether a run of the request would show something about the request: whatever ended a target under
+// it a moment ago, and may end others, is over.
 func (g *Guard) settled(now clock.Millis, r Request, s suspicion) bool {
 	return s.verdict != Suspect || g.register.Settled(now, r.Digest)
 }
 
-// turnOf returns the turn that a request waits for, its own or that of its account, instead of one that it waited
-// for before, if any.
-func (g *Guard) turnOf(before *turn, r Request, s suspicion) *turn {
+// runFor returns the exclusive run that a request waits for, its own or that of its account, and releases the one that
+// it waited for before, if any.
+func (g *Guard) runFor(before *exclusiveRun, r Request, s suspicion) *exclusiveRun {
 	of := r.Digest
-	if s.account {
+	if s.accountRun {
 		of = accountDigest(r)
 	}
 	if before != nil && before.digest == of {
 		return before
 	}
-	g.turns.release(before)
-	return g.turns.begin(of)
+	g.runs.release(before)
+	return g.runs.newRun(of)
 }
 
-// retry allows one more run of a request that is held back, if it is time for that: targets may have
-// ended beside it for another reason. The store counts these runs, so that all entries together
-// make no more of them, also when they restart.
-func (g *Guard) retry(ctx context.Context, d Digest) bool {
+// permitRetrial permits one more run of a quarantined request if one is due: targets may have ended beside it for
+// another reason. The store counts these runs, so that the entries together don't exceed their number, even when they
+// restart.
+func (g *Guard) permitRetrial(ctx context.Context, d Digest) bool {
 	if g.register.TakeSpare(d) {
 		return true
 	}
@@ -228,50 +227,50 @@
 	if !due {
 		return false
 	}
-	limited, cancel := context.WithTimeout(ctx, writeTime.Duration())
+	limited, cancel := context.WithTimeout(ctx, writeTimeout.Duration())
 	defer cancel()
 	_, err := g.store.Write(limited, w)
 	g.register.Done(&w, err == nil)
-	g.log(&w.Record).WithError(err).WithField("retrials", w.Retrials).Info("one more run of a request that is held back")
+	g.log(&w.Record).WithError(err).WithField("retrials", w.Retrials).Info("retrial of a quarantined request")
 	return err == nil
 }
 
-// Ended notes that the process of a target has ended while it ran a request.
+// Ended records that the process of a target has ended while it ran a request.
 func (g *Guard) Ended(run Run) {
 	g.Metrics.Figures.Add("targets_ended_under_requests", "account", string(run.Account))
 	record := Record{Digest: run.Digest, Account: run.Account, Route: run.Route, Ends: []End{{Life: run.Life, Again: run.Again}}}
-	g.took(g.register.Join(g.Clock.Now(), &record))
+	g.publish(g.register.Join(g.Clock.Now(), &record))
 }
 
-// Completed notes that a request has been completed, which clears it of all ends: one that ends its
-// targets never is.
+// Completed records that a request has been completed, which clears it of all target ends: a request that ends its
+// targets is never completed.
 func (g *Guard) Completed(d Digest) {
-	g.took(g.register.Completed(g.Clock.Now(), d))
+	g.publish(g.register.Completed(g.Clock.Now(), d))
 }
 
-// Succeeded notes that a request has been completed.
+// Succeeded records that a request has been completed.
 func (g *Guard) Succeeded(r Request) {
 	g.register.Sound(g.Clock.Now(), r)
 	g.Completed(r.Digest)
 }
 
-// took tells the others what is new, and operators what begins and ends.
-func (g *Guard) took(c Change) {
+// publish reports new information to the other entries, and logs the start and end of a quarantine.
+func (g *Guard) publish(c Change) {
 	if c.New {
-		g.news.add(c.Digest)
+		g.reports.add(c.Digest)
 	}
-	g.tell(c)
+	g.logChange(c)
 }
 
-// tell logs that a request is held back from now on, or is not any more.
-func (g *Guard) tell(c Change) {
+// logChange logs that a request is quarantined from now on, or no longer is.
+func (g *Guard) logChange(c Change) {
 	switch {
 	case c.After == Held && c.Before != Held:
 		g.Metrics.Figures.Add("quarantine", "event", "held back")
-		g.log(&c.Record).Warn("a request is held back: targets have ended under it")
+		g.log(&c.Record).Warn("request quarantined: targets have ended under it")
 	case c.Before == Held && c.After != Held:
 		g.Metrics.Figures.Add("quarantine", "event", "let go")
-		g.log(&c.Record).Info("a request is no longer held back")
+		g.log(&c.Record).Info("request is no longer quarantined")
 	}
 }
 
@@ -285,37 +284,37 @@
 	})
 }
 
-// EndedLives lists the lives of targets that ended under requests that are held back.
+// EndedIncarnations lists the incarnations of targets that ended under quarantined requests.
 func (g *Guard) EndedLives() []ids.Life { return g.register.HeldLives() }
 
-// Held lists the requests that are held back.
+// Held lists the quarantined requests.
 func (g *Guard) Held() []Report { return g.register.Held(g.Clock.Now()) }
 
-// Release lets a request go, at all entries, by an operator's word. It reports whether there was
-// anything against it.
+// Release releases a request from quarantine at all entries on an operator's order. It reports whether anything was
+// recorded against it.
 func (g *Guard) Release(d Digest) bool {
 	c := g.register.Completed(g.Clock.Now(), d)
-	g.took(c)
+	g.publish(c)
 	return c.New
 }
 
-// Run tells the others and the store what is known until ctx ends.
+// Run sends reports to the other entries and writes records to the store until ctx ends.
 func (g *Guard) Run(ctx context.Context) {
 	if g.peers == nil {
 		return
 	}
-	go g.keep(ctx)
+	go g.persist(ctx)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for ctx.Err() == nil {
 		select {
-		case <-g.news.wake:
+		case <-g.reports.wake:
 		case <-timer.C:
 		case <-ctx.Done():
 			return
 		}
-		if g.tellOthers() {
-			timer.Reset(tellAgain.Duration())
+		if g.sendReports() {
+			timer.Reset(reportInterval.Duration())
 		}
 	}
 }
--- a/pkg/quarantine/guard_test.go
+++ b/pkg/quarantine/guard_test.go
@@ -17,7 +17,7 @@
 	"quaydock/pkg/routing"
 )
 
-// fakePeers has the first entry as the home of everything.
+// fakePeers makes the first entry the owner of all shards.
 type fakePeers struct {
 	all  []netip.AddrPort
 	self int
@@ -35,7 +35,7 @@
 
 func (p *fakePeers) Home(string) (netip.AddrPort, bool) { return p.all[0], p.self == 0 }
 
-// fakeStore counts writes.
+// fakeStore records writes.
 type fakeStore struct {
 	mu      sync.Mutex
 	version int64
@@ -50,7 +50,7 @@
 	return s.version, nil
 }
 
-// guardBed is the guards of a few entries that have read the store.
+// guardBed holds the guards of a few entries that have read the store.
 type guardBed struct {
 	guards []*Guard
 	store  *fakeStore
@@ -85,9 +85,10 @@
 
 func run(n int, again bool) Run { return Run{Request: request(), Life: life(n), Again: again} }
 
-// TestASuspectedRequestRunsOnceThingsHaveSettled: what ends one target of a failure domain ends the others within some ms.
-// A run that begins before that is over says nothing of its request; one that begins later and ends its target does.
-func TestASuspectedRequestRunsOnceThingsHaveSettled(t *testing.T) {
+// TestSuspectedRequestWaitsForSettleTime guards against blaming a request for the loss of a failure domain: what ends
+// one target of a domain ends the others within some ms. A run that begins before that is over says nothing about its
+// request; a later run that ends its target does.
+func TestSuspectedRequestWaitsForSettleTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newGuardBed(t, 2)
 		enter := func(n int) *Pass {
@@ -103,13 +104,13 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 		last := first.Add(60 * time.Millisecond)
-		for n := range 2 { // the second entry was told by the first
+		for n := range 2 { // the first entry reported to the second
 			pass := enter(n)
-			if waited := time.Since(last); waited < settleFor.Duration() || waited > 3*settleFor.Duration() {
-				t.Errorf("entry %d: it runs %v after the last end", n, waited)
+			if waited := time.Since(last); waited < settleTime.Duration() || waited > 3*settleTime.Duration() {
+				t.Errorf("entry %d: the run was permitted %v after the last end", n, waited)
 			}
 			if !pass.Again {
-				t.Errorf("entry %d: the run does not count as one more try", n)
+				t.Errorf("entry %d: the run does not count as a further try", n)
 			}
 			pass.Release(true)
 		}
@@ -117,23 +118,23 @@
 		b.guards[0].Ended(run(9, pass.Again))
 		pass.Release(true)
 		if _, refused := b.guards[0].Enter(context.Background(), request()); refused == nil || !refused.Held {
-			t.Errorf("after the end in a run of its own: %+v", refused)
+			t.Errorf("after the end in an exclusive run: refused %+v, want quarantined", refused)
 		}
 	})
 }
 
-// TestSuspectedRequestsRunInTurn: however many entries get tries of a request at a time, one runs. An
-// entry that has asked the home three times without an answer goes by its own turns.
-func TestSuspectedRequestsRunInTurn(t *testing.T) {
+// TestSuspectedRequestsRunExclusively checks that one run takes place at a time, however many entries get tries of a
+// request. An entry that has queried the owner three times without an answer grants runs on its own.
+func TestSuspectedRequestsRunExclusively(t *testing.T) {
 	var asks atomic.Int64
 	scenarios := []struct {
 		name  string
 		loses func(from, to netip.AddrPort, kind packets.Kind) bool
 		most  int64 // runs at a time
 	}{
-		{"all hear one another", nil, 1},
-		{"the home is silent", func(_, _ netip.AddrPort, kind packets.Kind) bool { return kind == packets.KindTurnAnswer }, 3},
-		{"some messages are lost", func(from, to netip.AddrPort, kind packets.Kind) bool {
+		{"all messages arrive", nil, 1},
+		{"owner does not answer", func(_, _ netip.AddrPort, kind packets.Kind) bool { return kind == packets.KindTurnAnswer }, 3},
+		{"some messages lost", func(from, to netip.AddrPort, kind packets.Kind) bool {
 			return kind == packets.KindTurnDone || kind == packets.KindTurnAsk && asks.Add(1)%3 == 0
 		}, 3},
 	}
@@ -164,15 +165,15 @@
 				}
 				all.Wait()
 				if most.Load() > s.most || ran.Load() == 0 {
-					t.Errorf("%d ran, %d at a time", ran.Load(), most.Load())
+					t.Errorf("%d runs, %d at a time", ran.Load(), most.Load())
 				}
 			})
 		})
 	}
 }
 
-// TestEachEntryHearsOfAnEnd: also where each message is lost once.
-func TestEachEntryHearsOfAnEnd(t *testing.T) {
+// TestTargetEndReachesAllEntries also loses the first message to each entry.
+func TestTargetEndReachesAllEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newGuardBed(t, 40)
 		lost := make(map[netip.AddrPort]bool)
@@ -189,7 +190,7 @@
 		time.Sleep(500 * time.Millisecond)
 		for i, g := range b.guards {
 			if pass, refused := g.Enter(context.Background(), request()); pass != nil || refused == nil || !refused.Held {
-				t.Errorf("entry %d lets a request run under which two targets have ended", i)
+				t.Errorf("entry %d permits a request under which two targets have ended", i)
 			}
 		}
 		if len(b.store.writes) != 1 {
@@ -198,34 +199,33 @@
 	})
 }
 
-// TestAnOperatorLetsARequestGo: at one entry, and it is let go at all and in the store.
-func TestAnOperatorLetsARequestGo(t *testing.T) {
+// TestOperatorReleasesRequest releases a request at one entry: it must be released at all entries and in the store.
+func TestOperatorReleasesRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newGuardBed(t, 3)
 		b.guards[1].Ended(run(1, false))
 		b.guards[1].Ended(run(2, true))
 		time.Sleep(time.Second)
 		if held := b.guards[2].Held(); len(held) != 1 || held[0].Digest != digest(1) || held[0].For <= 0 {
-			t.Fatalf("held back: %+v", held)
+			t.Fatalf("quarantined requests: %+v, want one", held)
 		}
 		if !b.guards[2].Release(digest(1)) || b.guards[2].Release(digest(7)) {
-			t.Error("a request that is held back could not be let go, or one that isn't could")
+			t.Error("releasing a quarantined request failed, or releasing an unknown one succeeded")
 		}
 		time.Sleep(time.Second)
 		for i, g := range b.guards {
 			if len(g.Held()) > 0 {
-				t.Errorf("entry %d still holds it back", i)
+				t.Errorf("request is still quarantined at entry %d", i)
 			}
 		}
 		if last := b.store.writes[len(b.store.writes)-1]; !last.Remove {
-			t.Errorf("the last write is %+v", last)
+			t.Errorf("last write %+v, want a removal", last)
 		}
 	})
 }
 
-// TestNothingIsSaidWithoutAnEnd: while no target ends under a request, no entry sends or writes
-// anything.
-func TestNothingIsSaidWithoutAnEnd(t *testing.T) {
+// TestNoTrafficWithoutTargetEnd checks that no entry sends or writes anything while no target ends under a request.
+func TestNoTrafficWithoutTargetEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newGuardBed(t, 3)
 		var sent atomic.Int64
@@ -233,21 +233,21 @@
 		for range 100 {
 			pass, refused := b.guards[0].Enter(context.Background(), request())
 			if pass != nil || refused != nil {
-				t.Fatal("a request without a record needs a pass")
+				t.Fatal("a request without a record needs a permit")
 			}
 			b.guards[0].Completed(digest(1))
 			b.guards[0].Doubt(run(1, false))
 			time.Sleep(100 * time.Millisecond)
 		}
 		if sent.Load() > 0 || len(b.store.writes) > 0 {
-			t.Errorf("%d messages, %d writes", sent.Load(), len(b.store.writes))
+			t.Errorf("%d messages and %d writes, want none", sent.Load(), len(b.store.writes))
 		}
 	})
 }
 
-// TestARunThatBrokeOffBeforeItsTargetWasFoundToHaveEnded: the list of targets shows it later, unless
-// the target was to end.
-func TestARunThatBrokeOffBeforeItsTargetWasFoundToHaveEnded(t *testing.T) {
+// TestRunBrokenBeforeTargetEndIsKnown checks that a broken run counts as a target end if the target list shows the end
+// later, unless the target was draining.
+func TestRunBrokenBeforeTargetEndIsKnown(t *testing.T) {
 	listed := &routing.Target{ID: "t1", Start: 4, Service: "s", Address: "10.0.1.1:80", Slots: 1}
 	leaving := *listed
 	leaving.Leaving = true
@@ -259,11 +259,11 @@
 		after time.Duration
 		ended bool
 	}{
-		{"goes on", [][]*routing.Target{{listed}}, time.Second, false},
-		{"lapses", [][]*routing.Target{{listed}, {}}, time.Second, true},
-		{"starts again", [][]*routing.Target{{&restarted}}, time.Second, true},
-		{"leaves", [][]*routing.Target{{&leaving}, {}}, time.Second, false},
-		{"lapses much later", [][]*routing.Target{{}}, 10 * time.Second, false},
+		{"stays listed", [][]*routing.Target{{listed}}, time.Second, false},
+		{"row expires", [][]*routing.Target{{listed}, {}}, time.Second, true},
+		{"restarts", [][]*routing.Target{{&restarted}}, time.Second, true},
+		{"drains", [][]*routing.Target{{&leaving}, {}}, time.Second, false},
+		{"row expires much later", [][]*routing.Target{{}}, 10 * time.Second, false},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -275,16 +275,16 @@
 					b.guards[0].Follow(routing.NewDirectory(list))
 				}
 				if got := b.guards[0].Watches("acme"); got != s.ended {
-					t.Errorf("taken for ended: %t, want %t", got, s.ended)
+					t.Errorf("counted as ended: %t, want %t", got, s.ended)
 				}
 			})
 		})
 	}
 }
 
-// TestATargetThatHadSaidThatItLeaves: it says so only in its answers, after a connection of it broke, and its row
-// lapses. It was to end, so that what ran there is not to blame.
-func TestATargetThatHadSaidThatItLeaves(t *testing.T) {
+// TestDrainingTargetIsNotBlamedOnRequest covers a target that reports only in its answers that it drains, after one of
+// its connections broke, and whose row then expires. It was going to end, so its requests must not be blamed.
+func TestDrainingTargetIsNotBlamedOnRequest(t *testing.T) {
 	for _, leaves := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			c := commontest.New(network.NewMemory(nil))
@@ -293,7 +293,7 @@
 			time.Sleep(time.Second)
 			g.Follow(routing.NewDirectory(nil))
 			if got := g.Watches("acme"); got == leaves {
-				t.Errorf("had said that it leaves %t, taken for ended %t", leaves, got)
+				t.Errorf("drain reported %t, counted as ended %t", leaves, got)
 			}
 		})
 	}
--- a/pkg/quarantine/keeping.go
+++ b/pkg/quarantine/keeping.go
@@ -8,38 +8,38 @@
 )
 
 // ErrOvertaken says that a row had another version than expected: nothing was written.
-var ErrOvertaken = errors.New("the record of a request has changed meanwhile")
+var ErrOvertaken = errors.New("quarantine record has changed since it was read")
 
 const (
-	// keepEvery is how often an entry looks for a record that the store is to hold, and writes one
-	// at the most: 5 a second.
-	keepEvery = 200 * clock.Millisecond
-	// writeTime bounds a call to the store, and writePause is between two tries at a store that
-	// doesn't answer or has changed.
-	writeTime  = 600 * clock.Millisecond
-	writePause = clock.Second
-	// expireEvery is how often old records are looked for.
-	expireEvery = clock.Minute
+	// persistInterval is how often an entry looks for records to be written to the store. It writes at most one each
+	// time: 5 a second.
+	persistInterval = 200 * clock.Millisecond
+	// writeTimeout limits a call to the store. writeRetryDelay is the pause after a store that does not answer or
+	// whose row has changed.
+	writeTimeout    = 600 * clock.Millisecond
+	writeRetryDelay = clock.Second
+	// expireInterval is how often expired records are removed.
+	expireInterval = clock.Minute
 )
 
-// keep writes to the store what has to outlast the entries, until ctx ends.
-func (g *Guard) keep(ctx context.Context) {
+// persist writes to the store what must outlast the entries, until ctx ends.
+func (g *Guard) persist(ctx context.Context) {
 	var expired clock.Millis
 	for ctx.Err() == nil {
-		clock.Pause(ctx, keepEvery)
-		g.settle()
+		clock.Pause(ctx, persistInterval)
+		g.dropExpired()
 		if g.register.Len() == 0 {
 			continue
 		}
 		now := g.Clock.Now()
-		g.turns.prune(now)
-		if due := g.register.Unwritten(g.mine); len(due) > 0 {
+		g.runs.prune(now)
+		if due := g.register.Unwritten(g.ownsRow); len(due) > 0 {
 			g.write(ctx, &due[0])
 		}
-		if now-expired >= expireEvery {
+		if now-expired >= expireInterval {
 			expired = now
 			for _, w := range g.register.Expire(now) {
-				if g.mine(w.Digest) {
+				if g.ownsRow(w.Digest) {
 					g.write(ctx, &w)
 				}
 			}
@@ -47,36 +47,35 @@
 	}
 }
 
-// mine reports whether this entry writes the row of a digest.
-func (g *Guard) mine(d Digest) bool {
-	_, self := g.peers.Home(matter(d))
+// ownsRow reports whether this entry writes the row of a digest.
+func (g *Guard) ownsRow(d Digest) bool {
+	_, self := g.peers.Home(shard(d))
 	return self
 }
 
-// write writes a row. What the store's table shows later settles an unknown outcome.
+// write writes a row. If the outcome is unknown, the store's table shows it later.
 func (g *Guard) write(ctx context.Context, w *Write) {
-	limited, cancel := context.WithTimeout(ctx, writeTime.Duration())
+	limited, cancel := context.WithTimeout(ctx, writeTimeout.Duration())
 	defer cancel()
 	version, err := g.store.Write(limited, *w)
 	switch {
 	case err != nil:
-		g.log(&w.Record).WithError(err).Info("the record of a request is not known to be written")
-		clock.Pause(ctx, writePause)
+		g.log(&w.Record).WithError(err).Info("quarantine record not confirmed as written to the store")
+		clock.Pause(ctx, writeRetryDelay)
 	case w.Remove:
 		g.register.Unread(w.Digest)
 	default:
-		g.tell(g.register.Read(g.Clock.Now(), &w.Record, version))
+		g.logChange(g.register.Read(g.Clock.Now(), &w.Record, version))
 	}
 }
 
-// Row is a record as the store has it.
+// Row is a record as stored.
 type Row struct {
 	Record
 	Version int64
 }
 
-// TakeRows takes rows of the store; all says that there are no others. Gone are those that have been
-// removed.
+// TakeRows takes rows of the store; with all, there are no others. Those in gone have been removed.
 func (g *Guard) TakeRows(rows []Row, gone []Digest, all bool) {
 	now := g.Clock.Now()
 	for _, d := range gone {
@@ -86,7 +85,7 @@
 		g.register.UnreadOthers(rows)
 	}
 	for i := range rows {
-		g.tell(g.register.Read(now, &rows[i].Record, rows[i].Version))
+		g.logChange(g.register.Read(now, &rows[i].Record, rows[i].Version))
 	}
 	g.register.Know(now)
 }
--- a/pkg/quarantine/news.go
+++ b/pkg/quarantine/news.go
@@ -9,89 +9,89 @@
 )
 
 const (
-	// tellTimes is how often what is new is told to the others, as datagrams may be lost, and
-	// tellAgain the pause between. What the store keeps they read besides.
-	tellTimes = 3
-	tellAgain = 150 * clock.Millisecond
-	// newsBytes keeps a message within a datagram, and mostMessages bounds what is sent at once:
-	// where hundreds of targets are lost together, thousands of requests have an end each.
-	newsBytes    = 1200
-	mostMessages = 16
-	// endBytes and recordBytes are what an end and a record take beside their names.
-	endBytes    = 16
-	recordBytes = 40
+	// reportSends is how often a new report is sent to the other entries, since datagrams may be lost, and
+	// reportInterval the pause between. Reports that the store holds are also read from there.
+	reportSends    = 3
+	reportInterval = 150 * clock.Millisecond
+	// maxMessageBytes keeps a message within a datagram. maxMessages limits what is sent at once: if hundreds of
+	// targets are lost together, thousands of requests have a target end each.
+	maxMessageBytes = 1200
+	maxMessages     = 16
+	// endOverhead and recordOverhead are the bytes that a target end and a record take in addition to their names.
+	endOverhead    = 16
+	recordOverhead = 40
 )
 
-// ends tells records.
-type ends struct {
+// targetEnds is the message that reports records.
+type targetEnds struct {
 	_       struct{} `cbor:",toarray"`
 	Records []Record
 }
 
-// news is what the others are to be told.
-type news struct {
+// reportQueue holds what is to be reported to the other entries.
+type reportQueue struct {
 	wake chan struct{}
 
-	mu  sync.Mutex
-	due map[Digest]int // how often still
+	mu      sync.Mutex
+	pending map[Digest]int // sends that are left
 }
 
-func newNews() *news {
-	return &news{wake: make(chan struct{}, 1), due: make(map[Digest]int)}
+func newReportQueue() *reportQueue {
+	return &reportQueue{wake: make(chan struct{}, 1), pending: make(map[Digest]int)}
 }
 
-// add has a record told, soon and some times more.
-func (n *news) add(d Digest) {
+// add queues a record to be sent soon, and repeated.
+func (n *reportQueue) add(d Digest) {
 	n.mu.Lock()
-	n.due[d] = tellTimes
+	n.pending[d] = reportSends
 	n.mu.Unlock()
 	select {
 	case n.wake <- struct{}{}:
-	default: // it has been told already
+	default: // the sender has been woken already
 	}
 }
 
-// take returns what is to be told now, as messages, and whether more is due later.
-func (n *news) take(of func(Digest) (Record, bool)) (messages []ends, more bool) {
+// take returns the messages to be sent now, and whether more must be sent later.
+func (n *reportQueue) take(of func(Digest) (Record, bool)) (messages []targetEnds, more bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	size := newsBytes
-	for d, times := range n.due {
+	size := maxMessageBytes
+	for d, times := range n.pending {
 		record, known := of(d)
 		if !known {
-			delete(n.due, d)
+			delete(n.pending, d)
 			continue
 		}
 		length := record.bytes()
-		if size+length > newsBytes {
-			if len(messages) == mostMessages {
+		if size+length > maxMessageBytes {
+			if len(messages) == maxMessages {
 				return messages, true
 			}
-			messages, size = append(messages, ends{}), 0
+			messages, size = append(messages, targetEnds{}), 0
 		}
 		last := &messages[len(messages)-1]
 		last.Records = append(last.Records, record)
 		size += length
-		n.due[d] = times - 1
+		n.pending[d] = times - 1
 		if times <= 1 {
-			delete(n.due, d)
+			delete(n.pending, d)
 		}
 	}
-	return messages, len(n.due) > 0
+	return messages, len(n.pending) > 0
 }
 
-// bytes is how many a record takes in a message at the most.
+// bytes returns the maximum size of a record in a message.
 func (r *Record) bytes() int {
-	n := recordBytes + len(r.Account) + len(r.Route)
+	n := recordOverhead + len(r.Account) + len(r.Route)
 	for _, e := range r.Ends {
-		n += endBytes + len(e.Life.Target)
+		n += endOverhead + len(e.Life.Target)
 	}
 	return n
 }
 
-// tellOthers sends what is new; it reports whether more is due.
-func (g *Guard) tellOthers() bool {
-	messages, more := g.news.take(g.register.Get)
+// sendReports sends what is new. It reports whether more must be sent later.
+func (g *Guard) sendReports() bool {
+	messages, more := g.reports.take(g.register.Get)
 	if len(messages) == 0 {
 		return more
 	}
@@ -103,10 +103,10 @@
 	return more
 }
 
-// heard takes what another entry tells.
-func (g *Guard) heard(_ netip.AddrPort, m *ends) {
+// receiveReports adds what another entry reports.
+func (g *Guard) receiveReports(_ netip.AddrPort, m *targetEnds) {
 	now := g.Clock.Now()
 	for i := range m.Records {
-		g.tell(g.register.Join(now, &m.Records[i]))
+		g.logChange(g.register.Join(now, &m.Records[i]))
 	}
 }
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -14,44 +14,44 @@
 
 // The verdicts.
 const (
-	// Free: nothing is known against it.
+	// Free: nothing is recorded against it.
 	Free Verdict = iota
-	// Suspect: targets have ended while they ran it. It runs once at a time over all entries, so
-	// that one more end says more, and costs one target.
+	// Suspect: targets have ended while they ran it. It runs exclusively, once at a time over all entries, so that one
+	// more target end is stronger evidence and costs only one target.
 	Suspect
-	// Held: it does not run.
+	// Held: it is quarantined and does not run.
 	Held
 )
 
-// keptEnds bounds the ends that are kept of one request.
-const keptEnds = 8
+// maxEnds limits the target ends that are kept for one request.
+const maxEnds = 8
 
-// End is one life of a target that ended while it ran a request.
+// TargetEnd is one incarnation of a target that ended while it ran a request.
 type End struct {
 	_    struct{} `cbor:",toarray"`
 	Life ids.Life `json:"life"`
-	// Again says that the run began when an earlier end was known: it was the only one of its
-	// digest then. Where a failure domain is lost, many targets end under a popular request at
-	// once, and none of these runs was one more try.
+	// Again says that an earlier end was known when the run began, so that it was the only run of its digest. If a
+	// failure domain is lost, many targets end under a popular request at once, and none of these runs was a further
+	// try.
 	Again bool `json:"again,omitempty"`
-	// Excused says that the request has been completed since: something else ended the target.
+	// Excused says that the request has been completed since, so that something else ended the target.
 	Excused bool `json:"excused,omitempty"`
 }
 
-// Record is what is known against one request. Records of different entries are joined: a life
-// counts once, however many entries saw its end, and no order of news matters.
+// Record is what is known against one request. Records of different entries are merged: an incarnation counts once,
+// however many entries saw its end, and the order of reports does not matter.
 type Record struct {
 	_       struct{}    `cbor:",toarray"`
 	Digest  Digest      `json:"digest"`
 	Account ids.Account `json:"account,omitempty"`
 	Route   ids.Route   `json:"route,omitempty"`
 	Ends    []End       `json:"ends"`
-	// Retrials is how often it was run once more after it had been held back.
+	// Retrials is the number of runs permitted after it was quarantined.
 	Retrials int `json:"retrials,omitempty"`
 }
 
-// join adds what another record of the same request knows. It reports whether anything is new. The
-// account stays: the register counts records by it, and another writer's row may name another one.
+// join merges another record of the same request and reports whether anything is new. The account stays: the register
+// counts records by it, and the row of another writer may name another one.
 func (r *Record) join(other *Record) bool {
 	before, retrials := slices.Clone(r.Ends), r.Retrials
 	for _, e := range other.Ends {
@@ -61,22 +61,22 @@
 	return r.Retrials != retrials || !slices.Equal(before, r.Ends)
 }
 
-// covers reports whether a record knows all that another one does.
+// covers reports whether a record contains everything that another one does.
 func (r *Record) covers(other *Record) bool {
 	for _, e := range other.Ends {
-		if !slices.ContainsFunc(r.Ends, e.within) {
+		if !slices.ContainsFunc(r.Ends, e.coveredBy) {
 			return false
 		}
 	}
 	return r.Retrials >= other.Retrials
 }
 
-// within reports whether an end says all that e says.
-func (e End) within(other End) bool {
+// coveredBy reports whether other says everything that e says.
+func (e End) coveredBy(other End) bool {
 	return other.Life == e.Life && (other.Again || !e.Again) && (other.Excused || !e.Excused)
 }
 
-// add adds an end.
+// add adds a target end.
 func (r *Record) add(e End) {
 	i := slices.IndexFunc(r.Ends, func(known End) bool { return known.Life == e.Life })
 	if i >= 0 {
@@ -86,10 +86,10 @@
 		r.Ends = append(r.Ends, e)
 	}
 	slices.SortFunc(r.Ends, compareEnds)
-	r.Ends = r.Ends[:min(len(r.Ends), keptEnds)]
+	r.Ends = r.Ends[:min(len(r.Ends), maxEnds)]
 }
 
-// compareEnds puts first what says most, the same way at every entry.
+// compareEnds sorts the strongest evidence first, in the same way at every entry.
 func compareEnds(a, b End) int {
 	return cmp.Or(
 		compareFlags(b.Again && !b.Excused, a.Again && !a.Excused), compareFlags(a.Excused, b.Excused),
@@ -108,7 +108,7 @@
 	}
 }
 
-// excuse notes that the request has been completed. It reports whether that is new.
+// excuse records that the request has been completed. It reports whether that is new.
 func (r *Record) excuse() bool {
 	changed := false
 	for i := range r.Ends {
@@ -118,9 +118,9 @@
 	return changed
 }
 
-// standing counts the ends that are not excused; again says whether one of these runs began when
-// an earlier end was known.
-func (r *Record) standing() (count int, again bool) {
+// countEnds counts the ends that are not excused. again says whether one of these runs began when an earlier end was
+// known.
+func (r *Record) countEnds() (count int, again bool) {
 	for _, e := range r.Ends {
 		if !e.Excused {
 			count++
@@ -130,13 +130,13 @@
 	return count, again
 }
 
-// verdict returns what may be done with the request; strict has the first end be enough. It is held
-// back once a target has ended in a run that began when an earlier end was known. The earlier end may be
-// of the same life as far as the list of targets tells: with the store away, nobody hears that it has
-// started again. To wait for a third end would cost one target more; if two ends in runs at the same time were
-// enough, innocent requests would be held back wherever many targets end at once.
+// verdict returns what may be done with the request; with strict, the first end is enough. Otherwise a request is
+// quarantined once a target has ended in a run that began when an earlier end was known. The earlier end may belong to
+// the same incarnation as far as the target list shows: while the store is unavailable, a restart is not reported.
+// Waiting for a third end would cost one more target. If two ends of concurrent runs were enough, innocent requests
+// would be quarantined wherever many targets end at once.
 func (r *Record) verdict(strict bool) Verdict {
-	count, again := r.standing()
+	count, again := r.countEnds()
 	switch {
 	case count == 0:
 		return Free
@@ -147,7 +147,7 @@
 	}
 }
 
-// clone returns a copy that shares nothing.
+// clone returns a copy that shares no memory.
 func (r *Record) clone() Record {
 	c := *r
 	c.Ends = slices.Clone(r.Ends)
--- a/pkg/quarantine/register.go
+++ b/pkg/quarantine/register.go
@@ -9,67 +9,66 @@
 )
 
 const (
-	// mostRecords and mostOfAccount bound the requests that are remembered, in all and of one
-	// account. Beyond, the weakest of the account, or of all, goes.
-	mostRecords   = 4096
-	mostOfAccount = 256
-	// suspectFor and heldFor are for how long a request is remembered that doesn't come any more.
-	// One that comes each few minutes is to be held back too, and forgetting costs three targets.
-	suspectFor = 60 * clock.Minute
-	heldFor    = 24 * 60 * clock.Minute
-	// excusedFor is for how long it is remembered that a request was completed: news of its ends
-	// may still be under way.
-	excusedFor = clock.Minute
+	// maxRecords and maxAccountRecords limit the records in total and of one account. Beyond that, the weakest of all,
+	// or of the account, is dropped.
+	maxRecords        = 4096
+	maxAccountRecords = 256
+	// suspectedRetention and heldRetention are how long a request that doesn't come any more is remembered. One that
+	// comes every few minutes must be quarantined too, and forgetting it costs three targets.
+	suspectedRetention = 60 * clock.Minute
+	heldRetention      = 24 * 60 * clock.Minute
+	// excusedRetention is how long it is remembered that a request was completed, since reports on its target ends may
+	// still be under way.
+	excusedRetention = clock.Minute
 )
 
-// entry is a record with what this process knows beside it.
-type entry struct {
+// trackedRecord is a record with the state that only this process has.
+type trackedRecord struct {
 	Record
-	seen clock.Millis // when it last came, or was heard of
-	// endedAt is when the last end was heard of.
+	lastSeen clock.Millis // when the request last came, or was reported
+	// endedAt is when the last target end was reported.
 	endedAt clock.Millis
-	// heldAt is since when it is held back here; 0 if it is not.
+	// heldAt is when it was quarantined here; 0 if it is not.
 	heldAt clock.Millis
-	// row is what the store holds of it, as last read, and version that row's; 0 if there is none.
+	// row is what the store holds, as last read, and version is its version; 0 if there is none.
 	row     Record
 	version int64
-	// trying says that a retrial is being written, spare that one was and did not take place.
-	trying, spare bool
+	// writingRetrial says that a retrial is being written, unusedRetrial that a permitted one did not take place.
+	writingRetrial, unusedRetrial bool
 }
 
 // Register holds the records that one entry knows. It does no I/O.
 type Register struct {
 	count atomic.Int64 // of records, so that nothing is locked while there are none
 
-	mu       sync.Mutex
-	known    bool
-	records  map[Digest]*entry
-	accounts map[ids.Account]*holdings
-	// dropped are rows of records that there was no room for any more.
+	mu        sync.Mutex
+	storeRead bool
+	records   map[Digest]*trackedRecord
+	accounts  map[ids.Account]*accountState
+	// dropped are rows of records that were dropped for lack of space.
 	dropped []Write
 }
 
-// NewRegister returns an empty register. Until Know is called, records that it doesn't have may
-// exist.
+// NewRegister returns an empty register. Until StoreRead is called, records may exist that it does not have.
 func NewRegister() *Register {
-	return &Register{records: make(map[Digest]*entry), accounts: make(map[ids.Account]*holdings)}
+	return &Register{records: make(map[Digest]*trackedRecord), accounts: make(map[ids.Account]*accountState)}
 }
 
-// Know notes that the store's records have been read. An empty register is no clean record
-// before: the first end that is seen counts as the last one needed.
+// StoreRead records that the store's records have been read. Before that, a missing record does not mean that there is
+// none: the first target end that is seen is enough for quarantine.
 func (r *Register) Know(now clock.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.known {
+	if r.storeRead {
 		return
 	}
-	r.known = true
+	r.storeRead = true
 	for _, e := range r.records {
-		r.changed(now, e, false, Free)
+		r.updateVerdict(now, e, false, Free)
 	}
 }
 
-// Watches reports whether there is anything against some request of an account.
+// Watches reports whether anything is recorded against a request of an account.
 func (r *Register) Watches(account ids.Account) bool {
 	if r.count.Load() == 0 {
 		return false
@@ -87,36 +86,36 @@
 	if e == nil {
 		return Free
 	}
-	e.seen = now
+	e.lastSeen = now
 	return r.verdict(e)
 }
 
-// settleFor is how long after an end a suspected request may run again. Where a failure domain is lost, its targets end
-// within some ms of one another; one that ran the request again at once, and ended with the others, would count as one more that
-// ended under it.
-const settleFor = 50 * clock.Millisecond
+// settleTime is how long after a target end a suspected request may run again. If a failure domain is lost, its
+// targets end within some ms of one another; a target that ran the request again at once and ended with the others
+// would count as a further end under it.
+const settleTime = 50 * clock.Millisecond
 
-// Settled reports whether no target has ended under a request for a moment.
+// Settled reports whether no target has ended under a request within settleTime.
 func (r *Register) Settled(now clock.Millis, d Digest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.records[d]
-	return e == nil || now-e.endedAt >= settleFor
+	return e == nil || now-e.endedAt >= settleTime
 }
 
-// verdict returns the verdict on a record; the lock is held.
-func (r *Register) verdict(e *entry) Verdict {
-	strict := !r.known
+// verdict returns the verdict on a record. The caller holds the lock.
+func (r *Register) verdict(e *trackedRecord) Verdict {
+	strict := !r.storeRead
 	if h := r.accounts[e.Account]; h != nil && e.heldAt == 0 {
-		strict = strict || h.held >= suspectAccount
+		strict = strict || h.held >= accountHeldThreshold
 	}
-	if e.heldAt > 0 && r.known {
-		strict = true // held back once, only a completed run frees it
+	if e.heldAt > 0 && r.storeRead {
+		strict = true // once quarantined, only a completed run frees it
 	}
 	return e.verdict(strict)
 }
 
-// Change is what news of a request have done.
+// Change is the effect of a report on a request.
 type Change struct {
 	Record
 	// New says that something was not known before.
@@ -124,58 +123,59 @@
 	Before, After Verdict
 }
 
-// Join adds what is known of a request, by this entry or another.
-func (r *Register) Join(now clock.Millis, news *Record) Change {
+// Join merges what is known of a request, at this entry or another.
+func (r *Register) Join(now clock.Millis, report *Record) Change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	before := r.endsOf(news.Digest)
-	c := r.join(now, news)
-	h := r.accounts[news.Account]
+	before := r.countEnds(report.Digest)
+	c := r.join(now, report)
+	h := r.accounts[report.Account]
 	if h == nil {
 		return c
 	}
-	// Rows of the store, which an entry reads when it starts, tell of ends that may be old; they don't come here.
-	if r.endsOf(news.Digest) > before {
-		r.records[news.Digest].endedAt = now
-		h.on(news.Route).noteEnd(now)
+	// Rows of the store, which an entry reads when it starts, contain ends that may be old; they don't go through
+	// here.
+	if r.countEnds(report.Digest) > before {
+		r.records[report.Digest].endedAt = now
+		h.route(report.Route).recordEnd(now)
 	}
 	if c.Before != Held && c.After == Held {
-		h.on(news.Route).noteHeld(now)
+		h.route(report.Route).recordHeld(now)
 	}
 	return c
 }
 
-// endsOf is how many ends stand against a request; the lock is held.
-func (r *Register) endsOf(d Digest) int {
+// countEnds returns the number of ends that count against a request. The caller holds the lock.
+func (r *Register) countEnds(d Digest) int {
 	e := r.records[d]
 	if e == nil {
 		return 0
 	}
-	count, _ := e.standing()
+	count, _ := e.countEnds()
 	return count
 }
 
-func (r *Register) join(now clock.Millis, news *Record) Change {
-	if len(news.Ends) == 0 {
+func (r *Register) join(now clock.Millis, report *Record) Change {
+	if len(report.Ends) == 0 {
 		return Change{}
 	}
-	e := r.records[news.Digest]
+	e := r.records[report.Digest]
 	if e == nil {
-		e = &entry{Record: Record{Digest: news.Digest, Account: news.Account, Route: news.Route}}
+		e = &trackedRecord{Record: Record{Digest: report.Digest, Account: report.Account, Route: report.Route}}
 		r.insert(now, e)
 	}
 	before := r.verdict(e)
-	isNew := e.join(news)
+	isNew := e.join(report)
 	if isNew {
-		e.seen = now
+		e.lastSeen = now
 	}
-	return r.changed(now, e, isNew, before)
+	return r.updateVerdict(now, e, isNew, before)
 }
 
-// changed takes up a record's new verdict; the lock is held.
-func (r *Register) changed(now clock.Millis, e *entry, isNew bool, before Verdict) Change {
+// updateVerdict applies a record's new verdict. The caller holds the lock.
+func (r *Register) updateVerdict(now clock.Millis, e *trackedRecord, isNew bool, before Verdict) Change {
 	after := r.verdict(e)
-	held := after == Held && r.known
+	held := after == Held && r.storeRead
 	switch h := r.accounts[e.Account]; {
 	case held && e.heldAt == 0:
 		e.heldAt = max(1, now)
@@ -187,7 +187,7 @@
 	return Change{Record: e.clone(), New: isNew, Before: before, After: after}
 }
 
-// Completed notes that a request has been completed. New says that there was something against it.
+// Completed records that a request has been completed. New says that something was recorded against it.
 func (r *Register) Completed(now clock.Millis, d Digest) Change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -196,9 +196,9 @@
 		return Change{}
 	}
 	before := r.verdict(e)
-	c := r.changed(now, e, e.excuse(), before)
+	c := r.updateVerdict(now, e, e.excuse(), before)
 	if h := r.accounts[e.Account]; h != nil && before == Held && c.New {
-		// Something else ended the targets, also where others of the route were held back.
+		// Something else ended the targets, also where other requests of the route were quarantined.
 		delete(h.routes, e.Route)
 	}
 	return c
--- a/pkg/quarantine/register_bounds.go
+++ b/pkg/quarantine/register_bounds.go
@@ -2,30 +2,30 @@
 
 import "quaydock/pkg/clock"
 
-// insert adds a record, and drops another where there are too many; the lock is held.
-func (r *Register) insert(now clock.Millis, e *entry) {
-	e.seen = now
+// insert adds a record, and drops another one if there are too many. The caller holds the lock.
+func (r *Register) insert(now clock.Millis, e *trackedRecord) {
+	e.lastSeen = now
 	h := r.accounts[e.Account]
 	if h == nil {
-		h = &holdings{}
+		h = &accountState{}
 		r.accounts[e.Account] = h
 	}
 	switch {
-	case h.records >= mostOfAccount:
-		r.drop(r.weakest(func(other *entry) bool { return other.Account == e.Account }))
-	case len(r.records) >= mostRecords:
-		r.drop(r.weakest(func(*entry) bool { return true }))
+	case h.records >= maxAccountRecords:
+		r.drop(r.weakest(func(other *trackedRecord) bool { return other.Account == e.Account }))
+	case len(r.records) >= maxRecords:
+		r.drop(r.weakest(func(*trackedRecord) bool { return true }))
 	}
-	r.accounts[e.Account] = h // it may have gone with its last record
+	r.accounts[e.Account] = h // it may have been removed with its last record
 	r.records[e.Digest] = e
 	h.records++
 	r.count.Store(int64(len(r.records)))
 }
 
-// weakest is the record among some that tells least: one not held back, with the fewest ends, that
-// was not seen for longest; the lock is held.
-func (r *Register) weakest(among func(*entry) bool) *entry {
-	var weakest *entry
+// weakest returns the record with the least evidence: not quarantined, with the fewest ends, and not seen for longest.
+// The caller holds the lock.
+func (r *Register) weakest(among func(*trackedRecord) bool) *trackedRecord {
+	var weakest *trackedRecord
 	for _, e := range r.records {
 		if among(e) && (weakest == nil || e.weaker(weakest)) {
 			weakest = e
@@ -34,28 +34,28 @@
 	return weakest
 }
 
-func (e *entry) weaker(than *entry) bool {
+func (e *trackedRecord) weaker(than *trackedRecord) bool {
 	if (e.heldAt > 0) != (than.heldAt > 0) {
 		return than.heldAt > 0
 	}
-	own, _ := e.standing()
-	other, _ := than.standing()
+	own, _ := e.countEnds()
+	other, _ := than.countEnds()
 	if own != other {
 		return own < other
 	}
-	return e.seen < than.seen
+	return e.lastSeen < than.lastSeen
 }
 
-// drop takes a record out for want of room; the lock is held.
-func (r *Register) drop(e *entry) {
-	if e.version > 0 && len(r.dropped) < mostOfAccount {
+// drop removes a record for lack of space. The caller holds the lock.
+func (r *Register) drop(e *trackedRecord) {
+	if e.version > 0 && len(r.dropped) < maxAccountRecords {
 		r.dropped = append(r.dropped, Write{Record: e.clone(), Version: e.version, Remove: true})
 	}
 	r.remove(e)
 }
 
-// remove takes a record out; the lock is held.
-func (r *Register) remove(e *entry) {
+// remove removes a record. The caller holds the lock.
+func (r *Register) remove(e *trackedRecord) {
 	delete(r.records, e.Digest)
 	h := r.accounts[e.Account]
 	h.records--
@@ -68,15 +68,15 @@
 	r.count.Store(int64(len(r.records)))
 }
 
-// Expire drops the records of requests that have not come for long, and returns the rows that are
-// to go with them and with those that there was no room for.
+// Expire removes the records of requests that have not come for a long time. It returns the rows to be removed with
+// them, and those of records dropped for lack of space.
 func (r *Register) Expire(now clock.Millis) []Write {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rows := r.dropped
 	r.dropped = nil
 	for _, e := range r.records {
-		if now-e.seen < e.keptFor() {
+		if now-e.lastSeen < e.retention() {
 			continue
 		}
 		if e.version > 0 {
@@ -87,15 +87,15 @@
 	return rows
 }
 
-// keptFor is for how long a record is kept after its request last came.
-func (e *entry) keptFor() clock.Millis {
-	count, _ := e.standing()
+// retention returns how long a record is kept after its request last came.
+func (e *trackedRecord) retention() clock.Millis {
+	count, _ := e.countEnds()
 	switch {
 	case e.heldAt > 0:
-		return heldFor
+		return heldRetention
 	case count == 0:
-		return excusedFor
+		return excusedRetention
 	default:
-		return suspectFor
+		return suspectedRetention
 	}
 }
--- a/pkg/quarantine/register_report.go
+++ b/pkg/quarantine/register_report.go
@@ -9,16 +9,16 @@
 	"quaydock/pkg/ids"
 )
 
-// Report is what operators are told of a request that is held back.
+// Report describes a quarantined request to operators.
 type Report struct {
 	Record
-	// For is since when it is held back as far as this entry knows, RetryIn in what time it may run once
-	// more at the soonest.
+	// For is how long this entry knows it to be quarantined, and RetryIn the time until it may run once more at the
+	// earliest, both in ms.
 	For     clock.Millis `json:"for_ms"`
 	RetryIn clock.Millis `json:"retry_in_ms"`
 }
 
-// Held lists the requests that are held back.
+// Held lists the quarantined requests.
 func (r *Register) Held(now clock.Millis) []Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -34,7 +34,7 @@
 	return list
 }
 
-// HeldCount is how many requests are held back.
+// HeldCount returns the number of quarantined requests.
 func (r *Register) HeldCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -45,7 +45,7 @@
 	return count
 }
 
-// HeldLives lists the lives that ended under requests that are held back.
+// HeldIncarnations lists the incarnations that ended under quarantined requests.
 func (r *Register) HeldLives() []ids.Life {
 	if r.Len() == 0 {
 		return nil
@@ -66,10 +66,10 @@
 	return lives
 }
 
-// Len is how many requests there is something against.
+// Len returns the number of requests that something is recorded against.
 func (r *Register) Len() int { return int(r.count.Load()) }
 
-// Get returns a record.
+// Get returns the record of a digest.
 func (r *Register) Get(d Digest) (Record, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/quarantine/register_retrials.go
+++ b/pkg/quarantine/register_retrials.go
@@ -3,15 +3,15 @@
 import "quaydock/pkg/clock"
 
 const (
-	// firstRetrial and nextRetrial are when a request that is held back runs once more, counted
-	// from the moment at which that was first known here: targets that were lost for another
-	// reason are back by then. mostRetrials is how often in all.
-	firstRetrial = 5 * clock.Second
-	nextRetrial  = 10 * clock.Minute
-	mostRetrials = 2
+	// firstRetrialDelay and nextRetrialDelay are when a quarantined request may run once more, counted from the moment
+	// at which this entry learned of the quarantine: targets that were lost for another reason are back by then.
+	// maxRetrials is the number of such runs in total.
+	firstRetrialDelay = 5 * clock.Second
+	nextRetrialDelay  = 10 * clock.Minute
+	maxRetrials       = 2
 )
 
-// RetrialDue reports whether it is time for one more run of a request that is held back.
+// RetrialDue reports whether one more run of a quarantined request is due.
 func (r *Register) RetrialDue(now clock.Millis, d Digest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -19,58 +19,58 @@
 	return e != nil && e.retrialDue(now)
 }
 
-// Retry returns the write that allows one more run of a request that is held back, if it is time
-// for that. Done has to be called with its outcome.
+// Retry returns the write that permits one more run of a quarantined request, if one is due. The caller must pass its
+// outcome to Done.
 func (r *Register) Retry(now clock.Millis, d Digest) (Write, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.records[d]
-	if e == nil || e.spare || !e.retrialDue(now) {
+	if e == nil || e.unusedRetrial || !e.retrialDue(now) {
 		return Write{}, false
 	}
-	e.trying = true
+	e.writingRetrial = true
 	w := Write{Record: e.clone(), Version: e.version}
 	w.Retrials++
 	return w, true
 }
 
-// Spare notes that one more run that was allowed did not take place.
+// ReturnRetrial records that a permitted retrial did not take place.
 func (r *Register) Spare(d Digest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if e := r.records[d]; e != nil {
-		e.spare = true
+		e.unusedRetrial = true
 	}
 }
 
-// TakeSpare takes a run that was allowed and did not take place.
+// TakeReturnedRetrial takes a permitted retrial that did not take place.
 func (r *Register) TakeSpare(d Digest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.records[d]
-	if e == nil || !e.spare {
+	if e == nil || !e.unusedRetrial {
 		return false
 	}
-	e.spare = false
+	e.unusedRetrial = false
 	return true
 }
 
-// retrialDue reports whether it is time for one more run of what is held back.
-func (e *entry) retrialDue(now clock.Millis) bool {
-	if e.spare {
+// retrialDue reports whether one more run is due.
+func (e *trackedRecord) retrialDue(now clock.Millis) bool {
+	if e.unusedRetrial {
 		return true
 	}
-	if e.heldAt == 0 || e.version == 0 || e.trying || e.Retrials >= mostRetrials {
+	if e.heldAt == 0 || e.version == 0 || e.writingRetrial || e.Retrials >= maxRetrials {
 		return false
 	}
-	wait := firstRetrial
+	wait := firstRetrialDelay
 	if e.Retrials > 0 {
-		wait = nextRetrial
+		wait = nextRetrialDelay
 	}
 	return now-e.heldAt >= wait
 }
 
-// Done takes the outcome of a write of Retry.
+// Done records the outcome of a write of Retry.
 func (r *Register) Done(w *Write, written bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,29 +78,29 @@
 	if e == nil {
 		return
 	}
-	e.trying = false
+	e.writingRetrial = false
 	if written {
 		e.Retrials = max(e.Retrials, w.Retrials)
 	}
 }
 
-// ReadyIn is in what time a request that is held back may run once more at the soonest.
+// ReadyIn returns the time until a quarantined request may run once more at the earliest.
 func (r *Register) ReadyIn(now clock.Millis, d Digest) clock.Millis {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if e := r.records[d]; e != nil {
 		return e.readyIn(now)
 	}
-	return firstRetrial
+	return firstRetrialDelay
 }
 
-func (e *entry) readyIn(now clock.Millis) clock.Millis {
+func (e *trackedRecord) readyIn(now clock.Millis) clock.Millis {
 	switch {
 	case e.heldAt == 0:
-		return firstRetrial
+		return firstRetrialDelay
 	case e.Retrials == 0:
-		return max(clock.Second, e.heldAt+firstRetrial-now)
+		return max(clock.Second, e.heldAt+firstRetrialDelay-now)
 	default:
-		return nextRetrial
+		return nextRetrialDelay
 	}
 }
--- a/pkg/quarantine/register_rows.go
+++ b/pkg/quarantine/register_rows.go
@@ -2,16 +2,15 @@
 
 import "quaydock/pkg/clock"
 
-// Write is a row that is to be written if its version is still the one that was read, 0 if there
-// was none.
+// Write describes a row to be written if its version is still the one that was read, 0 if there was none.
 type Write struct {
 	Record
 	Version int64
-	// Remove says that the row is to go.
+	// Remove says that the row is to be removed.
 	Remove bool
 }
 
-// Read takes a row of the store, whose version is never 0.
+// RowRead takes a row of the store, whose version is never 0.
 func (r *Register) Read(now clock.Millis, row *Record, version int64) Change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -22,7 +21,7 @@
 	return c
 }
 
-// Unread notes that the store has no row of a request any more.
+// RowRemoved records that the store no longer has a row of a request.
 func (r *Register) Unread(d Digest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -31,7 +30,7 @@
 	}
 }
 
-// UnreadOthers notes that the store has no rows but these.
+// RetainRows records that the store has no rows but these.
 func (r *Register) UnreadOthers(rows []Row) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -46,44 +45,44 @@
 	}
 }
 
-// Unwritten lists the records that the store is to hold otherwise than it does, those held back
-// first: rows of requests that are held back or have two ends, and no others.
-func (r *Register) Unwritten(mine func(Digest) bool) []Write {
+// Unwritten lists the records that differ from what the store is to hold, quarantined ones first. The store holds rows
+// of requests that are quarantined or have two target ends, and no others.
+func (r *Register) Unwritten(owned func(Digest) bool) []Write {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var held, others []Write
 	for d, e := range r.records {
 		switch {
-		case !e.due() || !mine(d):
+		case !e.needsWrite() || !owned(d):
 		case e.heldAt > 0:
-			held = append(held, e.write())
+			held = append(held, e.pendingWrite())
 		default:
-			others = append(others, e.write())
+			others = append(others, e.pendingWrite())
 		}
 	}
 	return append(held, others...)
 }
 
-// storedEnds is from how many ends on the store holds a record: the innocent requests at a target
-// that ends have one each.
-const storedEnds = 2
+// minStoredEnds is the number of ends from which on the store holds a record: the innocent requests at a target that
+// ends have one each.
+const minStoredEnds = 2
 
-// stored reports whether the store is to hold a record.
-func (e *entry) stored() bool {
-	count, _ := e.standing()
-	return count >= storedEnds || e.heldAt > 0
+// belongsInStore reports whether the store is to hold a record.
+func (e *trackedRecord) belongsInStore() bool {
+	count, _ := e.countEnds()
+	return count >= minStoredEnds || e.heldAt > 0
 }
 
-// due reports whether the store holds a record otherwise than it is to. It is asked of all records,
+// needsWrite reports whether the store's row of a record must be written or removed. It is called for all records,
 // five times a second.
-func (e *entry) due() bool {
-	if e.stored() {
+func (e *trackedRecord) needsWrite() bool {
+	if e.belongsInStore() {
 		return !e.row.covers(&e.Record)
 	}
 	return e.version > 0
 }
 
-// write returns the write that a record needs.
-func (e *entry) write() Write {
-	return Write{Record: e.clone(), Version: e.version, Remove: !e.stored()}
+// pendingWrite returns the write that a record needs.
+func (e *trackedRecord) pendingWrite() Write {
+	return Write{Record: e.clone(), Version: e.version, Remove: !e.belongsInStore()}
 }
--- a/pkg/quarantine/register_test.go
+++ b/pkg/quarantine/register_test.go
@@ -9,7 +9,7 @@
 	"quaydock/pkg/ids"
 )
 
-// ExampleIdentify: tries of one request have ids of their own, and one digest.
+// ExampleIdentify: tries of one request have different IDs, and the same digest.
 func ExampleIdentify() {
 	first := Identify("acme", "/chat/q?stream=1", []byte("question"))
 	again := Identify("acme", "/chat/q?stream=1", []byte("question"))
@@ -20,7 +20,7 @@
 
 func life(n int) ids.Life { return ids.Life{Target: ids.Target(fmt.Sprint("t", n))} }
 
-// record is one with ends at the lives of some numbers; those below 0 are of runs that began when
+// record returns a record with ends of the numbered incarnations; a negative number stands for a run that began when
 // an earlier end was known.
 func record(d Digest, account ids.Account, numbers ...int) *Record {
 	r := &Record{Digest: d, Account: account, Route: "r"}
@@ -39,10 +39,10 @@
 		want Verdict
 	}{
 		{"one end", []int{1}, Suspect},
-		{"ends of runs at the same time", []int{1, 2, 3, 4}, Suspect},
-		{"one more end in a run that began later", []int{1, -2}, Held},
-		{"the same life, as the list tells, in a run that began later", []int{1, -1}, Held},
-		{"the same life, seen twice", []int{1, 1}, Suspect},
+		{"ends of concurrent runs", []int{1, 2, 3, 4}, Suspect},
+		{"further end in a run that began later", []int{1, -2}, Held},
+		{"same incarnation by the target list, in a run that began later", []int{1, -1}, Held},
+		{"same incarnation, seen twice", []int{1, 1}, Suspect},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -58,13 +58,13 @@
 	}
 }
 
-// TestAnEmptyRegisterIsNoCleanRecord: an entry that has not read the store's records can't know of
-// earlier ends.
-func TestAnEmptyRegisterIsNoCleanRecord(t *testing.T) {
+// TestEmptyRegisterIsNoCleanRecord guards against trusting an empty register: an entry that has not read the store's
+// records can't know of earlier target ends.
+func TestEmptyRegisterIsNoCleanRecord(t *testing.T) {
 	r := NewRegister()
 	r.Join(1, record(digest(1), "acme", 1))
 	if got := r.Verdict(1, digest(1)); got != Held {
-		t.Errorf("verdict %v before the records are read, want Held", got)
+		t.Errorf("verdict %v before the store's records are read, want Held", got)
 	}
 	r.Know(2)
 	if got := r.Verdict(2, digest(1)); got != Suspect {
@@ -72,17 +72,17 @@
 	}
 }
 
-// TestRecordsOfEntriesAreJoined: news come in any order, more than once, and with ends that others
-// have excused meanwhile. Of more ends than are kept the verdict is the same, though not each end.
-func TestRecordsOfEntriesAreJoined(t *testing.T) {
+// TestRecordsOfEntriesAreMerged merges reports that come in any order, repeatedly, and with ends that others have
+// excused meanwhile. With more ends than are kept, the verdict must be the same, though not each end.
+func TestRecordsOfEntriesAreMerged(t *testing.T) {
 	excused := record(digest(1), "acme", 3, 4)
 	excused.excuse()
 	few := []*Record{
 		record(digest(1), "acme", 1, 2), record(digest(1), "acme", -2), record(digest(1), "acme", 3), record(digest(1), "acme", 4, 5), excused,
 	}
 	first := joinedInAnyOrder(t, few)
-	if count, again := first.standing(); count != 3 || !again {
-		t.Errorf("%d ends stand, again %t", count, again)
+	if count, again := first.countEnds(); count != 3 || !again {
+		t.Errorf("%d ends count, again %t, want 3 and true", count, again)
 	}
 	many := append(few, record(digest(1), "acme", 6, 7, 8, 9, 10, 11, 12))
 	for shift := range many {
@@ -92,49 +92,49 @@
 			r.Join(1, many[(i+shift)%len(many)])
 		}
 		got, _ := r.Get(digest(1))
-		if r.Verdict(1, digest(1)) != Held || len(got.Ends) > keptEnds {
+		if r.Verdict(1, digest(1)) != Held || len(got.Ends) > maxEnds {
 			t.Errorf("verdict %v with %d ends", r.Verdict(1, digest(1)), len(got.Ends))
 		}
 	}
 }
 
-func joinedInAnyOrder(t *testing.T, news []*Record) Record {
+func joinedInAnyOrder(t *testing.T, reports []*Record) Record {
 	var first Record
-	for shift := range news {
+	for shift := range reports {
 		r := NewRegister()
 		r.Know(1)
-		for i := range news {
-			r.Join(1, news[(i+shift)%len(news)])
-			r.Join(1, news[(i+shift)%len(news)])
+		for i := range reports {
+			r.Join(1, reports[(i+shift)%len(reports)])
+			r.Join(1, reports[(i+shift)%len(reports)])
 		}
 		got, _ := r.Get(digest(1))
 		if c := r.Join(1, &got); c.New {
-			t.Errorf("its own record is news to a register")
+			t.Errorf("merging its own record changed a register")
 		}
 		if shift == 0 {
 			first = got
 		}
 		if !slices.Equal(got.Ends, first.Ends) {
-			t.Errorf("joined in another order: %v, want %v", got.Ends, first.Ends)
+			t.Errorf("merged in another order: %v, want %v", got.Ends, first.Ends)
 		}
 	}
 	return first
 }
 
-func TestACompletedRunClears(t *testing.T) {
+func TestCompletedRunClearsRequest(t *testing.T) {
 	r := NewRegister()
 	r.Know(1)
 	r.Join(1, record(digest(1), "acme", 1, -2))
 	if c := r.Completed(2, digest(1)); !c.New || c.Before != Held || c.After != Free {
-		t.Errorf("completed: %+v", c)
+		t.Errorf("change after completion: %+v", c)
 	}
 	if got := r.Verdict(2, digest(1)); got != Free {
 		t.Errorf("verdict %v", got)
 	}
-	// News of the same ends that were under way change nothing; the end of another life does.
+	// Delayed reports on the same ends change nothing; the end of another incarnation does.
 	r.Join(3, record(digest(1), "acme", 1, -2))
 	if got := r.Verdict(3, digest(1)); got != Free {
-		t.Errorf("verdict %v after late news", got)
+		t.Errorf("verdict %v after delayed reports", got)
 	}
 	r.Join(4, record(digest(1), "acme", 3))
 	if got := r.Verdict(4, digest(1)); got != Suspect {
@@ -142,8 +142,9 @@
 	}
 }
 
-// TestARecordThatNamesAnotherAccount: a row of another writer may; the account of the first news stays.
-func TestARecordThatNamesAnotherAccount(t *testing.T) {
+// TestRecordOfAnotherAccount merges a record that names another account, as the row of another writer may: the account
+// of the first report must stay.
+func TestRecordOfAnotherAccount(t *testing.T) {
 	r := NewRegister()
 	r.Know(1)
 	r.Join(1, record(digest(1), "", 1))
@@ -151,89 +152,89 @@
 	if r.Verdict(1, digest(1)) != Held || !r.Watches("") || r.Watches("acme") {
 		t.Errorf("verdict %v, watched: %t and %t", r.Verdict(1, digest(1)), r.Watches(""), r.Watches("acme"))
 	}
-	r.Expire(2 * heldFor)
+	r.Expire(2 * heldRetention)
 	if r.Len() != 0 || r.Watches("") {
-		t.Error("the record is left")
+		t.Error("the record was not removed")
 	}
 }
 
-// TestOneMoreRun: a request that is held back runs once more after a while, counted by a write to the
-// store, and once more much later.
-func TestOneMoreRun(t *testing.T) {
+// TestRetrials checks that a quarantined request runs once more after a while, counted by a write to the store, and
+// once more much later.
+func TestRetrials(t *testing.T) {
 	r := NewRegister()
 	r.Know(1)
 	held := record(digest(1), "acme", 1, -2)
 	r.Join(1, held)
-	if _, due := r.Retry(1+firstRetrial, digest(1)); due {
-		t.Error("a run is allowed that the store can't count")
+	if _, due := r.Retry(1+firstRetrialDelay, digest(1)); due {
+		t.Error("a run is permitted that the store can't count")
 	}
 	r.Read(1, held, 7)
-	if _, due := r.Retry(firstRetrial, digest(1)); due {
-		t.Error("a run is allowed too soon")
+	if _, due := r.Retry(firstRetrialDelay, digest(1)); due {
+		t.Error("a run is permitted too early")
 	}
-	w, due := r.Retry(1+firstRetrial, digest(1))
+	w, due := r.Retry(1+firstRetrialDelay, digest(1))
 	if !due || w.Version != 7 || w.Retrials != 1 {
 		t.Fatalf("write %+v, due %t", w, due)
 	}
-	if _, due := r.Retry(1+firstRetrial, digest(1)); due {
-		t.Error("two runs are allowed at once")
+	if _, due := r.Retry(1+firstRetrialDelay, digest(1)); due {
+		t.Error("two runs are permitted at once")
 	}
 	r.Done(&w, true)
 	r.Read(2, &w.Record, 8)
-	if _, due := r.Retry(nextRetrial, digest(1)); due {
-		t.Error("the next run is allowed too soon")
+	if _, due := r.Retry(nextRetrialDelay, digest(1)); due {
+		t.Error("the next run is permitted too early")
 	}
-	w, due = r.Retry(1+nextRetrial, digest(1))
-	if !due || w.Retrials != mostRetrials {
+	w, due = r.Retry(1+nextRetrialDelay, digest(1))
+	if !due || w.Retrials != maxRetrials {
 		t.Fatalf("write %+v, due %t", w, due)
 	}
 	r.Done(&w, true)
-	if _, due := r.Retry(100*nextRetrial, digest(1)); due {
-		t.Error("more runs are allowed than there may be")
+	if _, due := r.Retry(100*nextRetrialDelay, digest(1)); due {
+		t.Error("more than maxRetrials runs are permitted")
 	}
 	r.Spare(digest(1))
 	if !r.TakeSpare(digest(1)) || r.TakeSpare(digest(1)) {
-		t.Error("a run that did not take place is not allowed just once")
+		t.Error("a returned retrial is not permitted exactly once")
 	}
 }
 
-// TestAFloodOfOneAccount: one account sends ever other requests that end targets. Others' records stay,
-// as do its own that say most, and after a few the first end is enough.
-func TestAFloodOfOneAccount(t *testing.T) {
+// TestFloodOfOneAccount has one account send new requests that end targets all the time. The records of other accounts
+// must stay, as must its own strongest ones, and after a few quarantined requests the first target end is enough.
+func TestFloodOfOneAccount(t *testing.T) {
 	r := NewRegister()
 	r.Know(1)
 	r.Join(1, record(digest(-1), "other", 1))
 	r.Join(1, record(digest(-2), "acme", 1, -2))
 	r.Read(1, record(digest(-2), "acme", 1, -2), 3)
-	for n := range 3 * mostOfAccount {
+	for n := range 3 * maxAccountRecords {
 		r.Join(clock.Millis(2+n), record(digest(n), "acme", n))
 	}
-	if r.Len() != mostOfAccount+1 {
-		t.Errorf("%d records, want %d", r.Len(), mostOfAccount+1)
+	if r.Len() != maxAccountRecords+1 {
+		t.Errorf("%d records, want %d", r.Len(), maxAccountRecords+1)
 	}
 	if r.Verdict(1, digest(-1)) != Suspect || r.Verdict(1, digest(-2)) != Held {
-		t.Error("records were pushed out by a flood")
+		t.Error("records were dropped in a flood")
 	}
-	for n := range suspectAccount {
+	for n := range accountHeldThreshold {
 		r.Join(5000, record(digest(-10-n), "acme", n, -n-1))
 	}
 	r.Join(5000, record(digest(-50), "acme", 1))
 	r.Join(5000, record(digest(-51), "other", 1))
 	if r.Verdict(5000, digest(-50)) != Held || r.Verdict(5000, digest(-51)) != Suspect {
-		t.Errorf("the first end under an account that sent many: %v, of another account: %v", r.Verdict(5000, digest(-50)), r.Verdict(5000, digest(-51)))
+		t.Errorf("verdict on the first end for an account with many: %v, for another account: %v", r.Verdict(5000, digest(-50)), r.Verdict(5000, digest(-51)))
 	}
-	for n := range 2 * mostRecords {
+	for n := range 2 * maxRecords {
 		r.Join(6000, record(digest(10_000+n), ids.Account(fmt.Sprint("a", n)), n))
 	}
-	if r.Len() > mostRecords {
-		t.Errorf("%d records, more than %d", r.Len(), mostRecords)
+	if r.Len() > maxRecords {
+		t.Errorf("%d records, more than %d", r.Len(), maxRecords)
 	}
 	if r.Verdict(6000, digest(-2)) != Held {
-		t.Error("a record of a request that is held back was pushed out by other accounts")
+		t.Error("the record of a quarantined request was dropped for those of other accounts")
 	}
 }
 
-func TestWhatTheStoreHolds(t *testing.T) {
+func TestRowsWrittenToStore(t *testing.T) {
 	r := NewRegister()
 	r.Know(1)
 	all := func(Digest) bool { return true }
@@ -244,60 +245,61 @@
 	r.Join(1, record(digest(1), "acme", -2))
 	due := r.Unwritten(all)
 	if len(due) != 1 || due[0].Version != 0 || due[0].Remove {
-		t.Fatalf("due %+v", due)
+		t.Fatalf("writes due: %+v", due)
 	}
 	r.Read(2, &due[0].Record, 5)
 	if due := r.Unwritten(all); len(due) != 0 {
 		t.Errorf("written again: %v", due)
 	}
-	r.Read(2, record(digest(1), "acme", 1), 4) // read before, come later
+	r.Read(2, record(digest(1), "acme", 1), 4) // read earlier, processed later
 	if due := r.Unwritten(all); len(due) != 0 {
 		t.Errorf("written again after an older row: %v", due)
 	}
 	r.Completed(3, digest(1))
 	if due := r.Unwritten(all); len(due) != 1 || !due[0].Remove || due[0].Version != 5 {
-		t.Fatalf("due after a completed run %+v", due)
+		t.Fatalf("writes due after a completed run: %+v", due)
 	}
 	r.Unread(digest(1))
 	if due := r.Unwritten(all); len(due) != 0 {
-		t.Errorf("due of a row that is gone: %v", due)
+		t.Errorf("writes due for a removed row: %v", due)
 	}
-	if rows := r.Expire(3 + excusedFor); len(rows) != 0 || r.Len() != 0 {
-		t.Errorf("%d records and rows %v are left", r.Len(), rows)
+	if rows := r.Expire(3 + excusedRetention); len(rows) != 0 || r.Len() != 0 {
+		t.Errorf("%d records and rows %v remain", r.Len(), rows)
 	}
 }
 
-// TestRequestsThatComeRarely: one that comes each few minutes is remembered from one time to the next.
+// TestRequestsThatComeRarely checks that a request that comes every few minutes is remembered from one time to the
+// next.
 func TestRequestsThatComeRarely(t *testing.T) {
 	r := NewRegister()
 	r.Know(1)
 	r.Join(1, record(digest(1), "acme", 1))
-	r.Expire(suspectFor - 1)
-	r.Join(suspectFor, record(digest(1), "acme", -2))
-	r.Expire(heldFor)
-	if got := r.Verdict(heldFor, digest(1)); got != Held {
+	r.Expire(suspectedRetention - 1)
+	r.Join(suspectedRetention, record(digest(1), "acme", -2))
+	r.Expire(heldRetention)
+	if got := r.Verdict(heldRetention, digest(1)); got != Held {
 		t.Errorf("verdict %v", got)
 	}
-	r.Expire(2 * heldFor)
+	r.Expire(2 * heldRetention)
 	if r.Len() != 0 {
-		t.Error("a request is remembered for ever")
+		t.Error("the record was not removed after its retention")
 	}
 }
 
-// BenchmarkWatches is what a request pays while nothing is known against any: 3 ns, where
-// nothing was asked before.
+// BenchmarkWatches measures what each request pays while nothing is recorded against any: 3 ns; there was no such
+// check before.
 func BenchmarkWatches(b *testing.B) {
 	r := NewRegister()
 	b.ReportAllocs()
 	for b.Loop() {
 		if r.Watches("acme") {
-			b.Fatal("watched")
+			b.Fatal("account without records is watched")
 		}
 	}
 }
 
-// BenchmarkIdentify is what a request of 2 kB pays besides where its account is watched: 1.7 µs, where
-// no digest was worked out before.
+// BenchmarkIdentify measures what a request of 2 kB pays in addition if its account is watched: 1.7 µs; no digest was
+// computed before.
 func BenchmarkIdentify(b *testing.B) {
 	body := make([]byte, 2048)
 	b.ReportAllocs()
@@ -306,12 +308,12 @@
 	}
 }
 
-// BenchmarkUnwritten is what a full register costs five times a second where the store holds all that
-// it is to: 0.36 ms and no allocation, 2.1 ms and 790 kB with a copy of each record.
+// BenchmarkUnwritten measures what a full register costs five times a second if the store is up to date: 0.36 ms and
+// no allocation, compared with 2.1 ms and 790 kB with a copy of each record.
 func BenchmarkUnwritten(b *testing.B) {
 	r := NewRegister()
 	r.Know(1)
-	for n := range mostRecords {
+	for n := range maxRecords {
 		held := record(digest(n), ids.Account(fmt.Sprint("a", n%64)), n, -n-1)
 		r.Join(1, held)
 		r.Read(1, held, 1)
@@ -319,7 +321,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if len(r.Unwritten(func(Digest) bool { return true })) > 0 {
-			b.Fatal("something is due")
+			b.Fatal("writes are due though the store is up to date")
 		}
 	}
 }
--- a/pkg/quarantine/turns.go
+++ b/pkg/quarantine/turns.go
@@ -12,56 +12,56 @@
 )
 
 const (
-	// turnFor is for how long a turn lasts at the most: targets end within a fraction of it under
-	// a request that ends them, and others that wait are not to wait for a long answer.
-	turnFor = clock.Second
-	// turnAnswer is how long the home of a digest is waited for, and turnSilences how often, before
-	// an entry goes by its own turns alone.
-	turnAnswer   = 25 * clock.Millisecond
-	turnSilences = 3
+	// runLimit is how long an exclusive run lasts at most: targets end within a fraction of it under a request that
+	// ends them, and others should not wait for a long answer.
+	runLimit = clock.Second
+	// ownerTimeout is how long an entry waits for the answer of a digest's owner, and maxSilences how many times in a
+	// row it waits in vain before it grants exclusive runs on its own.
+	ownerTimeout = 25 * clock.Millisecond
+	maxSilences  = 3
 )
 
-// turnAsk wants the turn of a digest from its home; turnDone gives it back.
-type turnAsk struct {
+// runRequest requests the exclusive run of a digest from its owner; runRelease releases it.
+type runRequest struct {
 	_      struct{} `cbor:",toarray"`
 	Digest Digest
 	Number uint64
 }
 
-type turnDone turnAsk
+type runRelease runRequest
 
-// turnAnswered is the home's word on an ask.
-type turnAnswered struct {
+// runAnswer is the owner's answer to a request.
+type runAnswer struct {
 	_       struct{} `cbor:",toarray"`
 	Number  uint64
 	Granted bool
 }
 
-// turn is one run's place in the turns of its digest.
-type turn struct {
+// exclusiveRun is one run, waiting for or holding the exclusive run of its digest.
+type exclusiveRun struct {
 	digest   Digest
 	number   uint64
 	answers  chan bool
-	asked    bool
+	queried  bool
 	silences int
-	alone    bool // taken without the home
+	local    bool // granted without the owner
 }
 
-// runner is a run of some entry.
-type runner struct {
+// runID identifies a run of some entry.
+type runID struct {
 	at     netip.AddrPort
 	number uint64
 }
 
-// holder has a turn.
-type holder struct {
-	runner
+// runHolder is a run that holds an exclusive run.
+type runHolder struct {
+	runID
 	until clock.Millis
 }
 
-// turns has the runs of suspected requests follow one another, each at one entry at a time. The
-// home of a digest says whose turn it is. While entries differ on the home, there may be two turns.
-type turns struct {
+// exclusiveRuns has runs of suspected requests follow one another, one at a time over all entries. The owner of a
+// digest grants them. While entries disagree on the owner, there may be two at a time.
+type exclusiveRuns struct {
 	common.Common
 	peers Peers
 	link  *packets.Link
@@ -69,147 +69,147 @@
 
 	mu      sync.Mutex
 	number  uint64
-	asking  map[uint64]*turn
-	holders map[Digest]holder
-	alone   map[Digest]holder // turns taken here without the home
+	waiting map[uint64]*exclusiveRun
+	granted map[Digest]runHolder
+	local   map[Digest]runHolder // granted here without the owner
 }
 
-func newTurns(c common.Common, peers Peers, link *packets.Link, self netip.AddrPort) *turns {
-	t := &turns{
+func newExclusiveRuns(c common.Common, peers Peers, link *packets.Link, self netip.AddrPort) *exclusiveRuns {
+	t := &exclusiveRuns{
 		Common: c, peers: peers, link: link, self: self, number: c.Random.Fork().Uint64(),
-		asking: make(map[uint64]*turn), holders: make(map[Digest]holder), alone: make(map[Digest]holder),
+		waiting: make(map[uint64]*exclusiveRun), granted: make(map[Digest]runHolder), local: make(map[Digest]runHolder),
 	}
 	if peers != nil {
-		link.Handle(packets.KindTurnAsk, packets.Receive(link, t.asked))
-		link.Handle(packets.KindTurnAnswer, packets.Receive(link, t.answered))
-		link.Handle(packets.KindTurnDone, packets.Receive(link, t.done))
+		link.Handle(packets.KindTurnAsk, packets.Receive(link, t.receiveRequest))
+		link.Handle(packets.KindTurnAnswer, packets.Receive(link, t.receiveAnswer))
+		link.Handle(packets.KindTurnDone, packets.Receive(link, t.receiveRelease))
 	}
 	return t
 }
 
-// matter is that by which entries name the home of a digest.
-func matter(d Digest) string { return "quarantine/" + string(d[:]) }
+// shard returns the shard that determines the owner of a digest.
+func shard(d Digest) string { return "quarantine/" + string(d[:]) }
 
-// begin returns a turn that is not taken yet.
-func (t *turns) begin(d Digest) *turn {
+// newRun returns an exclusive run that has not been granted yet.
+func (t *exclusiveRuns) newRun(d Digest) *exclusiveRun {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.number++
-	return &turn{digest: d, number: t.number, answers: make(chan bool, 1)}
+	return &exclusiveRun{digest: d, number: t.number, answers: make(chan bool, 1)}
 }
 
-// take asks for a turn once. It waits for the answer of the home.
-func (t *turns) take(ctx context.Context, own *turn) bool {
-	if t.peers == nil || own.silences >= turnSilences {
-		return t.takeAlone(own)
+// acquire requests an exclusive run once and waits for the owner's answer.
+func (t *exclusiveRuns) acquire(ctx context.Context, run *exclusiveRun) bool {
+	if t.peers == nil || run.silences >= maxSilences {
+		return t.acquireLocal(run)
 	}
-	home, self := t.peers.Home(matter(own.digest))
-	own.asked = true
+	owner, self := t.peers.Home(shard(run.digest))
+	run.queried = true
 	if self {
-		return t.grant(own.digest, runner{t.self, own.number})
+		return t.grant(run.digest, runID{t.self, run.number})
 	}
 	t.mu.Lock()
-	t.asking[own.number] = own
+	t.waiting[run.number] = run
 	t.mu.Unlock()
-	t.link.Send(home, packets.KindTurnAsk, turnAsk{Digest: own.digest, Number: own.number})
-	timer := time.NewTimer(turnAnswer.Duration())
+	t.link.Send(owner, packets.KindTurnAsk, runRequest{Digest: run.digest, Number: run.number})
+	timer := time.NewTimer(ownerTimeout.Duration())
 	defer timer.Stop()
 	select {
-	case granted := <-own.answers:
-		own.silences = 0
+	case granted := <-run.answers:
+		run.silences = 0
 		return granted
 	case <-timer.C:
-		own.silences++
+		run.silences++
 	case <-ctx.Done():
 	}
 	return false
 }
 
-// takeAlone takes a turn among the runs of this entry.
-func (t *turns) takeAlone(own *turn) bool {
+// acquireLocal acquires an exclusive run among the runs of this entry.
+func (t *exclusiveRuns) acquireLocal(run *exclusiveRun) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	own.alone = grant(t.alone, t.Clock.Now(), own.digest, runner{t.self, own.number})
-	return own.alone
+	run.local = grantRun(t.local, t.Clock.Now(), run.digest, runID{t.self, run.number})
+	return run.local
 }
 
-// grant gives a digest's turn to a run unless another one has it.
-func (t *turns) grant(d Digest, to runner) bool {
+// grant grants a digest's exclusive run unless another run holds it.
+func (t *exclusiveRuns) grant(d Digest, to runID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return grant(t.holders, t.Clock.Now(), d, to)
+	return grantRun(t.granted, t.Clock.Now(), d, to)
 }
 
-func grant(among map[Digest]holder, now clock.Millis, d Digest, to runner) bool {
-	if h, taken := among[d]; taken && now < h.until && h.runner != to {
+func grantRun(holders map[Digest]runHolder, now clock.Millis, d Digest, to runID) bool {
+	if h, taken := holders[d]; taken && now < h.until && h.runID != to {
 		return false
 	}
-	among[d] = holder{to, now + turnFor}
+	holders[d] = runHolder{to, now + runLimit}
 	return true
 }
 
-// release gives a turn back, taken or not; nil is none.
-func (t *turns) release(own *turn) {
-	if own == nil {
+// release releases an exclusive run, whether granted or not; nil is allowed.
+func (t *exclusiveRuns) release(run *exclusiveRun) {
+	if run == nil {
 		return
 	}
 	t.mu.Lock()
-	delete(t.asking, own.number)
-	if own.alone {
-		free(t.alone, own.digest, runner{t.self, own.number})
+	delete(t.waiting, run.number)
+	if run.local {
+		freeRun(t.local, run.digest, runID{t.self, run.number})
 	}
 	t.mu.Unlock()
-	if !own.asked {
+	if !run.queried {
 		return
 	}
-	done := turnDone{Digest: own.digest, Number: own.number}
-	home, self := t.peers.Home(matter(own.digest))
+	done := runRelease{Digest: run.digest, Number: run.number}
+	owner, self := t.peers.Home(shard(run.digest))
 	if self {
-		t.done(t.self, &done)
+		t.receiveRelease(t.self, &done)
 		return
 	}
-	t.link.Send(home, packets.KindTurnDone, done)
+	t.link.Send(owner, packets.KindTurnDone, done)
 }
 
-func free(among map[Digest]holder, d Digest, from runner) {
-	if among[d].runner == from {
-		delete(among, d)
+func freeRun(holders map[Digest]runHolder, d Digest, from runID) {
+	if holders[d].runID == from {
+		delete(holders, d)
 	}
 }
 
-// asked answers an entry that wants a turn.
-func (t *turns) asked(from netip.AddrPort, a *turnAsk) {
-	granted := t.grant(a.Digest, runner{from, a.Number})
-	t.link.Send(from, packets.KindTurnAnswer, turnAnswered{Number: a.Number, Granted: granted})
+// receiveRequest answers an entry that requests an exclusive run.
+func (t *exclusiveRuns) receiveRequest(from netip.AddrPort, a *runRequest) {
+	granted := t.grant(a.Digest, runID{from, a.Number})
+	t.link.Send(from, packets.KindTurnAnswer, runAnswer{Number: a.Number, Granted: granted})
 }
 
-// answered takes the home's answer.
-func (t *turns) answered(_ netip.AddrPort, a *turnAnswered) {
+// receiveAnswer takes the owner's answer.
+func (t *exclusiveRuns) receiveAnswer(_ netip.AddrPort, a *runAnswer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if own := t.asking[a.Number]; own != nil {
+	if run := t.waiting[a.Number]; run != nil {
 		select {
-		case own.answers <- a.Granted:
-		default: // an earlier answer has not been looked at
+		case run.answers <- a.Granted:
+		default: // an earlier answer has not been read yet
 		}
 	}
 }
 
-// done takes a turn back.
-func (t *turns) done(from netip.AddrPort, d *turnDone) {
+// receiveRelease releases an exclusive run.
+func (t *exclusiveRuns) receiveRelease(from netip.AddrPort, d *runRelease) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	free(t.holders, d.Digest, runner{from, d.Number})
+	freeRun(t.granted, d.Digest, runID{from, d.Number})
 }
 
-// prune drops turns that are long over.
-func (t *turns) prune(now clock.Millis) {
+// prune removes exclusive runs that have expired.
+func (t *exclusiveRuns) prune(now clock.Millis) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, among := range []map[Digest]holder{t.holders, t.alone} {
-		for d, h := range among {
+	for _, holders := range []map[Digest]runHolder{t.granted, t.local} {
+		for d, h := range holders {
 			if now >= h.until {
-				delete(among, d)
+				delete(holders, d)
 			}
 		}
 	}
--- a/pkg/rollout/book.go
+++ b/pkg/rollout/book.go
@@ -10,6 +10,7 @@
 
 // Tracker holds what this process knows of roll-out orders and of the records that hold decisions on them. Each entry
 // derives from it which targets may receive work.
+//
 // If no known order names a target's version, revisions tell whether an order exists that this process has not read
 // yet: an order is written before its targets are started, so orders read up to a revision at or after the target's
 // first row include any order for that target.
--- a/pkg/rollout/order.go
+++ b/pkg/rollout/order.go
@@ -1,6 +1,7 @@
 // Package rollout decides how a service's traffic moves to a new version of its targets: what the canary may receive,
 // whether it is good, when the old version may stop, and what each entry may send to the canary meanwhile. It does no
 // I/O and reads no clock: callers pass the time as an argument and carry out the decisions.
+//
 // The trial of a version has several phases. During observation a small fraction of the service's requests goes to the
 // canary. Near the end of the time that the operators set, work that can't be re-dispatched is drained from the old
 // version, and once none of it runs there the roll-out is completed. A version that is bad, or of which too little is
