--- a/pkg/quarantine/digest.go
+++ b/pkg/quarantine/digest.go
@@ -53,7 +53,7 @@
 func ParseDigest(text string) (Digest, error) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != digestBytes {
-		return Digest{}, fmt.Errorf("parsing digest of %d characters: %w", len(text), errors.NotValid)
+		return Digest{}, fmt.Errorf("digest of %d bytes: %w", len(text), errors.NotValid)
 	}
 	return Digest(raw), nil
 }
--- a/pkg/quarantine/guard_test.go
+++ b/pkg/quarantine/guard_test.go
@@ -50,15 +50,15 @@
 	return s.version, nil
 }
 
-// guardBed holds the guards of a few entries that have read the store.
-type guardBed struct {
+// guardCluster holds the guards of a few entries that have read the store.
+type guardCluster struct {
 	guards []*Guard
 	store  *fakeStore
 	net    *packets.Memory
 }
 
-func newGuardBed(t *testing.T, count int) *guardBed {
-	b := &guardBed{store: &fakeStore{}, net: packets.NewMemory()}
+func newGuardCluster(t *testing.T, count int) *guardCluster {
+	b := &guardCluster{store: &fakeStore{}, net: packets.NewMemory()}
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(func() {
 		stop()
@@ -90,7 +90,7 @@
 // request; a later run that ends its target does.
 func TestSuspectedRequestWaitsForSettleTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newGuardBed(t, 2)
+		b := newGuardCluster(t, 2)
 		enter := func(n int) *Pass {
 			pass, refused := b.guards[n].Enter(context.Background(), request())
 			if refused != nil {
@@ -141,7 +141,7 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newGuardBed(t, 3)
+				b := newGuardCluster(t, 3)
 				b.guards[1].Ended(run(1, false))
 				time.Sleep(time.Second)
 				b.net.Lose(s.loses)
@@ -175,7 +175,7 @@
 // TestTargetEndReachesAllEntries also loses the first message to each entry.
 func TestTargetEndReachesAllEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newGuardBed(t, 40)
+		b := newGuardCluster(t, 40)
 		lost := make(map[netip.AddrPort]bool)
 		var mu sync.Mutex
 		b.net.Lose(func(_, to netip.AddrPort, _ packets.Kind) bool {
@@ -202,7 +202,7 @@
 // TestOperatorReleasesRequest releases a request at one entry: it must be released at all entries and in the store.
 func TestOperatorReleasesRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newGuardBed(t, 3)
+		b := newGuardCluster(t, 3)
 		b.guards[1].Ended(run(1, false))
 		b.guards[1].Ended(run(2, true))
 		time.Sleep(time.Second)
@@ -227,7 +227,7 @@
 // TestNoTrafficWithoutTargetEnd checks that no entry sends or writes anything while no target ends under a request.
 func TestNoTrafficWithoutTargetEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newGuardBed(t, 3)
+		b := newGuardCluster(t, 3)
 		var sent atomic.Int64
 		b.net.Lose(func(_, _ netip.AddrPort, _ packets.Kind) bool { return sent.Add(1) < 0 })
 		for range 100 {
@@ -268,7 +268,7 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newGuardBed(t, 2)
+				b := newGuardCluster(t, 2)
 				b.guards[0].Doubt(Run{Request: request(), Life: ids.Life{Target: "t1", Start: 4}})
 				for _, list := range s.lists {
 					time.Sleep(s.after)
--- a/pkg/rollout/evidence_test.go
+++ b/pkg/rollout/evidence_test.go
@@ -11,8 +11,9 @@
 	"quaydock/pkg/rollout"
 )
 
-// play describes simulated evidence: targets of three speeds, some of which fail or are slow for reasons of their own.
-type play struct {
+// simulation describes generated evidence: targets of three speeds, some of which fail or are slow for reasons of their
+// own.
+type simulation struct {
 	fresh, old int // targets
 	answers    int // of each target of the new version; the old ones give ten times as many
 	errors     float64
@@ -20,17 +21,17 @@
 	bad, slowPart, slow float64
 	from                float64 // the fraction of the answers after which these begin
 	ailing              float64 // the fraction of all targets that fail half of their answers
-	laggards            float64 // the fraction of all targets that are five times as slow
+	slowTargets         float64 // the fraction of all targets that are five times as slow
 	oldUsed             int     // the number of old targets that are used, all if 0
 }
 
-func (p *play) run(seed uint64) (*rollout.Evidence, rollout.Finding) {
+func (p *simulation) run(seed uint64) (*rollout.Evidence, rollout.Finding) {
 	random := rand.New(rand.NewPCG(seed, 2))
 	speeds := []float64{0.36, 1, 1.8}
 	e := rollout.NewEvidence(rollout.Summary{})
 	target := func(n int, onTrial bool) (factor float64, observe func(at clock.Millis, part float64)) {
 		factor = speeds[n%len(speeds)]
-		if random.Float64() < p.laggards {
+		if random.Float64() < p.slowTargets {
 			factor *= 5
 		}
 		ill := random.Float64() < p.ailing
@@ -87,38 +88,38 @@
 
 // TestJudge judges many random draws of each kind and limits the fraction of wrong results.
 func TestJudge(t *testing.T) {
-	usual := play{fresh: 12, old: 12, answers: 20, errors: 0.01}
-	with := func(change func(*play)) play {
+	usual := simulation{fresh: 12, old: 12, answers: 20, errors: 0.01}
+	with := func(change func(*simulation)) simulation {
 		p := usual
 		change(&p)
 		return p
 	}
 	const draws = 100
 	scenarios := []struct {
-		name string
-		play play
+		name       string
+		simulation simulation
 		// The fraction of draws judged bad must be between least and most.
 		least, most float64
 	}{
 		{"good", usual, 0, 0.01},
-		{"good, a tenth fails on all versions", with(func(p *play) { p.errors = 0.14 }), 0, 0.02},
-		{"good, a sixth of all targets ails", with(func(p *play) { p.ailing = 0.15 }), 0, 0.03},
-		{"good, a sixth of all targets is slow", with(func(p *play) { p.laggards = 0.15 }), 0, 0.03},
-		{"good, few old targets are used", with(func(p *play) { p.oldUsed = 4 }), 0, 0.08},
-		{"half fail", with(func(p *play) { p.bad = 0.5 }), 0.99, 1},
-		{"a fifth fails", with(func(p *play) { p.bad = 0.2 }), 0.9, 1},
-		{"half fail, later", with(func(p *play) { p.bad = 0.5; p.from = 0.6 }), 0.9, 1},
-		{"half fail where a tenth fails on all versions", with(func(p *play) { p.bad = 0.5; p.errors = 0.14 }), 0.95, 1},
-		{"half fail while a sixth of all targets ails", with(func(p *play) { p.bad = 0.5; p.ailing = 0.15 }), 0.95, 1},
-		{"half take six times as long", with(func(p *play) { p.slowPart = 0.5; p.slow = 6 }), 0.95, 1},
-		{"all take six times as long", with(func(p *play) { p.slowPart = 1; p.slow = 6 }), 0.9, 1},
-		{"two targets only, half fail", with(func(p *play) { p.fresh = 2; p.bad = 0.5 }), 0.9, 1},
+		{"good, a tenth fails on all versions", with(func(p *simulation) { p.errors = 0.14 }), 0, 0.02},
+		{"good, a sixth of all targets ails", with(func(p *simulation) { p.ailing = 0.15 }), 0, 0.03},
+		{"good, a sixth of all targets is slow", with(func(p *simulation) { p.slowTargets = 0.15 }), 0, 0.03},
+		{"good, few old targets are used", with(func(p *simulation) { p.oldUsed = 4 }), 0, 0.08},
+		{"half fail", with(func(p *simulation) { p.bad = 0.5 }), 0.99, 1},
+		{"a fifth fails", with(func(p *simulation) { p.bad = 0.2 }), 0.9, 1},
+		{"half fail, later", with(func(p *simulation) { p.bad = 0.5; p.from = 0.6 }), 0.9, 1},
+		{"half fail where a tenth fails on all versions", with(func(p *simulation) { p.bad = 0.5; p.errors = 0.14 }), 0.95, 1},
+		{"half fail while a sixth of all targets ails", with(func(p *simulation) { p.bad = 0.5; p.ailing = 0.15 }), 0.95, 1},
+		{"half take six times as long", with(func(p *simulation) { p.slowPart = 0.5; p.slow = 6 }), 0.95, 1},
+		{"all take six times as long", with(func(p *simulation) { p.slowPart = 1; p.slow = 6 }), 0.9, 1},
+		{"two targets only, half fail", with(func(p *simulation) { p.fresh = 2; p.bad = 0.5 }), 0.9, 1},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			bad := 0
 			for seed := range uint64(draws) {
-				if _, f := s.play.run(seed); f.Bad {
+				if _, f := s.simulation.run(seed); f.Bad {
 					bad++
 				}
 			}
@@ -134,7 +135,7 @@
 // TestEvidenceIsInheritedByNextOwner has one owner collect a part of the evidence and the next one continue: what the
 // first saw must count.
 func TestEvidenceIsInheritedByNextOwner(t *testing.T) {
-	p := play{fresh: 3, old: 6, answers: 10, errors: 0.01, bad: 0.6}
+	p := simulation{fresh: 3, old: 6, answers: 10, errors: 0.01, bad: 0.6}
 	first, _ := p.run(1)
 	sum := first.Summary()
 	next := rollout.NewEvidence(sum)
@@ -149,7 +150,7 @@
 // BenchmarkJudge judges the evidence of some minutes at 400 requests a second: 0.7 ms on the VM of the measurements
 // (32 ms before the binomial terms were summed incrementally), four times a second during a trial.
 func BenchmarkJudge(b *testing.B) {
-	p := play{fresh: 54, old: 54, answers: 100, errors: 0.02}
+	p := simulation{fresh: 54, old: 54, answers: 100, errors: 0.02}
 	e, _ := p.run(1)
 	for b.Loop() {
 		e.Judge(20000, 54)
