--- a/pkg/balance/chooser.go
+++ b/pkg/balance/chooser.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// Asked returns how many targets to query at once. A job with a long prompt is
+// FanOut returns how many targets to query at once. A job with a long prompt is
 // sent to one, since the first of several to have a free slot is rarely the one
 // that has cached the prompt.
 func (c *Chooser) FanOut(job Job) int {
@@ -68,7 +68,7 @@
 	return c.fanOut
 }
 
-// Bound records that a job with the given prefix chain was bound to a target.
+// RecordBinding records that a job with the given prefix chain was bound to a target.
 func (c *Chooser) RecordBinding(target ids.Target, chain []prefix.Fingerprint) {
 	c.cached.Record(target, chain)
 }
--- a/pkg/dispatch/home_trials.go
+++ b/pkg/dispatch/home_trials.go
@@ -134,7 +134,7 @@
 		Now: now, Record: record, Targets: onTrial, Old: others, Factors: g.planner.Factors,
 		Fresh:        h.rollouts.Tracker.Age(now) <= h.rollouts.Bounds().Grace(),
 		Unrepeatable: g.planner.Unrepeatable(), Agreement: h.members.Agreement(),
-		Established: onTrial == 0 && allRun(g.directory.Serving(record.Service), record.Version) && h.rollouts.Tracker.Established(record.Service, record.Version),
+		AlreadyInUse: onTrial == 0 && allRun(g.directory.Serving(record.Service), record.Version) && h.rollouts.Tracker.AlreadyInUse(record.Service, record.Version),
 	}
 }
 
--- a/pkg/dispatch/trials.go
+++ b/pkg/dispatch/trials.go
@@ -75,7 +75,7 @@
 // does not know the other entries: it would take itself for the first of them, as each of the others would.
 func (t *trials) slackCredit(order rollout.Order) int {
 	entries, known := t.members.Entries()
-	if !known || !t.rollouts.Tracker.FollowedBefore(order) {
+	if !known || !t.rollouts.Tracker.ObservedFromStart(order) {
 		return 0
 	}
 	_, nth := t.members.FeedReaderRank(rolloutShard(order.Service))
--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -160,7 +160,7 @@
 	}
 }
 
-// Rest stops new dispatches to the target for a time that the target asked for. Open grants stay valid.
+// BackOff stops new dispatches to the target for a time that the target asked for. Open grants stay valid.
 func (g *Gate) BackOff(now, left clock.Millis) {
 	g.backoffUntil = max(g.backoffUntil, now+left)
 }
--- a/pkg/planner/cold.go
+++ b/pkg/planner/cold.go
@@ -35,7 +35,7 @@
 	perSecond float64
 }
 
-// SetCold sets the service of the targets, nil if unknown, and how many jobs per second one cold target may get.
+// SetColdLimit sets the service of the targets, nil if unknown, and how many jobs per second one cold target may get.
 func (p *Planner) SetColdLimit(s *routing.Service, perSecond float64) {
 	p.cold = coldLimit{service: s, perSecond: perSecond}
 }
--- a/pkg/planner/trial.go
+++ b/pkg/planner/trial.go
@@ -15,7 +15,7 @@
 type Trial struct {
 	// Fraction is the fraction of all jobs that go to the canary version.
 	Fraction float64
-	// LeaveAt, if set, is when the other targets must run no job that could not be re-dispatched to another target:
+	// UnrepeatableUntil, if set, is when the other targets must run no job that could not be re-dispatched to another target:
 	// such jobs go to the canary version unless they will certainly have ended by then.
 	UnrepeatableUntil clock.Millis
 	// Close is set if no such job is given to the other targets any more.
--- a/pkg/quarantine/accounts.go
+++ b/pkg/quarantine/accounts.go
@@ -110,7 +110,7 @@
 }
 
 // Succeeded records that a request of an account was completed.
-func (r *Register) RecordSuccess(now clock.Millis, q Request) {
+func (r *Register) Succeeded(now clock.Millis, q Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if c := r.routeState(q); c != nil && c.suspected(now) {
--- a/pkg/quarantine/accounts_test.go
+++ b/pkg/quarantine/accounts_test.go
@@ -46,8 +46,8 @@
 		{"four, a minute later", func(r *Register) { holdBack(r, start, 1, 4) }, other(9), clock.Minute, false},
 		{"another route", func(r *Register) { holdBack(r, start, 1, 4) }, Request{Digest: digest(9), Account: "acme", Route: "r2"}, 0, false},
 		{"another account", func(r *Register) { holdBack(r, start, 1, 4) }, Request{Digest: digest(9), Account: "other", Route: "r"}, 0, false},
-		{"completed since", func(r *Register) { holdBack(r, start, 1, 4); r.RecordSuccess(start, other(9)) }, other(9), 0, false},
-		{"completed before", func(r *Register) { r.RecordSuccess(start, other(9)); holdBack(r, start, 1, 4) }, other(9), 0, true},
+		{"completed since", func(r *Register) { holdBack(r, start, 1, 4); r.Succeeded(start, other(9)) }, other(9), 0, false},
+		{"completed before", func(r *Register) { r.Succeeded(start, other(9)); holdBack(r, start, 1, 4) }, other(9), 0, true},
 		{"all at once, as when all targets are lost", func(r *Register) {
 			for n := range 20 {
 				holdBackOne(r, start, n+1)
@@ -57,13 +57,13 @@
 		{"rows of the store", func(r *Register) {
 			for n := 1; n <= 4; n++ {
 				row := Record{Digest: digest(n), Account: "acme", Route: "r", Ends: []TargetEnd{{Incarnation: life(2 * n)}, {Incarnation: life(2*n + 1), Again: true}}}
-				r.Read(start, &row, int64(n))
+				r.RowRead(start, &row, int64(n))
 			}
 		}, other(9), 0, false},
 	}
 	for _, s := range scenarios {
 		r := NewRegister()
-		r.MarkRead(0)
+		r.StoreRead(0)
 		s.do(r)
 		if got, _ := r.Suspected(start+s.after, s.request); got != s.suspected {
 			t.Errorf("%s: suspected %t, want %t", s.name, got, s.suspected)
@@ -76,7 +76,7 @@
 func TestPausesOfASuspectedAccount(t *testing.T) {
 	const start = 1_000_000
 	r := NewRegister()
-	r.MarkRead(0)
+	r.StoreRead(0)
 	holdBack(r, start, 1, 4)
 	if _, wait := r.Suspected(start, other(99)); wait != 0 {
 		t.Errorf("wait of %d ms before a further end, want none", wait)
--- a/pkg/quarantine/guard.go
+++ b/pkg/quarantine/guard.go
@@ -75,14 +75,14 @@
 	p.Metrics.Prometheus.Gauge("requests_suspected", func() float64 { return float64(g.register.Len()) })
 	p.Metrics.Prometheus.Gauge("requests_held_back", func() float64 { return float64(g.register.HeldCount()) })
 	if p.Peers == nil {
-		g.register.MarkRead(p.Clock.Now())
+		g.register.StoreRead(p.Clock.Now())
 		return g
 	}
 	p.Link.Handle(packets.KindTargetEnds, packets.Receive(p.Link, g.receiveReports))
 	return g
 }
 
-// Watches reports whether anything is recorded against a request of an account. Otherwise its requests need no digest.
+// HasRecord reports whether anything is recorded against a request of an account. Otherwise its requests need no digest.
 func (g *Guard) HasRecord(account ids.Account) bool { return g.register.HasRecord(account) }
 
 // Refused says that a request may not run.
@@ -114,7 +114,7 @@
 		return
 	}
 	if p.retrial && !ran {
-		p.guard.register.RetrialUnused(p.digest)
+		p.guard.register.ReturnRetrial(p.digest)
 	}
 	p.guard.runs.release(p.run)
 	p.run = nil
@@ -220,7 +220,7 @@
 // another reason. The store counts these runs, so that the entries together don't exceed their number, even when they
 // restart.
 func (g *Guard) permitRetrial(ctx context.Context, d Digest) bool {
-	if g.register.TakeUnusedRetrial(d) {
+	if g.register.TakeReturnedRetrial(d) {
 		return true
 	}
 	w, due := g.register.Retry(g.Clock.Now(), d)
@@ -250,7 +250,7 @@
 
 // Succeeded records that a request has been completed.
 func (g *Guard) Succeeded(r Request) {
-	g.register.RecordSuccess(g.Clock.Now(), r)
+	g.register.Succeeded(g.Clock.Now(), r)
 	g.Completed(r.Digest)
 }
 
--- a/pkg/quarantine/keeping.go
+++ b/pkg/quarantine/keeping.go
@@ -65,7 +65,7 @@
 	case w.Remove:
 		g.register.RowRemoved(w.Digest)
 	default:
-		g.logChange(g.register.Read(g.Clock.Now(), &w.Record, version))
+		g.logChange(g.register.RowRead(g.Clock.Now(), &w.Record, version))
 	}
 }
 
@@ -75,7 +75,7 @@
 	Version int64
 }
 
-// TakeRows takes rows of the store; with all, there are no others. Those in gone have been removed.
+// ApplyRows takes rows of the store; with all, there are no others. Those in gone have been removed.
 func (g *Guard) ApplyRows(rows []Row, gone []Digest, all bool) {
 	now := g.Clock.Now()
 	for _, d := range gone {
@@ -85,7 +85,7 @@
 		g.register.RetainRows(rows)
 	}
 	for i := range rows {
-		g.logChange(g.register.Read(now, &rows[i].Record, rows[i].Version))
+		g.logChange(g.register.RowRead(now, &rows[i].Record, rows[i].Version))
 	}
-	g.register.MarkRead(now)
+	g.register.StoreRead(now)
 }
--- a/pkg/quarantine/register.go
+++ b/pkg/quarantine/register.go
@@ -56,7 +56,7 @@
 
 // StoreRead records that the store's records have been read. Before that, a missing record does not mean that there is
 // none: the first target end that is seen is enough for quarantine.
-func (r *Register) MarkRead(now clock.Millis) {
+func (r *Register) StoreRead(now clock.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.storeRead {
@@ -68,7 +68,7 @@
 	}
 }
 
-// Watches reports whether anything is recorded against a request of an account.
+// HasRecord reports whether anything is recorded against a request of an account.
 func (r *Register) HasRecord(account ids.Account) bool {
 	if r.count.Load() == 0 {
 		return false
--- a/pkg/quarantine/register_retrials.go
+++ b/pkg/quarantine/register_retrials.go
@@ -35,7 +35,7 @@
 }
 
 // ReturnRetrial records that a permitted retrial did not take place.
-func (r *Register) RetrialUnused(d Digest) {
+func (r *Register) ReturnRetrial(d Digest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if e := r.records[d]; e != nil {
@@ -44,7 +44,7 @@
 }
 
 // TakeReturnedRetrial takes a permitted retrial that did not take place.
-func (r *Register) TakeUnusedRetrial(d Digest) bool {
+func (r *Register) TakeReturnedRetrial(d Digest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.records[d]
@@ -70,7 +70,7 @@
 	return now-e.heldAt >= wait
 }
 
-// Done records the outcome of a write of Retry.
+// WriteDone records the outcome of a write of Retry.
 func (r *Register) WriteDone(w *Write, written bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/quarantine/register_rows.go
+++ b/pkg/quarantine/register_rows.go
@@ -11,7 +11,7 @@
 }
 
 // RowRead takes a row of the store, whose version is never 0.
-func (r *Register) Read(now clock.Millis, row *Record, version int64) Change {
+func (r *Register) RowRead(now clock.Millis, row *Record, version int64) Change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := r.join(now, row)
--- a/pkg/quarantine/register_test.go
+++ b/pkg/quarantine/register_test.go
@@ -49,7 +49,7 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			r := NewRegister()
-			r.MarkRead(1)
+			r.StoreRead(1)
 			for _, n := range s.ends {
 				r.Join(1, record(digest(1), "acme", n))
 			}
@@ -68,7 +68,7 @@
 	if got := r.Verdict(1, digest(1)); got != Held {
 		t.Errorf("verdict %v before the store's records are read, want Held", got)
 	}
-	r.MarkRead(2)
+	r.StoreRead(2)
 	if got := r.Verdict(2, digest(1)); got != Suspect {
 		t.Errorf("verdict %v once they are read, want Suspect", got)
 	}
@@ -89,7 +89,7 @@
 	many := append(few, record(digest(1), "acme", 6, 7, 8, 9, 10, 11, 12))
 	for shift := range many {
 		r := NewRegister()
-		r.MarkRead(1)
+		r.StoreRead(1)
 		for i := range many {
 			r.Join(1, many[(i+shift)%len(many)])
 		}
@@ -104,7 +104,7 @@
 	var first Record
 	for shift := range reports {
 		r := NewRegister()
-		r.MarkRead(1)
+		r.StoreRead(1)
 		for i := range reports {
 			r.Join(1, reports[(i+shift)%len(reports)])
 			r.Join(1, reports[(i+shift)%len(reports)])
@@ -125,7 +125,7 @@
 
 func TestCompletedRunClearsRequest(t *testing.T) {
 	r := NewRegister()
-	r.MarkRead(1)
+	r.StoreRead(1)
 	r.Join(1, record(digest(1), "acme", 1, -2))
 	if c := r.Completed(2, digest(1)); !c.New || c.Before != Held || c.After != Free {
 		t.Errorf("change after completion: %+v", c)
@@ -148,7 +148,7 @@
 // of the first report must stay.
 func TestRecordOfAnotherAccount(t *testing.T) {
 	r := NewRegister()
-	r.MarkRead(1)
+	r.StoreRead(1)
 	r.Join(1, record(digest(1), "", 1))
 	r.Join(1, record(digest(1), "acme", -2))
 	if r.Verdict(1, digest(1)) != Held || !r.HasRecord("") || r.HasRecord("acme") {
@@ -164,13 +164,13 @@
 // once more much later.
 func TestRetrials(t *testing.T) {
 	r := NewRegister()
-	r.MarkRead(1)
+	r.StoreRead(1)
 	held := record(digest(1), "acme", 1, -2)
 	r.Join(1, held)
 	if _, due := r.Retry(1+firstRetrialDelay, digest(1)); due {
 		t.Error("a run is permitted that the store can't count")
 	}
-	r.Read(1, held, 7)
+	r.RowRead(1, held, 7)
 	if _, due := r.Retry(firstRetrialDelay, digest(1)); due {
 		t.Error("a run is permitted too early")
 	}
@@ -182,7 +182,7 @@
 		t.Error("two runs are permitted at once")
 	}
 	r.WriteDone(&w, true)
-	r.Read(2, &w.Record, 8)
+	r.RowRead(2, &w.Record, 8)
 	if _, due := r.Retry(nextRetrialDelay, digest(1)); due {
 		t.Error("the next run is permitted too early")
 	}
@@ -194,8 +194,8 @@
 	if _, due := r.Retry(100*nextRetrialDelay, digest(1)); due {
 		t.Error("more than maxRetrials runs are permitted")
 	}
-	r.RetrialUnused(digest(1))
-	if !r.TakeUnusedRetrial(digest(1)) || r.TakeUnusedRetrial(digest(1)) {
+	r.ReturnRetrial(digest(1))
+	if !r.TakeReturnedRetrial(digest(1)) || r.TakeReturnedRetrial(digest(1)) {
 		t.Error("a returned retrial is not permitted exactly once")
 	}
 }
@@ -204,10 +204,10 @@
 // must stay, as must its own strongest ones, and after a few quarantined requests the first target end is enough.
 func TestFloodOfOneAccount(t *testing.T) {
 	r := NewRegister()
-	r.MarkRead(1)
+	r.StoreRead(1)
 	r.Join(1, record(digest(-1), "other", 1))
 	r.Join(1, record(digest(-2), "acme", 1, -2))
-	r.Read(1, record(digest(-2), "acme", 1, -2), 3)
+	r.RowRead(1, record(digest(-2), "acme", 1, -2), 3)
 	for n := range 3 * maxAccountRecords {
 		r.Join(clock.Millis(2+n), record(digest(n), "acme", n))
 	}
@@ -238,7 +238,7 @@
 
 func TestRowsWrittenToStore(t *testing.T) {
 	r := NewRegister()
-	r.MarkRead(1)
+	r.StoreRead(1)
 	all := func(Digest) bool { return true }
 	r.Join(1, record(digest(1), "acme", 1))
 	if due := r.Unwritten(all); len(due) != 0 {
@@ -249,11 +249,11 @@
 	if len(due) != 1 || due[0].Version != 0 || due[0].Remove {
 		t.Fatalf("writes due: %+v", due)
 	}
-	r.Read(2, &due[0].Record, 5)
+	r.RowRead(2, &due[0].Record, 5)
 	if due := r.Unwritten(all); len(due) != 0 {
 		t.Errorf("written again: %v", due)
 	}
-	r.Read(2, record(digest(1), "acme", 1), 4) // read earlier, processed later
+	r.RowRead(2, record(digest(1), "acme", 1), 4) // read earlier, processed later
 	if due := r.Unwritten(all); len(due) != 0 {
 		t.Errorf("written again after an older row: %v", due)
 	}
@@ -274,7 +274,7 @@
 // next.
 func TestRequestsThatComeRarely(t *testing.T) {
 	r := NewRegister()
-	r.MarkRead(1)
+	r.StoreRead(1)
 	r.Join(1, record(digest(1), "acme", 1))
 	r.Expire(suspectedRetention - 1)
 	r.Join(suspectedRetention, record(digest(1), "acme", -2))
@@ -314,11 +314,11 @@
 // no allocation, compared with 2.1 ms and 790 kB with a copy of each record.
 func BenchmarkUnwritten(b *testing.B) {
 	r := NewRegister()
-	r.MarkRead(1)
+	r.StoreRead(1)
 	for n := range maxRecords {
 		held := record(digest(n), ids.Account(fmt.Sprint("a", n%64)), n, -n-1)
 		r.Join(1, held)
-		r.Read(1, held, 1)
+		r.RowRead(1, held, 1)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/pkg/quota/retry_budget.go
+++ b/pkg/quota/retry_budget.go
@@ -50,7 +50,7 @@
 	b.bounds = bounds
 }
 
-// Request counts a caller's request for a service.
+// CountRequest counts a caller's request for a service.
 func (b *RetryBudget) CountRequest(now clock.Millis, service ids.Service) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -58,7 +58,7 @@
 	t.requests[t.step%windowSteps]++
 }
 
-// Repeat reports whether a request may be sent to one more target of a service,
+// TakeRetry reports whether a request may be sent to one more target of a service,
 // and counts the retry if so. share is this entry's fraction of the slack, from 0 to 1.
 func (b *RetryBudget) TakeRetry(now clock.Millis, service ids.Service, share float64) bool {
 	b.mu.Lock()
@@ -72,7 +72,7 @@
 	return true
 }
 
-// Return takes back a retry that was counted at the given time and reached no target.
+// ReturnRetry takes back a retry that was counted at the given time and reached no target.
 func (b *RetryBudget) ReturnRetry(counted clock.Millis, service ids.Service) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/ratelimit/word.go
+++ b/pkg/ratelimit/word.go
@@ -43,7 +43,7 @@
 	return r
 }
 
-// Limits reports whether the target has a rate limit.
+// IsLimited reports whether the target has a rate limit.
 func (r Report) IsLimited() bool { return r.Known && r.Rate < Unlimited }
 
 // Differs reports whether two reports set different limits.
--- a/pkg/rollout/book.go
+++ b/pkg/rollout/book.go
@@ -221,7 +221,7 @@
 
 // ObservedFromStart reports whether this process had read the orders before this one was written. In that case it has
 // certainly sent nothing to the order's version yet.
-func (b *Tracker) FollowedBefore(o Order) bool {
+func (b *Tracker) ObservedFromStart(o Order) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.firstOrdersUpTo > 0 && b.firstOrdersUpTo < o.Placed
@@ -287,7 +287,7 @@
 }
 
 // AlreadyInUse reports whether a version of a service was in use before an order named it, or was completed.
-func (b *Tracker) Established(service ids.Service, version ids.Version) bool {
+func (b *Tracker) AlreadyInUse(service ids.Service, version ids.Version) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.alreadyInUse[service][version]
--- a/pkg/rollout/book_test.go
+++ b/pkg/rollout/book_test.go
@@ -103,7 +103,7 @@
 	b.PutOrders(nil, nil, true, proof(5))
 	b.Admission(target, false)
 	b.PutOrders([]rollout.Order{order("v1", 10)}, nil, false, proof(10))
-	if got := b.Admission(target, false); got != routing.Admitted || !b.Established(service, "v1") {
+	if got := b.Admission(target, false); got != routing.Admitted || !b.AlreadyInUse(service, "v1") {
 		t.Errorf("admission of a version in use: %v", got)
 	}
 	if got := b.Admission(target, true); got != routing.Withheld {
@@ -167,7 +167,7 @@
 			if int64(times.Started) != s.started || int64(times.LatestEnd) != s.over || times.EarliestEnd != times.Started+o.Within {
 				t.Errorf("times %+v, want the start at %d and the latest end at %d", times, s.started, s.over)
 			}
-			if got, want := b.FollowedBefore(o), s.before.Revision > 0; got != want {
+			if got, want := b.ObservedFromStart(o), s.before.Revision > 0; got != want {
 				t.Errorf("observed from its start: %t", got)
 			}
 		})
@@ -200,7 +200,7 @@
 			if b.Admission(one, true) != routing.Admitted {
 				t.Fatalf("%s: target %d is not admitted", name, i)
 			}
-			if b.Established(one.Service, one.Version) {
+			if b.AlreadyInUse(one.Service, one.Version) {
 				remembered++
 			}
 		}
--- a/pkg/rollout/evidence.go
+++ b/pkg/rollout/evidence.go
@@ -212,7 +212,7 @@
 	}
 }
 
-// Note adds an answer of the canary or of the old version.
+// Add adds an answer of the canary or of the old version.
 func (e *Evidence) Add(onTrial bool, o Observation) {
 	if o.Failed && e.excused[o.Incarnation] {
 		return
--- a/pkg/rollout/order.go
+++ b/pkg/rollout/order.go
@@ -57,7 +57,7 @@
 // Final reports whether no other state follows.
 func (s State) Final() bool { return s == Completed || s == RolledBack }
 
-// Limits are the limits on what a canary may receive.
+// Bounds are the limits on what a canary may receive.
 type Bounds struct {
 	// Fraction is the fraction of a service's requests, between the order and the end of its time, that a bad version
 	// may receive, and Slack the number of further requests.
--- a/pkg/rollout/trial.go
+++ b/pkg/rollout/trial.go
@@ -113,7 +113,7 @@
 	// Agreement is the fraction of the entries that take this one for the owner.
 	Agreement float64
 	// AlreadyInUse says that the service ran the ordered version, and no other, before the order.
-	Established bool
+	AlreadyInUse bool
 }
 
 // Plan is the outcome of a step: what is to be done now.
@@ -121,7 +121,7 @@
 	// Fraction is the fraction of the service's requests that go to the canary, as far as the entries' limits permit;
 	// with 0 it receives nothing.
 	Fraction float64
-	// DrainBy, if set, is the moment from which on the old version's targets are to run nothing that could not be
+	// UnrepeatableUntil, if set, is the moment from which on the old version's targets are to run nothing that could not be
 	// re-dispatched: requests that would not certainly end by then go to the canary if they may.
 	UnrepeatableUntil clock.Millis
 	// Close says that no such request starts on the old version's targets any more.
@@ -146,7 +146,7 @@
 		t.verdict, t.why = RolledBack, why
 		return Plan{Write: RolledBack, Why: why}
 	}
-	if s.Established {
+	if s.AlreadyInUse {
 		return Plan{Write: Completed, Why: "the service runs that version already"}
 	}
 	return t.planPhase(s)
@@ -183,7 +183,7 @@
 		return "the order is gone"
 	case t.finding.Bad:
 		return t.finding.Why
-	case s.Established:
+	case s.AlreadyInUse:
 		return ""
 	case t.inEarlyCheck() && t.latencyFinding.PossiblyBad:
 		return "in doubt after the first answers: " + t.latencyFinding.Why
--- a/pkg/rollout/trial_test.go
+++ b/pkg/rollout/trial_test.go
@@ -66,7 +66,7 @@
 		{"good, but the owner has just taken over", trialAt(late-500, true), with(func(s *situation) { s.Now = late }), rollout.Pending, true, true, ""},
 		{"good, after its time", trialAt(placed, true), with(func(s *situation) { s.Now = over + 5000 }), rollout.Completed, true, true, ""},
 		{"unrepeatable work never ends", trialAt(placed, true), with(func(s *situation) { s.Now = over + 16000; s.Unrepeatable = 1 }), rollout.RolledBack, false, false, "time is over"},
-		{"service already runs it", trialAt(placed, true), with(func(s *situation) { s.Established = true; s.Targets = 0 }), rollout.Completed, false, false, "already"},
+		{"service already runs it", trialAt(placed, true), with(func(s *situation) { s.AlreadyInUse = true; s.Targets = 0 }), rollout.Completed, false, false, "already"},
 		{"completed", trialAt(placed, true), with(func(s *situation) { s.Record = running(rollout.Completed) }), rollout.Pending, false, false, ""},
 		{"bad, but completed", trialAt(placed, false), with(func(s *situation) { s.Record = running(rollout.Completed) }), rollout.Pending, false, false, ""},
 		{"rolled back", trialAt(placed, false), with(func(s *situation) { s.Record = running(rollout.RolledBack) }), rollout.Pending, false, false, ""},
