--- a/pkg/ingress/admission.go
+++ b/pkg/ingress/admission.go
@@ -17,94 +17,93 @@
 	"quaydock/pkg/view"
 )
 
-// Ages of the proof that the configuration is the newest.
+// Limits that depend on the age of the configuration's freshness, that is, on how long ago it was last confirmed
+// to be the newest.
 const (
-	// freshFor is how old the proof may be for an answer that says that
-	// something does not exist. Beyond it, the entry says to come back.
-	freshFor = 2500 * clock.Millisecond
-	// revokePart is the part of the bound on keys taken away after which keys
-	// are no longer trusted without proof. A key is taken away after the last
-	// proof at the earliest; the rest of the bound is for what a proof may be too
-	// young by: the way of the store's answers.
-	revokePart = 0.85
-	// forgetMargin is how long before the other entries share out the part of one
-	// that is silent it stops trusting its keys at the latest, where the operators
-	// prefer service to strictness: 0.6091 of the worth against 0.6045 with the strict
-	// bound, mean of 30 played days (with 20 s, which gains no more than 7.5).
-	forgetMargin = 500 * clock.Millisecond
-	// startPatience is for how long a request waits at an entry that has just started and
-	// does not know the configuration yet; it does within 20 to 100 ms. A caller that is
-	// told to come back instead has spent its only return: 85 to 780 of them at a start of all
-	// 68 entries.
-	startPatience = 150 * clock.Millisecond
-	// comeBack is when to come back to an entry that does not know enough.
+	// maxNotFoundAge is the greatest age at which the entry answers that something does not exist. Beyond it,
+	// callers are told to come back.
+	maxNotFoundAge = 2500 * clock.Millisecond
+	// revokeFraction is the fraction of the limit on removed keys during which keys are used without a newer
+	// confirmation. A key is removed after the last confirmation at the earliest. The rest of the limit covers
+	// the travel time of the store's answers, by which a confirmation may seem too recent.
+	revokeFraction = 0.85
+	// redistributionMargin is how long before the other entries redistribute the share of an entry without a
+	// heartbeat that entry stops using its keys, where operators prefer service to strictness. The worth was
+	// 0.6091 against 0.6045 with the strict limit, as the mean of 30 simulated days, measured with a grace of
+	// 20 s, which gains no more than 7.5 s.
+	redistributionMargin = 500 * clock.Millisecond
+	// startupWait is how long a request waits at an entry that has just started and has no configuration yet;
+	// reading it takes 20 to 100 ms. A caller that is told to come back instead has used up its only retry:
+	// this happened to 85 to 780 callers when all 68 entries were started at once.
+	startupWait = 150 * clock.Millisecond
+	// retryDelay is the Retry-After of an entry that has no configuration or none that is fresh enough.
 	comeBack = 300 * clock.Millisecond
 )
 
-// Meter bounds what client accounts may have run over all entries together. Of
-// what an account may have run at once, a part may be kept from a request.
+// Meter limits what client accounts may have run over all entries together. A fraction of an account's burst may
+// be reserved, which is then not available to the request.
 type Meter interface {
-	Take(ctx context.Context, account *routing.Account, units, keep float64) (bool, clock.Millis)
+	Take(ctx context.Context, account *routing.Account, units, reserve float64) (bool, clock.Millis)
 	Return(account *routing.Account, units float64, taken clock.Millis)
 }
 
-// Entries tells of all entries together.
+// Entries describes this entry's standing among all entries.
 type Entries interface {
-	// Share is this one's part of what all may spend together, 0 while it is not known.
+	// Share is this entry's share of the allowances of all entries together, 0 while it is unknown.
 	Share() float64
-	// Assured reports whether this entry has counted as one of them ever since a
-	// moment, and nobody can share out its part before it is told.
+	// HoldsLease reports whether this entry has counted as alive ever since a moment, and nobody can
+	// redistribute its share before it is notified.
 	Assured(since clock.Millis) bool
 }
 
-// admission decides whether a request may pass.
+// admission decides whether a request is admitted.
 type admission struct {
 	common.Common
 	view     *view.View
 	dialect  Dialect
 	meter    Meter
 	tries    *firstTries
-	closing  *closing
+	closing  *drainAdmission
 	entries  Entries
-	keyTrust atomic.Int64 // for how long keys are trusted without proof, in clock.Millis
-	// assuredTrust is for how long they are while the other entries hear this one.
-	assuredTrust atomic.Int64
+	keyGrace atomic.Int64 // how long keys are used without a confirmation, in clock.Millis
+	// leasedKeyGrace is how long they are while this entry holds its membership lease.
+	leasedKeyGrace atomic.Int64
 }
 
-func (a *admission) setKeyTrust(keys KeyTrust) {
-	trust := float64(keys.Bound) * revokePart
+func (a *admission) setKeyGrace(keys KeyTrust) {
+	grace := float64(keys.Bound) * revokeFraction
 	if !keys.Strict && !a.Ablation.Off(ablation.KeyTrust) {
-		trust = max(trust, float64(membership.ForgetAfter-forgetMargin))
-		a.assuredTrust.Store(int64(keys.Most))
+		grace = max(grace, float64(membership.ForgetAfter-redistributionMargin))
+		a.leasedKeyGrace.Store(int64(keys.Most))
 	} else {
-		a.assuredTrust.Store(0)
+		a.leasedKeyGrace.Store(0)
 	}
-	a.keyTrust.Store(int64(trust))
+	a.keyGrace.Store(int64(grace))
 }
 
-// trustsKeys reports whether keys may be used by a configuration that was surely the
-// newest so long ago. Beyond the time after which others may share out the part of an
-// entry that is cut off from all, it takes their word that they hear this one.
-func (a *admission) trustsKeys(now, age clock.Millis) bool {
-	if age <= clock.Millis(a.keyTrust.Load()) {
+// keysUsable reports whether keys may be used from a configuration whose freshness has the given age. Beyond
+// the time after which others may redistribute the share of a partitioned entry, this one must hold its
+// membership lease, that is, others must have acknowledged its heartbeats.
+func (a *admission) keysUsable(now, age clock.Millis) bool {
+	if age <= clock.Millis(a.keyGrace.Load()) {
 		return true
 	}
-	return age <= clock.Millis(a.assuredTrust.Load()) && a.entries.Assured(now-age)
+	return age <= clock.Millis(a.leasedKeyGrace.Load()) && a.entries.Assured(now-age)
 }
 
-// knows reports whether there is anything to decide by.
-func (a *admission) knows() bool {
+// hasConfiguration reports whether both the catalog and the list of targets are known.
+func (a *admission) hasConfiguration() bool {
 	return a.view.Catalog() != nil && a.view.Directory() != nil
 }
 
-// awaitKnown waits a little until there is something to decide by.
-func (a *admission) awaitKnown(ctx context.Context) {
+// awaitConfiguration waits until the configuration is known, at most startupWait.
+func (a *admission) awaitConfiguration(ctx context.Context) {
 	select {
 	case <-a.view.Known():
 		return
 	default:
 	}
-	timer := time.NewTimer(startPatience.Duration())
+	timer := time.NewTimer(startupWait.Duration())
 	defer timer.Stop()
 	select {
 	case <-a.view.Known():
@@ -113,20 +112,20 @@
 	}
 }
 
-// admit reads a request and checks route, key, size and allowance.
+// admit reads a request and checks its route, key, size and allowance.
 func (a *admission) admit(w http.ResponseWriter, r *http.Request) (*request, *Refusal) {
 	arrived := a.Clock.Now()
 	q := &request{Call: a.dialect.Describe(r.Header), http: r, arrived: arrived, draw: a.Random.Fork().Float64()}
-	a.awaitKnown(r.Context())
+	a.awaitConfiguration(r.Context())
 	if refusal := a.resolve(q); refusal != nil {
 		return q, refusal
 	}
-	held := q.route.Timeout
-	if q.Deadline > 0 && (held <= 0 || q.Deadline < held) {
-		held = q.Deadline
+	timeout := q.route.Timeout
+	if q.Deadline > 0 && (timeout <= 0 || q.Deadline < timeout) {
+		timeout = q.Deadline
 	}
-	q.deadline = arrived + held
-	if !a.closing.takes(arrived, q.deadline, q.route) {
+	q.deadline = arrived + timeout
+	if !a.closing.admits(arrived, q.deadline, q.route) {
 		return q, notRun(CauseLeaving, a.closing.retryAfter(arrived))
 	}
 	if !a.Ablation.Off(ablation.FirstTry) {
@@ -135,24 +134,24 @@
 	if refusal := a.read(w, q); refusal != nil {
 		return q, refusal
 	}
-	// The body may come long after the head. One that took 1.2 s to come was sent to a target
-	// that then had 4 s for a request of up to 20 s.
-	if now := a.Clock.Now(); !a.closing.takes(now, q.deadline, q.route) {
+	// The body may arrive long after the head. A request whose body took 1.2 s was sent to a target that then
+	// had 4 s left for an answer that may take up to 20 s.
+	if now := a.Clock.Now(); !a.closing.admits(now, q.deadline, q.route) {
 		return q, notRun(CauseLeaving, a.closing.retryAfter(now))
 	}
 	if q.account != nil {
 		units := q.account.Units(q.Prompt + q.MostOut)
-		keep := keepFor(q, units)
+		reserve := reserveFor(q, units)
 		if a.Ablation.Off(ablation.TierKeep) {
-			keep = 0
+			reserve = 0
 		}
-		taken, wait := a.meter.Take(r.Context(), q.account, units, keep)
+		taken, wait := a.meter.Take(r.Context(), q.account, units, reserve)
 		if !taken {
-			return q, a.notTaken(wait)
+			return q, a.quotaRefusal(wait)
 		}
 		q.takenAt = a.Clock.Now()
 	}
-	// Behind the allowance: where most is refused by that, 60,000 of 66,000 requests, looking
+	// Checked after the allowance: where that refuses most requests, 60,000 of 66,000, checking the connection
 	// first costs 1.8% of the processor time, over six days of such a load.
 	if hasLeft(r.Context()) {
 		a.refund(q, q.account)
@@ -161,9 +160,9 @@
 	return q, nil
 }
 
-// notTaken refuses a request whose account may not run it now. Where this entry has no part of
-// the allowance yet that says nothing of the account.
-func (a *admission) notTaken(wait clock.Millis) *Refusal {
+// quotaRefusal refuses a request that the meter does not allow now. While this entry has no share of the
+// allowances, the refusal must not blame the account.
+func (a *admission) quotaRefusal(wait clock.Millis) *Refusal {
 	if a.entries.Share() <= 0 {
 		return notRun(CauseUnlisted, wait)
 	}
@@ -171,33 +170,31 @@
 }
 
 const (
-	// keepMost is the part of an account's burst that its lowest tiers leave to
-	// its highest while the account asks for more than it may have run. Measured
-	// with 0.15, 0.3 and 0.6: more starves the lowest kind.
-	keepMost = 0.15
-	// keepTiers is how many tiers below the highest it takes for keepMost.
-	keepTiers = 2
-	// cheapUnits is below how many times the units of a request that names no
-	// tokens a request is cheap: refusing it leaves little to others.
-	cheapUnits = 5
+	// maxReserve is the fraction of an account's burst that its lowest tiers leave to its highest while the
+	// account requests more than its allowance. Of 0.15, 0.3 and 0.6, the larger ones starve the lowest tier.
+	maxReserve = 0.15
+	// reserveTiers is how many tiers below the highest maxReserve is reached.
+	reserveTiers = 2
+	// cheapFactor is the multiple of the units of a request that names no tokens below which a request is
+	// cheap: refusing it frees little for others.
+	cheapFactor = 5
 )
 
-// keepFor is the part of its account's burst that a request leaves to higher
-// tiers: the lower its tier, the more, and the less the fewer units it takes.
-func keepFor(q *request, units float64) float64 {
-	rank := min(1, float64(q.route.Tier)/keepTiers)
+// reserveFor returns the fraction of its account's burst that a request leaves to higher tiers. It is larger for
+// lower tiers and smaller for requests of few units.
+func reserveFor(q *request, units float64) float64 {
+	rank := min(1, float64(q.route.Tier)/reserveTiers)
 	size := 1.0
 	if q.account.CountsTokens && q.account.PlainTokens > 0 {
-		size = min(1, units/(cheapUnits*q.account.PlainTokens))
+		size = min(1, units/(cheapFactor*q.account.PlainTokens))
 	}
-	return keepMost * rank * size
+	return maxReserve * rank * size
 }
 
-// resolve finds the route and the account of a request in the configuration in
-// force. It is called again before each exchange, since both may have gone
-// while the request waited.
+// resolve finds the route and the account of a request in the current configuration. It is called again before
+// each exchange, since both may have been removed while the request waited.
 func (a *admission) resolve(q *request) *Refusal {
-	if !a.knows() {
+	if !a.hasConfiguration() {
 		return notRun(CauseStarting, comeBack)
 	}
 	catalog := a.view.Catalog()
@@ -205,7 +202,7 @@
 	age := a.view.Age(now)
 	route := catalog.Route(host(q.http.Host), q.http.URL.Path)
 	if route == nil {
-		return a.missing(http.StatusNotFound, CauseNoRoute, age)
+		return a.notFound(http.StatusNotFound, CauseNoRoute, age)
 	}
 	q.route = route
 	q.service = route.Pick(q.draw)
@@ -213,25 +210,25 @@
 	if !catalog.Keyed() || route.Anonymous {
 		return nil
 	}
-	if !a.trustsKeys(now, age) {
+	if !a.keysUsable(now, age) {
 		return notRun(CauseStaleKeys, comeBack)
 	}
 	if q.account = catalog.Account(q.Key); q.account == nil {
-		return a.missing(http.StatusUnauthorized, CauseUnknownKey, age)
+		return a.notFound(http.StatusUnauthorized, CauseUnknownKey, age)
 	}
 	return nil
 }
 
-// missing refuses what the configuration does not have. If it may be old, the
-// caller is told to come back instead.
-func (a *admission) missing(status int, cause Cause, age clock.Millis) *Refusal {
-	if age > freshFor {
+// notFound refuses a request for something that is not in the configuration. If that may be outdated, the caller
+// is told to come back instead.
+func (a *admission) notFound(status int, cause Cause, age clock.Millis) *Refusal {
+	if age > maxNotFoundAge {
 		return notRun(cause, comeBack)
 	}
 	return refuse(status, cause)
 }
 
-// read reads the whole body, so that what is sent on is whole.
+// read reads the complete body before anything is sent, so that a target never gets a truncated request.
 func (a *admission) read(w http.ResponseWriter, q *request) *Refusal {
 	if q.http.Body == nil || q.http.Body == http.NoBody {
 		return nil
@@ -246,7 +243,7 @@
 	}
 	control := http.NewResponseController(w)
 	left := max(q.deadline-a.Clock.Now(), clock.Second)
-	// A writer without deadlines, as in tests, is bounded by the caller alone.
+	// A writer without deadlines, as in tests, is limited only by the caller.
 	_ = control.SetReadDeadline(time.Now().Add(left.Duration()))
 	body, err := readAll(reader, q.http.ContentLength)
 	_ = control.SetReadDeadline(noDeadline)
@@ -270,7 +267,7 @@
 	return body, err
 }
 
-// host returns the name of a host without a port.
+// host returns a Host field without its port.
 func host(field string) string {
 	if name, _, err := net.SplitHostPort(field); err == nil {
 		return name
@@ -278,7 +275,7 @@
 	return field
 }
 
-// refund gives back the allowance of a request that has not run.
+// refund returns the allowance of a request that has not run.
 func (a *admission) refund(q *request, account *routing.Account) {
 	if account != nil {
 		a.meter.Return(account, account.Units(q.Prompt+q.MostOut), q.takenAt)
--- a/pkg/ingress/answer_writer.go
+++ b/pkg/ingress/answer_writer.go
@@ -15,14 +15,14 @@
 	started bool
 }
 
-// head writes the head of a target's answer. A length of -1 is a body whose end
-// shows by its framing.
+// head writes the status and headers of a target's answer. A length of -1 stands for a body whose end is marked
+// by its framing.
 func (o *answerWriter) head(d Dialect, a *forward.Answer, length int64) {
 	o.started = true
 	h := o.writer.Header()
 	d.Answer(a.Header, h)
 	if h["Content-Type"] == nil {
-		h["Content-Type"] = nil // so that none is guessed
+		h["Content-Type"] = nil // keeps net/http from detecting one
 	}
 	if length >= 0 {
 		h.Set("Content-Length", strconv.FormatInt(length, 10))
--- a/pkg/ingress/caller_conn.go
+++ b/pkg/ingress/caller_conn.go
@@ -7,41 +7,41 @@
 	"syscall"
 )
 
-// connKey is under which a request's context has its caller's connection.
+// connKey is the key of the caller's connection in a request's context.
 type connKey struct{}
 
-// withConn is the context of the requests of a connection.
+// withConn returns the context for the requests of a connection.
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// errEndSeen says why a request is not sent whose caller has left.
-var errEndSeen = errors.New("the caller's connection has ended")
+// errCallerDisconnected is why a request is not sent whose caller's connection has ended.
+var errEndSeen = errors.New("caller's connection is closed")
 
-// hasLeft looks whether the caller of a request has ended its connection. The reader that
-// net/http keeps on the connection sees that too, but only when it gets its turn: of 60
-// callers that had left before their connections were taken from the backlog, 5 to 9 were sent to
-// a target meanwhile, and up to 19 after a shortage of descriptors.
+// callerDisconnected reports whether the caller of a request has ended its connection. net/http's background
+// reader detects that too, but only once it is scheduled: of 60 callers that had left before their connections
+// were accepted from the backlog, the requests of 5 to 9 were sent to a target meanwhile, and up to 19 after a
+// shortage of descriptors.
 func hasLeft(ctx context.Context) bool {
 	c, _ := ctx.Value(connKey{}).(net.Conn)
 	return peek(c) == peekEnd
 }
 
-// hasData looks whether a connection has something to be read.
+// hasData reports whether a connection has unread data.
 func hasData(c net.Conn) bool {
 	return peek(c) == peekData
 }
 
-// peeked is what a look at a connection shows.
+// peeked is the result of peeking at a connection.
 type peeked int
 
 const (
-	peekNothing peeked = iota // also where there is no socket, as in tests
+	peekNothing peeked = iota // also if there is no socket, as in tests
 	peekData
 	peekEnd
 )
 
-// peek looks at a connection without waiting or taking anything from it.
+// peek inspects a connection without blocking or consuming data.
 func peek(c net.Conn) peeked {
 	socket, ok := c.(syscall.Conn)
 	if !ok {
@@ -52,14 +52,14 @@
 		return peekNothing
 	}
 	seen := peekNothing
-	// Control does not wait for the reader, as Read would.
+	// Control does not wait for a pending reader, as RawConn.Read would.
 	if err := raw.Control(func(descriptor uintptr) { seen = peekSocket(int(descriptor)) }); err != nil {
-		return peekEnd // closed at this end: nobody can be answered on it
+		return peekEnd // closed locally: no answer can be written to it
 	}
 	return seen
 }
 
-// peekSocket reads one byte of a socket, leaves it there and doesn't wait for it.
+// peekSocket peeks at one byte of a socket without blocking.
 func peekSocket(descriptor int) peeked {
 	var one [1]byte
 	n, _, err := syscall.Recvfrom(descriptor, one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/pkg/ingress/caller_conn_test.go
+++ b/pkg/ingress/caller_conn_test.go
@@ -6,10 +6,9 @@
 	"testing"
 )
 
-// TestAConnectionThatIsClosedHereHasLeft closes a caller's connection at this end, as when another
-// takes its place, or the entry is stopped, while its request is being read: what is sent on then could
-// not be answered.
-func TestAConnectionThatIsClosedHereHasLeft(t *testing.T) {
+// A caller's connection is closed locally while its request is read, because a new connection replaces it or the
+// entry stops. The request must not be sent to a target, since its answer could not be written.
+func TestLocallyClosedConnectionCountsAsDisconnected(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -26,12 +25,12 @@
 	}
 	ctx := withConn(context.Background(), accepted)
 	if hasLeft(ctx) {
-		t.Error("a caller that waits counts as gone")
+		t.Error("a waiting caller counts as disconnected")
 	}
 	if err := accepted.Close(); err != nil {
 		t.Fatal(err)
 	}
 	if !hasLeft(ctx) {
-		t.Error("a caller whose connection is closed counts as waiting")
+		t.Error("a caller whose connection is closed counts as connected")
 	}
 }
--- a/pkg/ingress/caller_conns.go
+++ b/pkg/ingress/caller_conns.go
@@ -11,55 +11,55 @@
 	"quaydock/pkg/descriptors"
 )
 
-// callerConns are callers' connections, held to their share of the descriptors. A connection
-// is closed only when another needs its place: closing them by their answers from 7/8 of the share on
-// costs callers who come back a new connection each, and the entry its processor time (worth of
-// six days of such a load 0.239 against 0.253).
+// callerConns tracks callers' connections and keeps them within their limit of descriptors. An idle connection is
+// closed only when a new one needs its descriptor. Closing connections with their answers from 7/8 of the limit on
+// makes returning callers open a new connection each, which costs the entry processor time: the worth of six days
+// of such a load was 0.239 against 0.253.
 type callerConns struct {
 	common.Common
-	// freed has a token when a connection that was turned away has ended.
+	// freed gets a token when a rejected connection has ended.
 	freed chan struct{}
 
 	mu      sync.Mutex
-	book    *descriptors.Book
+	limiter *descriptors.Book
 	open    map[net.Conn]*callerConn
-	resting *list.List // of net.Conn, the longest at rest first
+	idle    *list.List // of net.Conn, longest idle first
 }
 
-// callerConn is what is known of one connection.
+// callerConn is the state of one connection.
 type callerConn struct {
-	turned  bool
-	resting *list.Element // nil while it does not rest
+	rejected bool
+	idle     *list.Element // nil unless the connection is idle
 }
 
 func newCallerConns(c common.Common, shares descriptors.Shares) *callerConns {
 	return &callerConns{
-		Common: c, freed: make(chan struct{}, 1), book: descriptors.NewBook(shares),
-		open: make(map[net.Conn]*callerConn), resting: list.New(),
+		Common: c, freed: make(chan struct{}, 1), limiter: descriptors.NewBook(shares),
+		open: make(map[net.Conn]*callerConn), idle: list.New(),
 	}
 }
 
-// arrive decides on a new connection. One that takes another's place has had that closed.
-func (cc *callerConns) arrive(c net.Conn) descriptors.Step {
+// admit decides about a new connection. If it replaces an idle one, that is closed here.
+func (cc *callerConns) admit(c net.Conn) descriptors.Step {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	var oldest net.Conn
-	if cc.book.AtLimit() {
-		oldest = cc.longestAtRest()
+	if cc.limiter.AtLimit() {
+		oldest = cc.longestIdle()
 	}
-	step, begins := cc.book.Arrive(cc.Clock.Now(), oldest != nil)
-	if begins {
-		cc.Log.WithField("connections", cc.book.Taken()).Warn("callers hold their share of the descriptors")
+	step, shortageBegins := cc.limiter.Arrive(cc.Clock.Now(), oldest != nil)
+	if shortageBegins {
+		cc.Log.WithField("connections", cc.limiter.Taken()).Warn("caller connection limit reached")
 	}
 	switch step {
 	case descriptors.StepReplace:
-		cc.forget(oldest)
-		_ = oldest.Close() // nothing is under way on it
+		cc.remove(oldest)
+		_ = oldest.Close() // no request is in progress on it
 		cc.open[c] = &callerConn{}
 	case descriptors.StepTake:
 		cc.open[c] = &callerConn{}
 	case descriptors.StepTurnAway:
-		cc.open[c] = &callerConn{turned: true}
+		cc.open[c] = &callerConn{rejected: true}
 	case descriptors.StepWait:
 		return step
 	}
@@ -67,105 +67,105 @@
 	return step
 }
 
-// mostLooks bounds how many connections are looked at for one that rests.
-const mostLooks = 8
+// maxIdleChecks limits how many idle connections are checked for pending data.
+const maxIdleChecks = 8
 
-// longestAtRest is the connection that has rested longest and has no request waiting to be
-// read, or nil; the lock is held.
-func (cc *callerConns) longestAtRest() net.Conn {
-	for range min(mostLooks, cc.resting.Len()) {
-		element := cc.resting.Front()
+// longestIdle returns the connection that has been idle longest and has no unread request, or nil; the lock is
+// held.
+func (cc *callerConns) longestIdle() net.Conn {
+	for range min(maxIdleChecks, cc.idle.Len()) {
+		element := cc.idle.Front()
 		c := element.Value.(net.Conn)
 		if !hasData(c) {
 			return c
 		}
-		cc.resting.MoveToBack(element)
+		cc.idle.MoveToBack(element)
 	}
 	return nil
 }
 
-// forget drops a connection; the lock is held.
-func (cc *callerConns) forget(c net.Conn) {
+// remove drops a connection; the lock is held.
+func (cc *callerConns) remove(c net.Conn) {
 	known := cc.open[c]
-	if known.resting != nil {
-		cc.resting.Remove(known.resting)
+	if known.idle != nil {
+		cc.idle.Remove(known.idle)
 	}
 	delete(cc.open, c)
 }
 
-// note takes over what net/http says of a connection.
-func (cc *callerConns) note(c net.Conn, state http.ConnState) {
+// setState follows net/http's state changes of a connection.
+func (cc *callerConns) setState(c net.Conn, state http.ConnState) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	known := cc.open[c]
 	if known == nil {
-		return // another has taken its place
+		return // it was replaced by another
 	}
-	if known.resting != nil {
-		cc.resting.Remove(known.resting)
-		known.resting = nil
+	if known.idle != nil {
+		cc.idle.Remove(known.idle)
+		known.idle = nil
 	}
 	switch state {
 	case http.StateIdle:
-		known.resting = cc.resting.PushBack(c)
+		known.idle = cc.idle.PushBack(c)
 	case http.StateClosed, http.StateHijacked:
 		cc.ended(c, known)
 	case http.StateNew, http.StateActive:
 	}
 }
 
-// ended counts a connection out; the lock is held.
+// ended removes a connection from the count; the lock is held.
 func (cc *callerConns) ended(c net.Conn, known *callerConn) {
-	cc.forget(c)
-	if known.turned {
-		cc.book.TurnedAway()
+	cc.remove(c)
+	if known.rejected {
+		cc.limiter.TurnedAway()
 		select {
 		case cc.freed <- struct{}{}:
-		default: // there is one already
+		default: // a token is there already
 		}
 	} else {
-		cc.book.Ended()
+		cc.limiter.Ended()
 	}
 }
 
-// drop closes a connection that nobody serves.
+// drop closes a connection that no server has taken over.
 func (cc *callerConns) drop(c net.Conn) {
-	_ = c.Close() // it was not read from
-	cc.note(c, http.StateClosed)
+	_ = c.Close() // nothing was read from it
+	cc.setState(c, http.StateClosed)
 }
 
-// counts are how many connections callers hold, and how many are being turned away.
-func (cc *callerConns) counts() (taken, turned int) {
+// counts returns how many connections callers hold, and how many more are being rejected.
+func (cc *callerConns) counts() (taken, rejecting int) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	return cc.book.Taken(), cc.book.Turned()
+	return cc.limiter.Taken(), cc.limiter.Turned()
 }
 
-// tellOver logs a shortage that is over.
-func (cc *callerConns) tellOver() {
+// logShortageEnd logs the end of a shortage, if it has ended.
+func (cc *callerConns) logShortageEnd() {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	now := cc.Clock.Now()
-	over := cc.book.Over(now)
-	if over == nil {
+	shortage := cc.limiter.Over(now)
+	if shortage == nil {
 		return
 	}
 	cc.Log.WithFields(map[string]any{
-		"for_ms": int64(now - over.Began), "replaced": over.Replaced, "turned_away": over.Turned,
-	}).Info("callers' share of the descriptors is enough again")
+		"for_ms": int64(now - shortage.Began), "replaced": shortage.Replaced, "turned_away": shortage.Turned,
+	}).Info("caller connections below the limit again")
 }
 
-// shortageEvery is how often it is looked whether a shortage is over.
-const shortageEvery = 500 * time.Millisecond
+// shortageCheckInterval is how often the end of a shortage is checked for.
+const shortageCheckInterval = 500 * time.Millisecond
 
-// watch looks from time to time whether a shortage is over, until closed.
-func (cc *callerConns) watch(closed <-chan struct{}) {
-	ticker := time.NewTicker(shortageEvery)
+// watchShortage checks periodically whether a shortage has ended, until closed.
+func (cc *callerConns) watchShortage(closed <-chan struct{}) {
+	ticker := time.NewTicker(shortageCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
-			cc.tellOver()
+			cc.logShortageEnd()
 		case <-closed:
 			return
 		}
--- a/pkg/ingress/caller_conns_test.go
+++ b/pkg/ingress/caller_conns_test.go
@@ -15,24 +15,23 @@
 	"quaydock/pkg/network"
 )
 
-// shareBed is a server whose callers may hold two connections, and whose handler serves for as
-// long as it is told to.
-type shareBed struct {
-	server *ingress.Server
-	reach  *network.Memory
-	serves time.Duration
+// connLimitTestbed is a server whose callers may hold two connections, and whose handler takes handlerDelay.
+type connLimitTestbed struct {
+	server       *ingress.Server
+	network      *network.Memory
+	handlerDelay time.Duration
 }
 
-func newShareBed(t *testing.T, serves time.Duration) *shareBed {
-	b := &shareBed{reach: network.NewMemory(nil), serves: serves}
-	b.server = ingress.NewServer(commontest.New(b.reach), ingress.Handlers{
+func newConnLimitTestbed(t *testing.T, delay time.Duration) *connLimitTestbed {
+	b := &connLimitTestbed{network: network.NewMemory(nil), handlerDelay: delay}
+	b.server = ingress.NewServer(commontest.New(b.network), ingress.Handlers{
 		Serve: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			time.Sleep(b.serves)
+			time.Sleep(b.handlerDelay)
 			_, _ = io.WriteString(w, "yes")
 		}),
 		TurnAway: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }),
 	}, descriptors.Shares{Callers: 2, Turned: 1})
-	listener, err := b.reach.Listen(serverAt)
+	listener, err := b.network.Listen(serverAt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,58 +45,58 @@
 	return b
 }
 
-func TestTheConnectionThatHasRestedLongestGivesWay(t *testing.T) {
+func TestLongestIdleConnectionIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newShareBed(t, 0)
+		b := newConnLimitTestbed(t, 0)
 		var callers []net.Conn
 		for range 3 {
-			c := dial(t, b.reach)
-			if got := ask(c, 0); got != http.StatusOK {
+			c := dial(t, b.network)
+			if got := sendRequest(c, 0); got != http.StatusOK {
 				t.Fatalf("status %d", got)
 			}
 			callers = append(callers, c)
 			time.Sleep(time.Millisecond)
 		}
 		for i, want := range []int{0, http.StatusOK, http.StatusOK} {
-			if got := ask(callers[i], 0); got != want {
-				t.Errorf("caller %d at rest: status %d, want %d", i, got, want)
+			if got := sendRequest(callers[i], 0); got != want {
+				t.Errorf("idle caller %d: status %d, want %d", i, got, want)
 			}
 		}
-		if taken, turned := b.server.Connections(); taken != 2 || turned != 0 {
-			t.Errorf("%d connections, %d turned away", taken, turned)
+		if taken, rejecting := b.server.Connections(); taken != 2 || rejecting != 0 {
+			t.Errorf("%d connections, %d being rejected", taken, rejecting)
 		}
 	})
 }
 
-func TestCallersBeyondTheShareAreToldToComeBack(t *testing.T) {
+func TestCallersBeyondConnectionLimitAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newShareBed(t, 3*time.Second)
+		b := newConnLimitTestbed(t, 3*time.Second)
 		answers := make(chan int, 2)
 		for range 2 {
-			c := dial(t, b.reach)
-			go func() { answers <- ask(c, 0) }()
+			c := dial(t, b.network)
+			go func() { answers <- sendRequest(c, 0) }()
 		}
 		synctest.Wait()
-		silent := dial(t, b.reach) // it holds the one place of those who are turned away
+		silent := dial(t, b.network) // it uses the one slot for rejected connections
 		synctest.Wait()
 		began := time.Now()
-		if got := ask(dial(t, b.reach), 0); got != http.StatusServiceUnavailable {
-			t.Errorf("beyond the share: status %d", got)
+		if got := sendRequest(dial(t, b.network), 0); got != http.StatusServiceUnavailable {
+			t.Errorf("beyond the limit: status %d", got)
 		}
 		if took := time.Since(began); took > 1100*time.Millisecond {
-			t.Errorf("told after %v", took)
+			t.Errorf("rejected after %v", took)
 		}
 		for range 2 {
 			if got := <-answers; got != http.StatusOK {
-				t.Errorf("within the share: status %d", got)
+				t.Errorf("within the limit: status %d", got)
 			}
 		}
-		synctest.Wait() // until their connections rest
-		if got := ask(silent, 0); got != 0 {
-			t.Errorf("one that said nothing for a second: status %d", got)
+		synctest.Wait() // until their connections are idle
+		if got := sendRequest(silent, 0); got != 0 {
+			t.Errorf("caller that sent nothing for a second: status %d", got)
 		}
-		if got := ask(dial(t, b.reach), 0); got != http.StatusOK {
-			t.Errorf("when the share has room again: status %d", got)
+		if got := sendRequest(dial(t, b.network), 0); got != http.StatusOK {
+			t.Errorf("below the limit again: status %d", got)
 		}
 	})
 }
--- a/pkg/ingress/closing.go
+++ b/pkg/ingress/closing.go
@@ -8,55 +8,54 @@
 	"quaydock/pkg/routing"
 )
 
-// Stop is the course of an entry's stop, known from the moment of its signal.
+// Stop is the schedule of an entry's drain, known from the moment of its signal.
 type Stop struct {
-	// Narrows is from when on only requests are taken that will surely have ended in time.
+	// RestrictsFrom is when the restriction begins: from then on only requests are admitted that will surely
+	// end in time.
 	Narrows clock.Millis
-	// Ends is when the process ends.
+	// EndsAt is when the process ends.
 	Ends clock.Millis
 }
 
-// closing decides what an entry still takes while it is being stopped and too few others
-// are ready: requests that will surely have ended by the time at which it has to. Others
-// are told to come back, which a caller that finds a closed port is not.
-type closing struct {
-	stop atomic.Pointer[Stop] // nil if the entry is not being stopped
+// drainAdmission decides what an entry still admits while it drains and too few others are ready: requests that
+// will surely end before it has to. Other callers are told to come back, which a closed port would not tell them.
+type drainAdmission struct {
+	stop atomic.Pointer[Stop] // nil unless the entry drains
 
 	mu      sync.Mutex
-	longest map[string]*recentMost // by route, how long answers took
+	longest map[string]*recentMax // by route: how long answers took
 }
 
 const (
-	// endDoubt is how many times the longest answer of late has to fit into the time left.
-	endDoubt = 2
-	// endSpare is kept of the time left.
-	endSpare = 200 * clock.Millisecond
-	// deadlineSpare is kept between a request's deadline and the end, to tell its caller.
-	deadlineSpare = 50 * clock.Millisecond
-	// leastLeavingRetry is when to come back at the soonest.
-	leastLeavingRetry = clock.Second
+	// durationFactor is how many times the longest recent answer has to fit into the time left.
+	durationFactor = 2
+	// endMargin is subtracted from the time left.
+	endMargin = 200 * clock.Millisecond
+	// deadlineMargin is kept between a request's deadline and the process's end, to answer its caller.
+	deadlineMargin = 50 * clock.Millisecond
+	// minLeavingRetry is the shortest Retry-After of a draining entry.
+	minLeavingRetry = clock.Second
 )
 
-func newClosing() *closing {
-	return &closing{longest: make(map[string]*recentMost)}
+func newDrainAdmission() *drainAdmission {
+	return &drainAdmission{longest: make(map[string]*recentMax)}
 }
 
-// note takes how long an answer took.
-func (c *closing) note(now clock.Millis, route string, took clock.Millis) {
+// record adds the duration of an answer.
+func (c *drainAdmission) record(now clock.Millis, route string, took clock.Millis) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m := c.longest[route]
 	if m == nil {
-		m = &recentMost{}
+		m = &recentMax{}
 		c.longest[route] = m
 	}
 	m.add(now, took)
 }
 
-// narrowing returns the course of the stop once its narrowing has begun, and nil before. It goes by
-// the time of the signal and not by a timer: on a VM that is paused or busy a timer goes off late,
-// while requests come in.
-func (c *closing) narrowing(now clock.Millis) *Stop {
+// restriction returns the drain's schedule once its restriction has begun, and nil before. It compares times
+// instead of using a timer: on a VM that is paused or busy a timer fires late, while requests arrive.
+func (c *drainAdmission) restriction(now clock.Millis) *Stop {
 	stop := c.stop.Load()
 	if stop == nil || now < stop.Narrows {
 		return nil
@@ -64,85 +63,85 @@
 	return stop
 }
 
-// takes reports whether a request of a route may be taken that is held up to its deadline at
-// the most. One whose deadline comes after the end is not taken however short such answers
-// have been of late: some take many times as long, and would be cut.
-func (c *closing) takes(now, deadline clock.Millis, route *routing.Route) bool {
-	stop := c.narrowing(now)
+// admits reports whether a request of a route with the given deadline may be admitted. One whose deadline comes
+// after the process's end is not admitted, however short recent answers of the route were: some take many times
+// as long, and would be broken off.
+func (c *drainAdmission) admits(now, deadline clock.Millis, route *routing.Route) bool {
+	stop := c.restriction(now)
 	if stop == nil {
 		return true
 	}
-	if deadline+deadlineSpare > stop.Ends {
+	if deadline+deadlineMargin > stop.Ends {
 		return false
 	}
-	return c.fits(now, route, stop, endDoubt)
+	return c.fits(now, route, stop, durationFactor)
 }
 
-// sends reports whether a request that was taken earlier may still be sent to a target. If the
-// longest answer of late would not fit into the time left, it is better told that it has not
-// run: sent, it ends without an answer, and may have run.
-func (c *closing) sends(now, deadline clock.Millis, route *routing.Route) bool {
-	stop := c.narrowing(now)
-	return stop == nil || deadline+deadlineSpare <= stop.Ends || c.fits(now, route, stop, 1)
+// maySend reports whether a request that was admitted earlier may still be sent to a target. If the longest
+// recent answer would not fit into the time left, its caller is better told that it has not run: once sent, it
+// may run and still end without an answer.
+func (c *drainAdmission) sends(now, deadline clock.Millis, route *routing.Route) bool {
+	stop := c.restriction(now)
+	return stop == nil || deadline+deadlineMargin <= stop.Ends || c.fits(now, route, stop, 1)
 }
 
-// fits reports whether several times the longest recent answer of a route fits into the time left.
-func (c *closing) fits(now clock.Millis, route *routing.Route, stop *Stop, times int) bool {
+// fits reports whether the longest recent answer of a route fits the given number of times into the time left.
+func (c *drainAdmission) fits(now clock.Millis, route *routing.Route, stop *Stop, times int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	m := c.longest[route.Name]
-	return m != nil && now+clock.Millis(times)*m.get(now)+endSpare <= stop.Ends
+	return m != nil && now+clock.Millis(times)*m.get(now)+endMargin <= stop.Ends
 }
 
-// retryAfter is when to come back: when this entry will surely have ended, and the ones
-// that were stopped before it are back. A caller that comes back sooner finds what it
-// found, and may not come a third time.
-func (c *closing) retryAfter(now clock.Millis) clock.Millis {
+// retryAfter returns when callers should come back: when this entry has certainly ended, and the ones that were
+// stopped before it run again. A caller that comes back sooner meets the same refusal, and may not try a third
+// time.
+func (c *drainAdmission) retryAfter(now clock.Millis) clock.Millis {
 	stop := c.stop.Load()
 	if stop == nil {
-		return leastLeavingRetry
+		return minLeavingRetry
 	}
-	return max(leastLeavingRetry, stop.Ends-now)
+	return max(minLeavingRetry, stop.Ends-now)
 }
 
-// forget drops routes that are gone.
-func (c *closing) forget(known func(route string) bool) {
+// retain drops routes that no longer exist.
+func (c *drainAdmission) retain(exists func(route string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name := range c.longest {
-		if !known(name) {
+		if !exists(name) {
 			delete(c.longest, name)
 		}
 	}
 }
 
-// recentMost is the largest value of late; older ones fade by halves.
-type recentMost struct {
-	span            clock.Millis // the number of the present one
-	present, before clock.Millis
+// recentMax is the maximum of recent values; older ones decay by half with each span.
+type recentMax struct {
+	span              clock.Millis // number of the current span
+	current, previous clock.Millis
 }
 
-// recentSpan is how long a span is.
+// recentSpan is the length of a span.
 const recentSpan = 10 * clock.Second
 
-func (m *recentMost) move(now clock.Millis) {
+func (m *recentMax) advance(now clock.Millis) {
 	span := now / recentSpan
 	if span == m.span {
 		return
 	}
-	if m.present > 0 || span > m.span+1 {
-		m.before = max(m.present, m.before/2) // what is old counts less, but never nothing
+	if m.current > 0 || span > m.span+1 {
+		m.previous = max(m.current, m.previous/2) // older values count less, but are not dropped
 	}
-	m.present = 0
+	m.current = 0
 	m.span = span
 }
 
-func (m *recentMost) add(now, value clock.Millis) {
-	m.move(now)
-	m.present = max(m.present, value)
+func (m *recentMax) add(now, value clock.Millis) {
+	m.advance(now)
+	m.current = max(m.current, value)
 }
 
-func (m *recentMost) get(now clock.Millis) clock.Millis {
-	m.move(now)
-	return max(m.before, m.present)
+func (m *recentMax) get(now clock.Millis) clock.Millis {
+	m.advance(now)
+	return max(m.previous, m.current)
 }
--- a/pkg/ingress/controller.go
+++ b/pkg/ingress/controller.go
@@ -1,5 +1,5 @@
-// Package ingress takes callers' requests that pass through unchanged, and sees
-// each to its one final answer.
+// Package ingress serves callers' requests that are passed on unchanged, and gives each of them
+// exactly one final answer.
 package ingress
 
 import (
@@ -22,15 +22,15 @@
 	"quaydock/pkg/view"
 )
 
-// noDeadline takes a deadline of a connection away.
+// noDeadline clears a deadline of a connection.
 var noDeadline time.Time
 
 var (
-	errDeadline = errors.New("the request's time is over")
-	errEnded    = errors.New("the entry ends")
+	errDeadline = errors.New("request deadline exceeded")
+	errEnded    = errors.New("entry shut down")
 )
 
-// Parts are what a controller works with.
+// Dependencies are what a controller needs.
 type Parts struct {
 	common.Common
 	View      *view.View
@@ -41,56 +41,56 @@
 	Retries   *quota.RetryBudget
 	Entries   Entries
 	Keys      KeyTrust
-	// Guard keeps requests that end their targets from running; nil has the controller go by what
-	// it sees itself.
+	// Guard quarantines requests under which targets end; if nil, the controller uses a guard that knows
+	// only what this entry observes itself.
 	Guard *quarantine.Guard
-	// Advice is what targets have told this entry of themselves.
+	// Advice is what targets have reported to this entry about themselves.
 	Advice *advisory.Book
-	// MostExtra is how many requests on connections beyond callers' share may be served at once,
-	// those of a higher tier than some request that is being served.
+	// MaxExtra limits how many requests on connections beyond the callers' limit are served at once. Only
+	// requests of a higher tier than one in progress are.
 	MostExtra int
 }
 
-// KeyTrust says how long a key may still be used after its removal.
+// KeyGrace says how long a key may still be used after its removal.
 type KeyTrust struct {
-	// Bound is that time, above 0, at an entry that hears of the removal.
+	// Limit is that time, above 0, at an entry that receives the removal.
 	Bound clock.Millis
-	// Strict is true if the bound holds also at one that is cut off from all that
-	// could tell it. If not, such an entry goes on serving with the keys that it
-	// knows, until the others may count it as gone.
+	// Strict is true if the limit also holds at an entry that is partitioned from everything that could
+	// report the removal. If false, such an entry goes on serving with the keys that it has until the
+	// others may count it as gone.
 	Strict bool
-	// Most is for how long that goes on at the most, while they surely do not.
+	// Max limits how long it goes on while the others certainly do not count it as gone.
 	Most clock.Millis
 }
 
-// Controller serves callers.
+// Controller serves callers' requests.
 type Controller struct {
 	common.Common
-	admission *admission
-	delivery  *delivery
-	leaving   atomic.Bool
-	running   atomic.Int64
-	late      atomic.Int64 // of these, those that came after the stop's narrowing
-	ordinary  atomic.Int64 // answers given
-	sampler   *telemetry.Sampler
-	// underWay counts the admitted requests by tier; extra is how many requests are being served on
-	// connections beyond callers' share, mostExtra at the most.
-	underWay  *tierCounts
-	extra     atomic.Int64
-	mostExtra int64
-	// ended is done once the process ends, and then ends all requests under way; end ends it.
+	admission         *admission
+	delivery          *delivery
+	leaving           atomic.Bool
+	running           atomic.Int64
+	runningRestricted atomic.Int64 // of these, those that arrived in the drain's restriction
+	answers           atomic.Int64 // answers completed
+	sampler           *telemetry.Sampler
+	// inProgress counts the admitted requests by tier; extra is how many requests are being served on
+	// connections beyond the callers' limit, at most maxExtra.
+	inProgress *tierCounts
+	extra      atomic.Int64
+	maxExtra   int64
+	// ended is canceled by end when the process ends, which cancels all requests in progress.
 	ended context.Context
 	end   context.CancelCauseFunc
 }
 
-// NewController returns a controller over its parts.
+// NewController returns a controller with its dependencies.
 func NewController(p Parts) *Controller {
-	a := &admission{Common: p.Common, view: p.View, dialect: p.Dialect, meter: p.Meter, entries: p.Entries, tries: newFirstTries(), closing: newClosing()}
-	a.setKeyTrust(p.Keys)
+	a := &admission{Common: p.Common, view: p.View, dialect: p.Dialect, meter: p.Meter, entries: p.Entries, tries: newFirstTries(), closing: newDrainAdmission()}
+	a.setKeyGrace(p.Keys)
 	d := &delivery{
 		Common: p.Common, admission: a, dialect: p.Dialect, scheduler: p.Scheduler,
 		pool: p.Pool, retries: p.Retries, entries: p.Entries, guard: p.Guard, advice: p.Advice,
-		sampler: telemetry.NewSampler(p.Clock, p.Log, linesASecond),
+		sampler: telemetry.NewSampler(p.Clock, p.Log, linesPerSecond),
 	}
 	if d.guard == nil {
 		d.guard = quarantine.New(quarantine.Parts{Common: p.Common})
@@ -100,66 +100,65 @@
 	p.View.Watch(d.guard.Follow)
 	c := &Controller{
 		Common: p.Common, admission: a, delivery: d, sampler: d.sampler,
-		underWay: newTierCounts(), mostExtra: int64(p.MostExtra),
+		inProgress: newTierCounts(), maxExtra: int64(p.MostExtra),
 	}
 	c.ended, c.end = context.WithCancelCause(context.Background())
 	return c
 }
 
-// SetKeyTrust changes how long after its removal a key may still be used.
+// SetKeyGrace changes how long after its removal a key may still be used.
 func (c *Controller) SetKeyTrust(keys KeyTrust) {
-	c.admission.setKeyTrust(keys)
+	c.admission.setKeyGrace(keys)
 }
 
-// Forget drops what was learned of routes that are gone.
-func (c *Controller) Forget(known func(route string) bool) {
-	c.admission.tries.forget(known)
-	c.admission.closing.forget(known)
+// RetainRoutes drops the statistics of routes that no longer exist.
+func (c *Controller) Forget(exists func(route string) bool) {
+	c.admission.tries.forget(exists)
+	c.admission.closing.retain(exists)
 }
 
-// Ready reports whether callers should be sent here. An entry whose proof of keys
-// has grown old stays ready: where its callers went, they would be served in the
-// place of others (measured on days of high load).
+// Ready reports whether callers should be routed to this entry. An entry whose configuration is no longer
+// fresh enough for keys stays ready: its callers would otherwise displace others at other entries, as measured
+// on days of high load.
 func (c *Controller) Ready() bool {
-	return !c.leaving.Load() && c.admission.knows()
+	return !c.leaving.Load() && c.admission.hasConfiguration()
 }
 
-// Leave begins a stop: every further answer closes its connection, and less and less is
-// taken.
+// Leave starts a drain: every further answer closes its connection, and from stop.RestrictsFrom on only
+// requests are admitted that will end in time.
 func (c *Controller) Leave(stop Stop) {
 	c.admission.closing.stop.Store(&stop)
 	c.leaving.Store(true)
 }
 
-// End gives the requests under way their final answer: one that was not sent is told to come back,
-// one that may have run is told as lost, and an answer that has begun is broken off. Closing their
-// connections would tell callers none of that.
+// End gives the requests in progress their final answer: one that was not sent is refused with a time to come
+// back, one that may have run is reported as lost, and an answer that has begun is broken off. Callers would
+// learn none of that if their connections were merely closed.
 func (c *Controller) End() {
 	c.end(errEnded)
 }
 
-// Context is that from which the contexts of all requests have to be derived, by the servers that take them: End
-// ends it. Made once for all, it spares each request a context and a function to be called.
+// Context returns the context that servers must derive all requests' contexts from; End cancels it. One shared
+// context spares each request a context and a callback of its own.
 func (c *Controller) Context() context.Context { return c.ended }
 
-// RunningFromBefore is how many requests are being served that came before the stop's
-// narrowing.
+// RunningUnrestricted returns how many requests are being served that arrived before the drain's restriction
+// began.
 func (c *Controller) RunningFromBefore() int {
-	return int(c.running.Load() - c.late.Load())
+	return int(c.running.Load() - c.runningRestricted.Load())
 }
 
-// Running is how many requests are being served.
+// Running returns how many requests are being served.
 func (c *Controller) Running() int {
 	return int(c.running.Load())
 }
 
-// ServeHTTP serves one request.
 func (c *Controller) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.running.Add(1)
 	defer c.running.Add(-1)
-	if c.admission.closing.narrowing(c.Clock.Now()) != nil {
-		c.late.Add(1)
-		defer c.late.Add(-1)
+	if c.admission.closing.restriction(c.Clock.Now()) != nil {
+		c.runningRestricted.Add(1)
+		defer c.runningRestricted.Add(-1)
 	}
 	out := &answerWriter{writer: w, control: http.NewResponseController(w)}
 	if c.leaving.Load() {
@@ -174,8 +173,8 @@
 
 func (c *Controller) deliver(r *http.Request, q *request, out *answerWriter) *Refusal {
 	tier := q.tier()
-	c.underWay.add(tier, 1)
-	defer c.underWay.add(tier, -1)
+	c.inProgress.add(tier, 1)
+	defer c.inProgress.add(tier, -1)
 	left := (q.deadline - c.Clock.Now()).Duration()
 	ctx, cancel := context.WithTimeoutCause(r.Context(), left, errDeadline)
 	defer cancel()
@@ -184,8 +183,8 @@
 	return c.delivery.run(ctx, q, out)
 }
 
-// conclude gives the final answer if none was given, and breaks off one that cannot
-// be completed, so that it does not look whole.
+// conclude gives the final answer if none was given, and aborts one that cannot be completed, so that it does
+// not look complete.
 func (c *Controller) conclude(q *request, refusal *Refusal, out *answerWriter) {
 	if refusal == nil {
 		c.answered(q)
@@ -202,11 +201,11 @@
 	refusal.write(out.writer)
 }
 
-// linesASecond bounds the log lines of each kind: what explains a failure is
-// logged whole up to there, and counted beyond.
-const linesASecond = 40
+// linesPerSecond limits the log lines of each kind: up to it every failure is logged with all its fields, and
+// those beyond are only counted.
+const linesPerSecond = 40
 
-// count adds a request to the figures.
+// count adds a request to the metrics.
 func (c *Controller) count(q *request, outcome string) {
 	now := c.Clock.Now()
 	r := telemetry.Request{Service: string(q.service), Account: string(q.accountName()), Tier: -1, Outcome: outcome, Held: now - q.arrived}
@@ -219,14 +218,14 @@
 	c.Metrics.Figures.Count(r)
 }
 
-// sampleEvery is how many ordinary answers go by for each that is logged.
+// sampleEvery says that one of so many answers in time is logged.
 const sampleEvery = 100
 
-// answered logs every answer that came late, and a sample of the others.
+// answered counts an answer, and logs it if it was late or falls into the sample.
 func (c *Controller) answered(q *request) {
-	n := c.ordinary.Add(1)
+	n := c.answers.Add(1)
 	now := c.Clock.Now()
-	c.admission.closing.note(now, q.route.Name, now-q.arrived)
+	c.admission.closing.record(now, q.route.Name, now-q.arrived)
 	lateness := q.lateness()
 	late := lateness != LateNot
 	outcome := "answered"
@@ -245,12 +244,12 @@
 	fields["longest_pause_ms"] = int64(q.pause)
 	if late {
 		fields["late_by"] = lateness.String()
-		fields["trail"] = q.marks()
+		fields["trail"] = q.formatTrail()
 	}
 	c.Log.WithFields(fields).Info("request answered")
 }
 
-// refused logs every request without a whole answer of a target.
+// refused counts and logs a request that did not get a complete answer of a target.
 func (c *Controller) refused(q *request, refusal *Refusal, out *answerWriter) {
 	c.count(q, refusal.Cause.String())
 	if !c.sampler.Allow(refusal.Cause.String()) {
@@ -260,7 +259,7 @@
 	fields["cause"] = refusal.Cause.String()
 	fields["status"] = refusal.Status
 	fields["begun"] = out.started
-	fields["trail"] = q.marks()
+	fields["trail"] = q.formatTrail()
 	if refusal.RetryAfter > 0 {
 		fields["retry_after_ms"] = int64(refusal.RetryAfter)
 	}
@@ -271,8 +270,7 @@
 	entry.Info("request not answered")
 }
 
-// fields are what is logged of every request: its id, the decisions about it,
-// and what they stood on.
+// fields returns the log fields of every request: its id, the decisions about it, and what they were based on.
 func (c *Controller) fields(q *request) logrus.Fields {
 	now := c.Clock.Now()
 	fields := logrus.Fields{
@@ -293,7 +291,7 @@
 		fields["prompt_tokens"] = int64(q.Prompt)
 	}
 	if len(q.tried) > 0 {
-		fields["targets"] = q.targets()
+		fields["targets"] = q.triedTargets()
 	}
 	if q.digest != (quarantine.Digest{}) {
 		fields["digest"] = q.digest.String()
--- a/pkg/ingress/controller_test.go
+++ b/pkg/ingress/controller_test.go
@@ -21,61 +21,61 @@
 	full := says(503, "Not-Run: 1\r\n", "")
 	moved := says(421, "", "")
 	encoded := says(200, "Content-Encoding: gzip\r\n", "zip")
-	whole := strings.Join(events(10), "")
+	complete := strings.Join(events(10), "")
 	scenarios := []struct {
-		name    string
-		path    string
-		engines []engine
-		status  int
-		body    string // compared if the status is 200
-		whole   bool
-		arrive  int
+		name     string
+		path     string
+		engines  []engine
+		status   int
+		body     string // compared if the status is 200
+		complete bool
+		arrivals int
 	}{
-		{"a call", "/unsafe/a", []engine{yes}, 200, "yes", true, 1},
-		{"a failure of the target's own goes back", "/unsafe/a", []engine{failing, yes}, 500, "", true, 1},
-		{"a safe call that failed is tried elsewhere", "/safe/a", []engine{failing, yes}, 200, "yes", true, 2},
-		{"but no more often than allowed", "/safe/a", []engine{failing, failing, yes}, 500, "", true, 2},
-		{"a target without room", "/unsafe/a", []engine{full, yes}, 200, "yes", true, 2},
-		{"another target at the address", "/unsafe/a", []engine{moved, yes}, 200, "yes", true, 2},
-		{"nobody at the address", "/unsafe/a", []engine{nil, yes}, 200, "yes", true, 1},
-		{"no room anywhere is told as not run", "/unsafe/a", []engine{full}, 503, "", true, 1},
-		{"what may have run is not sent again", "/unsafe/a", []engine{closes, yes}, 502, "", true, 1},
-		{"unless it is safe", "/safe/a", []engine{closes, yes}, 200, "yes", true, 2},
-		{"an answer that cannot be the target's", "/unsafe/a", []engine{encoded, yes}, 502, "", true, 1},
-		{"a stream", "/stream/a", []engine{streams(0)}, 200, whole, true, 1},
-		{"a broken stream does not look whole", "/stream/a", []engine{streams(4), streams(0)}, 200, strings.Join(events(3), ""), false, 1},
-		{"a resumable one goes on elsewhere", "/resume/a", []engine{streams(4), streams(0)}, 200, whole, true, 2},
-		{"a stream that broke before its first event", "/resume/a", []engine{streams(1), streams(0)}, 200, whole, true, 2},
-		{"a resumable one that breaks again", "/resume/a", []engine{streams(4), streams(7), streams(0)}, 200, strings.Join(events(6), ""), false, 2},
+		{"successful call", "/unsafe/a", []engine{yes}, 200, "yes", true, 1},
+		{"target's own failure is returned", "/unsafe/a", []engine{failing, yes}, 500, "", true, 1},
+		{"failed safe call is retried on another target", "/safe/a", []engine{failing, yes}, 200, "yes", true, 2},
+		{"failed safe call is not retried beyond its attempts", "/safe/a", []engine{failing, failing, yes}, 500, "", true, 2},
+		{"full target", "/unsafe/a", []engine{full, yes}, 200, "yes", true, 2},
+		{"other target at the address", "/unsafe/a", []engine{moved, yes}, 200, "yes", true, 2},
+		{"no listener at the address", "/unsafe/a", []engine{nil, yes}, 200, "yes", true, 1},
+		{"all targets full, refused as not run", "/unsafe/a", []engine{full}, 503, "", true, 1},
+		{"unsafe call that may have run is not retried", "/unsafe/a", []engine{closes, yes}, 502, "", true, 1},
+		{"safe call that may have run is retried", "/safe/a", []engine{closes, yes}, 200, "yes", true, 2},
+		{"answer with a content encoding that was not asked for", "/unsafe/a", []engine{encoded, yes}, 502, "", true, 1},
+		{"stream", "/stream/a", []engine{streams(0)}, 200, complete, true, 1},
+		{"broken stream does not look complete", "/stream/a", []engine{streams(4), streams(0)}, 200, strings.Join(events(3), ""), false, 1},
+		{"resumable stream resumes on another target", "/resume/a", []engine{streams(4), streams(0)}, 200, complete, true, 2},
+		{"resumable stream that broke before its first event", "/resume/a", []engine{streams(1), streams(0)}, 200, complete, true, 2},
+		{"resumable stream that breaks again", "/resume/a", []engine{streams(4), streams(7), streams(0)}, 200, strings.Join(events(6), ""), false, 2},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newBed(t, freely{}, s.engines...)
 				got := b.call(context.Background(), s.path, nil)
-				if got.status != s.status || got.whole != s.whole {
-					t.Errorf("status %d, whole %t", got.status, got.whole)
+				if got.status != s.status || got.whole != s.complete {
+					t.Errorf("status %d, complete %t", got.status, got.whole)
 				}
 				if s.status == 200 && got.body != s.body {
 					t.Errorf("body %q", got.body)
 				}
-				if n := len(b.arrived()); n != s.arrive {
-					t.Errorf("%d arrivals at targets, want %d", n, s.arrive)
+				if n := len(b.arrived()); n != s.arrivals {
+					t.Errorf("%d arrivals at targets, want %d", n, s.arrivals)
 				}
 			})
 		})
 	}
 }
 
-func events(to int) []string {
+func events(last int) []string {
 	var list []string
-	for n := 1; n <= to; n++ {
+	for n := 1; n <= last; n++ {
 		list = append(list, fmt.Sprintf("id: %d\ndata: e%d\n\n", n, n))
 	}
 	return list
 }
 
-func TestAResumedAnswerKeepsTheFirstHead(t *testing.T) {
+func TestResumedAnswerKeepsFirstHeaders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, freely{}, streams(4), streams(0))
 		got := b.call(context.Background(), "/resume/a", nil)
@@ -83,13 +83,13 @@
 			t.Errorf("seal %q", got.header.Get("Seal"))
 		}
 		if last := b.arrived()[1].header.Get("Last"); last != "3" {
-			t.Errorf("resumed behind %q", last)
+			t.Errorf("resumed after %q", last)
 		}
 	})
 }
 
 func TestRefusals(t *testing.T) {
-	old := func(b *bed) { time.Sleep(4400 * time.Millisecond) }
+	outdate := func(b *bed) { time.Sleep(4400 * time.Millisecond) }
 	scenarios := []struct {
 		name    string
 		path    string
@@ -98,15 +98,15 @@
 		status  int
 		retry   bool
 	}{
-		{"no such route", "/none/a", nil, nil, 404, false},
-		{"no such route, as far as is known", "/none/a", nil, old, 503, true},
-		{"no such key", "/unsafe/a", map[string]string{"Key": "wrong"}, nil, 401, false},
-		{"a key without proof that it still holds", "/unsafe/a", nil, old, 503, true},
-		{"no key is needed there", "/open/a", map[string]string{"Key": ""}, old, 200, false},
-		{"over the allowance", "/unsafe/a", map[string]string{"Key": "fullkey"}, nil, 429, true},
-		{"refused under load", "/unsafe/a", nil, func(b *bed) { b.scheduler.refuse = true }, 503, true},
+		{"unknown route", "/none/a", nil, nil, 404, false},
+		{"unknown route, outdated configuration", "/none/a", nil, outdate, 503, true},
+		{"unknown key", "/unsafe/a", map[string]string{"Key": "wrong"}, nil, 401, false},
+		{"known key, outdated configuration", "/unsafe/a", nil, outdate, 503, true},
+		{"route without keys, outdated configuration", "/open/a", map[string]string{"Key": ""}, outdate, 200, false},
+		{"account over its allowance", "/unsafe/a", map[string]string{"Key": "fullkey"}, nil, 429, true},
+		{"overloaded", "/unsafe/a", nil, func(b *bed) { b.scheduler.refuse = true }, 503, true},
 		{"no target", "/unsafe/a", nil, func(b *bed) { b.targets = nil }, 503, true},
-		{"never placed in its time", "/unsafe/a", map[string]string{"Wait": "800"}, func(b *bed) { b.scheduler.delay = time.Hour }, 503, true},
+		{"not placed before the deadline", "/unsafe/a", map[string]string{"Wait": "800"}, func(b *bed) { b.scheduler.delay = time.Hour }, 503, true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -117,29 +117,28 @@
 				}
 				got := b.call(context.Background(), s.path, s.header)
 				if got.status != s.status || !got.whole {
-					t.Errorf("status %d, whole %t", got.status, got.whole)
+					t.Errorf("status %d, complete %t", got.status, got.whole)
 				}
 				if (got.header.Get("Retry-After") != "") != s.retry {
 					t.Errorf("Retry-After %q", got.header.Get("Retry-After"))
 				}
 				if s.status != 200 && len(b.arrived()) > 0 {
-					t.Error("it reached a target")
+					t.Error("the request reached a target")
 				}
 			})
 		})
 	}
 }
 
-// TestAnEntryWithoutAPartRefusesTruly has an entry that has no part of what all may spend:
-// it tells callers of accounts with a limit that it has not run their requests and when to
-// come back, and serves the others.
-func TestAnEntryWithoutAPartRefusesTruly(t *testing.T) {
+// An entry without a share of the allowances refuses requests of accounts with a limit as not run, with a time to come
+// back, since the account isn't over its allowance. It serves all other requests.
+func TestEntryWithoutShareRefusesAsNotRun(t *testing.T) {
 	scenarios := []struct {
 		name, path, key string
 		status          int
 	}{
-		{"an account with a limit", "/unsafe/a", "fullkey", http.StatusServiceUnavailable},
-		{"no key is needed there", "/open/a", "", http.StatusOK},
+		{"account with a limit", "/unsafe/a", "fullkey", http.StatusServiceUnavailable},
+		{"route without keys", "/open/a", "", http.StatusOK},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -147,21 +146,21 @@
 				b := newBed(t, freely{"full": true, shareless: true}, says(200, "", "yes"))
 				got := b.call(context.Background(), s.path, map[string]string{"Key": s.key})
 				if got.status != s.status || !got.whole {
-					t.Errorf("status %d, whole %t", got.status, got.whole)
+					t.Errorf("status %d, complete %t", got.status, got.whole)
 				}
 				refused := s.status != http.StatusOK
 				if (got.header.Get("Retry-After") != "") != refused {
 					t.Errorf("Retry-After %q", got.header.Get("Retry-After"))
 				}
 				if refused && len(b.arrived()) > 0 {
-					t.Error("it reached a target")
+					t.Error("the request reached a target")
 				}
 			})
 		})
 	}
 }
 
-func TestTimeIsKept(t *testing.T) {
+func TestSilentTargetEndsAtDeadline(t *testing.T) {
 	scenarios := []struct {
 		name   string
 		path   string
@@ -170,9 +169,9 @@
 		status int
 		took   time.Duration
 	}{
-		{"a silent target, to the route's time", "/unsafe/a", "60000", silent, 504, 5 * time.Second},
-		{"a silent target, to the caller's time", "/unsafe/a", "1000", silent, 504, time.Second},
-		{"a stream without an event", "/resume/a", "1000", silent, 504, time.Second},
+		{"silent target, up to the route's time-out", "/unsafe/a", "60000", silent, 504, 5 * time.Second},
+		{"silent target, up to the caller's deadline", "/unsafe/a", "1000", silent, 504, time.Second},
+		{"stream without an event", "/resume/a", "1000", silent, 504, time.Second},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -183,14 +182,14 @@
 					t.Errorf("status %d after %v", got.status, got.took)
 				}
 				if left := b.arrived()[0].header.Get("Left"); left != fmt.Sprint(s.took.Milliseconds()) {
-					t.Errorf("the target was given %s ms", left)
+					t.Errorf("time left reported to the target: %s ms", left)
 				}
 			})
 		})
 	}
 }
 
-func TestACallerWhoLeavesEndsTheWork(t *testing.T) {
+func TestCallerDisconnectCancelsTargetWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := make(chan time.Time, 1)
 		b := newBed(t, freely{}, func(c net.Conn, r *http.Request) bool {
@@ -203,7 +202,7 @@
 		began := time.Now()
 		b.call(ctx, "/resume/a", nil)
 		if at := <-ended; at.Sub(began) > 1200*time.Millisecond {
-			t.Errorf("the target worked on for %v", at.Sub(began))
+			t.Errorf("the target went on for %v", at.Sub(began))
 		}
 		time.Sleep(time.Second)
 		if n := len(b.arrived()); n != 1 {
@@ -212,34 +211,34 @@
 	})
 }
 
-func TestPlacesAreGivenBackWithTheirOutcome(t *testing.T) {
+func TestAssignmentsAreReleasedWithOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, freely{}, nil, says(503, "Not-Run: 1\r\n", ""), says(421, "", ""), says(200, "", "yes"))
 		b.call(context.Background(), "/safe/a", nil)
 		want := []string{"t1 Unreached", "t2 Full", "t3 Moved", "t4 Served"}
 		if !slices.Equal(b.scheduler.ends, want) {
-			t.Errorf("ends %v, want %v", b.scheduler.ends, want)
+			t.Errorf("outcomes %v, want %v", b.scheduler.ends, want)
 		}
 	})
 }
 
-func TestARequestIsTakenFromATargetWithoutSignOfLife(t *testing.T) {
+func TestRequestIsRedispatchedFromUnresponsiveTarget(t *testing.T) {
 	stalls := func(c net.Conn, r *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nTransfer-Encoding: chunked\r\n\r\n10\r\nid: 1\ndata: e1\n\n\r\n", r.Header.Get("Id"))
 		return silent(c, r)
 	}
 	scenarios := []struct {
-		name   string
-		path   string
-		first  engine
-		status int
-		took   time.Duration
-		arrive int
+		name     string
+		path     string
+		first    engine
+		status   int
+		took     time.Duration // at most
+		arrivals int
 	}{
 		{"before its first event", "/resume/a", silent, 200, 800 * time.Millisecond, 2},
-		{"in the middle of its answer", "/resume/a", stalls, 200, 1800 * time.Millisecond, 2},
-		{"a safe call", "/safe/a", silent, 200, 800 * time.Millisecond, 2},
-		{"not if it may run only once", "/unsafe/a", silent, 504, 5100 * time.Millisecond, 1},
+		{"in the middle of a stream", "/resume/a", stalls, 200, 1800 * time.Millisecond, 2},
+		{"safe call", "/safe/a", silent, 200, 800 * time.Millisecond, 2},
+		{"not a call that may run only once", "/unsafe/a", silent, 504, 5100 * time.Millisecond, 1},
 		{"not a stream that cannot be resumed", "/stream/a", silent, 504, 5100 * time.Millisecond, 1},
 	}
 	for _, s := range scenarios {
@@ -249,12 +248,12 @@
 				b.scheduler.stuck = "t1"
 				got := b.call(context.Background(), s.path, nil)
 				if got.status != s.status || !got.whole || got.took > s.took {
-					t.Errorf("status %d, whole %t, after %v", got.status, got.whole, got.took)
+					t.Errorf("status %d, complete %t, after %v", got.status, got.whole, got.took)
 				}
 				if s.status == 200 && got.body != strings.Join(events(10), "") {
 					t.Errorf("body %q", got.body)
 				}
-				if n := len(b.arrived()); n != s.arrive {
+				if n := len(b.arrived()); n != s.arrivals {
 					t.Errorf("%d arrivals", n)
 				}
 			})
@@ -275,7 +274,7 @@
 	})
 }
 
-func TestASpanForEachHop(t *testing.T) {
+func TestSpanForEachHop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, freely{}, says(421, "", ""), says(200, "", "yes"))
 		b.call(context.Background(), "/unsafe/a", nil)
@@ -296,10 +295,9 @@
 	})
 }
 
-// TestWithoutLeaveToRepeatTheTargetsAnswerGoesBack has every target fail until the
-// budget of repeats is spent: callers still get a target's own answer, with its
-// seal, and not one of the entry's.
-func TestWithoutLeaveToRepeatTheTargetsAnswerGoesBack(t *testing.T) {
+// Every target fails until the retry budget is spent. Callers must still get a target's own answer, with its seal, and
+// not a refusal by the entry.
+func TestTargetFailureIsReturnedOnceRetryBudgetIsSpent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		failing := says(http.StatusInternalServerError, "", "failed")
 		b := newBed(t, freely{}, failing, failing)
@@ -311,14 +309,13 @@
 			}
 		}
 		if n := len(b.arrived()); n <= calls || n >= 2*calls {
-			t.Errorf("%d exchanges: the budget was not used, or not spent", n)
+			t.Errorf("%d exchanges: the retry budget was not used, or not used up", n)
 		}
 	})
 }
 
-// TestTheOnlyTargetsFailureGoesBack has the only target fail a request that may be
-// repeated: there is none to repeat it at, so its answer goes back.
-func TestTheOnlyTargetsFailureGoesBack(t *testing.T) {
+// The only target fails a request that may be retried. There is no other target for a retry, so its answer is returned.
+func TestFailureOfOnlyTargetIsReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, freely{}, says(http.StatusInternalServerError, "", "failed"))
 		r := b.call(context.Background(), "/safe/x", nil)
--- a/pkg/ingress/descriptors_test.go
+++ b/pkg/ingress/descriptors_test.go
@@ -33,61 +33,61 @@
 )
 
 const (
-	// fewDescriptors is the limit of the entry in TestAnEntryAtItsLimitOfDescriptors.
-	fewDescriptors = 64
-	// crowd is how many callers come at once.
-	crowd = 400
-	// crowdDeadline is for how long each of them stays.
+	// descriptorLimit is the entry's limit of descriptors in TestEntryAtDescriptorLimit.
+	descriptorLimit = 64
+	// crowdSize is how many callers come at once.
+	crowdSize = 400
+	// crowdDeadline is how long each of them stays.
 	crowdDeadline = time.Second
-	// targetVariable and storeVariable tell the entry, a process of its own, what it is to reach.
+	// targetVariable and storeVariable name the environment variables with the addresses for the entry's process.
 	targetVariable = "QUAYDOCK_TEST_TARGET"
 	storeVariable  = "QUAYDOCK_TEST_STORE"
 )
 
 func TestMain(m *testing.M) {
 	if target := os.Getenv(targetVariable); target != "" {
-		os.Exit(runScarceEntry(target, os.Getenv(storeVariable)))
+		os.Exit(runEntryProcess(target, os.Getenv(storeVariable)))
 	}
 	os.Exit(m.Run())
 }
 
-// runScarceEntry is an entry with few descriptors. It prints its address, asks a stand-in of the
-// store all the while, and prints how often it could not when its input ends.
-func runScarceEntry(target, store string) int {
-	limit := syscall.Rlimit{Cur: fewDescriptors, Max: fewDescriptors}
+// runEntryProcess is the main function of an entry with few descriptors. It prints its address, connects to a stand-in
+// of the store all the while, and prints how often that failed when its input ends.
+func runEntryProcess(target, store string) int {
+	limit := syscall.Rlimit{Cur: descriptorLimit, Max: descriptorLimit}
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	reach := network.NewTCP()
-	c := commontest.New(reach)
+	tcp := network.NewTCP()
+	c := commontest.New(tcp)
 	logger := logrus.New()
 	logger.SetOutput(os.Stderr)
 	logger.SetFormatter(&logrus.JSONFormatter{})
 	c.Log = logrus.NewEntry(logger)
-	listener, err := reach.Listen("127.0.0.1:0")
+	listener, err := tcp.Listen("127.0.0.1:0")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	go newScarceServer(c, scarceController(c, target, freely{}), fewDescriptors).Serve(listener)
+	go newLimitedServer(c, singleTargetController(c, target, freely{}), descriptorLimit).Serve(listener)
 	fmt.Println(listener.Addr())
 	ctx, stop := context.WithCancel(context.Background())
-	var asking sync.WaitGroup
+	var dialing sync.WaitGroup
 	failed := 0
-	asking.Go(func() { failed = askStore(ctx, reach, store) })
+	dialing.Go(func() { failed = dialStore(ctx, tcp, store) })
 	_, _ = io.Copy(io.Discard, os.Stdin)
 	stop()
-	asking.Wait()
+	dialing.Wait()
 	fmt.Println(failed)
 	return 0
 }
 
-// askStore makes a connection to the store again and again, and counts how often that failed.
-func askStore(ctx context.Context, reach network.Network, store string) int {
+// dialStore connects to the store repeatedly, and returns how often that failed.
+func dialStore(ctx context.Context, dialer network.Network, store string) int {
 	failed := 0
 	for ctx.Err() == nil {
-		c, err := reach.Dial(ctx, store)
+		c, err := dialer.Dial(ctx, store)
 		if err == nil {
 			_ = c.Close()
 		} else if ctx.Err() == nil {
@@ -98,8 +98,8 @@
 	return failed
 }
 
-// scarceController has one target, on which each request is placed at once.
-func scarceController(c common.Common, address string, meter ingress.Meter) *ingress.Controller {
+// singleTargetController returns a controller with one target, to which each request is assigned at once.
+func singleTargetController(c common.Common, address string, meter ingress.Meter) *ingress.Controller {
 	v := view.New(c.Check)
 	target := &routing.Target{ID: "t", Service: "s", Address: address, Slots: 4}
 	v.SetDirectory(routing.NewDirectory([]*routing.Target{target}))
@@ -117,19 +117,18 @@
 	})
 }
 
-// scarceEntry is the entry as its callers see it.
-type scarceEntry struct {
-	address string
-	command *exec.Cmd
-	stdin   io.Closer
-	stdout  *bufio.Reader
-	lines   chan []string // of its log, when it has ended
+// entryProcess is an entry that runs in a process of its own.
+type entryProcess struct {
+	address  string
+	command  *exec.Cmd
+	stdin    io.Closer
+	stdout   *bufio.Reader
+	logLines chan []string // its log, sent when it has ended
 }
 
-func startScarceEntry(t *testing.T, target, store string) *scarceEntry {
-	e := &scarceEntry{command: exec.CommandContext(t.Context(), os.Args[0]), lines: make(chan []string, 1)}
-	// One processor, as most entries have: what a connection's reader has not seen yet is not
-	// seen by others.
+func startEntryProcess(t *testing.T, target, store string) *entryProcess {
+	e := &entryProcess{command: exec.CommandContext(t.Context(), os.Args[0]), logLines: make(chan []string, 1)}
+	// One processor, as most entries have, so that net/http's background readers may be scheduled late.
 	e.command.Env = append(os.Environ(), targetVariable+"="+target, storeVariable+"="+store, "GOMAXPROCS=1")
 	stdin, err := e.command.StdinPipe()
 	if err != nil {
@@ -150,13 +149,13 @@
 	e.stdout = bufio.NewReader(stdout)
 	go func() {
 		text, _ := io.ReadAll(stderr)
-		e.lines <- strings.Split(strings.TrimSpace(string(text)), "\n")
+		e.logLines <- strings.Split(strings.TrimSpace(string(text)), "\n")
 	}()
-	e.address = e.line(t)
+	e.address = e.readLine(t)
 	return e
 }
 
-func (e *scarceEntry) line(t *testing.T) string {
+func (e *entryProcess) readLine(t *testing.T) string {
 	text, err := e.stdout.ReadString('\n')
 	if err != nil {
 		t.Fatal(err)
@@ -164,24 +163,24 @@
 	return strings.TrimSpace(text)
 }
 
-// end ends the entry and returns how often it could not reach the store, and its log.
-func (e *scarceEntry) end(t *testing.T) (storeFailures string, lines []string) {
+// stop stops the entry and returns how often it could not reach the store, and its log.
+func (e *entryProcess) stop(t *testing.T) (storeFailures string, lines []string) {
 	_ = e.stdin.Close()
-	storeFailures = e.line(t)
-	lines = <-e.lines
+	storeFailures = e.readLine(t)
+	lines = <-e.logLines
 	if err := e.command.Wait(); err != nil {
 		t.Error(err)
 	}
 	return storeFailures, lines
 }
 
-// scarceTarget notes when each request comes, by the caller's id.
-type scarceTarget struct {
+// recordingTarget records when each request arrives, by the request's id.
+type recordingTarget struct {
 	mu      sync.Mutex
 	arrived map[string]time.Time
 }
 
-func (s *scarceTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *recordingTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("Id")
 	s.mu.Lock()
 	s.arrived[id] = time.Now()
@@ -200,25 +199,25 @@
 	_, _ = io.WriteString(w, "yes")
 }
 
-// arrivedAt is when a request arrived, if it did.
-func (s *scarceTarget) arrivedAt(id string) (time.Time, bool) {
+// arrivedAt returns when a request arrived, if it did.
+func (s *recordingTarget) arrivedAt(id string) (time.Time, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at, arrived := s.arrived[id]
 	return at, arrived
 }
 
-// visit is what became of one caller.
-type visit struct {
-	id     string
-	status int // 0 without an answer
-	whole  bool
-	left   time.Time
+// callResult is the result of one caller's request.
+type callResult struct {
+	id       string
+	status   int // 0 without an answer
+	complete bool
+	leftAt   time.Time
 }
 
-// pay makes one request and stays for a time, with the connection kept open.
-func pay(address, id, path string, stay time.Duration) visit {
-	v := visit{id: id}
+// callOnce makes one request and keeps its connection open for the given time.
+func callOnce(address, id, path string, stay time.Duration) callResult {
+	v := callResult{id: id}
 	deadline := time.Now().Add(stay)
 	c, err := net.DialTimeout("tcp", address, stay)
 	if err == nil {
@@ -226,18 +225,18 @@
 		_, _ = fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: h\r\nId: %s\r\nKey: key\r\nWait: %d\r\nContent-Length: 8\r\n\r\nquestion", path, id, stay.Milliseconds())
 		if response, err := http.ReadResponse(bufio.NewReader(c), nil); err == nil {
 			_, err = io.Copy(io.Discard, response.Body)
-			v.status, v.whole = response.StatusCode, err == nil
+			v.status, v.complete = response.StatusCode, err == nil
 		}
 		if v.status == http.StatusOK {
-			time.Sleep(time.Until(deadline)) // the connection rests
+			time.Sleep(time.Until(deadline)) // the connection is idle
 		}
 		_ = c.Close()
 	}
-	v.left = time.Now()
+	v.leftAt = time.Now()
 	return v
 }
 
-// serveLoopback serves on a free port of this machine.
+// serveLoopback serves on a free loopback port, and returns its address.
 func serveLoopback(t *testing.T, handler http.Handler) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -253,81 +252,79 @@
 	return listener.Addr().String()
 }
 
-// After all other entries were lost, callers' connections used up an entry's descriptors. It took
-// none for seconds, and wrote a line of log each 10 ms. Requests lay unseen in the kernel's
-// backlog; when descriptors came free they were taken for new, and sent to targets after their callers
-// had left. Cause: nothing kept callers from taking all descriptors, and nobody looked whether a
-// caller is still there before its request is sent. Evidence: on a recorded day
-// `accept4: too many open files` for 5 s, then requests that count 0.2 s since their
-// first try though their callers sent them 3.3 s and left them 1.3 s before.
-func TestAnEntryAtItsLimitOfDescriptors(t *testing.T) {
-	target := &scarceTarget{arrived: make(map[string]time.Time)}
-	entry := startScarceEntry(t, serveLoopback(t, target), serveLoopback(t, http.NotFoundHandler()))
-	stream := make(chan visit, 1)
-	go func() { stream <- pay(entry.address, "stream", "/stream/a", 3*time.Second) }()
+// After all other entries were lost, callers' connections used up an entry's descriptors. It accepted none for seconds,
+// and wrote a log line every 10 ms. Requests waited in the kernel's backlog; once descriptors were free they counted as
+// new, and were sent to targets after their callers had left. The causes: nothing kept callers from using all
+// descriptors, and no check whether a caller is still connected preceded the sending of its request. In one recorded
+// day the entry logged `accept4: too many open files` for 5 s, and then requests with 0.2 s since their first try,
+// which their callers had sent 3.3 s and abandoned 1.3 s before.
+func TestEntryAtDescriptorLimit(t *testing.T) {
+	target := &recordingTarget{arrived: make(map[string]time.Time)}
+	entry := startEntryProcess(t, serveLoopback(t, target), serveLoopback(t, http.NotFoundHandler()))
+	stream := make(chan callResult, 1)
+	go func() { stream <- callOnce(entry.address, "stream", "/stream/a", 3*time.Second) }()
 	time.Sleep(200 * time.Millisecond)
-	visits := make([]visit, crowd)
+	results := make([]callResult, crowdSize)
 	var callers sync.WaitGroup
-	for i := range visits {
-		callers.Go(func() { visits[i] = pay(entry.address, fmt.Sprint("caller-", i), "/call/a", crowdDeadline) })
+	for i := range results {
+		callers.Go(func() { results[i] = callOnce(entry.address, fmt.Sprint("caller-", i), "/call/a", crowdDeadline) })
 	}
 	callers.Wait()
-	after := pay(entry.address, "after", "/call/a", time.Second)
+	after := callOnce(entry.address, "after", "/call/a", time.Second)
 	streamed := <-stream
-	storeFailures, lines := entry.end(t)
+	storeFailures, lines := entry.stop(t)
 
 	unanswered, late, served := 0, 0, 0
-	for _, v := range visits {
+	for _, v := range results {
 		if v.status == 0 {
 			unanswered++
 		}
 		if v.status == http.StatusOK {
 			served++
 		}
-		if at, sent := target.arrivedAt(v.id); sent && at.Sub(v.left) > 20*time.Millisecond {
+		if at, sent := target.arrivedAt(v.id); sent && at.Sub(v.leftAt) > 20*time.Millisecond {
 			late++
 		}
 	}
-	t.Logf("%d of %d served, %d without an answer, %d lines of log, %s failures at the store", served, crowd, unanswered, len(lines), storeFailures)
+	t.Logf("%d of %d served, %d without an answer, %d log lines, %s failed connections to the store", served, crowdSize, unanswered, len(lines), storeFailures)
 	if late > 0 {
 		t.Errorf("%d requests reached the target after their callers had left", late)
 	}
 	if unanswered > 0 {
-		t.Errorf("%d callers of %d had no answer in their time", unanswered, crowd)
+		t.Errorf("%d callers of %d had no answer before they left", unanswered, crowdSize)
 	}
 	if served == 0 {
-		t.Error("nobody was served")
+		t.Error("no caller was served")
 	}
 	if storeFailures != "0" {
-		t.Errorf("the store could not be reached %s times", storeFailures)
+		t.Errorf("%s connections to the store failed", storeFailures)
 	}
-	if !streamed.whole || streamed.status != http.StatusOK {
-		t.Errorf("the stream that ran: status %d, whole %t", streamed.status, streamed.whole)
+	if !streamed.complete || streamed.status != http.StatusOK {
+		t.Errorf("stream in progress: status %d, complete %t", streamed.status, streamed.complete)
 	}
 	if after.status != http.StatusOK {
 		t.Errorf("after the load: status %d", after.status)
 	}
-	const mostLines = 150 // a few of each cause of a refusal, and two of the shortage
-	if len(lines) > mostLines {
-		t.Errorf("%d lines of log, the last: %s", len(lines), lines[len(lines)-1])
+	const maxLines = 150 // a few for each cause of a refusal, and two about the shortage
+	if len(lines) > maxLines {
+		t.Errorf("%d log lines, the last: %s", len(lines), lines[len(lines)-1])
 	}
 }
 
-func newScarceServer(c common.Common, controller *ingress.Controller, limit int) *ingress.Server {
+func newLimitedServer(c common.Common, controller *ingress.Controller, limit int) *ingress.Server {
 	handlers := ingress.Handlers{Serve: controller, TurnAway: http.HandlerFunc(controller.TurnAway), Context: controller.Context()}
 	return ingress.NewServer(c, handlers, descriptors.Divide(limit))
 }
 
-// Requests reached targets after their callers had left: these had sent them and closed
-// their connections before the entry, which was busy or out of descriptors, took these from the
-// backlog. Cause: a request was sent as soon as it was read; that the connection had ended
-// behind it was seen by a reader of its own, too late. Evidence: the callers' ends lie in the sockets
-// before the entry begins to take connections, and the requests arrive at the target.
-func TestACallerThatLeftInTheBacklogIsNotSent(t *testing.T) {
-	target := &scarceTarget{arrived: make(map[string]time.Time)}
+// Requests reached targets after their callers had left. The callers had sent them and closed their connections before
+// the entry, which was busy or out of descriptors, accepted these from the backlog. A request was sent as soon as it was
+// read; net/http's background reader noticed the closed connection too late. In this test all connections are closed
+// before the entry accepts the first one, and no such request may arrive at the target.
+func TestRequestOfCallerGoneInBacklogIsNotSent(t *testing.T) {
+	target := &recordingTarget{arrived: make(map[string]time.Time)}
 	c := commontest.New(network.NewTCP())
 	meter := &countingMeter{}
-	controller := scarceController(c, serveLoopback(t, target), meter)
+	controller := singleTargetController(c, serveLoopback(t, target), meter)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -341,27 +338,27 @@
 		_, _ = fmt.Fprintf(caller, "POST /call/a HTTP/1.1\r\nHost: h\r\nId: caller-%d\r\nKey: key\r\nWait: 5000\r\nContent-Length: 8\r\n\r\nquestion", i)
 		_ = caller.Close()
 	}
-	server := newScarceServer(c, controller, 1024)
+	server := newLimitedServer(c, controller, 1024)
 	go server.Serve(listener)
 	t.Cleanup(func() {
 		if err := server.Shutdown(context.Background()); err != nil {
 			t.Error(err)
 		}
 	})
-	if got := pay(listener.Addr().String(), "stays", "/call/a", time.Second); got.status != http.StatusOK {
-		t.Errorf("one that stayed: status %d", got.status)
+	if got := callOnce(listener.Addr().String(), "stays", "/call/a", time.Second); got.status != http.StatusOK {
+		t.Errorf("caller that stayed: status %d", got.status)
 	}
 	target.mu.Lock()
 	defer target.mu.Unlock()
 	if sent := len(target.arrived) - 1; sent > 0 {
 		t.Errorf("%d requests of %d whose callers had left reached the target", sent, callers)
 	}
-	if kept := meter.taken.Load() - meter.returned.Load(); kept != 1 {
-		t.Errorf("the account was charged for %d requests, want that of the one that stayed", kept)
+	if charged := meter.taken.Load() - meter.returned.Load(); charged != 1 {
+		t.Errorf("the account was charged for %d requests, want only that of the caller that stayed", charged)
 	}
 }
 
-// countingMeter lets all through and counts what is taken and given back.
+// countingMeter allows all requests, and counts charges and refunds.
 type countingMeter struct{ taken, returned atomic.Int64 }
 
 func (m *countingMeter) Take(context.Context, *routing.Account, float64, float64) (bool, clock.Millis) {
--- a/pkg/ingress/held.go
+++ b/pkg/ingress/held.go
@@ -7,32 +7,33 @@
 	"quaydock/pkg/forward"
 )
 
-// heldAnswer is a failure of a target's own that was not given to the caller, as the request was to be tried
-// elsewhere.
+// targetFailure is a target's own failure answer that was not passed on to the caller, because the request was to
+// be retried on another target.
 type heldAnswer struct {
 	answer *forward.Answer
 	body   []byte
 }
 
-// hold keeps a target's failure. One that is too long was not read to its end, and is lost.
+// keepFailure keeps a target's failure answer. One that is too long was not read to its end, and is lost.
 func (r *request) hold(a *forward.Answer, body []byte) {
 	if len(body) < wholeLimit {
 		r.held = &heldAnswer{answer: a, body: body}
 	}
 }
 
-// giveHeld gives the caller what a target itself answered, if no other one has answered it: an answer that
-// is there goes before a refusal of this entry's. It reports whether it has.
+// writeHeldFailure passes on a target's kept failure answer if no other target has answered: a target's answer is
+// preferred to a refusal by this entry. It reports whether it did.
 func (d *delivery) giveHeld(ctx context.Context, q *request, out *answerWriter, refusal *Refusal) bool {
 	if q.held == nil || out.started || refusal.Cause == CauseLeft || callerHasLeft(ctx) {
 		return false
 	}
-	q.note(d.Clock.Now(), "given the failure of the target's own after all", "")
+	q.note(d.Clock.Now(), "passed on the failure kept from a target", "")
 	out.head(d.dialect, q.held.answer, q.held.answer.Length)
 	return out.body(q.held.body) == nil
 }
 
-// callerHasLeft tells the end of a request by its caller from other ends.
+// callerHasLeft reports whether a request's context was canceled by its caller, and not by its deadline or the
+// entry's shutdown.
 func callerHasLeft(ctx context.Context) bool {
 	cause := context.Cause(ctx)
 	return cause != nil && !errors.Is(cause, errDeadline) && !errors.Is(cause, errEnded)
--- a/pkg/ingress/keys_test.go
+++ b/pkg/ingress/keys_test.go
@@ -13,7 +13,7 @@
 	"quaydock/pkg/routing"
 )
 
-func TestTheKeyStaysHereAndTheAccountGoesOn(t *testing.T) {
+func TestTargetGetsAccountInsteadOfKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, freely{}, says(200, "", "yes"))
 		b.call(context.Background(), "/unsafe/a", map[string]string{"Account": "forged"})
@@ -24,7 +24,7 @@
 	})
 }
 
-func TestAKeyTakenAwayWhileItsRequestWaits(t *testing.T) {
+func TestKeyRemovedWhileRequestWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, freely{}, says(200, "", "yes"))
 		b.scheduler.delay = time.Second
@@ -40,9 +40,9 @@
 	})
 }
 
-// TestAFrozenEntryDoesNotTrustItsKeys wakes an entry after 6 s without news: the
-// request that was waiting in it must not run.
-func TestAFrozenEntryDoesNotTrustItsKeys(t *testing.T) {
+// A request waits 4.5 s at an entry whose configuration is not confirmed meanwhile, as when the entry is suspended, with
+// a strict limit of 5 s on removed keys. It must not run, as its key may have been removed.
+func TestStaleKeyIsNotUsedAfterWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, freely{}, says(200, "", "yes"))
 		b.scheduler.delay = 4500 * time.Millisecond
@@ -53,16 +53,15 @@
 	})
 }
 
-// TestKeysWithoutProof has an entry without news for a while: with a strict bound
-// it serves no keyed request beyond it, without one it does until the other
-// entries may share out its part, or, while they surely do not, for as long as the
-// operator allows.
-func TestKeysWithoutProof(t *testing.T) {
+// An entry gets no confirmation of its configuration for a while. With a strict limit it serves no request with a key
+// beyond that. Without one it goes on until the other entries may redistribute its share, or, while it holds its
+// membership lease, for as long as the operators allow.
+func TestKeysWithoutConfirmation(t *testing.T) {
 	scenarios := []struct {
-		strict  bool
-		assured bool
-		after   time.Duration
-		want    int
+		strict bool
+		leased bool
+		after  time.Duration
+		want   int
 	}{
 		{true, false, 4 * time.Second, http.StatusOK},
 		{true, true, 4500 * time.Millisecond, http.StatusServiceUnavailable},
@@ -73,16 +72,16 @@
 		{false, true, 21 * time.Second, http.StatusServiceUnavailable},
 	}
 	for _, s := range scenarios {
-		t.Run(fmt.Sprint(s.strict, s.assured, s.after), func(t *testing.T) {
+		t.Run(fmt.Sprint(s.strict, s.leased, s.after), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, freely{assuredAlways: s.assured}, says(200, "", "yes"))
+				b := newBed(t, freely{assuredAlways: s.leased}, says(200, "", "yes"))
 				b.controller.SetKeyTrust(ingress.KeyTrust{Bound: 5000, Strict: s.strict, Most: 20 * clock.Second})
 				time.Sleep(s.after)
 				if got := b.call(context.Background(), "/unsafe/a", nil); got.status != s.want {
 					t.Errorf("status %d, want %d", got.status, s.want)
 				}
 				if got := b.call(context.Background(), "/open/a", nil); got.status != http.StatusOK {
-					t.Errorf("without a key: status %d", got.status)
+					t.Errorf("route without keys: status %d", got.status)
 				}
 			})
 		})
--- a/pkg/ingress/refusal.go
+++ b/pkg/ingress/refusal.go
@@ -12,7 +12,7 @@
 
 //go:generate stringer -type=Cause -trimprefix=Cause -output=cause_string.go
 
-// The causes.
+// Causes of refusals.
 const (
 	CauseNone Cause = iota
 	CauseStarting
@@ -22,7 +22,7 @@
 	CauseTooLarge
 	CauseBadBody
 	CauseOverQuota
-	CauseUnlisted // this entry has no part of the allowance: the list of entries is not read
+	CauseUnlisted // this entry has no share of the allowances: the list of entries was not read
 	CauseOverloaded
 	CauseNoTarget
 	CauseDeclined
@@ -30,17 +30,17 @@
 	CauseLost
 	CauseLeft
 	CauseLeaving
-	CauseCrowded  // callers hold their share of the descriptors
-	CauseHeldBack // targets have ended under the request
-	CauseNoTurn   // it is suspected of that, and its turn did not come
-	CauseResting  // all targets have asked this entry for rest
+	CauseCrowded  // callers' connections are at their limit
+	CauseHeldBack // targets have ended while they ran the request
+	CauseNoTurn   // it is a suspected request, and got no exclusive run in time
+	CauseResting  // all targets have asked this entry to back off
 )
 
-// Refusal is an answer of the entry's own.
+// Refusal is an answer that the entry gives itself, instead of a target's.
 type Refusal struct {
 	Status int
 	Cause  Cause
-	// RetryAfter says when to come back; 0 says nothing.
+	// RetryAfter is when the caller should come back; 0 sends no such header.
 	RetryAfter clock.Millis
 	Err        error
 }
@@ -49,8 +49,7 @@
 	return &Refusal{Status: status, Cause: cause}
 }
 
-// notRun is a refusal that promises that the request has not run and never
-// will.
+// notRun returns a refusal that guarantees that the request has not run and never will.
 func notRun(cause Cause, retryAfter clock.Millis) *Refusal {
 	return &Refusal{Status: http.StatusServiceUnavailable, Cause: cause, RetryAfter: retryAfter}
 }
@@ -65,6 +64,6 @@
 	text := r.Cause.String() + "\n"
 	h.Set("Content-Length", strconv.Itoa(len(text)))
 	w.WriteHeader(r.Status)
-	// A caller that has gone needs no answer.
+	// An error means that the caller has left, and needs no answer.
 	_, _ = w.Write([]byte(text))
 }
--- a/pkg/ingress/server.go
+++ b/pkg/ingress/server.go
@@ -14,39 +14,38 @@
 	"quaydock/pkg/routing"
 )
 
-// Limits before a configuration is known.
+// Limits that apply until a configuration is known.
 const (
-	firstHeaderTime  = 5 * clock.Second
-	firstIdleTime    = 60 * clock.Second
-	firstHeaderBytes = 64 << 10
+	initialHeaderTime  = 5 * clock.Second
+	initialIdleTime    = 60 * clock.Second
+	initialHeaderBytes = 64 << 10
 )
 
-// Handlers are what a Server hands requests to.
+// Handlers are the handlers of a Server's requests.
 type Handlers struct {
-	// Serve serves them; TurnAway those on connections beyond callers' share.
+	// Serve handles requests; Reject handles those on connections beyond the callers' limit.
 	Serve, TurnAway http.Handler
-	// Context is that from which the contexts of all requests are derived.
+	// Context is the parent of all requests' contexts.
 	Context context.Context
 }
 
-// base is the context of a server's requests.
-func (h *Handlers) base(net.Listener) context.Context {
+// baseContext is the BaseContext function of the http.Servers.
+func (h *Handlers) baseContext(net.Listener) context.Context {
 	if h.Context == nil {
 		return context.Background()
 	}
 	return h.Context
 }
 
-// Server takes callers' connections under limits that may change: connections
-// made after a change are under the new ones, earlier ones keep theirs. Callers hold no more
-// of them than their share of the descriptors.
+// Server accepts callers' connections under limits that may change: connections accepted after a change are under
+// the new limits, earlier ones keep theirs. Callers hold no more connections than their limit of descriptors.
 type Server struct {
 	common.Common
 	handlers Handlers
 	conns    *callerConns
 	log      *serverLog
 	accepted chan net.Conn
-	turned   chan net.Conn // those whose callers are told to come back
+	rejected chan net.Conn // connections beyond the limit
 	closed   chan struct{}
 
 	mu       sync.Mutex
@@ -56,59 +55,59 @@
 	servers  []*http.Server
 }
 
-// NewServer returns a server that takes nothing yet.
+// NewServer returns a server that does not accept connections yet.
 func NewServer(c common.Common, handlers Handlers, shares descriptors.Shares) *Server {
 	return &Server{
 		Common: c, handlers: handlers, conns: newCallerConns(c, shares), log: newServerLog(c),
-		accepted: make(chan net.Conn), turned: make(chan net.Conn), closed: make(chan struct{}),
+		accepted: make(chan net.Conn), rejected: make(chan net.Conn), closed: make(chan struct{}),
 	}
 }
 
-// Connections is how many connections callers hold, and how many more are being turned away.
-func (s *Server) Connections() (taken, turned int) {
+// Connections returns how many connections callers hold, and how many more are being rejected.
+func (s *Server) Connections() (taken, rejecting int) {
 	return s.conns.counts()
 }
 
-// Serve takes connections from a listener until Shutdown.
+// Serve accepts connections from a listener until Shutdown.
 func (s *Server) Serve(listener net.Listener) {
 	s.mu.Lock()
 	s.listener = listener
 	s.mu.Unlock()
-	s.SetLimits(routing.Limits{HeaderBytes: firstHeaderBytes, HeaderTime: firstHeaderTime, IdleTime: firstIdleTime})
-	s.serveTurned()
-	go s.conns.watch(s.closed)
+	s.SetLimits(routing.Limits{HeaderBytes: initialHeaderBytes, HeaderTime: initialHeaderTime, IdleTime: initialIdleTime})
+	s.serveRejected()
+	go s.conns.watchShortage(s.closed)
 	for {
 		c, err := listener.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
-			s.log.accept(err)
-			clock.Pause(context.Background(), acceptPause)
+			s.log.acceptFailed(err)
+			clock.Pause(context.Background(), acceptRetryDelay)
 			continue
 		}
-		s.take(c)
+		s.handleConn(c)
 	}
 }
 
-// acceptPause is after an accept that failed, as when descriptors are used up.
-const acceptPause = 10 * clock.Millisecond
+// acceptRetryDelay is the delay after an accept that failed, for example for lack of descriptors.
+const acceptRetryDelay = 10 * clock.Millisecond
 
-// take hands a new connection to whoever serves it.
-func (s *Server) take(c net.Conn) {
-	step := s.conns.arrive(c)
+// handleConn hands a new connection to the http.Server that serves or rejects it.
+func (s *Server) handleConn(c net.Conn) {
+	step := s.conns.admit(c)
 	for step == descriptors.StepWait {
 		select {
 		case <-s.conns.freed:
-			step = s.conns.arrive(c)
+			step = s.conns.admit(c)
 		case <-s.closed:
-			_ = c.Close() // it was not read from
+			_ = c.Close() // nothing was read from it
 			return
 		}
 	}
 	to := s.accepted
 	if step == descriptors.StepTurnAway {
-		to = s.turned
+		to = s.rejected
 	}
 	select {
 	case to <- c:
@@ -117,37 +116,37 @@
 	}
 }
 
-// turnTime is how long a caller that is turned away has for its request.
-const turnTime = clock.Second
+// rejectTimeout limits reading the request of a rejected caller, and writing its answer.
+const rejectTimeout = clock.Second
 
-// serveTurned has callers beyond the share told to come back, or served in the place of lower work.
-// They are read first: an answer to a request that was not read is lost with the reset of its
-// connection.
-func (s *Server) serveTurned() {
+// serveRejected starts the server for callers beyond the limit, who are told to come back, or served if they are
+// of a higher tier than a request in progress. Their requests are read first: closing a connection with an
+// unread request resets it, which would lose the answer.
+func (s *Server) serveRejected() {
 	server := &http.Server{
-		Handler: s.handlers.TurnAway, MaxHeaderBytes: firstHeaderBytes, ReadTimeout: turnTime.Duration(), WriteTimeout: turnTime.Duration(),
-		BaseContext: s.handlers.base, ConnContext: withConn, ConnState: s.conns.note, ErrorLog: s.log.standard(),
+		Handler: s.handlers.TurnAway, MaxHeaderBytes: initialHeaderBytes, ReadTimeout: rejectTimeout.Duration(), WriteTimeout: rejectTimeout.Duration(),
+		BaseContext: s.handlers.baseContext, ConnContext: withConn, ConnState: s.conns.setState, ErrorLog: s.log.standard(),
 	}
 	server.SetKeepAlivesEnabled(false)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.run(server, &queueListener{server: s, from: s.turned, stopped: make(chan struct{})})
+	s.run(server, &queueListener{server: s, from: s.rejected, stopped: make(chan struct{})})
 }
 
-// run runs a server until the limits change or all is shut down; the lock is held.
+// run runs an http.Server until the limits change or Shutdown; the lock is held.
 func (s *Server) run(server *http.Server, from *queueListener) {
 	s.servers = append(s.servers, server)
 	go func() {
-		// It ends when its listener does.
+		// Its error says only that the listener was closed.
 		_ = server.Serve(from)
 	}()
 }
 
-// SetLimits changes the limits for connections to come.
+// SetLimits changes the limits of future connections.
 func (s *Server) SetLimits(l routing.Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l.BodyBytes = 0 // it is checked at each request
+	l.BodyBytes = 0 // checked with each request
 	if l == s.limits {
 		return
 	}
@@ -159,18 +158,17 @@
 	server := &http.Server{
 		Handler: s.handlers.Serve, MaxHeaderBytes: l.HeaderBytes,
 		ReadHeaderTimeout: l.HeaderTime.Duration(), IdleTimeout: l.IdleTime.Duration(),
-		BaseContext: s.handlers.base, ConnContext: withConn, ConnState: s.conns.note, ErrorLog: s.log.standard(),
+		BaseContext: s.handlers.baseContext, ConnContext: withConn, ConnState: s.conns.setState, ErrorLog: s.log.standard(),
 	}
 	s.run(server, s.current)
 }
 
-// Shutdown takes no more connections, closes those that rest, and waits for the
-// requests under way.
+// Shutdown stops accepting connections, closes idle ones, and waits for the requests in progress.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.mu.Lock()
 	servers := s.servers
 	if s.listener != nil {
-		_ = s.listener.Close() // it was closed before, or is now
+		_ = s.listener.Close() // an error means that it is closed already
 	}
 	close(s.closed)
 	s.mu.Unlock()
@@ -181,12 +179,12 @@
 	}
 	all.Wait()
 	if err := errors.Join(failed...); err != nil {
-		return fmt.Errorf("callers' connections: %w", err)
+		return fmt.Errorf("shutting down callers' connections: %w", err)
 	}
 	return nil
 }
 
-// queueListener hands accepted connections to one http.Server.
+// queueListener is the net.Listener of one http.Server, fed with accepted connections.
 type queueListener struct {
 	server  *Server
 	from    <-chan net.Conn
@@ -194,7 +192,6 @@
 	once    sync.Once
 }
 
-// Accept returns the next connection.
 func (l *queueListener) Accept() (net.Conn, error) {
 	select {
 	case <-l.stopped:
@@ -211,7 +208,7 @@
 	}
 }
 
-// Close leaves further connections to another listener.
+// Close stops the listener; further connections go to its successor.
 func (l *queueListener) Close() error {
 	l.stop()
 	return nil
@@ -221,7 +218,7 @@
 	l.once.Do(func() { close(l.stopped) })
 }
 
-// Addr returns the address of the listener behind.
+// Addr returns the address of the underlying listener.
 func (l *queueListener) Addr() net.Addr {
 	return l.server.listener.Addr()
 }
--- a/pkg/ingress/server_log.go
+++ b/pkg/ingress/server_log.go
@@ -8,42 +8,42 @@
 	"quaydock/pkg/telemetry"
 )
 
-// serverLog logs the errors of net/http and of accepting connections, of each kind only a few: under
-// load there is one with each connection.
+// serverLog logs errors of net/http and of accepting connections. Each kind is rate-limited, since under load
+// there may be one error per connection.
 type serverLog struct {
 	common.Common
 	sampler *telemetry.Sampler
 }
 
-// serverLinesASecond bounds the lines of a kind. Without it an entry without descriptors wrote
-// 100 a second, for as long as that lasted.
-const serverLinesASecond = 1
+// serverLinesPerSecond limits the log lines of each kind. Without it an entry that was out of descriptors wrote
+// 100 a second for as long as that lasted.
+const serverLinesPerSecond = 1
 
 func newServerLog(c common.Common) *serverLog {
-	return &serverLog{Common: c, sampler: telemetry.NewSampler(c.Clock, c.Log, serverLinesASecond)}
+	return &serverLog{Common: c, sampler: telemetry.NewSampler(c.Clock, c.Log, serverLinesPerSecond)}
 }
 
-// NewServerLog is for the ErrorLog of an http.Server: its lines become structured ones, one a
-// second at the most.
+// NewServerLog returns a logger for the ErrorLog of an http.Server, which writes its lines as structured log
+// lines, at most one a second.
 func NewServerLog(c common.Common) *log.Logger {
 	return newServerLog(c).standard()
 }
 
-// standard returns it as a logger of the standard library.
+// standard returns a logger of the standard library that writes to this log.
 func (l *serverLog) standard() *log.Logger {
 	return log.New(l, "", 0)
 }
 
-// Write takes a line of net/http.
+// Write logs one line of net/http.
 func (l *serverLog) Write(line []byte) (int, error) {
 	if l.sampler.Allow("server") {
-		l.Log.WithField("error", strings.TrimSpace(string(line))).Warn("a server complains")
+		l.Log.WithField("error", strings.TrimSpace(string(line))).Warn("HTTP server error")
 	}
 	return len(line), nil
 }
 
-// accept logs that a connection was not taken.
-func (l *serverLog) accept(err error) {
+// acceptFailed logs that a connection was not accepted.
+func (l *serverLog) acceptFailed(err error) {
 	if l.sampler.Allow("accept") {
 		l.Log.WithError(err).Warn("connection not accepted")
 	}
--- a/pkg/ingress/server_test.go
+++ b/pkg/ingress/server_test.go
@@ -21,11 +21,11 @@
 const serverAt = "10.0.0.2:80"
 
 func startServer(t *testing.T) (*ingress.Server, *network.Memory) {
-	reach := network.NewMemory(nil)
-	s := ingress.NewServer(commontest.New(reach), ingress.Handlers{Serve: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	memory := network.NewMemory(nil)
+	s := ingress.NewServer(commontest.New(memory), ingress.Handlers{Serve: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "yes")
 	})}, descriptors.Divide(1024))
-	listener, err := reach.Listen(serverAt)
+	listener, err := memory.Listen(serverAt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,11 +36,11 @@
 		}
 	})
 	synctest.Wait()
-	return s, reach
+	return s, memory
 }
 
-func dial(t *testing.T, reach *network.Memory) net.Conn {
-	c, err := reach.Dial(context.Background(), serverAt)
+func dial(t *testing.T, memory *network.Memory) net.Conn {
+	c, err := memory.Dial(context.Background(), serverAt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,9 +48,9 @@
 	return c
 }
 
-// ask sends a request with so many bytes of headers and returns the status, 0 if
-// the connection was closed.
-func ask(c net.Conn, headerBytes int) int {
+// sendRequest sends a request with the given number of header bytes and returns the answer's status, 0 if the connection was
+// closed.
+func sendRequest(c net.Conn, headerBytes int) int {
 	return send(c, "GET / HTTP/1.1\r\nHost: h\r\nX: "+strings.Repeat("a", headerBytes)+"\r\n\r\n")
 }
 
@@ -64,70 +64,70 @@
 	return response.StatusCode
 }
 
-func TestLimitsOfCallers(t *testing.T) {
+func TestCallerLimits(t *testing.T) {
 	scenarios := []struct {
 		name   string
 		limits routing.Limits
 		do     func(c net.Conn) int
 		want   int
 	}{
-		{"a request within them", routing.Limits{HeaderBytes: 4096, HeaderTime: 1000, IdleTime: 1000}, func(c net.Conn) int { return ask(c, 100) }, 200},
-		{"too large a head", routing.Limits{HeaderBytes: 4096, HeaderTime: 1000, IdleTime: 1000}, func(c net.Conn) int { return ask(c, 20_000) }, 431},
-		{"too slow a head", routing.Limits{HeaderTime: 1000, IdleTime: 1000}, func(c net.Conn) int {
+		{"request within the limits", routing.Limits{HeaderBytes: 4096, HeaderTime: 1000, IdleTime: 1000}, func(c net.Conn) int { return sendRequest(c, 100) }, 200},
+		{"header too large", routing.Limits{HeaderBytes: 4096, HeaderTime: 1000, IdleTime: 1000}, func(c net.Conn) int { return sendRequest(c, 20_000) }, 431},
+		{"header too slow", routing.Limits{HeaderTime: 1000, IdleTime: 1000}, func(c net.Conn) int {
 			_, _ = io.WriteString(c, "GET / HTTP/1.1\r\nHost")
 			time.Sleep(2 * time.Second)
-			// Whether the end is told depends on the network's error.
-			if got := ask(c, 0); got != http.StatusBadRequest {
+			// Whether net/http answers 400 or only closes depends on the network's error.
+			if got := sendRequest(c, 0); got != http.StatusBadRequest {
 				return got
 			}
 			return 0
 		}, 0},
-		{"a rest within them", routing.Limits{HeaderTime: 1000, IdleTime: 15_000}, func(c net.Conn) int {
-			ask(c, 0)
+		{"idle within the limit", routing.Limits{HeaderTime: 1000, IdleTime: 15_000}, func(c net.Conn) int {
+			sendRequest(c, 0)
 			time.Sleep(12 * time.Second)
-			return ask(c, 0)
+			return sendRequest(c, 0)
 		}, 200},
-		{"too long a rest", routing.Limits{HeaderTime: 1000, IdleTime: 15_000}, func(c net.Conn) int {
-			ask(c, 0)
+		{"idle too long", routing.Limits{HeaderTime: 1000, IdleTime: 15_000}, func(c net.Conn) int {
+			sendRequest(c, 0)
 			time.Sleep(16 * time.Second)
-			return ask(c, 0)
+			return sendRequest(c, 0)
 		}, 0},
-		{"no HTTP", routing.Limits{HeaderTime: 1000, IdleTime: 1000}, func(c net.Conn) int {
+		{"not HTTP", routing.Limits{HeaderTime: 1000, IdleTime: 1000}, func(c net.Conn) int {
 			return send(c, "\x00\x01\x02 nonsense\r\n\r\n")
 		}, 400},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				server, reach := startServer(t)
+				server, memory := startServer(t)
 				server.SetLimits(s.limits)
-				synctest.Wait() // until new connections are under them
-				if got := s.do(dial(t, reach)); got != s.want {
+				synctest.Wait() // until the limits apply to new connections
+				if got := s.do(dial(t, memory)); got != s.want {
 					t.Errorf("status %d, want %d", got, s.want)
 				}
-				if got := ask(dial(t, reach), 0); got != 200 {
-					t.Errorf("another caller got %d", got)
+				if got := sendRequest(dial(t, memory), 0); got != 200 {
+					t.Errorf("another caller: status %d", got)
 				}
 			})
 		})
 	}
 }
 
-func TestConnectionsOutliveAChangeOfLimits(t *testing.T) {
+func TestConnectionsSurviveLimitChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		server, reach := startServer(t)
-		kept := dial(t, reach)
-		if got := ask(kept, 0); got != 200 {
+		server, memory := startServer(t)
+		earlier := dial(t, memory)
+		if got := sendRequest(earlier, 0); got != 200 {
 			t.Fatalf("status %d", got)
 		}
 		for n := range 5 {
 			server.SetLimits(routing.Limits{HeaderTime: 1000, IdleTime: 15_000 + 1})
 			server.SetLimits(routing.Limits{HeaderTime: 1000, IdleTime: 16_000})
-			if got := ask(kept, 0); got != 200 {
-				t.Errorf("change %d: the kept connection got %d", n, got)
+			if got := sendRequest(earlier, 0); got != 200 {
+				t.Errorf("change %d: earlier connection: status %d", n, got)
 			}
-			if got := ask(dial(t, reach), 0); got != 200 {
-				t.Errorf("change %d: a new connection got %d", n, got)
+			if got := sendRequest(dial(t, memory), 0); got != 200 {
+				t.Errorf("change %d: new connection: status %d", n, got)
 			}
 		}
 	})
--- a/pkg/ingress/starting_test.go
+++ b/pkg/ingress/starting_test.go
@@ -15,18 +15,18 @@
 	"quaydock/pkg/view"
 )
 
-// TestARequestWaitsForTheFirstConfiguration has a request come to an entry that has just
-// started: it is served if the entry learns what it needs soon, and else told to come back.
-func TestARequestWaitsForTheFirstConfiguration(t *testing.T) {
+// A request arrives at an entry that has just started. It is served if the entry reads its configuration soon, and
+// otherwise told to come back.
+func TestRequestWaitsForFirstConfiguration(t *testing.T) {
 	scenarios := []struct {
 		name  string
 		after time.Duration
 		want  int
-		took  time.Duration // at the most
+		took  time.Duration // at most
 	}{
-		{"known from the first on", 0, http.StatusOK, 5 * time.Millisecond},
-		{"known a little later", 80 * time.Millisecond, http.StatusOK, 90 * time.Millisecond},
-		{"not known for long", time.Second, http.StatusServiceUnavailable, 160 * time.Millisecond},
+		{"configuration known at once", 0, http.StatusOK, 5 * time.Millisecond},
+		{"configuration known a little later", 80 * time.Millisecond, http.StatusOK, 90 * time.Millisecond},
+		{"configuration not known for long", time.Second, http.StatusServiceUnavailable, 160 * time.Millisecond},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -40,15 +40,15 @@
 					Common: c, View: v, Dialect: dialect{}, Scheduler: b.scheduler, Pool: pool, Meter: freely{}, Entries: freely{},
 					Retries: quota.NewRetryBudget(quota.RetryBounds{Window: clock.Second}, c.Clock.Now()), Keys: ingress.KeyTrust{Bound: 5000, Strict: true},
 				})
-				learn := func() {
+				configure := func() {
 					v.SetDirectory(b.view.Directory())
 					v.SetCatalog(b.view.Catalog())
 					v.Proven(c.Clock.Now())
 				}
 				if s.after == 0 {
-					learn()
+					configure()
 				} else {
-					time.AfterFunc(s.after, learn)
+					time.AfterFunc(s.after, configure)
 				}
 				r := httptest.NewRequest(http.MethodPost, "http://h/safe/a", http.NoBody)
 				r.Header.Set("Id", "1")
--- a/pkg/ingress/stop_test.go
+++ b/pkg/ingress/stop_test.go
@@ -13,21 +13,20 @@
 	"quaydock/pkg/ingress"
 )
 
-// TestOneThatEndsSoonTakesOnlyWhatIsShort has an entry that has to end in six seconds: a
-// route whose answers take one second is served, one whose answers take three is told to
-// come back, and so is one of which nothing is known.
-func TestOneThatEndsSoonTakesOnlyWhatIsShort(t *testing.T) {
+// An entry has to end in 6 s. Requests of a route whose answers take 1 s are served; those of a route whose answers
+// take 3 s, or that has not been answered yet, are told to come back.
+func TestDrainAdmitsOnlyShortRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		takes := map[string]time.Duration{"/unsafe/": time.Second, "/resume/": 3 * time.Second}
+		durations := map[string]time.Duration{"/unsafe/": time.Second, "/resume/": 3 * time.Second}
 		b := newBed(t, freely{}, func(c net.Conn, r *http.Request) bool {
-			for prefix, long := range takes {
+			for prefix, duration := range durations {
 				if strings.HasPrefix(r.URL.Path, prefix) {
-					time.Sleep(long)
+					time.Sleep(duration)
 				}
 			}
 			return says(200, "", "yes")(c, r)
 		})
-		for prefix := range takes {
+		for prefix := range durations {
 			b.call(context.Background(), prefix+"a", nil)
 		}
 		b.controller.Leave(ingress.Stop{Narrows: b.clock.Now(), Ends: b.clock.Now() + 6*clock.Second})
@@ -36,7 +35,7 @@
 			want int
 		}{
 			{"/resume/a", http.StatusServiceUnavailable},
-			{"/safe/a", http.StatusServiceUnavailable}, // none was answered yet
+			{"/safe/a", http.StatusServiceUnavailable}, // none has been answered yet
 			{"/unsafe/a", http.StatusOK},
 		}
 		before := len(b.arrived())
@@ -46,26 +45,26 @@
 				t.Errorf("%s: status %d, want %d", s.path, got.status, s.want)
 			}
 			if s.want != http.StatusOK && got.header.Get("Retry-After") == "" {
-				t.Errorf("%s: not told when to come back", s.path)
+				t.Errorf("%s: no Retry-After", s.path)
 			}
 		}
 		if n := len(b.arrived()) - before; n != 1 {
 			t.Errorf("%d requests reached the target", n)
 		}
-		// With 4.8 s left answers of a second still fit, but the next may take up to the
-		// request's 5 s, and would be cut.
-		takes["/unsafe/"] = 4900 * time.Millisecond
+		// With 4.8 s left an answer of 1 s still fits, but the next one may take up to the request's 5 s, and would be
+		// broken off.
+		durations["/unsafe/"] = 4900 * time.Millisecond
 		time.Sleep(200 * time.Millisecond)
 		b.view.Proven(b.clock.Now())
 		if got := b.call(context.Background(), "/unsafe/a", nil); got.status != http.StatusServiceUnavailable {
-			t.Errorf("with less time left than it may take: status %d", got.status)
+			t.Errorf("less time left than the request may take: status %d", got.status)
 		}
 	})
 }
 
-// TestLessIsTakenFromAMomentOn has an entry that is told once, at its signal, from when on it
-// takes less: no timer has to go off for that, which on a paused VM it does too late.
-func TestLessIsTakenFromAMomentOn(t *testing.T) {
+// An entry learns at its signal when the restriction will begin. It must begin without a timer, which fires too late
+// on a paused VM.
+func TestDrainRestrictionBeginsOnTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, freely{}, says(200, "", "yes"))
 		b.controller.Leave(ingress.Stop{Narrows: b.clock.Now() + clock.Second, Ends: b.clock.Now() + 3*clock.Second})
@@ -82,10 +81,10 @@
 	})
 }
 
-func TestALeavingEntryClosesItsConnections(t *testing.T) {
+func TestLeavingEntryClosesConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, freely{}, says(200, "", "yes"))
-		b.keep = true // or the caller itself would have them closed
+		b.keep = true // otherwise the caller itself asks for the close
 		b.controller.Leave(ingress.Stop{Narrows: b.clock.Now() + clock.Second, Ends: b.clock.Now() + clock.Minute})
 		if got := b.call(context.Background(), "/unsafe/a", nil); got.status != 200 || !got.closes {
 			t.Errorf("status %d, closes %t", got.status, got.closes)
@@ -93,7 +92,7 @@
 	})
 }
 
-func TestRunningCountsWhatIsServed(t *testing.T) {
+func TestRunningCountsRequestsInProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, freely{}, silent)
 		time.AfterFunc(clock.Second.Duration(), func() {
--- a/pkg/ingress/trail.go
+++ b/pkg/ingress/trail.go
@@ -7,30 +7,29 @@
 	"quaydock/pkg/ids"
 )
 
-// mark is one decision about a request.
+// trailEntry is one decision about a request.
 type mark struct {
 	at     clock.Millis
 	what   string
 	target ids.Target
 }
 
-// note adds a decision to a request's trail, which is logged if the request
-// fails or is answered late.
+// addToTrail adds a decision to a request's trail, which is logged if the request fails or is answered late.
 func (r *request) note(now clock.Millis, what string, target ids.Target) {
 	r.trail = append(r.trail, mark{at: now, what: what, target: target})
 }
 
-// targets lists the targets that a request was sent to, by the ids under which logs name them.
-func (r *request) targets() []ids.Target {
+// triedTargets returns the ids of the targets that a request was sent to.
+func (r *request) triedTargets() []ids.Target {
 	list := make([]ids.Target, 0, len(r.tried))
-	for _, life := range r.tried {
-		list = append(list, life.Target)
+	for _, incarnation := range r.tried {
+		list = append(list, incarnation.Target)
 	}
 	return list
 }
 
-// marks writes the trail with times since the request came.
-func (r *request) marks() []string {
+// formatTrail returns the trail with times since the request arrived.
+func (r *request) formatTrail() []string {
 	list := make([]string, 0, len(r.trail))
 	for _, m := range r.trail {
 		text := fmt.Sprintf("+%d ms %s", m.at-r.arrived, m.what)
--- a/pkg/ingress/turn_away.go
+++ b/pkg/ingress/turn_away.go
@@ -10,40 +10,40 @@
 )
 
 const (
-	// crowdedRetry is when to come back to an entry whose callers hold all the connections that
-	// they may; the moments spread over crowdedSpread, so that those who were turned away
-	// together don't come together.
+	// crowdedRetry is the shortest Retry-After of an entry whose callers hold all connections up to the limit;
+	// the times are spread over crowdedSpread, so that callers who were rejected together do not come back
+	// together.
 	crowdedRetry  = 500 * clock.Millisecond
 	crowdedSpread = clock.Second
 )
 
-// TurnAway answers a request on a connection beyond callers' share. Its caller is told to come
-// back, unless a request of a lower tier is under way here: the share is used in the order in
-// which callers came, and without this a higher tier would be shed while a lower one is served.
+// Reject answers a request on a connection beyond the callers' limit. Its caller is told to come back, unless a
+// request of a lower tier is in progress here: connections are admitted in the order of arrival, and without
+// this exception a higher tier would be rejected while a lower one is served.
 func (c *Controller) TurnAway(w http.ResponseWriter, r *http.Request) {
-	if c.takeExtra(r) {
+	if c.acquireExtra(r) {
 		defer c.extra.Add(-1)
-		// The deadlines of this server are for callers that are turned away. A writer without any, as
-		// in tests, needs none taken off.
+		// This server's deadlines are meant for rejected callers. A writer without deadlines, as in tests, has
+		// none to clear.
 		_ = http.NewResponseController(w).SetWriteDeadline(noDeadline)
 		c.ServeHTTP(w, r)
 		return
 	}
-	// Closing a connection with unread bytes resets it, and the answer would be lost.
-	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, firstHeaderBytes))
+	// Closing a connection with unread bytes resets it, which would lose the answer.
+	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, initialHeaderBytes))
 	retry := crowdedRetry + clock.Millis(c.Random.Fork().Float64()*float64(crowdedSpread))
 	q := &request{Call: c.admission.dialect.Describe(r.Header), http: r, arrived: c.Clock.Now()}
 	c.conclude(q, notRun(CauseCrowded, retry), &answerWriter{writer: w})
 }
 
-// takeExtra takes one of the places for requests beyond callers' share, and reports whether it did:
-// the request has to be of a higher tier than one that is under way, and a place free.
-func (c *Controller) takeExtra(r *http.Request) bool {
+// acquireExtra takes one of the maxExtra slots for requests beyond the callers' limit, and reports whether it
+// did: the request must be of a higher tier than one in progress, and a slot must be free.
+func (c *Controller) acquireExtra(r *http.Request) bool {
 	q := &request{Call: c.admission.dialect.Describe(r.Header), http: r, arrived: c.Clock.Now()}
-	if c.admission.resolve(q) != nil || !c.underWay.below(q.tier()) {
+	if c.admission.resolve(q) != nil || !c.inProgress.hasLower(q.tier()) {
 		return false
 	}
-	if c.extra.Add(1) > c.mostExtra {
+	if c.extra.Add(1) > c.maxExtra {
 		c.extra.Add(-1)
 		return false
 	}
@@ -52,26 +52,26 @@
 
 // tierCounts counts requests by tier.
 type tierCounts struct {
-	mu sync.Mutex
-	of map[ids.TierRank]int
+	mu     sync.Mutex
+	counts map[ids.TierRank]int
 }
 
-func newTierCounts() *tierCounts { return &tierCounts{of: make(map[ids.TierRank]int)} }
+func newTierCounts() *tierCounts { return &tierCounts{counts: make(map[ids.TierRank]int)} }
 
 func (t *tierCounts) add(tier ids.TierRank, n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.of[tier] += n
-	if t.of[tier] == 0 {
-		delete(t.of, tier)
+	t.counts[tier] += n
+	if t.counts[tier] == 0 {
+		delete(t.counts, tier)
 	}
 }
 
-// below reports whether there is a request of a lower tier, which is one of a higher rank.
-func (t *tierCounts) below(tier ids.TierRank) bool {
+// hasLower reports whether there is a request of a lower tier, that is, of a higher rank.
+func (t *tierCounts) hasLower(tier ids.TierRank) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for other := range t.of {
+	for other := range t.counts {
 		if other > tier {
 			return true
 		}
--- a/pkg/ingress/turn_away_test.go
+++ b/pkg/ingress/turn_away_test.go
@@ -17,8 +17,8 @@
 	"quaydock/pkg/ingress"
 )
 
-// turnAway has a request on a connection beyond callers' share.
-func (b *bed) turnAway(path string) *httptest.ResponseRecorder {
+// reject makes a request on a connection beyond the callers' limit.
+func (b *bed) reject(path string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodPost, "http://h"+path, strings.NewReader("question"))
 	r.Header.Set("Id", "r1")
 	r.Header.Set("Key", "key")
@@ -27,24 +27,23 @@
 	return w
 }
 
-// TestNoHigherTierIsTurnedAwayWhileALowerOneIsServed: callers beyond their share of the
-// descriptors were all told to come back, also those of the highest tier, while long work of
-// the lowest was served on the connections within the share. The evidence is the answer to a request of
-// the highest tier beside one of the lowest that is under way: 503.
-func TestNoHigherTierIsTurnedAwayWhileALowerOneIsServed(t *testing.T) {
+// Callers beyond the connection limit were all rejected, also those of the highest tier, while long requests of the
+// lowest tier were served on the connections within it: a request of the highest tier got a 503 while one of the lowest
+// was in progress.
+func TestHigherTierIsNotRejectedWhileLowerIsServed(t *testing.T) {
 	const high, low = "/unsafe/a", "/safe/a"
 	scenarios := []struct {
 		name    string
-		running string // what is under way on a connection within the share
-		beside  int    // how many more were taken before, beyond the share
+		running string // the request in progress on a connection within the limit
+		beyond  int    // how many requests are served beyond the limit already
 		path    string
 		status  int
 	}{
-		{"nothing is under way", "", 0, high, http.StatusServiceUnavailable},
-		{"lower work is under way", low, 0, high, http.StatusOK},
-		{"work of the same tier is under way", low, 0, low, http.StatusServiceUnavailable},
-		{"higher work is under way", high, 0, low, http.StatusServiceUnavailable},
-		{"lower work is under way, and all places for such are taken", low, places, high, http.StatusServiceUnavailable},
+		{"nothing in progress", "", 0, high, http.StatusServiceUnavailable},
+		{"lower tier in progress", low, 0, high, http.StatusOK},
+		{"same tier in progress", low, 0, low, http.StatusServiceUnavailable},
+		{"higher tier in progress", high, 0, low, http.StatusServiceUnavailable},
+		{"lower tier in progress, but no free slot", low, places, high, http.StatusServiceUnavailable},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -59,16 +58,16 @@
 					go func() { b.call(context.Background(), s.running, nil) }()
 				}
 				time.Sleep(10 * time.Millisecond)
-				for range s.beside {
-					go b.turnAway(high)
+				for range s.beyond {
+					go b.reject(high)
 				}
 				time.Sleep(10 * time.Millisecond)
-				w := b.turnAway(s.path)
+				w := b.reject(s.path)
 				if w.Code != s.status {
 					t.Errorf("status %d, want %d", w.Code, s.status)
 				}
-				if told := w.Header().Get("Retry-After") != ""; told != (s.status != http.StatusOK) {
-					t.Errorf("told when to come back: %t", told)
+				if hasRetryAfter := w.Header().Get("Retry-After") != ""; hasRetryAfter != (s.status != http.StatusOK) {
+					t.Errorf("answer has Retry-After: %t", hasRetryAfter)
 				}
 				time.Sleep(5 * time.Second)
 			})
@@ -76,9 +75,8 @@
 	}
 }
 
-// TestOneServedBeyondTheShareHasItsTime has a request of a higher tier take three times as long as a
-// caller who is turned away may.
-func TestOneServedBeyondTheShareHasItsTime(t *testing.T) {
+// A request of a higher tier that is served beyond the limit takes three times as long as a rejected caller has.
+func TestRequestServedBeyondLimitIsNotCutShort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBed(t, freely{}, func(c net.Conn, r *http.Request) bool {
 			time.Sleep(3 * time.Second)
@@ -111,7 +109,7 @@
 	})
 }
 
-// askFor sends a request without a body, and returns the status of its answer, or 0.
+// sendRequestTo sends a request for a path, without a body, and returns the answer's status, or 0.
 func askFor(c net.Conn, path string) int {
 	_, err := io.WriteString(c, "GET "+path+" HTTP/1.1\r\nHost: h\r\nId: r1\r\nKey: key\r\n\r\n")
 	if err != nil {
@@ -121,6 +119,6 @@
 	if err != nil {
 		return 0
 	}
-	_ = response.Body.Close() // what matters has been read
+	_ = response.Body.Close() // only the status matters
 	return response.StatusCode
 }
