--- a/pkg/ingress/closing.go
+++ b/pkg/ingress/closing.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// recentMax is the maximum of recent values; older ones decay by half with each span.
+// recentMax is the maximum of recent values; older ones decay by halves.
 type recentMax struct {
 	span              clock.Millis // number of the current span
 	current, previous clock.Millis
