--- a/pkg/ingress/controller.go
+++ b/pkg/ingress/controller.go
@@ -111,7 +111,7 @@
 	c.admission.setKeyGrace(keys)
 }
 
-// RetainRoutes drops the statistics of routes that no longer exist.
+// Forget drops the statistics of routes that no longer exist.
 func (c *Controller) Forget(exists func(route string) bool) {
 	c.admission.tries.forget(exists)
 	c.admission.closing.retain(exists)
