--- a/pkg/entry/admission.go
+++ b/pkg/entry/admission.go
@@ -29,48 +29,47 @@
 
 const (
 	bearerPrefix = "Bearer "
-	// firstBodyBytes is made room for on the word of Content-Length alone; the
-	// rest is made as it arrives, so that a caller who announces much and
-	// sends nothing holds little.
+	// firstBodyBytes is how much buffer is allocated on the strength of Content-Length alone; the rest is
+	// allocated as data arrives, so that a caller who announces much and sends nothing holds little memory.
 	firstBodyBytes = 16 << 10
 	maxKeyBytes    = 255
 )
 
-// terms are what a caller's headers ask for.
-type terms struct {
+// callOptions are the options in a caller's headers.
+type callOptions struct {
 	account  *declaration.Account
 	tier     ids.TierRank
-	deadline clock.Millis // a length of time
+	deadline clock.Millis // relative to the arrival
 	key      string       // idempotency key, empty if none
 }
 
-// readTerms checks key and headers against the configuration.
-func readTerms(book *declaration.Book, h http.Header, limits settings.EntryLimits) (terms, *refusal.Refusal) {
-	account, bad := identify(book, h.Get("Authorization"))
+// readOptions checks the API key and the headers against the configuration.
+func readOptions(index *declaration.Book, h http.Header, limits settings.EntryLimits) (callOptions, *refusal.Refusal) {
+	account, bad := identify(index, h.Get("Authorization"))
 	if bad != nil {
-		return terms{}, bad
+		return callOptions{}, bad
 	}
-	tier, bad := readTier(book, account, ids.Tier(h.Get(HeaderTier)))
+	tier, bad := readTier(index, account, ids.Tier(h.Get(HeaderTier)))
 	if bad != nil {
-		return terms{}, bad
+		return callOptions{}, bad
 	}
-	deadline, bad := readDeadline(h.Get(HeaderDeadline), book.Deadline(tier), limits.DeadlineMS)
+	deadline, bad := readDeadline(h.Get(HeaderDeadline), index.Deadline(tier), limits.DeadlineMS)
 	if bad != nil {
-		return terms{}, bad
+		return callOptions{}, bad
 	}
 	switch strings.ToLower(h.Get(HeaderNoRepeat)) {
 	case "", "true", "false":
 	default:
-		return terms{}, refusal.Malformed(HeaderNoRepeat, "%s must be true or false", HeaderNoRepeat)
+		return callOptions{}, refusal.Malformed(HeaderNoRepeat, "%s must be true or false", HeaderNoRepeat)
 	}
 	key := h.Get(HeaderIdempotency)
 	if len(key) > maxKeyBytes {
-		return terms{}, refusal.Malformed(HeaderIdempotency, "%s is above %d bytes", HeaderIdempotency, maxKeyBytes)
+		return callOptions{}, refusal.Malformed(HeaderIdempotency, "%s is above %d bytes", HeaderIdempotency, maxKeyBytes)
 	}
-	return terms{account: account, tier: tier, deadline: deadline, key: key}, nil
+	return callOptions{account: account, tier: tier, deadline: deadline, key: key}, nil
 }
 
-func identify(book *declaration.Book, authorization string) (*declaration.Account, *refusal.Refusal) {
+func identify(index *declaration.Book, authorization string) (*declaration.Account, *refusal.Refusal) {
 	if authorization == "" {
 		return nil, refusal.NoKey()
 	}
@@ -78,37 +77,37 @@
 	if !found {
 		return nil, refusal.NoKey()
 	}
-	account := book.Account(strings.TrimSpace(key))
+	account := index.Account(strings.TrimSpace(key))
 	if account == nil {
 		return nil, refusal.BadKey()
 	}
 	return account, nil
 }
 
-func readTier(book *declaration.Book, account *declaration.Account, asked ids.Tier) (ids.TierRank, *refusal.Refusal) {
-	if asked == "" {
-		asked = account.DefaultTier
+func readTier(index *declaration.Book, account *declaration.Account, requested ids.Tier) (ids.TierRank, *refusal.Refusal) {
+	if requested == "" {
+		requested = account.DefaultTier
 	}
-	rank, known := book.Rank(asked)
+	rank, known := index.Rank(requested)
 	if !known {
-		return 0, refusal.Malformed(HeaderTier, "there is no tier %q", asked)
+		return 0, refusal.Malformed(HeaderTier, "there is no tier %q", requested)
 	}
-	highest, _ := book.Rank(account.HighestTier) // checked with the declarations
+	highest, _ := index.Rank(account.HighestTier) // the check of the declarations makes sure that it is known
 	if rank.Higher(highest) {
-		return 0, refusal.TierNotAllowed(string(asked))
+		return 0, refusal.TierNotAllowed(string(requested))
 	}
 	return rank, nil
 }
 
-func readDeadline(asked string, usual, most clock.Millis) (clock.Millis, *refusal.Refusal) {
-	if asked == "" {
-		return min(usual, most), nil
+func readDeadline(requested string, byDefault, maximum clock.Millis) (clock.Millis, *refusal.Refusal) {
+	if requested == "" {
+		return min(byDefault, maximum), nil
 	}
-	n, err := strconv.ParseInt(asked, 10, 64)
+	n, err := strconv.ParseInt(requested, 10, 64)
 	if err != nil || n < 1 {
 		return 0, refusal.Malformed(HeaderDeadline, "%s must be a whole number of milliseconds above 0", HeaderDeadline)
 	}
-	return min(clock.Millis(n), most), nil
+	return min(clock.Millis(n), maximum), nil
 }
 
 // readBody reads a caller's body within the limits of size and time.
@@ -132,24 +131,23 @@
 	}
 }
 
-// boundBody bounds the time for the body. The bound is lifted only when the
-// body has been read: after a refusal the server itself reads what is left, and
-// a slow sender must not hold it.
-func boundBody(w http.ResponseWriter, limits settings.EntryLimits) {
+// setBodyDeadline limits the time for reading the body. The deadline is lifted only after the body has been read:
+// after a refusal the HTTP server itself reads what is left, and a slow sender must not hold it.
+func setBodyDeadline(w http.ResponseWriter, limits settings.EntryLimits) {
 	setReadDeadline(w, time.Now().Add(limits.BodyTimeoutMS.Duration()))
 }
 
 func setReadDeadline(w http.ResponseWriter, at time.Time) {
-	// A writer without deadlines, as in tests, has no slow sender.
+	// Writers of tests may have no deadlines, and no slow sender either.
 	_ = http.NewResponseController(w).SetReadDeadline(at)
 }
 
-// readAll reads to the end; length is what was announced, or -1.
+// readAll reads to the end. The length is the announced one, or -1.
 func readAll(from io.Reader, length int64) ([]byte, error) {
 	if length < 0 || length > firstBodyBytes {
 		length = firstBodyBytes
 	}
-	body := make([]byte, 0, length+1) // one more, so that the end is seen without growing
+	body := make([]byte, 0, length+1) // one more byte, so that EOF is seen without growing
 	for {
 		n, err := from.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
@@ -165,11 +163,11 @@
 	}
 }
 
-// accountUse counts each account's requests at this entry.
+// accountUse counts each client account's running requests at this entry and holds their idempotency keys.
 type accountUse struct {
-	mu     sync.Mutex
-	inside map[ids.Account]int
-	keys   map[accountKey]bool
+	mu      sync.Mutex
+	running map[ids.Account]int
+	keys    map[accountKey]bool
 }
 
 type accountKey struct {
@@ -178,16 +176,15 @@
 }
 
 func newAccountUse() *accountUse {
-	return &accountUse{inside: make(map[ids.Account]int), keys: make(map[accountKey]bool)}
+	return &accountUse{running: make(map[ids.Account]int), keys: make(map[accountKey]bool)}
 }
 
-// enter counts a request in, unless its account is at its limit or its
-// idempotency key is in use here.
-func (u *accountUse) enter(t terms) *refusal.Refusal {
+// enter counts a request in, unless its account is at its limit or its idempotency key is in use here.
+func (u *accountUse) enter(t callOptions) *refusal.Refusal {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	name := t.account.Name
-	if t.account.Concurrency > 0 && u.inside[name] >= t.account.Concurrency {
+	if t.account.Concurrency > 0 && u.running[name] >= t.account.Concurrency {
 		return refusal.AccountLimit(minRetryAfter)
 	}
 	if t.key != "" {
@@ -197,18 +194,18 @@
 		}
 		u.keys[k] = true
 	}
-	u.inside[name]++
+	u.running[name]++
 	return nil
 }
 
-// leave counts a request out.
-func (u *accountUse) leave(t terms) {
+// leave counts a request out and frees its idempotency key.
+func (u *accountUse) leave(t callOptions) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	name := t.account.Name
-	u.inside[name]--
-	if u.inside[name] == 0 {
-		delete(u.inside, name)
+	u.running[name]--
+	if u.running[name] == 0 {
+		delete(u.running, name)
 	}
 	if t.key != "" {
 		delete(u.keys, accountKey{name, t.key})
--- a/pkg/entry/answer_writer.go
+++ b/pkg/entry/answer_writer.go
@@ -13,34 +13,33 @@
 	"quaydock/pkg/refusal"
 )
 
-// answerWriter passes an answer to its caller in the form in which a cut
-// answer cannot pass for a whole one.
+// answerWriter relays an answer to its caller in a form in which a broken-off answer cannot be taken for a
+// complete one.
 type answerWriter struct {
 	response http.ResponseWriter
 	control  *http.ResponseController
 	limit    clock.Millis // for one write
-	// taken counts the answer's bytes received from the agent; a resume goes
-	// on from there.
-	taken int64
-	relay relay // nil before the answer has begun
-	// What lags asks: since when a write waits for it, 0 if none does, and
-	// whether one had to wait since this was last asked.
+	// received counts the answer's bytes received from the agent; a resume continues from there.
+	received int64
+	relay    relay // nil before the answer has begun
+	// State for isSlow: since when a write has been waiting for the caller (0 if none is), and whether one had to
+	// wait since the last call.
 	writingSince atomic.Int64 // clock.Millis
-	waited       atomic.Bool
+	wasSlow      atomic.Bool
 }
 
-// slowWrite is from when a write has waited for its caller.
+// slowWrite is the time from which a write counts as slowed down by its caller.
 const slowWrite = 100 * clock.Millisecond
 
-// relay is how one kind of answer is passed on.
+// relay sends one kind of answer to the caller.
 type relay interface {
-	// write takes the next bytes.
+	// write sends the next bytes.
 	write(p []byte) error
-	// finish ends a whole answer.
+	// finish ends a complete answer.
 	finish() error
-	// cut ends an answer that is not whole. It reports whether it could say so
-	// in a form that callers read; if not, the connection has to be aborted.
-	cut(why *refusal.Refusal) bool
+	// abort ends an incomplete answer. It reports whether it could say so in a form that callers read; if not, the
+	// connection has to be aborted.
+	abort(why *refusal.Refusal) bool
 }
 
 func newAnswerWriter(w http.ResponseWriter, limit clock.Millis) *answerWriter {
@@ -52,11 +51,11 @@
 	return a.relay != nil
 }
 
-// begin takes the agent's header of an answer.
+// begin starts the answer with the header that the agent sent.
 func (a *answerWriter) begin(header http.Header, model bool) error {
 	status, err := strconv.Atoi(header.Get(control.HeaderStatus))
 	if err != nil {
-		return fmt.Errorf("status of the answer: %w", err)
+		return fmt.Errorf("reading the status of the answer: %w", err)
 	}
 	h := a.response.Header()
 	for name, values := range header {
@@ -74,14 +73,14 @@
 		return &eventRelay{out: a, status: status}
 	}
 	size, err := strconv.ParseInt(h.Get("Content-Length"), 10, 64)
-	if err == nil && size <= heldBytes {
-		return &heldRelay{out: a, status: status}
+	if err == nil && size <= maxBufferedBytes {
+		return &bufferedRelay{out: a, status: status}
 	}
 	return &streamRelay{out: a, status: status}
 }
 
 func (a *answerWriter) write(p []byte) error {
-	a.taken += int64(len(p))
+	a.received += int64(len(p))
 	return a.relay.write(p)
 }
 
@@ -89,42 +88,41 @@
 	return a.relay.finish()
 }
 
-// refuse tells the caller why there is no whole answer.
+// refuse reports to the caller why there is no complete answer.
 func (a *answerWriter) refuse(why *refusal.Refusal) {
 	if a.relay == nil {
 		writeDeadline(a.control, a.limit)
 		why.Write(a.response)
 		return
 	}
-	if !a.relay.cut(why) {
+	if !a.relay.abort(why) {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// send writes to the caller; it waits for a slow reader no longer than the
-// limit.
+// send writes to the caller; it waits for a slow reader no longer than the limit.
 func (a *answerWriter) send(p []byte) error {
 	began := writeDeadline(a.control, a.limit)
 	a.writingSince.Store(int64(began))
-	defer a.wrote(began)
+	defer a.writeEnded(began)
 	if _, err := a.response.Write(p); err != nil {
 		return fmt.Errorf("writing to the caller: %w", err)
 	}
 	return nil
 }
 
-func (a *answerWriter) wrote(began clock.Millis) {
+func (a *answerWriter) writeEnded(began clock.Millis) {
 	a.writingSince.Store(0)
 	if clock.Millis(time.Now().UnixMilli())-began >= slowWrite {
-		a.waited.Store(true)
+		a.wasSlow.Store(true)
 	}
 }
 
-// lags reports whether the caller takes the answer slowly, or has since this was last asked.
-func (a *answerWriter) lags() bool {
+// isSlow reports whether the caller is slow to read the answer now, or was since the last call.
+func (a *answerWriter) isSlow() bool {
 	since := clock.Millis(a.writingSince.Load())
 	waits := since != 0 && clock.Millis(time.Now().UnixMilli())-since >= slowWrite
-	return a.waited.Swap(false) || waits
+	return a.wasSlow.Swap(false) || waits
 }
 
 func (a *answerWriter) flush() error {
--- a/pkg/entry/callers_controller.go
+++ b/pkg/entry/callers_controller.go
@@ -21,72 +21,72 @@
 
 const pathServices = "/services/"
 
-// plainDecode is the work that one call of a plain service counts for.
+// plainDecode is the work, in decode tokens, that one call of a plain service counts for.
 const plainDecode = 64
 
-// handler returns the callers' interface.
+// handler returns the HTTP handler for callers.
 func (e *Entry) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+openai.PathChat, e.model(openai.ReadChat))
-	mux.HandleFunc("POST "+openai.PathCompletions, e.model(openai.ReadCompletion))
-	mux.HandleFunc("GET "+openai.PathModels, e.models)
-	mux.HandleFunc(pathServices, e.plain)
-	mux.HandleFunc("/", e.nothing)
+	mux.HandleFunc("POST "+openai.PathChat, e.serveModel(openai.ReadChat))
+	mux.HandleFunc("POST "+openai.PathCompletions, e.serveModel(openai.ReadCompletion))
+	mux.HandleFunc("GET "+openai.PathModels, e.listModels)
+	mux.HandleFunc(pathServices, e.servePlain)
+	mux.HandleFunc("/", e.notFound)
 	return mux
 }
 
 // arrival is what every handler begins with.
 type arrival struct {
-	id    ids.Request
-	book  *declaration.Book
-	terms terms
+	id      ids.Request
+	index   *declaration.Book
+	options callOptions
 }
 
-// arrive gives the request its id and checks the caller's terms.
+// arrive gives the request its id and checks the caller's options.
 func (e *Entry) arrive(w http.ResponseWriter, r *http.Request) (arrival, *refusal.Refusal) {
-	boundBody(w, e.settings.Limits)
-	a := arrival{id: ids.NewRequest(), book: e.book()}
+	setBodyDeadline(w, e.settings.Limits)
+	a := arrival{id: ids.NewRequest(), index: e.index()}
 	w.Header()[HeaderRequestID] = []string{string(a.id)}
-	if a.book == nil {
+	if a.index == nil {
 		return a, refusal.Starting()
 	}
-	t, bad := readTerms(a.book, r.Header, e.settings.Limits)
-	a.terms = t
+	t, bad := readOptions(a.index, r.Header, e.settings.Limits)
+	a.options = t
 	return a, bad
 }
 
-func (e *Entry) nothing(w http.ResponseWriter, r *http.Request) {
-	boundBody(w, e.settings.Limits)
+func (e *Entry) notFound(w http.ResponseWriter, r *http.Request) {
+	setBodyDeadline(w, e.settings.Limits)
 	w.Header()[HeaderRequestID] = []string{string(ids.NewRequest())}
 	e.refuse(newAnswerWriter(w, e.settings.Limits.WriteTimeoutMS), "", refusal.NotFound(r.Method, r.URL.Path))
 }
 
-func (e *Entry) models(w http.ResponseWriter, r *http.Request) {
+func (e *Entry) listModels(w http.ResponseWriter, r *http.Request) {
 	a, bad := e.arrive(w, r)
 	if bad != nil {
 		e.refuse(newAnswerWriter(w, e.settings.Limits.WriteTimeoutMS), a.id, bad)
 		return
 	}
 	var names []ids.Service
-	for _, s := range a.book.Services() {
+	for _, s := range a.index.Services() {
 		if s.Kind == declaration.ServiceModel {
 			names = append(names, s.Name)
 		}
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// A caller that has gone needs no answer.
+	// The caller may have disconnected.
 	_ = json.NewEncoder(w).Encode(openai.NewModelList(names))
 }
 
-// model serves a call of a model; read takes what routing needs of its body.
-func (e *Entry) model(read func([]byte) (openai.Call, *refusal.Refusal)) http.HandlerFunc {
+// serveModel serves a call of a model; read extracts from the body what routing needs.
+func (e *Entry) serveModel(read func([]byte) (openai.Call, *refusal.Refusal)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		e.serve(w, r, func(a arrival, body []byte) (*request, *refusal.Refusal) {
 			call, bad := read(body)
 			if bad != nil {
 				return nil, bad
 			}
-			service := a.book.Service(call.Model)
+			service := a.index.Service(call.Model)
 			if service == nil || service.Kind != declaration.ServiceModel {
 				return nil, refusal.NoModel(string(call.Model))
 			}
@@ -103,12 +103,12 @@
 	}
 }
 
-// plain serves a call of a plain service.
-func (e *Entry) plain(w http.ResponseWriter, r *http.Request) {
+// servePlain serves a call of a plain service.
+func (e *Entry) servePlain(w http.ResponseWriter, r *http.Request) {
 	e.serve(w, r, func(a arrival, _ []byte) (*request, *refusal.Refusal) {
 		rest := strings.TrimPrefix(r.URL.EscapedPath(), pathServices)
 		name, path, _ := strings.Cut(rest, "/")
-		service := a.book.Service(ids.Service(name))
+		service := a.index.Service(ids.Service(name))
 		if service == nil || service.Kind != declaration.ServicePlain {
 			return nil, refusal.NoService(name)
 		}
@@ -125,22 +125,22 @@
 	})
 }
 
-// describe makes the request of one kind of call from its body.
-type describe func(a arrival, body []byte) (*request, *refusal.Refusal)
+// buildRequest makes the request of one kind of call from its body.
+type buildRequest func(a arrival, body []byte) (*request, *refusal.Refusal)
 
-// serve takes one call from arrival to its end.
-func (e *Entry) serve(w http.ResponseWriter, r *http.Request, describe describe) {
+// serve handles one call from arrival to its end.
+func (e *Entry) serve(w http.ResponseWriter, r *http.Request, describe buildRequest) {
 	out := newAnswerWriter(w, e.settings.Limits.WriteTimeoutMS)
 	a, bad := e.arrive(w, r)
 	if bad != nil {
 		e.refuse(out, a.id, bad)
 		return
 	}
-	if bad := e.use.enter(a.terms); bad != nil {
+	if bad := e.use.enter(a.options); bad != nil {
 		e.refuse(out, a.id, bad)
 		return
 	}
-	defer e.use.leave(a.terms)
+	defer e.use.leave(a.options)
 	body, bad := readBody(w, r, e.settings.Limits)
 	if bad != nil {
 		e.refuse(out, a.id, bad)
@@ -157,16 +157,16 @@
 	e.run(r.Context(), made, out)
 }
 
-// complete fills in what is the same for all kinds of call.
+// complete sets the fields that are the same for all kinds of call.
 func (e *Entry) complete(made *request, a arrival) {
 	made.id = a.id
-	made.account = a.terms.account.Name
-	made.key = a.terms.key
-	made.weight = a.terms.account.Weight
-	made.tier = a.terms.tier
-	made.deadline = e.Clock.Now() + a.terms.deadline
+	made.account = a.options.account.Name
+	made.key = a.options.key
+	made.weight = a.options.account.Weight
+	made.tier = a.options.tier
+	made.deadline = e.Clock.Now() + a.options.deadline
 	made.check = e.Check
-	// Each ticket that is out has one event; at most so many are out.
+	// Each placed ticket has one event, and no more than this many are placed at a time.
 	made.events = make(chan ticketEvent, e.settings.TicketsPerRequest)
 }
 
@@ -187,11 +187,11 @@
 	switch {
 	case why != nil:
 		e.Check.That(why.Outcome != refusal.NotRun || r.state.NotRunMayBeSaid(), invariant.NotRunIsTrue,
-			"request %s is told not run in state %v", r.id, r.state)
+			"request %s reported as not run in state %v", r.id, r.state)
 		e.refuse(out, r.id, why)
 	case r.state != lifecycle.Answered:
-		// The caller seems to be gone. Should it not be, an empty or cut answer
-		// must not pass for a whole one.
+		// The caller seems to have disconnected. If it has not, an empty or broken-off answer must not be taken
+		// for a complete one.
 		panic(http.ErrAbortHandler)
 	}
 }
--- a/pkg/entry/dispatcher.go
+++ b/pkg/entry/dispatcher.go
@@ -13,17 +13,17 @@
 	"quaydock/pkg/resume"
 )
 
-// maxBindings bounds how often one request is bound: each binding after the
-// first stands on proof that the one before was never dispatched.
+// maxBindings limits how often one request is bound. Each binding after the first requires proof that the one
+// before was never dispatched.
 const maxBindings = 8
 
-// maxResumes bounds how often in a row one answer is taken up again.
+// maxResumes limits how many breaks in a streak one answer is resumed after.
 const maxResumes = 8
 
 // errDeadline is the cause with which a request's context ends at its deadline.
 var errDeadline = errors.New("the request's deadline has passed")
 
-// dispatcher takes a request from waiting to its end.
+// dispatcher serves a request from waiting to its final state.
 type dispatcher struct {
 	common.Common
 	ticketing      *ticketing
@@ -32,16 +32,15 @@
 	outcomeTimeout clock.Millis
 }
 
-// serve runs the request and relays its answer. It returns nil if the answer
-// was whole or the caller has gone, else why there is no whole answer. It
-// returns only when the request has ended.
+// serve runs the request and relays its answer. It returns nil if the answer was complete or the caller has
+// disconnected, else why there is no complete answer. It returns only when the request has ended.
 func (d *dispatcher) serve(ctx context.Context, r *request, out *answerWriter) *refusal.Refusal {
 	if r.key == "" {
-		return d.bind(ctx, r, out)
+		return d.bindAndSend(ctx, r, out)
 	}
 	won, err := d.claimer.Claim(ctx, r.account, r.key, r.id)
 	if won {
-		why := d.bind(ctx, r, out)
+		why := d.bindAndSend(ctx, r, out)
 		if r.state == lifecycle.Refused {
 			d.claimer.Free(r.account, r.key, r.id)
 		}
@@ -51,7 +50,7 @@
 	if err == nil {
 		return refusal.KeyTaken()
 	}
-	// A claim that was written though nobody could say so is given back.
+	// The claim may have been written although the call failed, so it is freed.
 	d.claimer.Free(r.account, r.key, r.id)
 	if gave, ok := interrupted(ctx).(gaveUp); ok {
 		return gave.refusal
@@ -59,12 +58,12 @@
 	return nil
 }
 
-// bind takes a request that may run from waiting to its end.
-func (d *dispatcher) bind(ctx context.Context, r *request, out *answerWriter) *refusal.Refusal {
+// bindAndSend serves a request whose idempotency key, if any, is claimed, from waiting to its final state.
+func (d *dispatcher) bindAndSend(ctx context.Context, r *request, out *answerWriter) *refusal.Refusal {
 	for range maxBindings {
 		switch waited := d.ticketing.wait(ctx, r).(type) {
 		case granted:
-			why, again := d.use(ctx, r, waited, out)
+			why, again := d.useGrant(ctx, r, waited, out)
 			if !again {
 				return why
 			}
@@ -80,43 +79,44 @@
 	return refusal.NoTarget(minRetryAfter)
 }
 
-// use makes use of a grant. Again says that the request was not dispatched and has to wait for another one.
-func (d *dispatcher) use(ctx context.Context, r *request, bound granted, out *answerWriter) (why *refusal.Refusal, again bool) {
+// useGrant sends the request on a grant. Again means that the request was not dispatched and has to wait for
+// another grant.
+func (d *dispatcher) useGrant(ctx context.Context, r *request, bound granted, out *answerWriter) (why *refusal.Refusal, again bool) {
 	defer bound.session.release()
 	r.become(lifecycle.Bound)
 	result := d.send(ctx, r, bound, out)
 	if _, never := result.(neverDispatched); never {
-		r.noteFruitless(d.Clock.Now(), bound.session)
+		r.avoid(d.Clock.Now(), bound.session)
 		return nil, true
 	}
-	return d.end(r, bound, result), false
+	return d.finish(r, bound, result), false
 }
 
-// end moves a request that was sent to its last state.
-func (d *dispatcher) end(r *request, bound granted, result exchangeResult) *refusal.Refusal {
+// finish moves a sent request to its final state.
+func (d *dispatcher) finish(r *request, bound granted, result exchangeResult) *refusal.Refusal {
 	switch result := result.(type) {
 	case answered:
 		r.become(lifecycle.Answered)
 		return nil
 	case ended:
-		d.leaveBehind(r, bound)
+		d.abandon(r, bound)
 		return result.refusal
 	default:
-		d.leaveBehind(r, bound)
+		d.abandon(r, bound)
 		return nil
 	}
 }
 
-// leaveBehind ends a request whose work may still run, and has it stopped.
-func (d *dispatcher) leaveBehind(r *request, bound granted) {
+// abandon ends a request whose work may still run, and has the agent cancel it.
+func (d *dispatcher) abandon(r *request, bound granted) {
 	r.become(lifecycle.Unknown)
 	bound.session.cancel(r.id, bound.grant)
 }
 
-// send makes the one exchange that a binding allows. If it breaks, the agent's
-// word on the grant decides how to go on.
+// send makes the one exchange that a binding allows. If it breaks, the outcome of the grant that the agent reports
+// decides how to go on.
 func (d *dispatcher) send(ctx context.Context, r *request, bound granted, out *answerWriter) exchangeResult {
-	row := resume.NewRow(maxResumes, d.Clock.Now())
+	streak := resume.NewRow(maxResumes, d.Clock.Now())
 	backoff := d.Random.NewBackoff(minBackoff, maxBackoff)
 	result := d.exchange.dispatch(ctx, r, bound, out)
 	for {
@@ -125,11 +125,11 @@
 			return result
 		}
 		d.Metrics.Links.Add("exchange_broken", 1)
-		d.Log.WithField("request", string(r.id)).WithError(failure.cause).Info("exchange broke; asking for the outcome")
-		breaks, again := row.Broke(d.Clock.Now(), out.taken, !errors.Is(failure.cause, errNotSent))
+		d.Log.WithField("request", string(r.id)).WithError(failure.cause).Info("exchange with the agent broke; querying the outcome of the grant")
+		breaks, again := streak.Broke(d.Clock.Now(), out.received, !errors.Is(failure.cause, errNotSent))
 		switch {
 		case !again:
-			return d.unknown(ctx, out)
+			return d.unknownOutcome(ctx, out)
 		case breaks == 1:
 			backoff.Reset()
 		default:
@@ -139,11 +139,12 @@
 		case control.FateNever:
 			return d.backToWaiting(r)
 		case control.FateDispatched:
-			// The request stays sent: an agent that is about to find its target out of reach says so afterwards.
-			row.Begin(d.Clock.Now())
+			// The request stays in state Sent: an agent that is about to find its target unreachable reports so
+			// afterwards.
+			streak.Begin(d.Clock.Now())
 			result = d.exchange.resume(ctx, r, bound, out)
 		default:
-			return d.unknown(ctx, out)
+			return d.unknownOutcome(ctx, out)
 		}
 	}
 }
@@ -153,8 +154,8 @@
 	return neverDispatched{}
 }
 
-// unknown says what is told when the agent's word cannot be had.
-func (d *dispatcher) unknown(ctx context.Context, out *answerWriter) exchangeResult {
+// unknownOutcome returns what the caller gets when the agent cannot be asked for the outcome.
+func (d *dispatcher) unknownOutcome(ctx context.Context, out *answerWriter) exchangeResult {
 	switch {
 	case errors.Is(context.Cause(ctx), errDeadline):
 		return ended{refusal.DeadlineUnknown()}
@@ -167,8 +168,7 @@
 	}
 }
 
-// resolve asks the agent for the fate of the grant until it answers or the
-// time for it is over.
+// resolve queries the agent for the outcome of the grant until it answers or the time limit for it has passed.
 func (d *dispatcher) resolve(ctx context.Context, r *request, bound granted) control.Fate {
 	until := d.Clock.Now() + d.outcomeTimeout
 	backoff := d.Random.NewBackoff(minBackoff, maxBackoff)
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -1,6 +1,5 @@
-// Package entry is the daemon's part on an entry VM: it takes callers'
-// requests, places tickets with agents, binds each request to one grant and
-// relays the answer.
+// Package entry runs on an entry VM: it accepts callers' requests, places tickets with agents, binds each request
+// to one grant and relays the answer.
 package entry
 
 import (
@@ -24,7 +23,7 @@
 	"quaydock/pkg/table"
 )
 
-// Entry serves callers.
+// Entry serves callers over HTTP and dispatches their requests to agents.
 type Entry struct {
 	common.Common
 	settings   settings.Entry
@@ -38,22 +37,22 @@
 	leaving    atomic.Bool
 }
 
-// New returns an entry that has not started. It keeps claims in table.
+// New returns an entry that has not started. It stores idempotency claims in table.
 func New(c common.Common, name ids.Process, s settings.Entry, table *table.Table) *Entry {
 	ctx, stop := context.WithCancel(context.Background())
 	e := &Entry{Common: c, settings: s, use: newAccountUse(), stop: stop}
 	e.pool = newSessionPool(ctx, c, s.DialTimeoutMS)
 	if _, late := policyOf(s).(balance.LateBinding); !late {
-		e.pool.reports = s.ReportLagMS
+		e.pool.reportInterval = s.ReportLagMS
 	}
 	e.dispatcher = &dispatcher{
 		Common: c,
 		ticketing: &ticketing{
-			Common: c,
-			pool:   e.pool,
-			book:   e.book,
-			choose: balance.NewChooser(policyOf(s), s.TicketsPerRequest, s.ReportLagMS),
-			asked:  s.TicketsPerRequest,
+			Common:            c,
+			pool:              e.pool,
+			index:             e.index,
+			chooser:           balance.NewChooser(policyOf(s), s.TicketsPerRequest, s.ReportLagMS),
+			ticketsPerRequest: s.TicketsPerRequest,
 		},
 		claimer:        claim.NewClaimer(c, name, table),
 		exchange:       newExchange(c, s.DialTimeoutMS),
@@ -68,7 +67,8 @@
 	return e
 }
 
-// policyOf returns the policy that the settings name; their check knows it.
+// policyOf returns the policy that the settings name. The settings' check has accepted the name, so the fallback
+// is not reached.
 func policyOf(s settings.Entry) balance.Policy {
 	policy, err := balance.ParsePolicy(s.Policy)
 	if err != nil {
@@ -77,38 +77,38 @@
 	return policy
 }
 
-func (e *Entry) book() *declaration.Book {
+func (e *Entry) index() *declaration.Book {
 	return e.current.Load()
 }
 
-// Apply takes a new configuration into force.
-func (e *Entry) Apply(book *declaration.Book) {
-	e.pool.apply(book)
-	e.current.Store(book)
+// Apply puts a new configuration into force.
+func (e *Entry) Apply(index *declaration.Book) {
+	e.pool.apply(index)
+	e.current.Store(index)
 }
 
-// Start listens for callers.
+// Start begins to accept callers' connections.
 func (e *Entry) Start() error {
 	listener, err := e.Network.Listen(e.settings.Listen)
 	if err != nil {
-		return fmt.Errorf("callers' port: %w", err)
+		return fmt.Errorf("listening on the callers' port: %w", err)
 	}
 	e.listener = netutil.LimitListener(listener, e.settings.Limits.Connections)
-	go e.listen()
+	go e.serveListener()
 	return nil
 }
 
-func (e *Entry) listen() {
+func (e *Entry) serveListener() {
 	err := e.server.Serve(e.listener)
 	if !errors.Is(err, http.ErrServerClosed) {
-		e.Log.WithError(err).Error("callers' port failed")
+		e.Log.WithError(err).Error("serving the callers' port failed")
 	}
 }
 
-// Ready returns nil if the balancer may send callers here, else why not.
+// Ready returns nil if the load balancer may send callers to this entry, else the refusal that says why not.
 func (e *Entry) Ready() *refusal.Refusal {
 	switch {
-	case e.book() == nil:
+	case e.index() == nil:
 		return refusal.Starting()
 	case e.leaving.Load():
 		return refusal.NoTarget(minRetryAfter)
@@ -117,9 +117,8 @@
 	}
 }
 
-// Drain stops the entry without cutting a request: it is not ready at once,
-// still takes requests while the balancer notices, then waits for the last
-// answer to end or for ctx.
+// Drain stops the entry without breaking off a request. It reports not ready at once, accepts requests for the
+// settle time while the load balancer notices, then waits until the last answer has ended or ctx is done.
 func (e *Entry) Drain(ctx context.Context) error {
 	e.leaving.Store(true)
 	clock.Pause(ctx, e.settings.SettleMS)
@@ -131,9 +130,9 @@
 	return nil
 }
 
-// Close stops at once.
+// Close stops the entry at once and breaks off running requests.
 func (e *Entry) Close() {
-	// An error says only that it was closed before.
+	// An error only means that it was closed before.
 	_ = e.server.Close()
 	e.stop()
 	e.pool.wait()
--- a/pkg/entry/exchange.go
+++ b/pkg/entry/exchange.go
@@ -26,9 +26,9 @@
 
 const (
 	copyBytes = 16 << 10
-	// idleStreams is how many connections to one agent are kept for reuse.
-	idleStreams     = 512
-	idleStreamAfter = 60 * clock.Second
+	// maxIdleStreams is how many connections to one agent are kept for reuse.
+	maxIdleStreams    = 512
+	idleStreamTimeout = 60 * clock.Second
 )
 
 // exchange sends a bound request to its agent and relays the answer.
@@ -38,7 +38,7 @@
 	buffers   sync.Pool
 }
 
-// errNotSent marks an error that came before the first byte was sent.
+// errNotSent marks an error that occurred before the first byte was sent.
 var errNotSent = errors.New("no connection was made")
 
 func newExchange(c common.Common, dialTimeout clock.Millis) *exchange {
@@ -47,14 +47,13 @@
 	x.transport = network.NewTransport(c.Network, network.TransportOptions{
 		DialTimeout: dialTimeout,
 		DialError:   errNotSent,
-		IdlePerHost: idleStreams,
-		IdleAfter:   idleStreamAfter,
+		IdlePerHost: maxIdleStreams,
+		IdleAfter:   idleStreamTimeout,
 	})
 	return x
 }
 
-// dispatch sends the body against the grant, once. Whatever goes wrong, it is
-// not sent again on this grant.
+// dispatch sends the body for the grant, once. Whatever fails, it is not sent again on this grant.
 func (x *exchange) dispatch(ctx context.Context, r *request, bound granted, out *answerWriter) exchangeResult {
 	ctx, span := x.Tracer.Start(ctx, "entry.dispatch")
 	defer span.End()
@@ -62,8 +61,7 @@
 	if err != nil {
 		return broken{err}
 	}
-	// Without GetBody the transport cannot send the request a second time on
-	// its own account.
+	// Without GetBody the transport cannot repeat the request on its own.
 	call.GetBody = nil
 	call.ContentLength = int64(len(r.body))
 	for name, values := range r.header {
@@ -77,29 +75,29 @@
 	r.become(lifecycle.Sent)
 	response, err := x.transport.RoundTrip(call)
 	if errors.Is(err, errNotSent) {
-		bound.session.giveBack(r.id, bound.turn)
+		bound.session.returnGrant(r.id, bound.attempt)
 		r.become(lifecycle.Waiting)
 		return neverDispatched{}
 	}
 	if err != nil {
-		return broken{fmt.Errorf("sending: %w", err)}
+		return broken{fmt.Errorf("sending the request to the agent: %w", err)}
 	}
 	return x.receive(r, bound, response, out, refusal.Unknown())
 }
 
-// resume asks for the rest of an answer that broke off.
+// resume requests the rest of an answer that broke off.
 func (x *exchange) resume(ctx context.Context, r *request, bound granted, out *answerWriter) exchangeResult {
 	x.Metrics.Links.Add("resumes", 1)
 	call, err := x.newCall(ctx, r, bound, http.MethodGet, control.PathAnswer, nil)
 	if err != nil {
 		return broken{err}
 	}
-	call.Header.Set(control.HeaderOffset, strconv.FormatInt(out.taken, 10))
+	call.Header.Set(control.HeaderOffset, strconv.FormatInt(out.received, 10))
 	response, err := x.transport.RoundTrip(call)
 	if err != nil {
-		return broken{fmt.Errorf("resuming: %w", err)}
+		return broken{fmt.Errorf("resuming the answer at the agent: %w", err)}
 	}
-	return x.receive(r, bound, response, out, refusal.Cut()) // the agent has said that it ran
+	return x.receive(r, bound, response, out, refusal.Cut()) // the agent has reported that it ran
 }
 
 func (x *exchange) newCall(ctx context.Context, r *request, bound granted, method, path string, body io.Reader) (*http.Request, error) {
@@ -107,7 +105,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("building the call: %w", err)
 	}
-	call.Header["User-Agent"] = nil // between our own processes it only costs
+	call.Header["User-Agent"] = nil // not needed between quaydock's processes
 	call.Header[control.HeaderRequest] = []string{string(r.id)}
 	call.Header[control.HeaderGrant] = []string{bound.grant.String()}
 	if parent := telemetry.TraceParent(ctx); parent != "" {
@@ -116,14 +114,14 @@
 	return call, nil
 }
 
-// receive relays one response of the agent; gone is what is told if there is no answer any more.
+// receive relays one response of the agent; gone is what the caller gets if the agent no longer has the answer.
 func (x *exchange) receive(r *request, bound granted, response *http.Response, out *answerWriter, gone *refusal.Refusal) exchangeResult {
 	defer func() { _ = response.Body.Close() }()
 	own := response.Header.Get(control.HeaderRequest) == string(r.id) &&
 		response.Header.Get(control.HeaderGrant) == bound.grant.String()
 	x.Check.That(own, invariant.OwnAnswer, "request %s got the answer of %q", r.id, response.Header.Get(control.HeaderRequest))
 	if !own {
-		return broken{jujuerrors.NotValidf("crossed answer")}
+		return broken{jujuerrors.NotValidf("answer of another request or grant")}
 	}
 	if response.StatusCode != http.StatusOK {
 		return x.refused(r, response, gone)
@@ -136,12 +134,12 @@
 			return broken{err}
 		}
 	}
-	taking := x.keep(r.id, bound, out)
-	defer taking.stop()
+	answerRetention := x.startRetention(r.id, bound, out)
+	defer answerRetention.stop()
 	return x.relay(response, out)
 }
 
-// refused reads the agent's own word that there is no answer.
+// refused interprets the agent's report that there is no answer.
 func (x *exchange) refused(r *request, response *http.Response, gone *refusal.Refusal) exchangeResult {
 	fate := response.Header.Get(control.HeaderFate)
 	if fate == control.FateNeverDispatched && r.state == lifecycle.Sent {
@@ -151,10 +149,10 @@
 	if response.StatusCode == http.StatusGone {
 		return ended{gone}
 	}
-	return broken{fmt.Errorf("the agent refused with status %d", response.StatusCode)}
+	return broken{fmt.Errorf("agent refused the call with status %d", response.StatusCode)}
 }
 
-// relay copies the answer to the caller and looks for the end marker.
+// relay copies the answer to the caller and checks the end marker.
 func (x *exchange) relay(response *http.Response, out *answerWriter) exchangeResult {
 	buffer := x.buffers.Get().(*[copyBytes]byte)
 	defer x.buffers.Put(buffer)
@@ -174,13 +172,13 @@
 	}
 }
 
-// finish ends a whole answer. The end marker counts the answer's bytes, so
-// that an answer with a part missing does not pass for whole.
+// finish ends a complete answer. The end marker states the answer's length in bytes, so that an answer with a part
+// missing is not taken for a complete one.
 func finish(response *http.Response, out *answerWriter) exchangeResult {
 	marker := response.Trailer.Get(control.TrailerEnd)
 	size, err := strconv.ParseInt(strings.TrimSpace(marker), 10, 64)
-	if err != nil || size != out.taken {
-		return broken{jujuerrors.NotValidf("end marker %q after %d bytes", marker, out.taken)}
+	if err != nil || size != out.received {
+		return broken{jujuerrors.NotValidf("end marker %q after %d bytes", marker, out.received)}
 	}
 	if err := out.finish(); err != nil {
 		return callerLeft{}
@@ -188,15 +186,15 @@
 	return answered{}
 }
 
-// close drops idle connections.
+// close closes the idle connections.
 func (x *exchange) close() {
 	x.transport.CloseIdleConnections()
 }
 
-// writeDeadline bounds one write to a caller that begins now.
+// writeDeadline limits one write to a caller that begins now, and returns the time.
 func writeDeadline(controller *http.ResponseController, limit clock.Millis) (now clock.Millis) {
 	at := time.Now()
-	// A writer without deadlines, as in tests, has no slow reader.
+	// Writers of tests may have no deadlines, and no slow reader either.
 	_ = controller.SetWriteDeadline(at.Add(limit.Duration()))
 	return clock.Millis(at.UnixMilli())
 }
--- a/pkg/entry/pass_header.go
+++ b/pkg/entry/pass_header.go
@@ -18,7 +18,7 @@
 	"Upgrade":             true,
 }
 
-// modelHeader returns what an engine needs of a caller's header.
+// modelHeader returns the part of a caller's header that an engine needs.
 func modelHeader(h http.Header) http.Header {
 	passed := make(http.Header, 1)
 	if kind := h["Content-Type"]; kind != nil {
@@ -27,8 +27,8 @@
 	return passed
 }
 
-// plainHeader returns a caller's header without what belongs to the connection
-// or to quaydock. The account's key goes to no target.
+// plainHeader returns a caller's header without the fields that belong to the connection or to quaydock. The
+// account's API key is sent to no target.
 func plainHeader(h http.Header) http.Header {
 	named := make(map[string]bool)
 	for _, value := range h["Connection"] {
--- a/pkg/entry/relays.go
+++ b/pkg/entry/relays.go
@@ -9,34 +9,33 @@
 )
 
 const (
-	// heldBytes is the largest answer that is held back until it is whole.
-	heldBytes = 64 << 10
-	// eventBytes bounds what is held of an event that is not whole yet.
-	eventBytes = 1 << 20
+	// maxBufferedBytes is the largest answer that is buffered until it is complete.
+	maxBufferedBytes = 64 << 10
+	// maxEventBytes limits what is buffered of an incomplete event.
+	maxEventBytes = 1 << 20
 )
 
-// heldRelay passes a small answer on only when it is whole, so that a cut one
-// becomes a proper refusal.
-type heldRelay struct {
+// bufferedRelay sends a small answer only when it is complete, so that a broken-off one becomes a proper refusal.
+type bufferedRelay struct {
 	out    *answerWriter
 	status int
 	body   []byte
 }
 
-func (h *heldRelay) write(p []byte) error {
-	if len(h.body)+len(p) > heldBytes {
+func (h *bufferedRelay) write(p []byte) error {
+	if len(h.body)+len(p) > maxBufferedBytes {
 		return errors.NotValidf("answer above its stated length")
 	}
 	h.body = append(h.body, p...)
 	return nil
 }
 
-func (h *heldRelay) finish() error {
+func (h *bufferedRelay) finish() error {
 	h.out.response.WriteHeader(h.status)
 	return h.out.send(h.body)
 }
 
-func (h *heldRelay) cut(why *refusal.Refusal) bool {
+func (h *bufferedRelay) abort(why *refusal.Refusal) bool {
 	header := h.out.response.Header()
 	for name := range header {
 		if name != HeaderRequestID {
@@ -47,8 +46,8 @@
 	return true
 }
 
-// streamRelay passes bytes on as they come. Its cut answers end in a broken
-// connection: the length or the chunked coding shows that a part is missing.
+// streamRelay sends bytes on as they arrive. A broken-off answer ends in a broken connection: the length or the
+// chunked coding shows that data is missing.
 type streamRelay struct {
 	out    *answerWriter
 	status int
@@ -72,84 +71,84 @@
 
 func (s *streamRelay) finish() error {
 	s.begin()
-	// The server writes the end; the bound of the last bytes may be over.
+	// The HTTP server writes the end of the answer later; the deadline of the last write may have passed by then.
 	writeDeadline(s.out.control, s.out.limit)
 	return nil
 }
 
-func (s *streamRelay) cut(*refusal.Refusal) bool {
+func (s *streamRelay) abort(*refusal.Refusal) bool {
 	return false
 }
 
-// eventRelay passes server-sent events on, whole events only unless they are very long, and holds the
-// closing event back until the answer is known to be whole.
+// eventRelay sends server-sent events on, complete events only unless they are very long, and holds the closing
+// event back until the answer is known to be complete.
 type eventRelay struct {
-	out    *answerWriter
-	status int
-	begun  bool
-	kept   []byte
-	// open says that a part of an event has been passed on whose rest has yet to come.
-	open bool
+	out     *answerWriter
+	status  int
+	begun   bool
+	pending []byte
+	// midEvent means that the first part of an event has been sent, but not its rest.
+	midEvent bool
 }
 
 var (
-	doneEvent = []byte("data: [DONE]")
-	eventEnd  = []byte("\n\n")
-	eventEnd2 = []byte("\r\n\r\n")
+	doneEvent    = []byte("data: [DONE]")
+	eventEnd     = []byte("\n\n")
+	eventEndCRLF = []byte("\r\n\r\n")
 )
 
 func (e *eventRelay) write(p []byte) error {
-	e.kept = append(e.kept, p...)
-	end, open := wholeEvents(e.kept), e.open
+	e.pending = append(e.pending, p...)
+	end, open := completeEvents(e.pending), e.midEvent
 	if end > 0 {
 		open = false
 	}
-	done := e.closing(end)
+	done := e.closingAt(end)
 	switch {
 	case done >= 0:
 		end = done
-	case len(e.kept)-end > eventBytes:
+	case len(e.pending)-end > maxEventBytes:
 		// What could be the beginning of the closing event stays.
-		end, open = len(e.kept)-len(doneEvent)-1, true
+		end, open = len(e.pending)-len(doneEvent)-1, true
 	}
-	if len(e.kept)-end > eventBytes {
-		return errors.NotValidf("more than %d bytes behind the closing event", eventBytes)
+	if len(e.pending)-end > maxEventBytes {
+		return errors.NotValidf("more than %d bytes behind the closing event", maxEventBytes)
 	}
 	if end == 0 {
 		return nil
 	}
-	if err := e.pass(e.kept[:end]); err != nil {
+	if err := e.send(e.pending[:end]); err != nil {
 		return err
 	}
-	e.open = open
-	e.kept = append(e.kept[:0], e.kept[end:]...)
+	e.midEvent = open
+	e.pending = append(e.pending[:0], e.pending[end:]...)
 	return nil
 }
 
-// closing returns where the closing event begins among the whole events, which end at end, or -1.
-func (e *eventRelay) closing(end int) int {
-	done := bytes.Index(e.kept[:end], doneEvent)
+// closingAt returns where the closing event begins among the complete events, which end at end, or -1.
+func (e *eventRelay) closingAt(end int) int {
+	done := bytes.Index(e.pending[:end], doneEvent)
 	switch {
-	case done > 0 && e.kept[done-1] == '\n', done == 0 && !e.open:
+	case done > 0 && e.pending[done-1] == '\n', done == 0 && !e.midEvent:
 		return done
 	default:
 		return -1
 	}
 }
 
-// wholeEvents returns the length of the whole events at the start of p.
-func wholeEvents(p []byte) int {
+// completeEvents returns the length of the complete events at the start of p.
+func completeEvents(p []byte) int {
 	end := 0
 	if i := bytes.LastIndex(p, eventEnd); i >= 0 {
 		end = i + len(eventEnd)
 	}
-	if i := bytes.LastIndex(p, eventEnd2); i >= 0 {
-		end = max(end, i+len(eventEnd2))
+	if i := bytes.LastIndex(p, eventEndCRLF); i >= 0 {
+		end = max(end, i+len(eventEndCRLF))
 	}
 	return end
 }
 
-func (e *eventRelay) pass(p []byte) error {
+func (e *eventRelay) send(p []byte) error {
 	if !e.begun {
 		e.begun = true
 		e.out.response.WriteHeader(e.status)
@@ -161,13 +160,13 @@
 }
 
 func (e *eventRelay) finish() error {
-	return e.pass(e.kept)
+	return e.send(e.pending)
 }
 
-// cut drops the event that is not whole and ends with an error event, without
-// the closing event that OpenAI clients wait for. In the middle of a long event none can be sent.
-func (e *eventRelay) cut(why *refusal.Refusal) bool {
-	if e.open {
+// abort drops the incomplete event and ends with an error event, without the closing event that OpenAI clients
+// wait for. In the middle of a long event none can be sent.
+func (e *eventRelay) abort(why *refusal.Refusal) bool {
+	if e.midEvent {
 		return false
 	}
 	if !e.begun {
@@ -177,7 +176,7 @@
 		return true
 	}
 	event := append([]byte("data: "), why.Body()...)
-	// A caller that has gone needs no answer.
-	_ = e.pass(append(event, eventEnd...))
+	// The caller may have disconnected.
+	_ = e.send(append(event, eventEnd...))
 	return true
 }
--- a/pkg/entry/request.go
+++ b/pkg/entry/request.go
@@ -12,8 +12,8 @@
 	"quaydock/pkg/prefix"
 )
 
-// request is one caller's request while the entry holds it. Only the goroutine
-// that serves the caller touches it, but for the channel of ticket events.
+// request is one caller's request at the entry. Only the goroutine that serves the caller accesses it, except for
+// the channel of ticket events.
 type request struct {
 	id       ids.Request
 	account  ids.Account
@@ -34,11 +34,11 @@
 
 	state lifecycle.State
 	check *invariant.Checker
-	// events has one final event for each ticket that is out.
-	events chan ticketEvent
-	turn   int // of the newest ticket
-	// fruitless has until when a session is not asked again, as a grant of it came to nothing.
-	fruitless map[*session]clock.Millis
+	// events receives one final event for each placed ticket.
+	events  chan ticketEvent
+	attempt int // attempt number of the newest ticket
+	// avoidUntil maps sessions whose grant led to no dispatch to the time until which they are avoided.
+	avoidUntil map[*session]clock.Millis
 }
 
 // ticketEvent is the end of one ticket.
@@ -49,32 +49,32 @@
 	verdict control.Verdict
 }
 
-// noteFruitless notes that a grant of a session came to nothing.
-func (r *request) noteFruitless(now clock.Millis, s *session) {
-	if r.fruitless == nil {
-		r.fruitless = make(map[*session]clock.Millis)
+// avoid records that a grant of a session led to no dispatch.
+func (r *request) avoid(now clock.Millis, s *session) {
+	if r.avoidUntil == nil {
+		r.avoidUntil = make(map[*session]clock.Millis)
 	}
-	r.fruitless[s] = now + fruitlessFor
+	r.avoidUntil[s] = now + avoidFor
 }
 
-// become moves the request to another state.
+// become moves the request to another state and checks that the transition is legal.
 func (r *request) become(next lifecycle.State) {
 	r.check.That(r.state.MayBecome(next), invariant.LegalTransition,
 		"request %s: from %v to %v", r.id, r.state, next)
 	r.state = next
 }
 
-// job describes the request to the choice of targets.
+// job describes the request to the placement policy.
 func (r *request) job(now clock.Millis) balance.Job {
 	t := r.ticket(now, "")
 	return balance.Job{Service: r.service, Tier: r.tier, Work: t.Work(), Remaining: t.Remaining, Prefix: r.prefix}
 }
 
-// nextTicket is a ticket that is going to be placed.
+// nextTicket returns a ticket with the next attempt number.
 func (r *request) nextTicket(now clock.Millis, traceParent string) control.Ticket {
-	r.turn++
+	r.attempt++
 	t := r.ticket(now, traceParent)
-	t.Turn = r.turn
+	t.Turn = r.attempt
 	return t
 }
 
@@ -89,7 +89,7 @@
 		Remaining:   r.deadline - now,
 		Prefill:     r.prefill,
 		Decode:      r.decode,
-		Returned:    len(r.fruitless) > 0,
+		Returned:    len(r.avoidUntil) > 0,
 		TraceParent: traceParent,
 	}
 }
--- a/pkg/entry/result.go
+++ b/pkg/entry/result.go
@@ -12,13 +12,13 @@
 type granted struct {
 	session *session
 	grant   ids.Grant
-	turn    int // of its ticket
+	attempt int // attempt number of its ticket
 }
 
-// gaveUp: no grant was had; the request did not run.
+// gaveUp: there was no grant; the request did not run.
 type gaveUp struct{ refusal *refusal.Refusal }
 
-// callerLeft: the caller went away, before or after the dispatch.
+// callerLeft: the caller disconnected, before or after the dispatch.
 type callerLeft struct{}
 
 func (granted) isWaitResult()    {}
@@ -28,16 +28,16 @@
 // exchangeResult is how the sending of a bound request ended.
 type exchangeResult interface{ isExchangeResult() }
 
-// answered: the whole answer has been relayed.
+// answered: the complete answer has been relayed.
 type answered struct{}
 
 // neverDispatched: the grant was not used and never will be.
 type neverDispatched struct{}
 
-// broken: the connection failed, and the outcome has to be asked for.
+// broken: the connection failed, and the outcome has to be queried.
 type broken struct{ cause error }
 
-// ended: the caller is to be told why, without another try.
+// ended: the caller is to get the refusal, without another try.
 type ended struct{ refusal *refusal.Refusal }
 
 func (answered) isExchangeResult()        {}
--- a/pkg/entry/session.go
+++ b/pkg/entry/session.go
@@ -16,55 +16,55 @@
 )
 
 const (
-	// maxFlights is how many Place calls may be under way on one session.
-	// While they are, further tickets gather into the next call.
-	maxFlights = 4
-	// noticeWait is how long an agent holds an empty Notices call. It is long,
-	// since an idle session should cost next to nothing.
+	// maxPlaceCalls limits the concurrent Place calls of one session. While that many are under way, further
+	// tickets are collected for the next call.
+	maxPlaceCalls = 4
+	// noticeWait is how long an agent holds an empty Notices call. It is long because an idle session should cost
+	// next to nothing.
 	noticeWait  = 30 * clock.Second
 	noticeGrace = 2 * clock.Second
-	// probeEvery is how often a session on which tickets wait asks its agent
-	// whether it is still there; an answer takes no longer than placeTimeout.
-	probeEvery   = 2 * clock.Second
-	placeTimeout = 2 * clock.Second
-	// ofOlderRelease is the turn in the verdicts of an agent that knows none.
-	ofOlderRelease = 0
-	minBackoff     = 50 * clock.Millisecond
-	maxBackoff     = 2 * clock.Second
+	// probeInterval is the interval at which a session with waiting tickets checks that its agent still answers.
+	// An answer takes no longer than placeTimeout.
+	probeInterval = 2 * clock.Second
+	placeTimeout  = 2 * clock.Second
+	// noAttempt is the attempt number in verdicts of agents of an older release, which do not send one.
+	noAttempt  = 0
+	minBackoff = 50 * clock.Millisecond
+	maxBackoff = 2 * clock.Second
 )
 
-// session is an entry's side of the link to one agent: tickets out, verdicts
-// in. It reconnects by itself until it is stopped.
+// session is an entry's connection to one agent: it sends tickets and receives verdicts. It reconnects until it is
+// stopped.
 type session struct {
 	common.Common
 	target      ids.Target
 	controlAt   string
 	dataAt      string
 	dialTimeout clock.Millis
-	// reports, if set, has the load asked for at this interval even while no
-	// ticket waits, as the baselines need it.
-	reports clock.Millis
-
-	mu          sync.Mutex
-	client      *control.Client // nil while there is no connection
-	waiting     map[ids.Request]placed
-	tickets     []control.Ticket
-	withdrawn   []ids.Request
-	turns       []int // of withdrawn
-	flights     int
-	probing     bool // the next flight goes even with nothing to send
-	load        control.Load
-	outstanding ids.Tokens
-	// bound counts the grants that may be in use. They need the session to the end of their answers, also
-	// if its target is declared no longer: end is called once none is left.
-	bound int
-	end   context.CancelFunc // nil while the target is declared
+	// reportInterval, if set, is the interval at which the load is requested even while no ticket waits, as the
+	// baseline policies need it.
+	reportInterval clock.Millis
+
+	mu                sync.Mutex
+	client            *control.Client // nil while there is no connection
+	waiting           map[ids.Request]placedTicket
+	tickets           []control.Ticket
+	withdrawn         []ids.Request
+	withdrawnAttempts []int // attempt numbers, parallel to withdrawn
+	placeCalls        int
+	probing           bool // the next Place call is made even if there is nothing to send
+	load              control.Load
+	outstanding       ids.Tokens
+	// grantsInUse counts the grants that may be in use. They need the session until their answers have ended, even
+	// if the target is no longer declared: stopRun is called once none is left.
+	grantsInUse int
+	stopRun     context.CancelFunc // nil while the target is declared
 }
 
-// placed is a ticket that an agent has.
-type placed struct {
+// placedTicket is a ticket that the agent has received.
+type placedTicket struct {
 	request *request
-	turn    int
+	attempt int
 }
 
 func newSession(c common.Common, target ids.Target, controlAt, dataAt string, dialTimeout clock.Millis) *session {
@@ -75,7 +75,7 @@
 		controlAt:   controlAt,
 		dataAt:      dataAt,
 		dialTimeout: dialTimeout,
-		waiting:     make(map[ids.Request]placed),
+		waiting:     make(map[ids.Request]placedTicket),
 	}
 }
 
@@ -86,8 +86,8 @@
 		client, err := s.connect(ctx)
 		if err == nil {
 			backoff.Reset()
-			probing := time.AfterFunc(s.probeInterval().Duration(), func() { s.probe(client) })
-			err = s.follow(ctx, client)
+			probing := time.AfterFunc(s.currentProbeInterval().Duration(), func() { s.probe(client) })
+			err = s.receiveNotices(ctx, client)
 			probing.Stop()
 			s.disconnect(client)
 		}
@@ -95,7 +95,7 @@
 			return
 		}
 		s.Metrics.Links.Add("session_lost", 1)
-		s.Log.WithError(err).Debug("no session with the agent")
+		s.Log.WithError(err).Debug("session with the agent lost or not made")
 		backoff.Pause(ctx)
 	}
 }
@@ -108,22 +108,21 @@
 		return nil, fmt.Errorf("dialling the agent: %w", err)
 	}
 	client := control.NewClient(conn)
-	// The first reply tells the load, so that a session is only used once its
-	// agent has answered.
+	// The first reply carries the load, so a session is only used once its agent has answered.
 	reply, err := client.Place(ctx, &control.PlaceArgs{})
 	if err != nil {
 		client.Close()
-		return nil, fmt.Errorf("greeting the agent: %w", err)
+		return nil, fmt.Errorf("requesting the load of the agent: %w", err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.client = client
-	s.learn(reply.Load)
+	s.recordLoad(reply.Load)
 	return client, nil
 }
 
-// follow takes later verdicts until the connection fails.
-func (s *session) follow(ctx context.Context, client *control.Client) error {
+// receiveNotices receives later verdicts until the connection fails.
+func (s *session) receiveNotices(ctx context.Context, client *control.Client) error {
 	for {
 		limited, cancel := context.WithTimeout(ctx, (noticeWait + noticeGrace).Duration())
 		reply, err := client.Notices(limited, &control.NoticeArgs{Wait: noticeWait})
@@ -131,32 +130,32 @@
 		if err != nil {
 			return fmt.Errorf("waiting for notices: %w", err)
 		}
-		s.settle(reply.Verdicts, reply.Load)
+		s.deliverVerdicts(reply.Verdicts, reply.Load)
 	}
 }
 
-// probe finds out an agent that has frozen or is cut off while tickets wait.
+// probe detects an agent that is frozen or unreachable while tickets wait.
 func (s *session) probe(client *control.Client) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.client != client {
 		return
 	}
-	if (len(s.waiting) > 0 || s.reports > 0) && s.flights == 0 {
+	if (len(s.waiting) > 0 || s.reportInterval > 0) && s.placeCalls == 0 {
 		s.probing = true
-		s.startFlight()
+		s.startPlaceCall()
 	}
-	time.AfterFunc(s.probeInterval().Duration(), func() { s.probe(client) })
+	time.AfterFunc(s.currentProbeInterval().Duration(), func() { s.probe(client) })
 }
 
-func (s *session) probeInterval() clock.Millis {
-	if s.reports > 0 {
-		return s.reports
+func (s *session) currentProbeInterval() clock.Millis {
+	if s.reportInterval > 0 {
+		return s.reportInterval
 	}
-	return probeEvery
+	return probeInterval
 }
 
-// disconnect ends a connection; the tickets on it are lost.
+// disconnect closes a connection; the tickets sent on it are lost.
 func (s *session) disconnect(client *control.Client) {
 	client.Close()
 	s.mu.Lock()
@@ -166,41 +165,40 @@
 	}
 	s.client = nil
 	s.tickets = nil
-	s.withdrawn, s.turns = nil, nil
+	s.withdrawn, s.withdrawnAttempts = nil, nil
 	s.outstanding = 0
-	s.loseWaiting()
+	s.failWaiting()
 }
 
-// place hands over a ticket. Exactly one event follows on r.events, unless the
-// ticket is withdrawn first.
+// place sends a ticket to the agent. Exactly one event follows on r.events, unless the ticket is withdrawn first.
 func (s *session) place(r *request, ticket control.Ticket) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.client == nil || s.end != nil {
+	if s.client == nil || s.stopRun != nil {
 		r.events <- ticketEvent{session: s, lost: true}
 		return
 	}
 	s.Metrics.Tickets.Add("placed", 1)
-	s.waiting[r.id] = placed{request: r, turn: ticket.Turn}
+	s.waiting[r.id] = placedTicket{request: r, attempt: ticket.Turn}
 	s.tickets = append(s.tickets, ticket)
 	s.outstanding += ticket.Work()
-	s.startFlight()
+	s.startPlaceCall()
 }
 
-// retire ends the session: its tickets at once, the rest when no grant of it is in use.
+// retire withdraws the session's tickets at once and ends the session when none of its grants is in use.
 func (s *session) retire(end context.CancelFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.end = end
+	s.stopRun = end
 	for id, p := range s.waiting {
-		s.takeBack(id, p.turn)
+		s.queueWithdrawal(id, p.attempt)
 	}
-	s.loseWaiting()
-	s.endUnused()
+	s.failWaiting()
+	s.stopUnused()
 }
 
-// loseWaiting tells all that wait that their tickets are gone; the lock is held.
-func (s *session) loseWaiting() {
+// failWaiting reports to all waiting requests that their tickets are lost. The lock must be held.
+func (s *session) failWaiting() {
 	for id, p := range s.waiting {
 		delete(s.waiting, id)
 		p.request.events <- ticketEvent{session: s, lost: true}
@@ -211,18 +209,18 @@
 func (s *session) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.bound--
-	s.endUnused()
+	s.grantsInUse--
+	s.stopUnused()
 }
 
-// endUnused ends a retired session that nothing needs; the lock is held.
-func (s *session) endUnused() {
-	if s.end != nil && s.bound == 0 {
-		s.end()
+// stopUnused stops a retired session that has no grant in use. The lock must be held.
+func (s *session) stopUnused() {
+	if s.stopRun != nil && s.grantsInUse == 0 {
+		s.stopRun()
 	}
 }
 
-// withdraw takes a ticket back; after it, no event comes for it.
+// withdraw withdraws a ticket. No event follows for it.
 func (s *session) withdraw(id ids.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -231,37 +229,38 @@
 		return
 	}
 	delete(s.waiting, id)
-	s.takeBack(id, p.turn)
+	s.queueWithdrawal(id, p.attempt)
 }
 
-// giveBack returns a grant that will not be used.
-func (s *session) giveBack(id ids.Request, turn int) {
+// returnGrant gives up a grant that will not be used.
+func (s *session) returnGrant(id ids.Request, attempt int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.takeBack(id, turn)
+	s.queueWithdrawal(id, attempt)
 }
 
-// takeBack has the agent told that a ticket, or the grant for it, is of no use any more; the lock is held.
-func (s *session) takeBack(id ids.Request, turn int) {
+// queueWithdrawal has the agent notified that a ticket, or the grant for it, is no longer needed. The lock must be
+// held.
+func (s *session) queueWithdrawal(id ids.Request, attempt int) {
 	s.withdrawn = append(s.withdrawn, id)
-	s.turns = append(s.turns, turn)
-	s.startFlight()
+	s.withdrawnAttempts = append(s.withdrawnAttempts, attempt)
+	s.startPlaceCall()
 }
 
-// startFlight starts a Place call unless enough are under way; the lock is
-// held.
-func (s *session) startFlight() {
-	if s.client == nil || s.flights >= maxFlights {
+// startPlaceCall starts sending pending tickets and withdrawals, unless maxPlaceCalls are under way. The lock must
+// be held.
+func (s *session) startPlaceCall() {
+	if s.client == nil || s.placeCalls >= maxPlaceCalls {
 		return
 	}
-	s.flights++
-	go s.fly(s.client)
+	s.placeCalls++
+	go s.sendPending(s.client)
 }
 
-// fly sends what has gathered until nothing is left.
-func (s *session) fly(client *control.Client) {
+// sendPending makes Place calls until nothing is left to send.
+func (s *session) sendPending(client *control.Client) {
 	for {
-		args := s.gather(client)
+		args := s.takePending(client)
 		if args == nil {
 			return
 		}
@@ -269,63 +268,62 @@
 		reply, err := client.Place(ctx, args)
 		cancel()
 		if err != nil {
-			s.Log.WithError(err).Debug("tickets not placed")
+			s.Log.WithError(err).Debug("Place call to the agent failed")
 			s.disconnect(client)
 			continue
 		}
-		s.settle(reply.Verdicts, reply.Load)
+		s.deliverVerdicts(reply.Verdicts, reply.Load)
 	}
 }
 
-// gather takes what is to be sent, or ends the flight.
-func (s *session) gather(client *control.Client) *control.PlaceArgs {
+// takePending returns what is to be sent, or nil if there is nothing; the caller then stops.
+func (s *session) takePending(client *control.Client) *control.PlaceArgs {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.client != client || len(s.tickets)+len(s.withdrawn) == 0 && !s.probing {
-		s.flights--
+		s.placeCalls--
 		return nil
 	}
-	args := &control.PlaceArgs{Tickets: s.tickets, Withdrawn: s.withdrawn, WithdrawnTurns: s.turns}
+	args := &control.PlaceArgs{Tickets: s.tickets, Withdrawn: s.withdrawn, WithdrawnTurns: s.withdrawnAttempts}
 	s.tickets = nil
-	s.withdrawn, s.turns = nil, nil
+	s.withdrawn, s.withdrawnAttempts = nil, nil
 	s.probing = false
 	return args
 }
 
-// settle passes final verdicts on to their requests.
-func (s *session) settle(verdicts []control.Verdict, load control.Load) {
+// deliverVerdicts passes final verdicts on to their requests.
+func (s *session) deliverVerdicts(verdicts []control.Verdict, load control.Load) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.learn(load)
+	s.recordLoad(load)
 	for _, v := range verdicts {
 		if v.Kind == control.Queued {
 			continue
 		}
 		s.Metrics.Tickets.Add(v.Kind.String(), 1)
 		p, waits := s.waiting[v.Request]
-		if !waits || v.Turn != p.turn && v.Turn != ofOlderRelease {
+		if !waits || v.Turn != p.attempt && v.Turn != noAttempt {
 			if v.Kind == control.Granted {
 				// The ticket was withdrawn while the grant was on its way.
-				s.takeBack(v.Request, v.Turn)
+				s.queueWithdrawal(v.Request, v.Turn)
 			}
 			continue
 		}
 		delete(s.waiting, v.Request)
 		if v.Kind == control.Granted {
-			s.bound++ // until release
+			s.grantsInUse++ // until release
 		}
 		p.request.events <- ticketEvent{session: s, verdict: v}
 	}
 }
 
-// learn notes an agent's load; the lock is held.
-func (s *session) learn(load control.Load) {
+// recordLoad stores the load that an agent reported. The lock must be held.
+func (s *session) recordLoad(load control.Load) {
 	s.load = load
 	s.outstanding = 0
 }
 
-// candidate describes the target to the decision where to place tickets, and
-// reports whether its agent can be reached.
+// candidate returns what the placement policy needs to know of the target, and whether its agent is connected.
 func (s *session) candidate() (balance.Candidate, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -333,22 +331,22 @@
 	return c, s.client != nil
 }
 
-// lastLoad returns what the agent last said of itself.
+// lastLoad returns the load that the agent last reported.
 func (s *session) lastLoad() control.Load {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.load
 }
 
-func (s *session) connected() *control.Client {
+func (s *session) currentClient() *control.Client {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.client
 }
 
-// outcome asks once what became of a grant.
+// outcome queries the agent once for the outcome of a grant.
 func (s *session) outcome(ctx context.Context, id ids.Request, grant ids.Grant) (control.Fate, error) {
-	client := s.connected()
+	client := s.currentClient()
 	if client == nil {
 		return control.FateUnknown, fmt.Errorf("no connection to %s: %w", s.target, errors.NotFound)
 	}
@@ -356,20 +354,20 @@
 	defer cancel()
 	reply, err := client.Outcome(ctx, &control.OutcomeArgs{Request: id, Grant: grant})
 	if err != nil {
-		return control.FateUnknown, fmt.Errorf("asking %s for an outcome: %w", s.target, err)
+		return control.FateUnknown, fmt.Errorf("querying %s for the outcome of a grant: %w", s.target, err)
 	}
 	return reply.Fate, nil
 }
 
-// cancel stops the work of a caller that has gone, if the agent can be told.
+// cancel has the agent stop the work of a caller that has disconnected, if the agent is connected.
 func (s *session) cancel(id ids.Request, grant ids.Grant) {
-	client := s.connected()
+	client := s.currentClient()
 	if client == nil {
-		return // the agent gives up by itself when nobody reads the answer
+		return // the agent aborts by itself when nobody reads the answer
 	}
 	ctx, stop := context.WithTimeout(context.Background(), s.dialTimeout.Duration())
 	defer stop()
 	if err := client.Cancel(ctx, &control.OutcomeArgs{Request: id, Grant: grant}); err != nil {
-		s.Log.WithError(err).Debug("cancel not delivered")
+		s.Log.WithError(err).Debug("cancelling a request at its agent failed")
 	}
 }
--- a/pkg/entry/session_pool.go
+++ b/pkg/entry/session_pool.go
@@ -13,37 +13,37 @@
 // sessionPool keeps one session for each declared target.
 type sessionPool struct {
 	common.Common
-	ctx         context.Context
-	dialTimeout clock.Millis
-	reports     clock.Millis // see session
+	ctx            context.Context
+	dialTimeout    clock.Millis
+	reportInterval clock.Millis // see session
 
 	mu       sync.RWMutex
-	sessions map[ids.Target]*pooled
+	sessions map[ids.Target]*pooledSession
 	done     sync.WaitGroup
 }
 
-type pooled struct {
+type pooledSession struct {
 	session *session
 	stop    context.CancelFunc
 }
 
 func newSessionPool(ctx context.Context, c common.Common, dialTimeout clock.Millis) *sessionPool {
-	return &sessionPool{Common: c, ctx: ctx, dialTimeout: dialTimeout, sessions: make(map[ids.Target]*pooled)}
+	return &sessionPool{Common: c, ctx: ctx, dialTimeout: dialTimeout, sessions: make(map[ids.Target]*pooledSession)}
 }
 
-// apply starts sessions for new targets and has those of targets that are no
-// longer declared or have moved end with their last answer.
-func (p *sessionPool) apply(book *declaration.Book) {
+// apply starts sessions for new targets. Sessions of targets that are no longer declared or whose addresses have
+// changed end with their last answer.
+func (p *sessionPool) apply(index *declaration.Book) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for name, kept := range p.sessions {
-		t := book.Target(name)
-		if t == nil || t.AgentControl != kept.session.controlAt || t.AgentData != kept.session.dataAt {
-			kept.session.retire(kept.stop)
+	for name, pooled := range p.sessions {
+		t := index.Target(name)
+		if t == nil || t.AgentControl != pooled.session.controlAt || t.AgentData != pooled.session.dataAt {
+			pooled.session.retire(pooled.stop)
 			delete(p.sessions, name)
 		}
 	}
-	targets := book.Targets()
+	targets := index.Targets()
 	for i := range targets {
 		if p.sessions[targets[i].Name] == nil {
 			p.start(&targets[i])
@@ -54,25 +54,25 @@
 func (p *sessionPool) start(t *declaration.Target) {
 	ctx, stop := context.WithCancel(p.ctx)
 	s := newSession(p.Common, t.Name, t.AgentControl, t.AgentData, p.dialTimeout)
-	s.reports = p.reports
-	p.sessions[t.Name] = &pooled{session: s, stop: stop}
+	s.reportInterval = p.reportInterval
+	p.sessions[t.Name] = &pooledSession{session: s, stop: stop}
 	p.done.Go(func() { s.run(ctx) })
 }
 
 // serving lists the sessions of the targets that serve a service.
-func (p *sessionPool) serving(book *declaration.Book, service ids.Service) []*session {
+func (p *sessionPool) serving(index *declaration.Book, service ids.Service) []*session {
 	p.mu.RLock()
 	defer p.mu.RUnlock()
 	var list []*session
-	for _, t := range book.Serving(service) {
-		if kept := p.sessions[t.Name]; kept != nil {
-			list = append(list, kept.session)
+	for _, t := range index.Serving(service) {
+		if pooled := p.sessions[t.Name]; pooled != nil {
+			list = append(list, pooled.session)
 		}
 	}
 	return list
 }
 
-// wait returns when all sessions have ended; the pool's context ends them.
+// wait returns when all sessions have ended. They end with the pool's context.
 func (p *sessionPool) wait() {
 	p.done.Wait()
 }
--- a/pkg/entry/taking.go
+++ b/pkg/entry/taking.go
@@ -10,50 +10,50 @@
 	"quaydock/pkg/ids"
 )
 
-// keepEvery is how often an agent hears that an answer is still being taken. It is well below the time
-// for which one keeps an answer that nobody asks for (settings resume_wait_ms).
-const keepEvery = 5 * clock.Second
+// renewInterval is how often an agent is told that an answer is still needed. It is well below the time for which
+// an agent keeps an answer that nobody asks for (settings resume_wait_ms).
+const renewInterval = 5 * clock.Second
 
-// taking has an agent keep an answer that a slow caller is still taking: the agent may have sent all of it, and what
-// the connections hold is lost if they break.
-type taking struct {
+// retention has an agent keep an answer while a slow caller still reads it: the agent may have sent all of it, and
+// what the connections hold is lost if they break.
+type retention struct {
 	common.Common
 	request ids.Request
 	bound   granted
 	out     *answerWriter
 
-	mu    sync.Mutex
-	timer *time.Timer
-	over  bool
+	mu      sync.Mutex
+	timer   *time.Timer
+	stopped bool
 }
 
-func (x *exchange) keep(request ids.Request, bound granted, out *answerWriter) *taking {
-	t := &taking{Common: x.Common, request: request, bound: bound, out: out}
+func (x *exchange) startRetention(request ids.Request, bound granted, out *answerWriter) *retention {
+	t := &retention{Common: x.Common, request: request, bound: bound, out: out}
 	t.arm()
 	return t
 }
 
-func (t *taking) arm() {
+func (t *retention) arm() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.over {
-		t.timer = time.AfterFunc(keepEvery.Duration(), t.tell)
+	if !t.stopped {
+		t.timer = time.AfterFunc(renewInterval.Duration(), t.renew)
 	}
 }
 
-func (t *taking) tell() {
-	if t.out.lags() {
-		// To ask for the outcome is to tell that the answer is needed.
+func (t *retention) renew() {
+	if t.out.isSlow() {
+		// A query for the outcome also tells the agent that the answer is still needed.
 		if _, err := t.bound.session.outcome(context.Background(), t.request, t.bound.grant); err != nil {
-			t.Log.WithError(err).Debug("the agent was not told that an answer is still needed")
+			t.Log.WithError(err).Debug("telling the agent that an answer is still needed failed")
 		}
 	}
 	t.arm()
 }
 
-func (t *taking) stop() {
+func (t *retention) stop() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.over = true
+	t.stopped = true
 	t.timer.Stop()
 }
--- a/pkg/entry/ticketing.go
+++ b/pkg/entry/ticketing.go
@@ -16,18 +16,17 @@
 )
 
 const (
-	// maxRounds bounds how often all targets of a service are asked when some
-	// could not be reached.
+	// maxRounds limits how often all targets of a service are tried when some could not be reached.
 	maxRounds = 5
-	// freshRefusal is how long a refusal may be relied on. It is below the time
-	// for which agents keep lower tiers out after one (settings floor_hold_ms).
-	freshRefusal = clock.Second
-	// hedgeAfter is when a request that was placed with fewer agents than usual
-	// is placed with more. A ticket may be hedged, a dispatch never.
+	// declineValidity is how long a declined ticket counts as evidence that the target is full. It is below the
+	// time for which agents keep lower tiers out after declining one (settings floor_hold_ms).
+	declineValidity = clock.Second
+	// hedgeAfter is the time after which a request whose ticket was placed with fewer agents than usual is placed
+	// with more. A ticket may be hedged, a dispatch never.
 	hedgeAfter   = 300 * clock.Millisecond
 	roundBackoff = 100 * clock.Millisecond
-	// fruitlessFor is for how long a request passes over a target whose grant came to nothing.
-	fruitlessFor  = clock.Second
+	// avoidFor is how long a request avoids a target whose grant led to no dispatch.
+	avoidFor      = clock.Second
 	minRetryAfter = clock.Second
 	maxRetryAfter = clock.Minute
 )
@@ -35,29 +34,28 @@
 // ticketing places a request's tickets and waits for a grant.
 type ticketing struct {
 	common.Common
-	pool   *sessionPool
-	choose *balance.Chooser
-	book   func() *declaration.Book
-	asked  int
+	pool              *sessionPool
+	chooser           *balance.Chooser
+	index             func() *declaration.Book
+	ticketsPerRequest int
 }
 
 // round is one pass over the targets of a service.
 type round struct {
-	untried []*session
-	asked   int // how many tickets are to be out at once
-	out     map[*session]bool
-	// full lists those that declined since higher or equal tiers fill them;
-	// late counts those that could not answer by the deadline, unreached those
-	// that gave no answer or are leaving.
+	untried    []*session
+	concurrent int // how many tickets are to be placed at a time
+	placed     map[*session]bool
+	// full lists the sessions that declined because requests of higher or equal tiers fill them, late counts those
+	// that could not answer by the deadline, unreached those that gave no answer or are leaving.
 	full      []*session
 	late      int
 	unreached int
-	// refusedAt is when the first of full declined.
-	refusedAt clock.Millis
+	// firstDeclineAt is when the first session of full declined.
+	firstDeclineAt clock.Millis
 }
 
-// wait returns a grant, which is to be released in the end, or why there is none. When it returns, no ticket of
-// the request is out.
+// wait returns a grant, which the caller has to release, or why there is none. When it returns, no ticket of the
+// request is placed any more.
 func (t *ticketing) wait(ctx context.Context, r *request) waitResult {
 	for n := 0; ; n++ {
 		if ctx.Err() != nil {
@@ -68,7 +66,7 @@
 		if result != nil {
 			return result
 		}
-		if current.unreached == 0 && t.agreed(current) {
+		if current.unreached == 0 && t.allFull(current) {
 			return gaveUp{refusal.Overloaded(retryAfter(current.full, r.tier))}
 		}
 		if current.unreached == 0 && len(current.full) == 0 && current.late > 0 {
@@ -81,83 +79,83 @@
 	}
 }
 
-// agreed reports whether all targets of the round are full of work that goes
-// before the request. Each agent that declines takes no lower tier for a while;
-// what the first said holds as long as that while lasts.
-func (t *ticketing) agreed(current *round) bool {
-	return len(current.full) > 0 && t.Clock.Now()-current.refusedAt <= freshRefusal
+// allFull reports whether all targets of the round are full of work that goes before the request. An agent that
+// declines admits no lower tier for a while; the first one's answer is valid as long as that while lasts.
+func (t *ticketing) allFull(current *round) bool {
+	return len(current.full) > 0 && t.Clock.Now()-current.firstDeclineAt <= declineValidity
 }
 
-// newRound puts the targets of the request's service in the order in which to
-// ask them. A target whose agent grants what comes to nothing is always free, and would be bound again and
-// again while others work: it is asked only if there is no other.
+// newRound orders the targets of the request's service for placing. A target that grants tickets but fails the
+// dispatch always looks free and would be bound again and again while others work: it is tried only if there is no
+// other.
 func (t *ticketing) newRound(r *request) *round {
-	next := &round{out: make(map[*session]bool)}
+	next := &round{placed: make(map[*session]bool)}
 	now := t.Clock.Now()
-	var reached, fruitless reach
-	for _, s := range t.pool.serving(t.book(), r.service) {
+	var reached, avoided candidateSet
+	for _, s := range t.pool.serving(t.index(), r.service) {
 		c, connected := s.candidate()
 		switch {
 		case !connected:
 			next.unreached++
-		case now < r.fruitless[s]:
-			fruitless.add(s, c)
+		case now < r.avoidUntil[s]:
+			avoided.add(s, c)
 		default:
 			reached.add(s, c)
 		}
 	}
 	if len(reached.sessions) == 0 {
-		reached = fruitless
+		reached = avoided
 	}
 	job := r.job(now)
-	next.asked = t.choose.Asked(job)
-	for _, i := range t.choose.Order(now, t.Random.Fork(), job, reached.candidates) {
+	next.concurrent = t.chooser.Asked(job)
+	for _, i := range t.chooser.Order(now, t.Random.Fork(), job, reached.candidates) {
 		next.untried = append(next.untried, reached.sessions[i])
 	}
 	return next
 }
 
-// reach is some targets that can be asked.
-type reach struct {
+// candidateSet is a set of connected targets.
+type candidateSet struct {
 	sessions   []*session
 	candidates []balance.Candidate
 }
 
-func (r *reach) add(s *session, c balance.Candidate) {
+func (r *candidateSet) add(s *session, c balance.Candidate) {
 	r.sessions = append(r.sessions, s)
 	r.candidates = append(r.candidates, c)
 }
 
-// waitRound returns nil if every target of the round declined or was lost.
+// waitRound places tickets and waits for a grant. It returns nil if every target of the round declined or was
+// lost.
 func (t *ticketing) waitRound(ctx context.Context, r *request, current *round) waitResult {
-	defer t.takeBack(r, current)
-	var hedge <-chan time.Time // never ready where the usual number is out at once
-	if current.asked < t.asked {
+	defer t.withdrawPlaced(r, current)
+	var hedge <-chan time.Time // never ready if the usual number is placed at once
+	if current.concurrent < t.ticketsPerRequest {
 		timer := time.NewTimer(hedgeAfter.Duration())
 		defer timer.Stop()
 		hedge = timer.C
 	}
 	for {
-		t.ask(ctx, r, current)
-		if len(current.out) == 0 {
+		t.placeTickets(ctx, r, current)
+		if len(current.placed) == 0 {
 			return nil
 		}
 		select {
 		case event := <-r.events:
-			delete(current.out, event.session)
-			if result := current.take(t.Clock.Now(), event); result != nil {
-				t.choose.Bound(event.session.target, r.prefix)
+			delete(current.placed, event.session)
+			if result := current.record(t.Clock.Now(), event); result != nil {
+				t.chooser.Bound(event.session.target, r.prefix)
 				return result
 			}
 		case <-hedge:
-			current.asked = t.asked
+			current.concurrent = t.ticketsPerRequest
 		case <-ctx.Done():
 			return interrupted(ctx)
 		}
 	}
 }
 
-// interrupted says how the end of ctx ends a wait.
+// interrupted returns the result of a wait that the end of ctx interrupted.
 func interrupted(ctx context.Context) waitResult {
 	if errors.Is(context.Cause(ctx), errDeadline) {
 		return gaveUp{refusal.DeadlineNotRun()}
@@ -165,28 +163,28 @@
 	return callerLeft{}
 }
 
-// ask places tickets until enough are out.
-func (t *ticketing) ask(ctx context.Context, r *request, current *round) {
-	for len(current.out) < current.asked && len(current.untried) > 0 {
+// placeTickets places tickets until the round's concurrent number is reached.
+func (t *ticketing) placeTickets(ctx context.Context, r *request, current *round) {
+	for len(current.placed) < current.concurrent && len(current.untried) > 0 {
 		s := current.untried[0]
 		current.untried = current.untried[1:]
-		current.out[s] = true
+		current.placed[s] = true
 		s.place(r, r.nextTicket(t.Clock.Now(), telemetry.TraceParent(ctx)))
 	}
 }
 
-// take notes the end of one ticket; it returns a result if it was a grant.
-func (o *round) take(now clock.Millis, event ticketEvent) waitResult {
+// record stores the end of one ticket; it returns a result if the ticket was granted.
+func (o *round) record(now clock.Millis, event ticketEvent) waitResult {
 	switch {
 	case event.lost:
 		o.unreached++
 	case event.verdict.Kind == control.Granted:
-		return granted{session: event.session, grant: event.verdict.Grant, turn: event.verdict.Turn}
+		return granted{session: event.session, grant: event.verdict.Grant, attempt: event.verdict.Turn}
 	case event.verdict.Reason == control.Late:
 		o.late++
 	case event.verdict.Reason == control.Full:
 		if len(o.full) == 0 {
-			o.refusedAt = now
+			o.firstDeclineAt = now
 		}
 		o.full = append(o.full, event.session)
 	default:
@@ -195,17 +193,16 @@
 	return nil
 }
 
-// takeBack withdraws the tickets that are still out. A grant that came in the
-// meantime is given back.
-func (t *ticketing) takeBack(r *request, current *round) {
-	for s := range current.out {
+// withdrawPlaced withdraws the tickets that are still placed. A grant that arrived meanwhile is returned.
+func (t *ticketing) withdrawPlaced(r *request, current *round) {
+	for s := range current.placed {
 		s.withdraw(r.id)
 	}
 	for {
 		select {
 		case event := <-r.events:
 			if !event.lost && event.verdict.Kind == control.Granted {
-				event.session.giveBack(r.id, event.verdict.Turn)
+				event.session.returnGrant(r.id, event.verdict.Turn)
 				event.session.release()
 			}
 		default:
@@ -214,15 +211,15 @@
 	}
 }
 
-// retryAfter is the time in which the least loaded of the full targets drains
-// half of its queue, and none before its rest is over.
+// retryAfter returns the time in which the least loaded of the full targets works off half of its queue, but not
+// less than its back-off.
 func retryAfter(full []*session, tier ids.TierRank) clock.Millis {
 	best := maxRetryAfter
 	for _, s := range full {
 		load := s.lastLoad()
 		wait := load.Rest
 		if load.DrainPerSecond > 0 {
-			wait = max(wait, drainTime(load.QueuedBefore(tier)/2, load.DrainPerSecond))
+			wait = max(wait, queueTime(load.QueuedBefore(tier)/2, load.DrainPerSecond))
 		}
 		if wait > 0 || load.DrainPerSecond > 0 {
 			best = min(best, wait)
@@ -231,6 +228,6 @@
 	return max(best, minRetryAfter)
 }
 
-func drainTime(work, perSecond ids.Tokens) clock.Millis {
+func queueTime(work, perSecond ids.Tokens) clock.Millis {
 	return clock.Millis(work) * clock.Second / clock.Millis(perSecond)
 }
