--- a/pkg/agent/agent.go
+++ b/pkg/agent/agent.go
@@ -1,6 +1,5 @@
-// Package agent is the daemon's part on a target VM: the one way to its
-// target. It decides which ticket gets the next room, turns a grant into a
-// dispatch once, and keeps each answer until its entry has it.
+// Package agent runs on a target VM and is the only way to its target. It decides which ticket gets the next free
+// slot, turns a grant into one dispatch, and keeps each answer until its entry has received it.
 package agent
 
 import (
@@ -26,7 +25,7 @@
 	"quaydock/pkg/telemetry"
 )
 
-// Agent stands beside one target.
+// Agent serves the entries of one target.
 type Agent struct {
 	common.Common
 	settings    settings.Agent
@@ -37,20 +36,20 @@
 	stop        context.CancelFunc
 	running     sync.WaitGroup
 
-	mu       sync.Mutex
-	gate     *gate.Gate
-	sessions map[gate.Session]*controlSession
-	conns    map[gate.Session]net.Conn
-	nextID   gate.Session
-	works    map[ids.Grant]*work
-	finished []keptWork // oldest first
-	dropping bool       // a timer for the oldest is set
-	keptSize int64
-	revision declaration.Revision
-	timer    *time.Timer
-	timerAt  clock.Millis // when it goes off
-	listener net.Listener
-	closed   bool // no further session is opened
+	mu            sync.Mutex
+	gate          *gate.Gate
+	sessions      map[gate.Session]*controlSession
+	conns         map[gate.Session]net.Conn
+	nextID        gate.Session
+	executions    map[ids.Grant]*execution
+	finished      []keptAnswer // oldest first
+	dropScheduled bool         // a timer for the oldest is set
+	keptSize      int64
+	revision      declaration.Revision
+	timer         *time.Timer
+	timerAt       clock.Millis // when timer fires
+	listener      net.Listener
+	closed        bool // no further session is opened
 }
 
 // New returns an agent that has not started.
@@ -66,9 +65,9 @@
 		stop:        stop,
 		sessions:    make(map[gate.Session]*controlSession),
 		conns:       make(map[gate.Session]net.Conn),
-		works:       make(map[ids.Grant]*work),
+		executions:  make(map[ids.Grant]*execution),
 	}
-	a.target = newTargetClient(c, a.rest)
+	a.target = newTargetClient(c, a.backOff)
 	a.gate = gate.New(incarnation, gate.Limits{
 		QueueTime: s.QueueTimeMS,
 		QueueMin:  s.QueueMinTokens,
@@ -82,55 +81,55 @@
 
 const headerTimeout = 10 * clock.Second
 
-// Apply takes a new configuration into force.
-func (a *Agent) Apply(book *declaration.Book) {
-	declared := book.Target(a.settings.Target)
+// Apply puts a new configuration into force.
+func (a *Agent) Apply(index *declaration.Book) {
+	declared := index.Target(a.settings.Target)
 	var services []ids.Service
 	slots := 0
 	if declared != nil {
 		a.target.set(*declared)
 		slots = declared.Slots
-		for _, p := range book.Placements(declared.Name) {
+		for _, p := range index.Placements(declared.Name) {
 			services = append(services, p.Service)
 		}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.revision = book.Revision
+	a.revision = index.Revision
 	a.gate.SetServices(services, slots)
 	a.gate.Tick(a.Clock.Now())
-	a.settle()
+	a.deliverNotices()
 }
 
-// Start listens for entries.
+// Start begins to accept entries' connections on the control and data ports.
 func (a *Agent) Start() error {
-	messages, err := a.Network.Listen(a.settings.Control)
+	controlListener, err := a.Network.Listen(a.settings.Control)
 	if err != nil {
-		return fmt.Errorf("control port: %w", err)
+		return fmt.Errorf("listening on the control port: %w", err)
 	}
-	streams, err := a.Network.Listen(a.settings.Data)
+	dataListener, err := a.Network.Listen(a.settings.Data)
 	if err != nil {
-		return fmt.Errorf("data port: %w", err)
+		return fmt.Errorf("listening on the data port: %w", err)
 	}
-	a.listener = messages
-	a.running.Go(func() { a.acceptSessions(messages) })
-	a.running.Go(func() { a.acceptStreams(streams) })
+	a.listener = controlListener
+	a.running.Go(func() { a.acceptSessions(controlListener) })
+	a.running.Go(func() { a.acceptStreams(dataListener) })
 	return nil
 }
 
-func (a *Agent) acceptStreams(streams net.Listener) {
-	err := a.server.Serve(streams)
+func (a *Agent) acceptStreams(dataListener net.Listener) {
+	err := a.server.Serve(dataListener)
 	if !errors.Is(err, http.ErrServerClosed) {
-		a.Log.WithError(err).Error("data port failed")
+		a.Log.WithError(err).Error("serving the data port failed")
 	}
 }
 
-func (a *Agent) acceptSessions(messages net.Listener) {
+func (a *Agent) acceptSessions(controlListener net.Listener) {
 	for {
-		conn, err := messages.Accept()
+		conn, err := controlListener.Accept()
 		if err != nil {
 			if !errors.Is(err, net.ErrClosed) {
-				a.Log.WithError(err).Error("control port failed")
+				a.Log.WithError(err).Error("accepting on the control port failed")
 			}
 			return
 		}
@@ -138,15 +137,15 @@
 	}
 }
 
-// serveSession serves one connection from an entry until it ends. Each has an
-// RPC server of its own, so that a message's session is known.
+// serveSession serves one connection from an entry until it ends. Each connection has an RPC server of its own, so
+// that the session of a message is known.
 func (a *Agent) serveSession(conn net.Conn) {
 	ctx, stop := context.WithCancel(a.ctx)
 	defer stop()
 	s := a.openSession(ctx, conn)
 	server := rpc.NewServer()
 	if err := server.RegisterName(control.ServiceName, s); err != nil {
-		a.Log.WithError(err).Error("messages not registered")
+		a.Log.WithError(err).Error("registering the RPC service failed")
 		return
 	}
 	server.ServeConn(network.LimitWrites(conn, control.WriteLimit))
@@ -174,8 +173,9 @@
 	a.gate.DropSession(s.id)
 }
 
-// settle hands out the gate's notices and sets the timer for what time changes next; the lock is held.
-func (a *Agent) settle() {
+// deliverNotices passes the gate's notices to their sessions and sets the timer for the next change that time
+// brings. The lock must be held.
+func (a *Agent) deliverNotices() {
 	for _, n := range a.gate.Notices() {
 		if s := a.sessions[n.Session]; s != nil {
 			s.notify(n.Verdict)
@@ -198,16 +198,16 @@
 	defer a.mu.Unlock()
 	a.timer = nil
 	a.gate.Tick(a.Clock.Now())
-	a.settle()
+	a.deliverNotices()
 }
 
-// rest keeps the target from new requests for a while, as it has asked for that.
-func (a *Agent) rest(left clock.Millis) {
-	a.Log.WithField("rest_ms", int64(left)).Info("the target asks for rest")
+// backOff stops grants for a time, because the target has asked for a back-off.
+func (a *Agent) backOff(remaining clock.Millis) {
+	a.Log.WithField("rest_ms", int64(remaining)).Info("target asked for a back-off")
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.gate.Rest(a.Clock.Now(), left)
-	a.settle()
+	a.gate.Rest(a.Clock.Now(), remaining)
+	a.deliverNotices()
 }
 
 func (a *Agent) place(session gate.Session, args *control.PlaceArgs) ([]control.Verdict, control.Load) {
@@ -227,11 +227,11 @@
 		a.tracePlace(&t, v)
 		verdicts = append(verdicts, v)
 	}
-	a.settle()
+	a.deliverNotices()
 	return verdicts, a.loadLocked(now)
 }
 
-// tracePlace shows a sampled ticket's decision as a span.
+// tracePlace records the decision on a sampled ticket as a span.
 func (a *Agent) tracePlace(t *control.Ticket, v control.Verdict) {
 	if t.TraceParent == "" {
 		return
@@ -261,63 +261,63 @@
 	defer a.mu.Unlock()
 	now := a.Clock.Now()
 	fate := a.gate.Fate(now, args.Grant, args.Request)
-	a.settle()
-	w := a.works[args.Grant]
-	if w == nil || w.request != args.Request {
+	a.deliverNotices()
+	e := a.executions[args.Grant]
+	if e == nil || e.request != args.Request {
 		return fate
 	}
-	w.leftAt = now // who asks still needs the answer
+	e.neededAt = now // whoever asks still needs the answer
 	if fate == control.FateUnknown {
-		return control.FateDispatched // it is kept for longer than the gate remembers
+		return control.FateDispatched // answers are kept for longer than the gate remembers grants
 	}
 	return fate
 }
 
 func (a *Agent) cancel(args *control.OutcomeArgs) {
 	a.mu.Lock()
-	w := a.works[args.Grant]
+	e := a.executions[args.Grant]
 	a.gate.Fate(a.Clock.Now(), args.Grant, args.Request) // closes an unused grant
-	a.settle()
+	a.deliverNotices()
 	a.mu.Unlock()
-	if w != nil && w.request == args.Request {
-		w.abort()
+	if e != nil && e.request == args.Request {
+		e.abort()
 	}
 }
 
-// Drain stops the agent without cutting a request: no new work at once, then
-// it waits for what was dispatched and read, or for ctx. An answer whose entry has lost
-// its way is waited for as long as it is kept.
+// Drain stops the agent without breaking off a request: it takes no new work, then waits until what was dispatched
+// has ended and been read, or until ctx is done. An answer whose entry has lost its connection is waited for as
+// long as it is kept.
 func (a *Agent) Drain(ctx context.Context) error {
 	a.mu.Lock()
 	a.gate.Leave()
-	a.settle()
+	a.deliverNotices()
 	a.mu.Unlock()
 	defer a.Close()
 	for !a.idle() {
 		if ctx.Err() != nil {
-			return fmt.Errorf("draining the target: %w", ctx.Err())
+			return fmt.Errorf("waiting for running requests and unread answers: %w", ctx.Err())
 		}
-		clock.Pause(ctx, drainLook)
+		clock.Pause(ctx, drainPollInterval)
 	}
 	if err := a.server.Shutdown(ctx); err != nil {
-		return fmt.Errorf("draining streams: %w", err)
+		return fmt.Errorf("closing answer streams: %w", err)
 	}
 	return nil
 }
 
-const drainLook = 20 * clock.Millisecond
+const drainPollInterval = 20 * clock.Millisecond
 
 func (a *Agent) idle() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.gate.Tick(a.Clock.Now())
-	return a.gate.Idle() && !a.owes()
+	return a.gate.Idle() && !a.hasUndelivered()
 }
 
-// Close stops at once. Links to entries go first: the end of running work makes
-// room, and a grant for it would come from an agent that is no more.
+// Close stops the agent at once. Connections to entries are closed first: the end of running work frees slots, and
+// a grant for one would come from an agent that has stopped.
 func (a *Agent) Close() {
-	// Errors say only that something was closed before.
+	// Errors only mean that something was closed before.
 	_ = a.server.Close()
 	if a.listener != nil {
 		_ = a.listener.Close()
--- a/pkg/agent/answer_log.go
+++ b/pkg/agent/answer_log.go
@@ -9,33 +9,32 @@
 	"github.com/juju/errors"
 )
 
-// errCut ends an answer that broke off.
-var errCut = errors.ConstError("the answer broke off")
+// errBrokenOff ends an answer that broke off.
+var errBrokenOff = errors.ConstError("the answer broke off")
 
-// errGone says that the asked bytes are no longer kept.
-var errGone = errors.ConstError("the bytes are no longer kept")
+// errGone means that the requested bytes are no longer kept.
+var errGone = errors.ConstError("the requested bytes of the answer are no longer kept")
 
-// answerLog holds the newest part of one answer between the target, which
-// writes, and the entry, which reads and may come back after a broken
-// connection. The writer waits when the reader is too far behind, so that a
-// slow caller holds no more memory than the limit.
+// answerLog holds the newest part of one answer between the target, which writes, and the entry, which reads and
+// may return after a broken connection. The writer waits when the reader is too far behind, so that a slow caller
+// holds no more memory than the limit.
 type answerLog struct {
 	limit int64
 
-	mu      sync.Mutex
-	changed sync.Cond
-	status  int         // 0 before the target's header
-	stated  int64       // the length that the header states, or -1
-	header  http.Header // the target's
-	data    []byte      // from offset start on
-	start   int64
-	read    int64 // the furthest byte handed to a reader
-	done    bool
-	failure error // set if done and not whole
-	taken   bool  // a reader has had the end of the whole answer
-	reader  int   // counts readers; a newer one ends the one before
-	reading bool
-	left    int // how many readers have left without a newer one in their place
+	mu            sync.Mutex
+	changed       sync.Cond
+	status        int         // 0 before the target's header
+	contentLength int64       // the Content-Length, or -1
+	header        http.Header // of the target's answer
+	data          []byte      // bytes from offset start on
+	start         int64
+	read          int64 // the highest offset handed to a reader
+	done          bool
+	failure       error // set if done and the answer is incomplete
+	delivered     bool  // a reader has received the end of the complete answer
+	reader        int   // number of the newest reader; a newer reader replaces the previous one
+	reading       bool
+	departures    int // how many readers have left without a newer one in their place
 }
 
 func newAnswerLog(limit int64) *answerLog {
@@ -44,18 +43,18 @@
 	return l
 }
 
-// begin takes the target's header.
+// begin stores the status and header of the target's answer.
 func (l *answerLog) begin(status int, header http.Header) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.status = status
-	l.stated = statedLength(header)
+	l.contentLength = contentLength(header)
 	l.header = header
 	l.changed.Broadcast()
 }
 
-// statedLength returns the length of the body by its header, or -1.
-func statedLength(header http.Header) int64 {
+// contentLength returns the length of the body by its header, or -1.
+func contentLength(header http.Header) int64 {
 	n, err := strconv.ParseInt(header.Get("Content-Length"), 10, 64)
 	if err != nil {
 		return -1
@@ -63,8 +62,8 @@
 	return n
 }
 
-// append adds bytes, after waiting for a reader that is behind. It returns
-// errCut if the log was ended meanwhile.
+// append adds bytes, after waiting for a reader that is behind. It returns errBrokenOff if the log was ended
+// meanwhile.
 func (l *answerLog) append(p []byte) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,7 +71,7 @@
 		l.changed.Wait()
 	}
 	if l.done {
-		return errCut
+		return errBrokenOff
 	}
 	l.data = append(l.data, p...)
 	l.trim()
@@ -88,7 +87,7 @@
 	return l.size() - l.read
 }
 
-// trim drops the oldest bytes that were read, beyond the limit.
+// trim drops the oldest bytes above the limit that have been read.
 func (l *answerLog) trim() {
 	surplus := min(int64(len(l.data))-l.limit, l.read-l.start)
 	if surplus <= 0 {
@@ -98,7 +97,7 @@
 	l.start += surplus
 }
 
-// end closes the log: with nil the answer is whole. Only the first call counts.
+// end closes the log; a nil failure means that the answer is complete. Only the first call counts.
 func (l *answerLog) end(failure error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -110,7 +109,7 @@
 	l.changed.Broadcast()
 }
 
-// attach makes the caller the log's reader, in place of an earlier one.
+// attach makes the caller the log's reader, in place of an earlier one, and returns its number.
 func (l *answerLog) attach() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,33 +119,33 @@
 	return l.reader
 }
 
-// detach ends a reader. It returns how often the log has been left without one, and whether it is now.
-func (l *answerLog) detach(reader int) (left int, without bool) {
+// detach ends a reader. It returns how often the log has been left without one, and whether it has none now.
+func (l *answerLog) detach(reader int) (departures int, without bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.reader == reader {
-		l.leave()
+		l.readerLeft()
 	}
 	l.changed.Broadcast()
-	return l.left, !l.reading
+	return l.departures, !l.reading
 }
 
-// leave notes that the reader has left; the lock is held.
-func (l *answerLog) leave() {
+// readerLeft records that the reader has left. The lock must be held.
+func (l *answerLog) readerLeft() {
 	if l.reading {
 		l.reading = false
-		l.left++
+		l.departures++
 	}
 }
 
-// abandoned reports whether no reader has come since the log was left for the given time.
-func (l *answerLog) abandoned(left int) bool {
+// abandoned reports whether the log has been without a reader since detach returned this number of departures.
+func (l *answerLog) abandoned(departures int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return !l.reading && l.left == left
+	return !l.reading && l.departures == departures
 }
 
-// awaitHeader returns the target's header once it is there.
+// awaitHeader waits for the status and header of the target's answer.
 func (l *answerLog) awaitHeader(reader int) (int, http.Header, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -163,10 +162,9 @@
 	}
 }
 
-// next copies bytes from offset on into p, after waiting for some. Drained says
-// that more will come, but not yet. It returns io.EOF at the end of a whole
-// answer, the failure at the end of any other, errGone if the bytes are not
-// kept or a newer reader has come.
+// next copies bytes from offset on into p, after waiting for some. Drained means that more bytes will come, but
+// none are there yet. It returns io.EOF at the end of a complete answer, the failure at the end of any other, and
+// errGone if the bytes are no longer kept or a newer reader has attached.
 func (l *answerLog) next(reader int, offset int64, p []byte) (n int, drained bool, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -180,22 +178,21 @@
 		n := copy(p, l.data[offset-l.start:])
 		l.read = max(l.read, offset+int64(n))
 		l.changed.Broadcast()
-		// Once the stated length is reached the end follows at once, and is
-		// better sent with the last bytes.
-		return n, !l.done && l.read == l.size() && l.size() != l.stated, nil
+		// Once the Content-Length is reached the end follows at once, and is better sent with the last bytes.
+		return n, !l.done && l.read == l.size() && l.size() != l.contentLength, nil
 	case l.failure != nil:
 		return 0, false, l.failure
 	default:
-		l.taken = true
+		l.delivered = true
 		return 0, false, io.EOF
 	}
 }
 
-// owed reports whether the answer is or may become whole, and no reader has had its end.
-func (l *answerLog) owed() bool {
+// undelivered reports whether the answer is or may become complete, and no reader has received its end.
+func (l *answerLog) undelivered() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.failure == nil && !l.taken
+	return l.failure == nil && !l.delivered
 }
 
 // isRead reports whether a reader is attached.
@@ -205,41 +202,40 @@
 	return l.reading
 }
 
-// resumable reports whether a reader that has offset bytes can still get the
-// whole answer, as far as is known now.
+// resumable reports whether a reader that has offset bytes can still get the complete answer, as far as is known
+// now.
 func (l *answerLog) resumable(offset int64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return offset >= l.start && offset <= l.size() && (!l.done || l.failure == nil)
 }
 
-// wake lets a waiting reader look at its place again, after its connection
-// has ended.
-func (l *answerLog) wake(reader int) {
+// interrupt ends a reader whose connection has ended, so that it stops waiting.
+func (l *answerLog) interrupt(reader int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.reader == reader {
 		l.reader++
-		l.leave()
+		l.readerLeft()
 	}
 	l.changed.Broadcast()
 }
 
-// kept returns how many bytes the log holds.
-func (l *answerLog) kept() int64 {
+// memory returns how many bytes of memory the log holds.
+func (l *answerLog) memory() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return int64(cap(l.data))
 }
 
-// reaches reports whether there are bytes behind offset, or the end.
-func (l *answerLog) reaches(offset int64) bool {
+// hasMore reports whether there are bytes beyond offset, or the answer has ended.
+func (l *answerLog) hasMore(offset int64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.done || l.size() > offset
 }
 
-// ended reports whether the answer is complete or cut.
+// ended reports whether the answer is complete or has broken off.
 func (l *answerLog) ended() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/agent/control_session.go
+++ b/pkg/agent/control_session.go
@@ -10,12 +10,11 @@
 	"quaydock/pkg/gate"
 )
 
-// maxNoticeWait bounds how long an empty Notices call is held, whatever the
-// entry asks for.
+// maxNoticeWait limits how long an empty Notices call is held, whatever wait the entry requests.
 const maxNoticeWait = clock.Minute
 
-// controlSession is the agent's side of the link to one entry. Its exported
-// methods are the messages of package control, served by net/rpc.
+// controlSession is the agent's side of the connection to one entry. Its exported methods are the messages of
+// package control, served by net/rpc.
 type controlSession struct {
 	agent *Agent
 	id    gate.Session
@@ -30,7 +29,7 @@
 	return &controlSession{agent: a, id: id, ctx: ctx, arrived: make(chan struct{}, 1)}
 }
 
-// Place decides on tickets, and takes others back.
+// Place decides on tickets, and withdraws others.
 func (s *controlSession) Place(args *control.PlaceArgs, reply *control.PlaceReply) error {
 	reply.Verdicts, reply.Load = s.agent.place(s.id, args)
 	return nil
@@ -45,24 +44,24 @@
 	case <-timer.C:
 	case <-s.ctx.Done():
 	}
-	reply.Verdicts = s.take()
+	reply.Verdicts = s.takeVerdicts()
 	reply.Load = s.agent.load()
 	return nil
 }
 
-// Outcome says what became of a grant, after closing it if it was unused.
+// Outcome returns the outcome of a grant, after closing it if it was unused.
 func (s *controlSession) Outcome(args *control.OutcomeArgs, reply *control.OutcomeReply) error {
 	reply.Fate = s.agent.outcome(args)
 	return nil
 }
 
-// Cancel stops the work of a grant whose caller has gone.
+// Cancel stops the work of a grant whose caller has disconnected.
 func (s *controlSession) Cancel(args *control.OutcomeArgs, _ *control.Nothing) error {
 	s.agent.cancel(args)
 	return nil
 }
 
-// notify keeps a later verdict for the next Notices call.
+// notify stores a later verdict for the next Notices call.
 func (s *controlSession) notify(verdict control.Verdict) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,7 +72,7 @@
 	}
 }
 
-func (s *controlSession) take() []control.Verdict {
+func (s *controlSession) takeVerdicts() []control.Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	taken := s.verdicts
--- a/pkg/agent/kept.go
+++ b/pkg/agent/kept.go
@@ -7,43 +7,42 @@
 	"quaydock/pkg/clock"
 )
 
-// keptBytes bounds the finished answers that are kept for entries which lost
-// their connection near the end.
-const keptBytes = 16 << 20
+// maxKeptBytes limits the memory of finished answers that are kept for entries which lost their connection near
+// the end.
+const maxKeptBytes = 16 << 20
 
-// keptOverhead is what a kept answer holds beside its bytes: header, log and
-// bookkeeping.
+// keptOverhead is what a kept answer holds beside its bytes: header, log and bookkeeping.
 const keptOverhead = 2 << 10
 
-// keptWork is a finished answer that is kept for a while.
-type keptWork struct {
-	work  *work
-	size  int64
-	until clock.Millis
+// keptAnswer is a finished answer that is kept for a while.
+type keptAnswer struct {
+	execution *execution
+	size      int64
+	until     clock.Millis
 }
 
-// keep holds a finished answer for a resume, and drops others beyond the
-// bound.
-func (a *Agent) keep(w *work) {
+// keep stores a finished answer for a resume, and drops others above the limit.
+func (a *Agent) keep(e *execution) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	k := keptWork{work: w, size: w.answer.kept() + keptOverhead, until: a.Clock.Now() + a.settings.ResumeWaitMS}
+	k := keptAnswer{execution: e, size: e.answer.memory() + keptOverhead, until: a.Clock.Now() + a.settings.ResumeWaitMS}
 	a.finished = append(a.finished, k)
 	a.keptSize += k.size
-	a.dropBeyondBound()
-	if !a.dropping {
-		a.dropping = true
+	a.dropAboveLimit()
+	if !a.dropScheduled {
+		a.dropScheduled = true
 		time.AfterFunc(a.settings.ResumeWaitMS.Duration(), a.dropExpired)
 	}
 }
 
-// dropBeyondBound keeps the finished answers within their bound, but for those that are being read, whose memory
-// their readers hold anyway; the lock is held. One whose end no entry has had goes last: its entry may be on its way back.
-func (a *Agent) dropBeyondBound() {
-	for a.keptSize > keptBytes && len(a.finished) > 1 {
-		i := slices.IndexFunc(a.finished, func(k keptWork) bool { return !k.work.answer.isRead() && !k.work.answer.owed() })
+// dropAboveLimit drops finished answers above the memory limit, except those that are being read, whose memory
+// their readers hold anyway. Answers whose end no entry has received are dropped last: an entry may be about to
+// resume them. The lock must be held.
+func (a *Agent) dropAboveLimit() {
+	for a.keptSize > maxKeptBytes && len(a.finished) > 1 {
+		i := slices.IndexFunc(a.finished, func(k keptAnswer) bool { return !k.execution.answer.isRead() && !k.execution.answer.undelivered() })
 		if i < 0 {
-			i = slices.IndexFunc(a.finished, func(k keptWork) bool { return !k.work.answer.isRead() })
+			i = slices.IndexFunc(a.finished, func(k keptAnswer) bool { return !k.execution.answer.isRead() })
 		}
 		if i < 0 {
 			return
@@ -52,57 +51,57 @@
 	}
 }
 
-// dropExpired drops the answers whose time is over, and comes again for the
-// rest.
+// dropExpired drops the answers whose time is over, and schedules itself for the rest.
 func (a *Agent) dropExpired() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.Clock.Now()
 	for len(a.finished) > 0 && a.finished[0].until <= now {
 		oldest := a.finished[0]
-		until := a.neededUntil(now, oldest.work)
+		until := a.neededUntil(now, oldest.execution)
 		a.drop(0)
 		if until > now {
-			a.works[oldest.work.grant] = oldest.work
-			a.finished = append(a.finished, keptWork{work: oldest.work, size: oldest.size, until: until})
+			a.executions[oldest.execution.grant] = oldest.execution
+			a.finished = append(a.finished, keptAnswer{execution: oldest.execution, size: oldest.size, until: until})
 			a.keptSize += oldest.size
 		}
 	}
-	a.dropping = len(a.finished) > 0 && a.ctx.Err() == nil
-	if a.dropping {
+	a.dropScheduled = len(a.finished) > 0 && a.ctx.Err() == nil
+	if a.dropScheduled {
 		wait := max(a.finished[0].until-now, clock.Millisecond)
 		time.AfterFunc(wait.Duration(), a.dropExpired)
 	}
 }
 
-// owes reports whether an entry has yet to get the end of an answer; the lock is held.
-func (a *Agent) owes() bool {
-	for _, w := range a.works {
-		if w.answer.owed() {
+// hasUndelivered reports whether an entry has yet to receive the end of an answer. The lock must be held.
+func (a *Agent) hasUndelivered() bool {
+	for _, e := range a.executions {
+		if e.answer.undelivered() {
 			return true
 		}
 	}
 	return false
 }
 
-// neededUntil returns until when an answer may still be asked for: its time begins when its last reader has
-// left, as a slow one takes it long after its target has finished it, or when an entry last asked for it. The lock is held.
-func (a *Agent) neededUntil(now clock.Millis, w *work) clock.Millis {
-	if w.answer.isRead() {
+// neededUntil returns until when an answer may still be requested. The time begins when its last reader has left,
+// since a slow reader takes it long after the target has finished it, or when an entry last asked for it. The lock
+// must be held.
+func (a *Agent) neededUntil(now clock.Millis, e *execution) clock.Millis {
+	if e.answer.isRead() {
 		return now + a.settings.ResumeWaitMS
 	}
-	return w.leftAt + a.settings.ResumeWaitMS
+	return e.neededAt + a.settings.ResumeWaitMS
 }
 
-// drop forgets a finished answer; the lock is held.
+// drop removes a finished answer. The lock must be held.
 func (a *Agent) drop(i int) {
 	k := a.finished[i]
 	if i == 0 {
-		a.finished[0] = keptWork{}
+		a.finished[0] = keptAnswer{}
 		a.finished = a.finished[1:]
 	} else {
 		a.finished = slices.Delete(a.finished, i, i+1)
 	}
 	a.keptSize -= k.size
-	delete(a.works, k.work.grant)
+	delete(a.executions, k.execution.grant)
 }
--- a/pkg/agent/streams_controller.go
+++ b/pkg/agent/streams_controller.go
@@ -25,7 +25,7 @@
 // relayBuffers are shared by all streams of the process.
 var relayBuffers = sync.Pool{New: func() any { return new([relayBytes]byte) }}
 
-// handler returns the streams' interface, for entries.
+// handler returns the HTTP handler for entries' streams.
 func (a *Agent) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+control.PathDispatch, a.dispatch)
@@ -33,7 +33,7 @@
 	return mux
 }
 
-// dispatch takes a body against a grant and streams the answer.
+// dispatch accepts a body for a grant and streams the answer.
 func (a *Agent) dispatch(w http.ResponseWriter, r *http.Request) {
 	grant, ok := a.echo(w, r)
 	if !ok {
@@ -41,7 +41,7 @@
 	}
 	c, err := readCall(r, a.settings.BodyBytes)
 	if err != nil {
-		// The body is not whole, so that the grant stays unused.
+		// The body is incomplete, so the grant stays unused.
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -74,8 +74,8 @@
 	a.stream(w, r, kept, offset)
 }
 
-// echo reads the grant, and names request and grant in the response, so that
-// an entry can tell a crossed answer.
+// echo reads the grant, and names request and grant in the response, so that an entry can detect an answer that is
+// not its own.
 func (a *Agent) echo(w http.ResponseWriter, r *http.Request) (ids.Grant, bool) {
 	text := r.Header.Get(control.HeaderGrant)
 	grant, err := ids.ParseGrant(text)
@@ -88,9 +88,8 @@
 	return grant, true
 }
 
-// refuse tells an entry that its grant was not used. A grant of an earlier
-// incarnation is never used either: its entry sends a body only once, and this
-// body has come here.
+// refuse reports to an entry that its grant was not used. A grant of an earlier incarnation of the agent is never
+// used either: its entry sends a body only once, and this body has come here.
 func (a *Agent) refuse(w http.ResponseWriter, grant ids.Grant, fate control.Fate) {
 	if fate == control.FateNever || grant.Agent != a.incarnation {
 		w.Header().Set(control.HeaderFate, control.FateNeverDispatched)
@@ -99,11 +98,11 @@
 	w.WriteHeader(http.StatusConflict)
 }
 
-// stream copies an answer from offset on, with the end marker behind a whole
-// one. Any other end breaks the connection.
-func (a *Agent) stream(w http.ResponseWriter, r *http.Request, from *work, offset int64) {
+// stream copies an answer from offset on, with the end marker behind a complete one. Any other end breaks the
+// connection.
+func (a *Agent) stream(w http.ResponseWriter, r *http.Request, from *execution, offset int64) {
 	reader := from.answer.attach()
-	stop := context.AfterFunc(r.Context(), func() { from.answer.wake(reader) })
+	stop := context.AfterFunc(r.Context(), func() { from.answer.interrupt(reader) })
 	defer stop()
 	defer a.release(from, reader)
 	status, header, err := from.answer.awaitHeader(reader)
@@ -117,7 +116,7 @@
 	}
 	h[control.HeaderStatus] = []string{strconv.Itoa(status)}
 	h["Trailer"] = []string{control.TrailerEnd}
-	h["Date"] = nil // between our own processes it only costs
+	h["Date"] = nil // not needed between quaydock's processes
 	w.WriteHeader(http.StatusOK)
 	size, err := a.relay(w, from, reader, offset)
 	if !errors.Is(err, io.EOF) {
@@ -127,7 +126,7 @@
 }
 
 // refuseUnanswered ends a stream whose target sent no header.
-func (a *Agent) refuseUnanswered(w http.ResponseWriter, from *work, err error) {
+func (a *Agent) refuseUnanswered(w http.ResponseWriter, from *execution, err error) {
 	if errors.Is(err, errNotReached) {
 		a.refuse(w, from.grant, control.FateNever)
 		return
@@ -135,31 +134,30 @@
 	w.WriteHeader(http.StatusGone)
 }
 
-// release ends a reader. If no other comes in time, the work is given up.
-func (a *Agent) release(from *work, reader int) {
-	left, without := from.answer.detach(reader)
-	a.noteLeft(from)
+// release detaches a reader. If no other attaches in time, the work is aborted.
+func (a *Agent) release(from *execution, reader int) {
+	departures, without := from.answer.detach(reader)
+	a.markNeeded(from)
 	if !without || from.answer.ended() {
 		return
 	}
 	time.AfterFunc(a.settings.ResumeWaitMS.Duration(), func() {
-		// The next reader may have come and lost its connection in its turn: its time is its own.
-		if from.answer.abandoned(left) {
+		// The next reader may have come and lost its connection too; it then has a time of its own.
+		if from.answer.abandoned(departures) {
 			from.abort()
 		}
 	})
 }
 
-func (a *Agent) noteLeft(from *work) {
+func (a *Agent) markNeeded(from *execution) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	from.leftAt = a.Clock.Now()
+	from.neededAt = a.Clock.Now()
 }
 
-// relay copies until the answer's end, which is io.EOF for a whole one. It
-// returns the offset reached. Between two writes it lets a little time pass, in
-// which tokens gather: each write costs a system call here and two at the entry.
-func (a *Agent) relay(w http.ResponseWriter, from *work, reader int, offset int64) (int64, error) {
+// relay copies until the answer's end, which is io.EOF for a complete one. It returns the offset reached. It waits
+// a little between two writes so that tokens gather: each write costs a system call here and two at the entry.
+func (a *Agent) relay(w http.ResponseWriter, from *execution, reader int, offset int64) (int64, error) {
 	buffer := relayBuffers.Get().(*[relayBytes]byte)
 	defer relayBuffers.Put(buffer)
 	flusher := http.NewResponseController(w)
@@ -177,7 +175,7 @@
 			continue
 		}
 		clock.Pause(from.ctx, flushed+a.settings.CoalesceMS-a.Clock.Now())
-		if from.answer.reaches(offset) {
+		if from.answer.hasMore(offset) {
 			continue
 		}
 		flushed = a.Clock.Now()
@@ -187,8 +185,8 @@
 	}
 }
 
-// readCall reads what the target is to be asked. The body is read whole before
-// the grant is used, so that a request cut on its way here runs nowhere.
+// readCall reads the call for the target. The complete body is read before the grant is used, so that a request
+// broken off on its way here does not run.
 func readCall(r *http.Request, limit int64) (call, error) {
 	var body bytes.Buffer
 	if r.ContentLength > limit {
--- a/pkg/agent/target_client.go
+++ b/pkg/agent/target_client.go
@@ -24,18 +24,18 @@
 	"quaydock/pkg/telemetry"
 )
 
-// errNotReached says that no byte of the request was written to the target.
+// errNotReached means that no byte of the request was written to the target.
 var errNotReached = errors.New("the target was not reached")
 
-// errNotTakenUp says that no connection was made to go on with an answer. It is never errNotReached: the
-// target has had the request.
-var errNotTakenUp = errors.New("the target could not be asked to go on")
+// errNotResumed means that no connection was made to resume an answer. It is never errNotReached: the target has
+// received the request.
+var errNotResumed = errors.New("no connection to the target to resume the answer")
 
 const (
 	// headerTargetRequest carries the request id to the target.
 	headerTargetRequest = "X-Request-Id"
-	// pathStreams is where a target that resumes keeps its answers: GET with
-	// a Range goes on with one, DELETE cancels it.
+	// pathStreams is where a target that supports resuming keeps its answers: GET with a Range resumes one, DELETE
+	// cancels it.
 	pathStreams   = "/streams/"
 	targetConns   = 1024
 	targetDial    = clock.Second
@@ -49,22 +49,22 @@
 	common.Common
 	transport *http.Transport
 	declared  atomic.Pointer[declaration.Target]
-	rests     func(left clock.Millis)
+	onBackoff func(remaining clock.Millis)
 }
 
-// newTargetClient returns a client; rests is told when the target asks for no requests for a while.
-func newTargetClient(c common.Common, rests func(left clock.Millis)) *targetClient {
-	t := &targetClient{Common: c, rests: rests}
+// newTargetClient returns a client. It calls onBackoff when the target asks for a back-off.
+func newTargetClient(c common.Common, onBackoff func(remaining clock.Millis)) *targetClient {
+	t := &targetClient{Common: c, onBackoff: onBackoff}
 	t.transport = network.NewTransport(c.Network, network.TransportOptions{
 		DialTimeout: targetDial,
 		DialError:   errNotReached,
 		IdlePerHost: targetConns,
-		Wrap:        func(conn net.Conn) net.Conn { return &writeMarkingConn{Conn: conn} },
+		Wrap:        func(conn net.Conn) net.Conn { return &countingConn{Conn: conn} },
 	})
 	return t
 }
 
-// set says where the target is.
+// set stores the target's declaration.
 func (t *targetClient) set(declared declaration.Target) {
 	t.declared.Store(&declared)
 }
@@ -73,50 +73,49 @@
 	t.transport.CloseIdleConnections()
 }
 
-// writeMarkingConn counts the writes that have begun, so that after an error it
-// is known whether the target can have seen anything of a request.
-type writeMarkingConn struct {
+// countingConn counts the writes that have begun, so that after an error it is known whether the target can have
+// received anything of a request.
+type countingConn struct {
 	net.Conn
 	writes atomic.Int64
 }
 
 // Write counts before it writes: a write that fails may still have arrived.
-func (c *writeMarkingConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	c.writes.Add(1)
 	return c.Conn.Write(p)
 }
 
-// attempt watches one request on its connection.
+// attempt tracks one request on its connection.
 type attempt struct {
-	conn   *writeMarkingConn
-	before int64
+	conn         *countingConn
+	writesBefore int64
 }
 
 func (a *attempt) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
-		a.conn, _ = info.Conn.(*writeMarkingConn)
+		a.conn, _ = info.Conn.(*countingConn)
 		if a.conn != nil {
-			a.before = a.conn.writes.Load()
+			a.writesBefore = a.conn.writes.Load()
 		}
 	}}
 }
 
-// untouched reports that nothing of the request was written. It may be asked
-// only after an error that closed the connection.
+// untouched reports that nothing of the request was written. The result is valid only after an error that closed
+// the connection.
 func (a *attempt) untouched() bool {
-	return a.conn != nil && a.conn.writes.Load() == a.before
+	return a.conn != nil && a.conn.writes.Load() == a.writesBefore
 }
 
-// run has the target do one call, writes its answer to log, and returns nil if
-// the answer is whole. An error that is errNotReached means that the target
-// has seen nothing of the call.
+// run sends one call to the target, writes its answer to log, and returns nil if the answer is complete. An error
+// that is errNotReached means that the target has received nothing of the call.
 func (t *targetClient) run(ctx context.Context, c call, log *answerLog) error {
 	target := t.declared.Load()
 	if target == nil {
 		return fmt.Errorf("target not declared: %w", errNotReached)
 	}
-	p := &progress{log: log, closing: c.model}
-	row := resume.NewRow(maxResumes, t.Clock.Now())
+	p := &progress{log: log, needsClosingEvent: c.model}
+	streak := resume.NewRow(maxResumes, t.Clock.Now())
 	response, err := t.send(ctx, target, c)
 	if errors.Is(err, errNotReached) {
 		return err
@@ -125,13 +124,13 @@
 		err = p.copyFrom(response)
 	}
 	for err != nil && target.Resumes && ctx.Err() == nil {
-		breaks, again := row.Broke(t.Clock.Now(), p.size, !errors.Is(err, errNotTakenUp) && !errors.Is(err, errCut))
+		breaks, again := streak.Broke(t.Clock.Now(), p.size, !errors.Is(err, errNotResumed) && !errors.Is(err, errBrokenOff))
 		if !again {
 			break
 		}
 		t.Metrics.Links.Add("target_resumes", 1)
 		clock.Pause(ctx, resumeBackoff<<(breaks-1))
-		row.Begin(t.Clock.Now())
+		streak.Begin(t.Clock.Now())
 		err = t.resume(ctx, target, c.request, p)
 	}
 	if ctx.Err() != nil && target.Resumes {
@@ -144,9 +143,8 @@
 func (t *targetClient) send(ctx context.Context, target *declaration.Target, c call) (*http.Response, error) {
 	var tried attempt
 	ctx = httptrace.WithClientTrace(ctx, tried.trace())
-	// The body hides its type, so that the transport cannot read it again and
-	// send the request a second time on its own account; this holds also for
-	// an empty body and for methods that it would take to be repeatable.
+	// The body hides its type, so that the transport cannot read it again and repeat the request on its own. This
+	// also covers empty bodies and methods that it would take to be repeatable.
 	request, err := http.NewRequestWithContext(ctx, c.method, target.Address+c.path, onceReader{bytes.NewReader(c.body)})
 	if err != nil {
 		return nil, fmt.Errorf("building the call: %w: %w", errNotReached, err)
@@ -162,7 +160,7 @@
 	response, err := t.transport.RoundTrip(request)
 	switch {
 	case err == nil:
-		t.heed(response)
+		t.reportBackoff(response)
 		return response, nil
 	case errors.Is(err, errNotReached), ctx.Err() == nil && tried.untouched():
 		return nil, fmt.Errorf("calling the target: %w: %w", errNotReached, err)
@@ -171,23 +169,23 @@
 	}
 }
 
-// heed passes on that a target which turns a call away asks for rest.
-func (t *targetClient) heed(response *http.Response) {
+// reportBackoff calls onBackoff if a target that rejects a call asks for a back-off.
+func (t *targetClient) reportBackoff(response *http.Response) {
 	if response.StatusCode != http.StatusServiceUnavailable && response.StatusCode != http.StatusTooManyRequests {
 		return
 	}
-	if rest := advisory.ReadRest(response.Header); rest > 0 {
-		t.rests(rest)
+	if backoff := advisory.ReadRest(response.Header); backoff > 0 {
+		t.onBackoff(backoff)
 	}
 }
 
 // onceReader is a body that can be read only once.
 type onceReader struct{ io.Reader }
 
-// Close has nothing to release.
+// Close does nothing.
 func (onceReader) Close() error { return nil }
 
-// resume goes on with an answer that broke off, from the byte after the last.
+// resume continues an answer that broke off, from the byte after the last one received.
 func (t *targetClient) resume(ctx context.Context, target *declaration.Target, id ids.Request, p *progress) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target.Address+pathStreams+string(id), nil)
 	if err != nil {
@@ -196,19 +194,19 @@
 	request.Header.Set("Range", "bytes="+strconv.FormatInt(p.size, 10)+"-")
 	response, err := t.transport.RoundTrip(request)
 	if errors.Is(err, errNotReached) {
-		return fmt.Errorf("resuming at the target: %w: %s", errNotTakenUp, err.Error())
+		return fmt.Errorf("resuming at the target: %w: %s", errNotResumed, err.Error())
 	}
 	if err != nil {
 		return fmt.Errorf("resuming at the target: %w", err)
 	}
 	if response.StatusCode != http.StatusPartialContent {
 		_ = response.Body.Close()
-		return fmt.Errorf("resuming at the target: status %d: %w", response.StatusCode, errCut)
+		return fmt.Errorf("resuming at the target: status %d: %w", response.StatusCode, errBrokenOff)
 	}
 	return p.copyFrom(response)
 }
 
-// cancelAtTarget stops work that nobody waits for.
+// cancelAtTarget has the target stop work that nobody waits for.
 func (t *targetClient) cancelAtTarget(target *declaration.Target, id ids.Request) {
 	ctx, stop := context.WithTimeout(context.Background(), cancelTimeout.Duration())
 	defer stop()
@@ -218,28 +216,27 @@
 	}
 	response, err := t.transport.RoundTrip(request)
 	if err != nil {
-		t.Log.WithError(err).Debug("cancel not delivered to the target")
+		t.Log.WithError(err).Debug("cancelling a request at the target failed")
 		return
 	}
 	_ = response.Body.Close()
 }
 
-// progress is how far an answer has come, over all its connections.
+// progress is the state of an answer over all its connections.
 type progress struct {
-	log     *answerLog
-	size    int64
-	begun   bool
-	closing bool   // an event stream must end with the closing event
-	events  bool   // the answer is an event stream
-	tail    []byte // the last bytes, to look for the closing event
+	log               *answerLog
+	size              int64
+	begun             bool
+	needsClosingEvent bool   // an event stream must end with the closing event
+	events            bool   // the answer is an event stream
+	tail              []byte // the last bytes, to look for the closing event
 }
 
 var closingEvent = []byte("data: [DONE]")
 
 const tailBytes = 32
 
-// copyFrom copies one response to its end. It returns nil if the answer is
-// whole.
+// copyFrom copies one response to its end. It returns nil if the answer is complete.
 func (p *progress) copyFrom(response *http.Response) error {
 	defer func() { _ = response.Body.Close() }()
 	p.begin(response)
@@ -253,7 +250,7 @@
 			}
 		}
 		if err == io.EOF {
-			return p.atEnd()
+			return p.checkEnd()
 		}
 		if err != nil {
 			return fmt.Errorf("reading the answer: %w", err)
@@ -261,8 +258,8 @@
 	}
 }
 
-// begin passes the target's header on, once. A resume from the first byte on
-// stands for the answer whose header was lost.
+// begin writes the target's header to the log, once. A resume from the first byte on replaces the answer whose
+// header was lost.
 func (p *progress) begin(response *http.Response) {
 	if p.begun {
 		return
@@ -273,7 +270,7 @@
 		status = http.StatusOK
 	}
 	header := passHeader(response.Header)
-	p.events = p.closing && strings.HasPrefix(header.Get("Content-Type"), "text/event-stream")
+	p.events = p.needsClosingEvent && strings.HasPrefix(header.Get("Content-Type"), "text/event-stream")
 	p.log.begin(status, header)
 }
 
@@ -286,16 +283,16 @@
 	return p.log.append(b)
 }
 
-// atEnd checks that an event stream has ended with its closing event, since an
-// engine that stops may end the HTTP body in good order.
-func (p *progress) atEnd() error {
+// checkEnd checks that an event stream has ended with its closing event, since an engine that stops may end the
+// HTTP body in good order.
+func (p *progress) checkEnd() error {
 	if p.events && !bytes.Contains(p.tail, closingEvent) {
-		return fmt.Errorf("event stream without its closing event: %w", errCut)
+		return fmt.Errorf("event stream without its closing event: %w", errBrokenOff)
 	}
 	return nil
 }
 
-// passHeader drops what belongs to the connection with the target.
+// passHeader returns the header without the fields that belong to the connection with the target.
 func passHeader(h http.Header) http.Header {
 	passed := make(http.Header, len(h))
 	for name, values := range h {
--- a/pkg/agent/work.go
+++ b/pkg/agent/work.go
@@ -10,65 +10,64 @@
 	"quaydock/pkg/ids"
 )
 
-// call is what the target is asked.
+// call is the request that the target is sent.
 type call struct {
 	request ids.Request
 	method  string
 	path    string
 	header  http.Header
 	body    []byte
-	// model says that the call is a model's, in the OpenAI form.
+	// model marks a call of a model, in the OpenAI form.
 	model bool
 }
 
-// work is one dispatch and its answer.
-type work struct {
-	request ids.Request
-	grant   ids.Grant
-	answer  *answerLog
-	ctx     context.Context
-	cancel  context.CancelFunc
-	leftAt  clock.Millis // when the last reader left, or an entry last asked for it; guarded by the agent's lock
+// execution is one dispatched request and its answer.
+type execution struct {
+	request  ids.Request
+	grant    ids.Grant
+	answer   *answerLog
+	ctx      context.Context
+	cancel   context.CancelFunc
+	neededAt clock.Millis // when the last reader left, or an entry last asked for it; guarded by the agent's lock
 }
 
-// start turns a grant into a dispatch. It returns nil and the grant's fate if
-// the grant may not be used.
-func (a *Agent) start(ctx context.Context, grant ids.Grant, c call) (*work, control.Fate) {
+// start turns a grant into a dispatch. It returns nil and the grant's outcome if the grant may not be used.
+func (a *Agent) start(ctx context.Context, grant ids.Grant, c call) (*execution, control.Fate) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.Clock.Now()
 	if !a.gate.Use(now, grant, c.request) {
 		fate := a.gate.Fate(now, grant, c.request)
-		a.settle()
+		a.deliverNotices()
 		return nil, fate
 	}
-	a.settle()
-	w := &work{request: c.request, grant: grant, answer: newAnswerLog(a.settings.AnswerBytes)}
-	w.ctx, w.cancel = context.WithCancel(context.WithoutCancel(ctx))
-	a.works[grant] = w
-	a.running.Go(func() { a.perform(w, c) })
-	return w, control.FateDispatched
+	a.deliverNotices()
+	e := &execution{request: c.request, grant: grant, answer: newAnswerLog(a.settings.AnswerBytes)}
+	e.ctx, e.cancel = context.WithCancel(context.WithoutCancel(ctx))
+	a.executions[grant] = e
+	a.running.Go(func() { a.perform(e, c) })
+	return e, control.FateDispatched
 }
 
-// perform has the target do the work, and ends the answer.
-func (a *Agent) perform(w *work, c call) {
-	defer w.cancel()
-	stop := context.AfterFunc(a.ctx, w.abort)
+// perform sends the call to the target, and ends the answer.
+func (a *Agent) perform(e *execution, c call) {
+	defer e.cancel()
+	stop := context.AfterFunc(a.ctx, e.abort)
 	defer stop()
-	ctx, span := a.Tracer.Start(w.ctx, "agent.target")
+	ctx, span := a.Tracer.Start(e.ctx, "agent.target")
 	defer span.End()
-	err := a.target.run(ctx, c, w.answer)
+	err := a.target.run(ctx, c, e.answer)
 	reached := !errors.Is(err, errNotReached)
 	a.mu.Lock()
-	a.gate.Finish(a.Clock.Now(), w.grant, reached)
-	a.settle()
+	a.gate.Finish(a.Clock.Now(), e.grant, reached)
+	a.deliverNotices()
 	a.mu.Unlock()
-	a.count(err)
-	w.answer.end(err)
-	a.keep(w)
+	a.countOutcome(err)
+	e.answer.end(err)
+	a.keep(e)
 }
 
-func (a *Agent) count(err error) {
+func (a *Agent) countOutcome(err error) {
 	switch {
 	case err == nil:
 		a.Metrics.Dispatches.Add("whole", 1)
@@ -80,23 +79,23 @@
 		a.Metrics.Dispatches.Add("cut", 1)
 	}
 	if err != nil {
-		a.Log.WithError(err).Info("answer not whole")
+		a.Log.WithError(err).Info("answer incomplete")
 	}
 }
 
-// find returns the work of a grant, or nil.
-func (a *Agent) find(grant ids.Grant, request ids.Request) *work {
+// find returns the execution of a grant, or nil.
+func (a *Agent) find(grant ids.Grant, request ids.Request) *execution {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	w := a.works[grant]
-	if w == nil || w.request != request {
+	e := a.executions[grant]
+	if e == nil || e.request != request {
 		return nil
 	}
-	return w
+	return e
 }
 
-// abort stops the work and ends its answer as cut, unless it has ended.
-func (w *work) abort() {
-	w.cancel()
-	w.answer.end(errCut)
+// abort stops the execution and ends its answer as broken off, unless it has ended.
+func (e *execution) abort() {
+	e.cancel()
+	e.answer.end(errBrokenOff)
 }
