--- a/pkg/forward/connection.go
+++ b/pkg/forward/connection.go
@@ -18,10 +18,10 @@
 // connection is one connection to a target. It carries one request at a time.
 type connection struct {
 	net.Conn
-	reader    *bufio.Reader
-	reused    bool
-	goodUntil clock.Millis
-	// madeAt is the Unix millisecond at which it was made, to be compared with starts of targets.
+	reader     *bufio.Reader
+	reused     bool
+	reuseUntil clock.Millis
+	// madeAt is the Unix millisecond at which the connection was made, to be compared with starts of targets.
 	madeAt ids.Start
 }
 
@@ -29,33 +29,33 @@
 	return &connection{Conn: c, reader: bufio.NewReaderSize(c, readBuffer), madeAt: ids.Start(time.Now().UnixMilli())}
 }
 
-// quiet reports whether an idle connection is still open and has nothing to be
-// read: what a target sends between two requests belongs to neither.
-func (c *connection) quiet() bool {
+// usable reports whether an idle connection is still open and has nothing to read: what a target sends between two
+// requests belongs to neither.
+func (c *connection) usable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
 	raw, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		return true // a network in memory; a failure shows when it is used
+		return true // an in-memory network; a failure shows at the next use
 	}
 	control, err := raw.SyscallConn()
 	if err != nil {
 		return false
 	}
-	quiet := false
+	usable := false
 	err = control.Read(func(descriptor uintptr) bool {
 		var one [1]byte
 		_, err := syscall.Read(int(descriptor), one[:])
-		quiet = err == syscall.EAGAIN
+		usable = err == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && usable
 }
 
-// keepFor returns how long the connection may rest after an answer.
+// keepFor returns how long the connection may stay idle after an answer.
 func keepFor(h http.Header) clock.Millis {
-	limit := idleLimit
+	limit := maxIdle
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(field), "timeout=")
 		if !found {
--- a/pkg/forward/exchange.go
+++ b/pkg/forward/exchange.go
@@ -16,8 +16,8 @@
 	"quaydock/pkg/routing"
 )
 
-// errStray says that a target kept answering other requests.
-var errStray = errors.New("answers to other requests only")
+// errStray means that a target kept answering other requests.
+var errStray = errors.New("the target only answered other requests")
 
 // exchange is one request on one connection.
 type exchange struct {
@@ -28,30 +28,29 @@
 	ctx      context.Context
 	cancel   context.CancelCauseFunc
 	sentAt   clock.Millis
-	stop     func() bool  // takes back the closing at the end of the context
+	stop     func() bool  // cancels the closing at the end of ctx
 	written  atomic.Int64 // bytes of the request
 	writeEnd chan error
 }
 
-// Send makes one exchange. When ctx ends, or the target has started again, the connection is
-// closed.
+// Send makes one exchange. When ctx ends, or the target has started again, the connection is closed.
 func (p *Pool) Send(ctx context.Context, t *routing.Target, r *Request) Result {
 	if p.withholds(t) {
 		return Withheld{}
 	}
 	e := &exchange{pool: p, target: t, request: r, writeEnd: make(chan error, 1)}
 	e.ctx, e.cancel = context.WithCancelCause(ctx)
-	if !p.enter(t.Life(), e) {
+	if !p.register(t.Life(), e) {
 		e.cancel(nil)
 		return unreached(t, ErrReplaced)
 	}
 	if err := e.connect(); err != nil {
 		err = e.cause(err)
-		e.leave()
+		e.unregister()
 		return unreached(t, err)
 	}
-	if p.withholds(t) { // once more: making the connection may have taken a third of a second
-		e.leave()
+	if p.withholds(t) { // again: making the connection may have taken up to dialTimeout, a third of a second
+		e.unregister()
 		discard(e.conn)
 		return Withheld{}
 	}
@@ -61,8 +60,9 @@
 	return e.read()
 }
 
-// withholds reports whether a target has told this entry to send nothing, or its failure domain is drained. It is
-// asked here, where each way to a target ends, since whoever gave the place may not have heard of it.
+// withholds reports whether the target's advice blocks requests from this entry, or its failure domain is drained.
+// It is checked here, where all paths to a target meet, since whoever made the assignment may not have received
+// the advice.
 func (p *Pool) withholds(t *routing.Target) bool {
 	if !p.advice.Of(t.Life()).Bars() && !p.drained(t.ID) {
 		return false
@@ -71,10 +71,10 @@
 	return true
 }
 
-// connect takes a connection. One that was made while the target started again may lead to its
-// new life, which is not to run what was counted in the former one.
+// connect takes an idle connection or makes one. One that was made while the target started again may lead to its
+// new incarnation, which must not run what was counted for the former one.
 func (e *exchange) connect() error {
-	e.conn = e.pool.take(e.target.Life())
+	e.conn = e.pool.takeIdle(e.target.Life())
 	if e.conn == nil {
 		var err error
 		if e.conn, err = e.pool.dial(e.ctx, e.target); err != nil {
@@ -88,14 +88,14 @@
 	return nil
 }
 
-// leave takes the exchange off the pool's list and ends its context.
-func (e *exchange) leave() {
-	e.pool.leave(e.target.Life(), e)
+// unregister removes the exchange from the pool and ends its context.
+func (e *exchange) unregister() {
+	e.pool.unregister(e.target.Life(), e)
 	e.cancel(nil)
 }
 
-// cause returns why an exchange failed: ErrReplaced if the target has started again, or else err. An
-// error of the connection would only say that it was closed at this end.
+// cause returns why an exchange failed: ErrReplaced if the target has started again, or else err. The error of the
+// connection would only say that it was closed at this end.
 func (e *exchange) cause(err error) error {
 	if errors.Is(context.Cause(e.ctx), ErrReplaced) {
 		return ErrReplaced
@@ -103,8 +103,8 @@
 	return err
 }
 
-// write sends the request. It runs beside the reading, since a target may
-// answer before it has read a long body.
+// write sends the request. It runs concurrently with reading, since a target may answer before it has read a long
+// body.
 func (e *exchange) write() {
 	var head bytes.Buffer
 	r := e.request
@@ -124,36 +124,37 @@
 }
 
 func (e *exchange) read() Result {
-	for range maxStrays {
-		response, err := e.head()
+	for range maxStrayAnswers {
+		response, err := e.readHead()
 		if err != nil {
 			return e.failed(err)
 		}
-		marks := e.pool.marks(response.Header)
-		if marks.ID != "" && marks.ID != e.request.ID {
-			if err := e.passOver(response); err != nil {
+		metadata := e.pool.readMetadata(response.Header)
+		if metadata.ID != "" && metadata.ID != e.request.ID {
+			if err := e.skip(response); err != nil {
 				return e.failed(err)
 			}
 			continue
 		}
-		e.hear(response, &marks)
-		if marks.NotRun || response.StatusCode == http.StatusMisdirectedRequest {
-			return e.declined(response, marks)
+		e.recordAdvice(response, &metadata)
+		if metadata.NotRun || response.StatusCode == http.StatusMisdirectedRequest {
+			return e.declined(response, metadata)
 		}
-		return e.answer(response, marks)
+		return e.answer(response, metadata)
 	}
 	return e.failed(errStray)
 }
 
-// hear takes what an answer says of its target. One of another process at the address says nothing of the
-// target, and only one that turns a request away asks for rest: elsewhere the field has other meanings.
-func (e *exchange) hear(response *http.Response, marks *Marks) {
+// recordAdvice passes on the advice in an answer's head. An answer of another process at the address (status 421)
+// contains none about the target, and a back-off is read only from answers that reject a request with status 503:
+// elsewhere the header field has other meanings.
+func (e *exchange) recordAdvice(response *http.Response, metadata *Marks) {
 	if response.StatusCode == http.StatusMisdirectedRequest {
 		return
 	}
-	advice := advisory.Advice{Leaving: marks.Leaving, Limit: marks.Limit, Asked: e.sentAt}
+	advice := advisory.Advice{Leaving: metadata.Leaving, Limit: metadata.Limit, Asked: e.sentAt}
 	if response.StatusCode == http.StatusServiceUnavailable {
-		advice.Rest = marks.Rest
+		advice.Rest = metadata.Rest
 	}
 	if !advice.Empty() {
 		advice.Said = advisory.ReadDate(response.Header)
@@ -161,12 +162,12 @@
 	e.pool.advice.Hear(e.target.Life(), e.conn.madeAt, e.request.ID, advice)
 }
 
-// head reads the head of the next answer that is not an interim one.
-func (e *exchange) head() (*http.Response, error) {
+// readHead reads the head of the next answer that is not an interim one.
+func (e *exchange) readHead() (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(e.conn.reader, &http.Request{Method: e.request.Method})
 		if err != nil {
-			return nil, fmt.Errorf("reading the head: %w", err)
+			return nil, fmt.Errorf("reading the head of the answer: %w", err)
 		}
 		if response.StatusCode >= http.StatusOK {
 			return response, nil
@@ -174,24 +175,24 @@
 	}
 }
 
-// passOver skips an answer that belongs to another request.
-func (e *exchange) passOver(response *http.Response) error {
+// skip discards an answer that belongs to another request.
+func (e *exchange) skip(response *http.Response) error {
 	e.pool.Metrics.Links.Add("stray_answers", 1)
 	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
-		return errStray // its end is the connection's
+		return errStray // the answer ends with the connection
 	}
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
-		return fmt.Errorf("passing over an answer: %w", err)
+		return fmt.Errorf("skipping the answer of another request: %w", err)
 	}
 	return nil
 }
 
-// failed ends an exchange without an answer. Only if the write itself failed
-// before its first byte is it sure that nothing was sent.
+// failed ends an exchange without an answer. Only if the write itself failed before its first byte is it certain
+// that nothing was sent.
 func (e *exchange) failed(err error) Result {
 	err = e.cause(err)
 	e.stop()
-	e.leave()
+	e.unregister()
 	discard(e.conn)
 	writeErr := <-e.writeEnd
 	if writeErr != nil && e.written.Load() == 0 {
@@ -200,37 +201,36 @@
 	return Broken{fmt.Errorf("target %s, reused connection %t: %w", e.target.ID, e.conn.reused, err)}
 }
 
-func (e *exchange) declined(response *http.Response, marks Marks) Result {
+func (e *exchange) declined(response *http.Response, metadata Marks) Result {
 	_, err := io.Copy(io.Discard, response.Body)
 	e.finish(response, err == nil)
-	return Declined{Status: response.StatusCode, Load: marks.Load}
+	return Declined{Status: response.StatusCode, Load: metadata.Load}
 }
 
-func (e *exchange) answer(response *http.Response, marks Marks) Result {
+func (e *exchange) answer(response *http.Response, metadata Marks) Result {
 	return &Answer{
 		Status: response.StatusCode,
 		Header: response.Header,
 		Length: response.ContentLength,
-		Load:   marks.Load,
+		Load:   metadata.Load,
 		body:   &body{exchange: e, response: response},
 	}
 }
 
-// finish ends an exchange whose answer has been read; the connection is kept
-// if both sides are through with it.
-func (e *exchange) finish(response *http.Response, whole bool) {
+// finish ends an exchange whose answer has been read. The connection is kept if both directions are done with it.
+func (e *exchange) finish(response *http.Response, complete bool) {
 	stopped := e.stop()
-	e.leave()
+	e.unregister()
 	written := false
 	select {
 	case err := <-e.writeEnd:
 		written = err == nil
-	default: // the rest of a body is still due on this connection
+	default: // part of the request's body has yet to be written
 	}
 	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 	keep := keepFor(response.Header)
-	if whole && stopped && written && framed && !response.Close && keep > 0 {
-		e.pool.rest(e.target.Life(), e.conn, keep)
+	if complete && stopped && written && framed && !response.Close && keep > 0 {
+		e.pool.keepIdle(e.target.Life(), e.conn, keep)
 		return
 	}
 	discard(e.conn)
--- a/pkg/forward/exchange_test.go
+++ b/pkg/forward/exchange_test.go
@@ -23,14 +23,14 @@
 
 const at = "10.0.0.9:80"
 
-// engine answers with scripted bytes. It is called for each request that it has
-// read, with the number of the connection and the request's id.
+// engine answers with scripted bytes. It is called for each request that it has read, with the number of the
+// connection and the request's id.
 type engine func(c net.Conn, connection int, id string)
 
 // serve runs an engine at the address until the test ends.
-func serve(t *testing.T, reach network.Network, e engine) {
+func serve(t *testing.T, memory network.Network, e engine) {
 	t.Helper()
-	listener, err := reach.Listen(at)
+	listener, err := memory.Listen(at)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 	}
 }
 
-func marks(h map[string][]string) forward.Marks {
+func readMetadata(h map[string][]string) forward.Marks {
 	header := http.Header(h)
 	return forward.Marks{ID: header.Get("Id"), NotRun: header.Get("Not-Run") != ""}
 }
@@ -79,7 +79,7 @@
 
 var target = &routing.Target{ID: "t", Address: at}
 
-// outcome is a result in one word, with the body of a whole answer.
+// outcome describes a result in a word or two, with the body of a complete answer.
 func outcome(r forward.Result) string {
 	switch r := r.(type) {
 	case forward.NotSent:
@@ -92,7 +92,7 @@
 		defer r.Close()
 		body, err := io.ReadAll(r)
 		if err != nil {
-			return "cut"
+			return "broken off"
 		}
 		return fmt.Sprint(r.Status, " ", string(body))
 	default:
@@ -117,29 +117,29 @@
 		engine engine
 		want   string
 	}{
-		{"a whole answer", write(answer("{id}", "yes")), "200 yes"},
+		{"a complete answer", write(answer("{id}", "yes")), "200 yes"},
 		{"an answer in chunks", write("HTTP/1.1 200 OK\r\nId: {id}\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n0\r\n\r\n"), "200 yes"},
 		{"an answer that ends with its connection", writeAndClose("HTTP/1.1 200 OK\r\nId: {id}\r\n\r\nyes"), "200 yes"},
 		{"an interim answer first", write("HTTP/1.1 103 Early Hints\r\n\r\n" + answer("{id}", "yes")), "200 yes"},
-		{"its own failure", write("HTTP/1.1 500 No\r\nId: {id}\r\nContent-Length: 0\r\n\r\n"), "500 "},
+		{"a failure of the target", write("HTTP/1.1 500 No\r\nId: {id}\r\nContent-Length: 0\r\n\r\n"), "500 "},
 		{"an answer to another request first", write(answer("other", "no") + answer("{id}", "yes")), "200 yes"},
 		{"answers to other requests only", writeAndClose(answer("other", "no")), "broken"},
 		{"an unframed answer to another request", writeAndClose("HTTP/1.1 200 OK\r\nId: other\r\n\r\nno"), "broken"},
-		{"a refusal that it did not run", write("HTTP/1.1 503 Full\r\nId: {id}\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"), "declined 503"},
+		{"a refusal that reports the request as not run", write("HTTP/1.1 503 Full\r\nId: {id}\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"), "declined 503"},
 		{"another target at the address", write("HTTP/1.1 421 Moved\r\nContent-Length: 0\r\n\r\n"), "declined 421"},
-		{"a refusal that does not say so", write("HTTP/1.1 503 Full\r\nId: {id}\r\nContent-Length: 0\r\n\r\n"), "503 "},
+		{"a refusal without that report", write("HTTP/1.1 503 Full\r\nId: {id}\r\nContent-Length: 0\r\n\r\n"), "503 "},
 		{"a closed connection", writeAndClose(""), "broken"},
 		{"bytes that are no answer", writeAndClose("\x00\x01garbage\r\n\r\n"), "broken"},
 		{"half a head", writeAndClose("HTTP/1.1 200 OK\r\nId: "), "broken"},
-		{"an answer cut short", writeAndClose("HTTP/1.1 200 OK\r\nId: {id}\r\nContent-Length: 9\r\n\r\nyes"), "cut"},
-		{"chunks cut short", writeAndClose("HTTP/1.1 200 OK\r\nId: {id}\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n"), "cut"},
+		{"a truncated answer", writeAndClose("HTTP/1.1 200 OK\r\nId: {id}\r\nContent-Length: 9\r\n\r\nyes"), "broken off"},
+		{"truncated chunks", writeAndClose("HTTP/1.1 200 OK\r\nId: {id}\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n"), "broken off"},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				reach := network.NewMemory(nil)
-				serve(t, reach, s.engine)
-				pool := forward.NewPool(commontest.New(reach), marks, nil)
+				memory := network.NewMemory(nil)
+				serve(t, memory, s.engine)
+				pool := forward.NewPool(commontest.New(memory), readMetadata, nil)
 				defer pool.Close()
 				if got := outcome(pool.Send(context.Background(), target, request("r1"))); got != s.want {
 					t.Errorf("%s, want %s", got, s.want)
@@ -149,20 +149,20 @@
 	}
 }
 
-func TestNothingIsSentToNobody(t *testing.T) {
-	pool := forward.NewPool(commontest.New(network.NewMemory(nil)), marks, nil)
+func TestUnreachableTargetIsNotSent(t *testing.T) {
+	pool := forward.NewPool(commontest.New(network.NewMemory(nil)), readMetadata, nil)
 	if got := outcome(pool.Send(context.Background(), target, request("r1"))); got != "not sent" {
 		t.Error(got)
 	}
 }
 
-// TestNoRequestIsRepeated counts what reaches a target that closes connections
-// without a word, also ones that were used before: a library would send again.
+// TestNoRequestIsRepeated counts the requests that reach a target which closes connections without an answer, also
+// connections that were used before: an HTTP library would send the request again.
 func TestNoRequestIsRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		reach := network.NewMemory(nil)
+		memory := network.NewMemory(nil)
 		seen := map[string]int{}
-		serve(t, reach, func(c net.Conn, _ int, id string) {
+		serve(t, memory, func(c net.Conn, _ int, id string) {
 			seen[id]++
 			if id == "r2" {
 				_ = c.Close()
@@ -170,7 +170,7 @@
 			}
 			_, _ = io.WriteString(c, answer(id, "yes"))
 		})
-		pool := forward.NewPool(commontest.New(reach), marks, nil)
+		pool := forward.NewPool(commontest.New(memory), readMetadata, nil)
 		defer pool.Close()
 		for _, id := range []string{"r1", "r2", "r3"} {
 			outcome(pool.Send(context.Background(), target, request(id)))
@@ -183,31 +183,31 @@
 	})
 }
 
-func TestConnections(t *testing.T) {
+func TestConnectionReuse(t *testing.T) {
 	scenarios := []struct {
 		name   string
 		answer string
 		header http.Header
-		rest   time.Duration
+		idle   time.Duration
 		want   int // connections for two requests
 	}{
-		{"one is used again", answer("{id}", "yes"), nil, 0, 1},
-		{"not one with surplus bytes", answer("{id}", "yes") + answer("{id}", "again"), nil, 0, 2},
-		{"not one that the target closes", "HTTP/1.1 200 OK\r\nId: {id}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", nil, 0, 2},
-		{"not one that has rested for long", answer("{id}", "yes"), nil, 5 * time.Second, 2},
-		{"not beyond what the target says", "HTTP/1.1 200 OK\r\nId: {id}\r\nKeep-Alive: timeout=2\r\nContent-Length: 0\r\n\r\n", nil, time.Second, 2},
-		{"not one on which a body is still due", answer("{id}", "yes"), http.Header{"Early": {"1"}}, 0, 2},
+		{"a connection is reused", answer("{id}", "yes"), nil, 0, 1},
+		{"surplus bytes: not reused", answer("{id}", "yes") + answer("{id}", "again"), nil, 0, 2},
+		{"closed by the target: not reused", "HTTP/1.1 200 OK\r\nId: {id}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", nil, 0, 2},
+		{"idle for too long: not reused", answer("{id}", "yes"), nil, 5 * time.Second, 2},
+		{"idle beyond Keep-Alive: not reused", "HTTP/1.1 200 OK\r\nId: {id}\r\nKeep-Alive: timeout=2\r\nContent-Length: 0\r\n\r\n", nil, time.Second, 2},
+		{"request body not yet written: not reused", answer("{id}", "yes"), http.Header{"Early": {"1"}}, 0, 2},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				reach := network.NewMemory(nil)
-				most := 0
-				serve(t, reach, func(c net.Conn, n int, id string) {
-					most = max(most, n)
+				memory := network.NewMemory(nil)
+				connections := 0
+				serve(t, memory, func(c net.Conn, n int, id string) {
+					connections = max(connections, n)
 					_, _ = io.WriteString(c, strings.ReplaceAll(s.answer, "{id}", id))
 				})
-				pool := forward.NewPool(commontest.New(reach), marks, nil)
+				pool := forward.NewPool(commontest.New(memory), readMetadata, nil)
 				defer pool.Close()
 				for _, id := range []string{"r1", "r2"} {
 					r := request(id)
@@ -218,26 +218,26 @@
 					if got := outcome(pool.Send(context.Background(), target, r)); !strings.HasPrefix(got, "200") {
 						t.Fatalf("%s: %s", id, got)
 					}
-					time.Sleep(s.rest)
+					time.Sleep(s.idle)
 				}
-				if most != s.want {
-					t.Errorf("%d connections, want %d", most, s.want)
+				if connections != s.want {
+					t.Errorf("%d connections, want %d", connections, s.want)
 				}
-				time.Sleep(2 * time.Minute) // until the target is through
+				time.Sleep(2 * time.Minute) // until the target has ended
 			})
 		})
 	}
 }
 
-func TestACallerWhoLeavesClosesTheConnection(t *testing.T) {
+func TestCancelledRequestClosesConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		reach := network.NewMemory(nil)
+		memory := network.NewMemory(nil)
 		closed := make(chan time.Time, 1)
-		serve(t, reach, func(c net.Conn, _ int, _ string) {
+		serve(t, memory, func(c net.Conn, _ int, _ string) {
 			_, _ = c.Read(make([]byte, 1)) // returns when the connection ends
 			closed <- time.Now()
 		})
-		pool := forward.NewPool(commontest.New(reach), marks, nil)
+		pool := forward.NewPool(commontest.New(memory), readMetadata, nil)
 		defer pool.Close()
 		ctx, leave := context.WithTimeout(context.Background(), time.Second)
 		defer leave()
@@ -251,9 +251,10 @@
 	})
 }
 
-// TestWhatATargetSaysWhileItsConnectionIsMade: a third of a second passes between a place and the first byte that is
-// sent. What another answer of the target says meanwhile counts.
-func TestWhatATargetSaysWhileItsConnectionIsMade(t *testing.T) {
+// TestAdviceDuringDialIsHeeded has advice from another answer of the target arrive while the connection is being
+// made, which may take a third of a second after the assignment. The request must be withheld if the advice still
+// blocks it when the connection is there.
+func TestAdviceDuringDialIsHeeded(t *testing.T) {
 	advices := []struct {
 		advice  advisory.Advice
 		want    string
@@ -273,9 +274,9 @@
 				_, _ = io.WriteString(c, answer(id, "yes"))
 			})
 			c := commontest.New(slowDial{memory, 300 * time.Millisecond})
-			book := advisory.NewBook(c)
-			pool := forward.NewPool(c, marks, book)
-			time.AfterFunc(100*time.Millisecond, func() { book.Hear(target.Life(), 0, "other", a.advice) })
+			tracker := advisory.NewBook(c)
+			pool := forward.NewPool(c, readMetadata, tracker)
+			time.AfterFunc(100*time.Millisecond, func() { tracker.Hear(target.Life(), 0, "other", a.advice) })
 			if got := outcome(pool.Send(context.Background(), target, request("r1"))); got != a.want || arrived.Load() != a.arrived {
 				t.Errorf("%+v: %s, arrived %d times; want %s, %d", a.advice, got, arrived.Load(), a.want, a.arrived)
 			}
--- a/pkg/forward/lives_test.go
+++ b/pkg/forward/lives_test.go
@@ -15,13 +15,13 @@
 	"quaydock/pkg/routing"
 )
 
-// The two lives of one target, at one address.
+// Two incarnations of one target, at one address.
 var (
-	former = &routing.Target{ID: "t", Start: 5000, Address: at}
-	next   = &routing.Target{ID: "t", Start: 4000, Address: at}
+	former    = &routing.Target{ID: "t", Start: 5000, Address: at}
+	restarted = &routing.Target{ID: "t", Start: 4000, Address: at}
 )
 
-// slowDial connects after a while.
+// slowDial delays each connection.
 type slowDial struct {
 	network.Network
 	wait time.Duration
@@ -32,20 +32,20 @@
 	return s.Network.Dial(context.WithoutCancel(ctx), address)
 }
 
-// TestConnectionsOfAFormerLife has a target start again at some moment of an exchange, and looks at
-// what reached the engine at its address and what became of the connection.
-func TestConnectionsOfAFormerLife(t *testing.T) {
+// TestConnectionsOfAFormerIncarnation has a target start again at some moment of an exchange, and checks what
+// reached the engine at its address and whether the connection was closed.
+func TestConnectionsOfAFormerIncarnation(t *testing.T) {
 	scenarios := []struct {
 		name    string
 		restart time.Duration // after the exchange has begun; connecting takes 100 ms, the answer 200 more
 		want    string
 		arrived int64
 	}{
-		{"before it", -time.Millisecond, "not sent", 0},
+		{"before the exchange", -time.Millisecond, "not sent", 0},
 		{"while it connects", 50 * time.Millisecond, "not sent", 0},
-		{"once it is sent", 200 * time.Millisecond, "broken", 1},
-		{"in the middle of the answer", 350 * time.Millisecond, "cut", 1},
-		{"after it", 500 * time.Millisecond, "200 yes", 1},
+		{"after sending", 200 * time.Millisecond, "broken", 1},
+		{"in the middle of the answer", 350 * time.Millisecond, "broken off", 1},
+		{"after the exchange", 500 * time.Millisecond, "200 yes", 1},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -55,18 +55,18 @@
 				closed := make(chan struct{}, 1)
 				serve(t, memory, func(c net.Conn, _ int, id string) {
 					arrived.Add(1)
-					whole := answer(id, "yes")
+					complete := answer(id, "yes")
 					time.Sleep(200 * time.Millisecond)
-					_, _ = io.WriteString(c, whole[:len(whole)-1])
+					_, _ = io.WriteString(c, complete[:len(complete)-1])
 					time.Sleep(100 * time.Millisecond)
-					_, _ = io.WriteString(c, whole[len(whole)-1:])
+					_, _ = io.WriteString(c, complete[len(complete)-1:])
 					_, _ = c.Read(make([]byte, 1))
 					closed <- struct{}{}
 				})
-				pool := forward.NewPool(commontest.New(slowDial{memory, 100 * time.Millisecond}), marks, nil)
+				pool := forward.NewPool(commontest.New(slowDial{memory, 100 * time.Millisecond}), readMetadata, nil)
 				defer pool.Close()
 				pool.Follow(routing.NewDirectory([]*routing.Target{former}))
-				restart := func() { follow(pool, next) }
+				restart := func() { setDirectory(pool, restarted) }
 				if s.restart < 0 {
 					restart()
 				} else {
@@ -77,7 +77,7 @@
 				}
 				time.Sleep(time.Second)
 				if n := arrived.Load(); n != s.arrived {
-					t.Errorf("arrived %d times", n)
+					t.Errorf("request arrived %d times", n)
 				}
 				if s.arrived > 0 {
 					select {
@@ -91,27 +91,27 @@
 	}
 }
 
-// TestALaterAnswerRestsNoConnection has the news of the new start come while the end of an answer is
-// on its way: its connection is not kept, neither for the former life nor for the new one.
-func TestALaterAnswerRestsNoConnection(t *testing.T) {
+// TestConnectionIsNotKeptAfterRestart has the new target list arrive before the end of an answer is read: its
+// connection must be kept neither for the former incarnation nor for the new one.
+func TestConnectionIsNotKeptAfterRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		reach := network.NewMemory(nil)
+		memory := network.NewMemory(nil)
 		var connections atomic.Int64
-		serve(t, reach, func(c net.Conn, n int, id string) {
+		serve(t, memory, func(c net.Conn, n int, id string) {
 			connections.Store(int64(n))
 			_, _ = io.WriteString(c, answer(id, "yes"))
 		})
-		pool := forward.NewPool(commontest.New(reach), marks, nil)
+		pool := forward.NewPool(commontest.New(memory), readMetadata, nil)
 		defer pool.Close()
 		pool.Follow(routing.NewDirectory([]*routing.Target{former}))
 		a, ok := pool.Send(context.Background(), former, request("r1")).(*forward.Answer)
 		if !ok {
 			t.Fatal("no answer")
 		}
-		follow(pool, next)
-		_, _ = io.ReadAll(a) // whether the end comes through does not matter
+		setDirectory(pool, restarted)
+		_, _ = io.ReadAll(a) // whether the end arrives does not matter
 		a.Close()
-		if got := outcome(pool.Send(context.Background(), next, request("r2"))); got != "200 yes" {
+		if got := outcome(pool.Send(context.Background(), restarted, request("r2"))); got != "200 yes" {
 			t.Error(got)
 		}
 		if n := connections.Load(); n != 2 {
@@ -121,8 +121,8 @@
 	})
 }
 
-// follow gives a pool a new list, as whoever reads it does.
-func follow(pool *forward.Pool, t *routing.Target) {
+// setDirectory passes a new target list to a pool as production code does.
+func setDirectory(pool *forward.Pool, t *routing.Target) {
 	list := routing.NewDirectory([]*routing.Target{t})
 	pool.Follow(list)
 	pool.BreakOff(list)
--- a/pkg/forward/pool.go
+++ b/pkg/forward/pool.go
@@ -1,6 +1,6 @@
-// Package forward carries a request to a target and its answer back, in one
-// hop. It tells apart what surely did not run from what may have run, and it
-// trusts no byte of a target further than the answer's own framing and id.
+// Package forward sends a request to a target and receives its answer, in one hop. It distinguishes requests that
+// certainly did not run from those that may have run, and relies on no byte of a target beyond the answer's own
+// framing and request id.
 package forward
 
 import (
@@ -20,57 +20,56 @@
 // Pool keeps connections to targets.
 type Pool struct {
 	common.Common
-	marks  func(header map[string][]string) Marks
-	advice *advisory.Book
+	readMetadata func(header map[string][]string) Marks
+	advice       *advisory.Book
 
 	mu   sync.Mutex
 	idle map[ids.Life][]*connection
 	busy map[ids.Life]map[*exchange]struct{}
-	// targets is the newest list, nil before the first.
+	// targets is the newest target list, nil before the first.
 	targets *routing.Directory
 }
 
-// ErrReplaced says that the target has started again under its id: the exchange belongs to its
-// former life.
+// ErrReplaced means that the target has started again: the exchange belongs to its former incarnation.
 var ErrReplaced = errors.New("the target has started again")
 
-// NewPool returns a pool without connections. The function marks reads the head
-// of an answer; what that says of its target goes into the book.
-func NewPool(c common.Common, marks func(header map[string][]string) Marks, advice *advisory.Book) *Pool {
-	return &Pool{Common: c, marks: marks, advice: advice, idle: make(map[ids.Life][]*connection), busy: make(map[ids.Life]map[*exchange]struct{})}
+// NewPool returns a pool without connections. The function readMetadata reads the head of an answer; what it
+// contains about the target is passed to the advice tracker.
+func NewPool(c common.Common, readMetadata func(header map[string][]string) Marks, advice *advisory.Book) *Pool {
+	return &Pool{Common: c, readMetadata: readMetadata, advice: advice, idle: make(map[ids.Life][]*connection), busy: make(map[ids.Life]map[*exchange]struct{})}
 }
 
-// enter notes an exchange, so that it is broken off once its target has started again. It
-// reports false if that has happened already.
-func (p *Pool) enter(life ids.Life, e *exchange) bool {
+// register adds an exchange, so that it is aborted once its target has started again. It returns false if that has
+// happened already.
+func (p *Pool) register(incarnation ids.Life, e *exchange) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.replaced(life) {
+	if p.replaced(incarnation) {
 		return false
 	}
-	if p.busy[life] == nil {
-		p.busy[life] = make(map[*exchange]struct{})
+	if p.busy[incarnation] == nil {
+		p.busy[incarnation] = make(map[*exchange]struct{})
 	}
-	p.busy[life][e] = struct{}{}
+	p.busy[incarnation][e] = struct{}{}
 	return true
 }
 
-// leave takes back an exchange that enter has noted.
-func (p *Pool) leave(life ids.Life, e *exchange) {
+// unregister removes an exchange that register has added.
+func (p *Pool) unregister(incarnation ids.Life, e *exchange) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.busy[life], e)
-	if len(p.busy[life]) == 0 {
-		delete(p.busy, life)
+	delete(p.busy[incarnation], e)
+	if len(p.busy[incarnation]) == 0 {
+		delete(p.busy, incarnation)
 	}
 }
 
-// replaced reports whether a life is over; the lock is held.
-func (p *Pool) replaced(life ids.Life) bool {
-	return p.targets != nil && p.targets.Replaced(life)
+// replaced reports whether an incarnation has ended. The lock must be held.
+func (p *Pool) replaced(incarnation ids.Life) bool {
+	return p.targets != nil && p.targets.Replaced(incarnation)
 }
 
-// drained reports whether a target's failure domain is drained by the newest list.
+// drained reports whether a target's failure domain is drained by the newest target list.
 func (p *Pool) drained(id ids.Target) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,16 +80,16 @@
 	return t != nil && t.Drained
 }
 
-// Follow takes the newest list of targets: nothing more is sent to a former life of one. The list must come here
-// before anything is placed by it.
+// SetDirectory puts the newest target list into force: nothing more is sent to a former incarnation of a target.
+// The list must be set here before requests are assigned by it.
 func (p *Pool) Follow(targets *routing.Directory) {
 	var old []*connection
 	p.mu.Lock()
 	p.targets = targets
-	for life, list := range p.idle {
-		if p.replaced(life) {
+	for incarnation, list := range p.idle {
+		if p.replaced(incarnation) {
 			old = append(old, list...)
-			delete(p.idle, life)
+			delete(p.idle, incarnation)
 		}
 	}
 	p.mu.Unlock()
@@ -99,14 +98,14 @@
 	}
 }
 
-// BreakOff breaks off what was sent to a former life of a target: a VM that was cut off and came back resets no
-// connection, so that callers would wait for answers that nobody works on. It is called once requests are placed by the list:
-// what may be repeated is to find the new life.
+// AbortReplaced aborts the exchanges with former incarnations of targets: a VM that returns after a partition
+// resets no connection, so callers would wait for answers that nobody works on. It must be called after requests
+// are assigned by the new list, so that requests which may be repeated find the new incarnation.
 func (p *Pool) BreakOff(*routing.Directory) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for life, exchanges := range p.busy {
-		if !p.replaced(life) {
+	for incarnation, exchanges := range p.busy {
+		if !p.replaced(incarnation) {
 			continue
 		}
 		p.Metrics.Links.Add("exchanges_of_former_lives", int64(len(exchanges)))
@@ -116,15 +115,15 @@
 	}
 }
 
-// take returns an idle connection to a target, or nil.
-func (p *Pool) take(life ids.Life) *connection {
+// takeIdle returns a usable idle connection to a target, or nil.
+func (p *Pool) takeIdle(incarnation ids.Life) *connection {
 	now := p.Clock.Now()
 	for {
-		c := p.pop(life)
+		c := p.pop(incarnation)
 		if c == nil {
 			return nil
 		}
-		if now < c.goodUntil && c.quiet() {
+		if now < c.reuseUntil && c.usable() {
 			c.reused = true
 			return c
 		}
@@ -132,15 +131,15 @@
 	}
 }
 
-func (p *Pool) pop(life ids.Life) *connection {
+func (p *Pool) pop(incarnation ids.Life) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.idle[life]
+	list := p.idle[incarnation]
 	if len(list) == 0 {
 		return nil
 	}
 	c := list[len(list)-1]
-	p.idle[life] = list[:len(list)-1]
+	p.idle[incarnation] = list[:len(list)-1]
 	return c
 }
 
@@ -155,31 +154,31 @@
 	return newConnection(c), nil
 }
 
-// Ended reports whether the process of a target has surely ended: another one is listed under its
-// id, or its VM refuses connections. One that can't be asked in a short time counts as running.
+// Ended reports whether the process of a target has certainly ended: another one is listed under its id, or its VM
+// refuses connections. A target that does not answer within endedTimeout counts as running.
 func (p *Pool) Ended(ctx context.Context, t *routing.Target) bool {
 	ctx, cancel := context.WithTimeout(ctx, endedTimeout.Duration())
 	defer cancel()
 	return p.Reach(ctx, t) == Refused
 }
 
-// Reach is what asking a target for a connection shows.
+// Reachability is the result of a connection attempt to a target.
 type Reach int
 
 //go:generate stringer -type=Reach -output=reach_string.go
 
-// What it may show.
+// The results.
 const (
-	// Reachable: its VM takes connections. Where it can't be told, as when the question ends or this end lacks descriptors,
-	// memory or ports, that counts as this.
+	// Reachable: the VM accepts connections. This is also the result if it cannot be determined, as when ctx ends
+	// or this end lacks descriptors, memory or ports.
 	Reachable Reach = iota
-	// Refused: its process has ended: the VM refuses connections, or another life of the target is listed.
+	// Refused: the process has ended. The VM refuses connections, or another incarnation of the target is listed.
 	Refused
-	// Unreachable: nobody answers, which may be this end's fault.
+	// Unreachable: the VM does not answer, which may be a fault at this end.
 	Unreachable
 )
 
-// Reach asks a target for a connection.
+// Probe makes a connection to a target and closes it.
 func (p *Pool) Reach(ctx context.Context, t *routing.Target) Reach {
 	p.mu.Lock()
 	replaced := p.replaced(t.Life())
@@ -187,9 +186,9 @@
 	if replaced {
 		return Refused
 	}
-	dialing, cancel := context.WithTimeout(ctx, answersTimeout.Duration())
+	dialCtx, cancel := context.WithTimeout(ctx, reachTimeout.Duration())
 	defer cancel()
-	c, err := p.Network.Dial(dialing, t.Address)
+	c, err := p.Network.Dial(dialCtx, t.Address)
 	switch {
 	case err == nil:
 		_ = c.Close()
@@ -203,49 +202,49 @@
 	}
 }
 
-// isUnanswered reports whether a connection failed by the silence of the other end, or for want of a way there.
+// isUnanswered reports whether a connection failed because the other end did not answer, or because there is no
+// route to it.
 func isUnanswered(err error) bool {
 	var failed net.Error
 	timedOut := errors.As(err, &failed) && failed.Timeout()
 	return timedOut || errors.Is(err, syscall.EHOSTUNREACH) || errors.Is(err, syscall.ENETUNREACH)
 }
 
-// rest keeps a connection for the next request to the same life of its target.
-func (p *Pool) rest(life ids.Life, c *connection, keep clock.Millis) {
-	c.goodUntil = p.Clock.Now() + keep
+// keepIdle keeps a connection for the next request to the same incarnation of its target.
+func (p *Pool) keepIdle(incarnation ids.Life, c *connection, keep clock.Millis) {
+	c.reuseUntil = p.Clock.Now() + keep
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.replaced(life) {
+	if p.replaced(incarnation) {
 		discard(c)
 		return
 	}
-	p.idle[life] = append(p.idle[life], c)
+	p.idle[incarnation] = append(p.idle[incarnation], c)
 }
 
-// discard closes a connection that is not used again, whatever closing says.
+// discard closes a connection that is not used again and ignores errors.
 func discard(c *connection) {
 	_ = c.Close()
 }
 
-// Prune closes the idle connections that are too old or whose targets are
-// gone.
+// Prune closes the idle connections that are too old or whose targets are no longer listed.
 func (p *Pool) Prune(known *routing.Directory) {
 	now := p.Clock.Now()
 	var old []*connection
 	p.mu.Lock()
-	for life, list := range p.idle {
+	for incarnation, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now < c.goodUntil && known.Target(life.Target) != nil {
+			if now < c.reuseUntil && known.Target(incarnation.Target) != nil {
 				kept = append(kept, c)
 				continue
 			}
 			old = append(old, c)
 		}
 		clear(list[len(kept):])
-		p.idle[life] = kept
+		p.idle[incarnation] = kept
 		if len(kept) == 0 {
-			delete(p.idle, life)
+			delete(p.idle, incarnation)
 		}
 	}
 	p.mu.Unlock()
--- a/pkg/forward/result.go
+++ b/pkg/forward/result.go
@@ -9,7 +9,7 @@
 	"quaydock/pkg/routing"
 )
 
-// Request is what a target is sent.
+// Request is the request that is sent to a target.
 type Request struct {
 	ID     string
 	Method string
@@ -20,20 +20,20 @@
 	Body   []byte
 }
 
-// Marks are what the head of an answer says about the exchange.
+// AnswerMetadata is what the head of an answer contains about the exchange and its target.
 type Marks struct {
-	// ID is the request that the answer belongs to; empty if it does not say.
+	// ID is the request that the answer belongs to; empty if the head does not name it.
 	ID string
-	// NotRun says that the target did not run the request and never will.
+	// NotRun means that the target did not run the request and never will.
 	NotRun bool
-	// Load is the target's own word on its load, if it gave one.
+	// Load is the load that the target reported, if it did.
 	Load *Load
-	// Leaving says that the target leaves.
+	// Leaving means that the target takes no new requests and will end.
 	Leaving bool
-	// Rest is for how long a target that turns a request away wants no other one from here; 0 if it does not
+	// Backoff is how long a target that rejects a request wants no other one from this entry; 0 if it does not
 	// say.
 	Rest clock.Millis
-	// Limit is how many requests a second the target takes from all entries.
+	// Limit is how many requests a second the target accepts from all entries together.
 	Limit ratelimit.Named
 }
 
@@ -42,25 +42,23 @@
 	Running, Waiting, Slots int
 }
 
-// Result is how one exchange with a target went: NotSent, Withheld, Declined, *Answer or
-// Broken.
+// Result is the result of one exchange with a target: NotSent, Withheld, Declined, *Answer or Broken.
 type Result interface{ result() }
 
-// NotSent says that no byte of the request was written, so that the target
-// cannot have run it.
+// NotSent means that no byte of the request was written, so that the target cannot have run it.
 type NotSent struct{ Err error }
 
-// Withheld says that nothing was sent, as the target has told this entry before that it leaves, or wants no
-// requests for a while.
+// Withheld means that nothing was sent, because the target's advice blocks requests from this entry (it is leaving
+// or asked for a back-off), or its failure domain is drained.
 type Withheld struct{}
 
-// Declined says that the target told it did not run the request.
+// Declined means that the target reported that it did not run the request.
 type Declined struct {
 	Status int
 	Load   *Load
 }
 
-// Broken says that the exchange failed, and that the target may have run the request.
+// Broken means that the exchange failed, and that the target may have run the request.
 type Broken struct{ Err error }
 
 func (NotSent) result()  {}
@@ -73,43 +71,41 @@
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is the body's length, or -1 if its end shows otherwise.
+	// Length is the body's length, or -1 if it is not known before the body's end.
 	Length int64
 	Load   *Load
 	body   *body
 }
 
-// Read reads the body. It returns io.EOF only behind the last byte of a whole
-// body.
+// Read reads the body. It returns io.EOF only after the last byte of a complete body.
 func (a *Answer) Read(p []byte) (int, error) {
 	return a.body.Read(p)
 }
 
-// Close ends the exchange; before the end of the body it closes the connection,
-// which has the target drop the request.
+// Close ends the exchange. Before the end of the body it closes the connection, upon which the target drops the
+// request.
 func (a *Answer) Close() {
 	a.body.close()
 }
 
-// Dialer limits.
+// Limits of connections.
 const (
-	// dialTimeout bounds the making of a connection: targets are a few
-	// milliseconds away, and a lost opening packet is repeated only after a
-	// second, by which time another target has answered.
+	// dialTimeout limits making a connection: targets are a few milliseconds away, and a lost SYN is repeated only
+	// after a second, by which time another target has answered.
 	dialTimeout = 350 * clock.Millisecond
-	// endedTimeout bounds the question whether a target's process still listens, which its VM
-	// answers within some ms; a caller's repeat may wait for it.
+	// endedTimeout limits the check whether a target's process still listens, which its VM answers within a few
+	// milliseconds; a caller's repeat may wait for it.
 	endedTimeout = 100 * clock.Millisecond
-	// answersTimeout bounds the question whether a target that is silent can still be reached. It is asked
-	// while another one is tried, and known before the two have worked for too long.
-	answersTimeout = 220 * clock.Millisecond
-	// idleLimit is how long an idle connection is used again at the most;
-	// targets may forget a connection sooner than they say.
-	idleLimit = 4 * clock.Second
-	// idleMargin is kept from the time a target says it keeps a connection.
+	// reachTimeout limits the check whether a target that does not answer can still be reached. The check runs
+	// while another target is tried, and must be done before both have worked on the request for too long.
+	reachTimeout = 220 * clock.Millisecond
+	// maxIdle is the longest time after which an idle connection is used again; targets may close a connection
+	// sooner than they say.
+	maxIdle = 4 * clock.Second
+	// idleMargin is subtracted from the time for which a target says it keeps a connection.
 	idleMargin = 1500 * clock.Millisecond
-	// maxStrays is how many answers to other requests are passed over.
-	maxStrays = 4
+	// maxStrayAnswers limits how many answers to other requests are skipped.
+	maxStrayAnswers = 4
 )
 
 func unreached(t *routing.Target, err error) NotSent {
