--- a/pkg/control/client.go
+++ b/pkg/control/client.go
@@ -12,7 +12,7 @@
 	"quaydock/pkg/network"
 )
 
-// ServiceName is the name under which an agent's messages are registered.
+// ServiceName is the name under which an agent's RPC service is registered.
 const ServiceName = "Agent"
 
 // Methods of an agent.
@@ -23,11 +23,10 @@
 	methodCancel  = ServiceName + ".Cancel"
 )
 
-// WriteLimit bounds one write of a message, on both sides.
+// WriteLimit is the time limit for one write of a message, on both sides.
 const WriteLimit = 2 * clock.Second
 
-// Client sends messages to one agent over one connection. After an error of
-// the connection it stays broken; make a new one.
+// Client sends messages to one agent over one connection. It cannot be used after a connection error.
 type Client struct {
 	rpc *rpc.Client
 }
@@ -37,13 +36,13 @@
 	return &Client{rpc: rpc.NewClient(network.LimitWrites(conn, WriteLimit))}
 }
 
-// Close ends the connection; calls under way return errors.
+// Close closes the connection; calls under way return errors.
 func (c *Client) Close() {
-	// An error says only that it was closed before.
+	// An error only means that it was closed before.
 	_ = c.rpc.Close()
 }
 
-// Place hands over tickets and takes others back.
+// Place sends tickets to the agent and withdraws others.
 func (c *Client) Place(ctx context.Context, args *PlaceArgs) (*PlaceReply, error) {
 	reply := &PlaceReply{}
 	return reply, c.call(ctx, methodPlace, args, reply)
@@ -55,18 +54,18 @@
 	return reply, c.call(ctx, methodNotices, args, reply)
 }
 
-// Outcome asks what became of a grant, and closes it if it was unused.
+// Outcome queries the outcome of a grant, which closes the grant if it was unused.
 func (c *Client) Outcome(ctx context.Context, args *OutcomeArgs) (*OutcomeReply, error) {
 	reply := &OutcomeReply{}
 	return reply, c.call(ctx, methodOutcome, args, reply)
 }
 
-// Cancel stops the work of a grant whose caller has gone.
+// Cancel stops the work of a grant whose caller has disconnected.
 func (c *Client) Cancel(ctx context.Context, args *OutcomeArgs) error {
 	return c.call(ctx, methodCancel, args, &Nothing{})
 }
 
-// Nothing is the reply of a message that needs none.
+// EmptyReply is the reply of a message that needs none.
 type Nothing struct{}
 
 func (c *Client) call(ctx context.Context, method string, args, reply any) error {
--- a/pkg/control/messages.go
+++ b/pkg/control/messages.go
@@ -1,7 +1,6 @@
-// Package control has the typed messages that entries and agents exchange over
-// net/rpc, and the names of the headers on the HTTP stream between them. All
-// times in messages are lengths, never moments, since the clocks of two VMs
-// differ.
+// Package control defines the messages that entries and agents exchange over net/rpc, and the names of the headers
+// on the HTTP stream between them. All times in messages are durations, never points in time, since the clocks of
+// two VMs differ.
 package control
 
 import (
@@ -16,8 +15,7 @@
 	HeaderGrant   = "Quaydock-Grant-Id"
 	// HeaderTrace carries the W3C trace context of a sampled request.
 	HeaderTrace = "Traceparent"
-	// HeaderFate is set by the agent on a refusal of a dispatch. Its only
-	// value is FateNeverDispatched.
+	// HeaderFate is set by the agent when it refuses a dispatch. Its only value is FateNeverDispatched.
 	HeaderFate = "Quaydock-Fate"
 	// HeaderStatus is the target's status; the stream's own is 200.
 	HeaderStatus = "Quaydock-Status"
@@ -26,16 +24,16 @@
 	HeaderPath   = "Quaydock-Path"
 	// HeaderModel is set on calls of a model, in the OpenAI form.
 	HeaderModel = "Quaydock-Model-Call"
-	// HeaderOffset is the first byte of the answer that a resume asks for.
+	// HeaderOffset is the first byte of the answer that a resume requests.
 	HeaderOffset = "Quaydock-Offset"
-	// TrailerEnd is sent only behind a whole answer: its size in bytes.
+	// TrailerEnd is sent only behind a complete answer: its size in bytes.
 	TrailerEnd = "Quaydock-Answer-End"
-	// PassPrefix goes before the caller's and the target's own headers, so
-	// that they cannot be taken for the stream's.
+	// PassPrefix is put before the caller's and the target's own headers, so that they cannot be taken for the
+	// stream's.
 	PassPrefix = "Quaydock-Pass-"
 )
 
-// FateNeverDispatched says that the grant was not used and never will be.
+// FateNeverDispatched means that the grant was not used and never will be.
 const FateNeverDispatched = "never-dispatched"
 
 // Paths of the agent's stream port.
@@ -44,10 +42,11 @@
 	PathAnswer   = "/answer"
 )
 
-// Ticket asks for a grant. It describes a request without its body.
+// Ticket requests a grant. It describes a request without its body.
 type Ticket struct {
 	Request ids.Request
-	// Turn counts the tickets of the request, from 1: messages may pass one another.
+	// Turn is the attempt number of the ticket: it counts the request's tickets from 1, because messages may
+	// overtake one another.
 	Turn    int
 	Service ids.Service
 	Account ids.Account
@@ -58,48 +57,48 @@
 	// Prefill and Decode estimate the work in tokens.
 	Prefill ids.Tokens
 	Decode  ids.Tokens
-	// Returned says that the request had a place that came to nothing: its tickets elsewhere were taken back for it.
+	// Returned means that the request had a grant that led to no dispatch: its tickets elsewhere had been
+	// withdrawn in favour of it.
 	Returned bool
 	// TraceParent is the W3C trace context, empty when not sampled.
 	TraceParent string
 }
 
-// Work is the estimated cost of a ticket in decode-token equivalents.
+// Work returns the estimated cost of a ticket in decode-token equivalents.
 func (t *Ticket) Work() ids.Tokens {
 	return t.Decode + t.Prefill/PrefillPerDecode
 }
 
-// PrefillPerDecode is how many prompt tokens an engine takes in the time of
-// one answer token; engines batch prompts, so that they are far cheaper.
+// PrefillPerDecode is how many prompt tokens an engine processes in the time of one answer token; engines batch
+// prompts, so prompt tokens are far cheaper.
 const PrefillPerDecode = 16
 
-// Load is what an agent says of itself on each reply.
+// Load is the agent's report on its state, sent with each reply.
 type Load struct {
 	Agent ids.Incarnation
-	// Free is how many requests could be granted at once, of Slots in all.
+	// Free is how many requests could be granted at once, out of Slots.
 	Free  int
 	Slots int
-	// Queued is, for each tier, the estimated work that waits in it and in the
-	// tiers above. Tiers below the last one have the last figure.
+	// Queued is, for each tier, the estimated work that waits in it and in the tiers above. Tiers beyond the last
+	// element have its value.
 	Queued []ids.Tokens
 	// Running is the estimated work on the engine.
 	Running ids.Tokens
-	// Floor is the lowest tier still taken.
+	// Floor is the lowest tier still admitted.
 	Floor ids.TierRank
-	// DrainPerSecond is the measured work done a second.
+	// DrainPerSecond is the measured work done per second.
 	DrainPerSecond ids.Tokens
-	// UnitMicros is the measured time that a request runs for each token of its
-	// work, in microseconds; 0 before it is known.
+	// UnitMicros is the measured run time per token of a request's work, in microseconds; 0 until it is known.
 	UnitMicros int64
-	// Leaving says that the agent takes no new work.
+	// Leaving means that the agent takes no new work.
 	Leaving bool
-	// Rest is how much longer the target wants no requests, by its own word.
+	// Rest is the remaining back-off: for how much longer the target wants no requests, by its own report.
 	Rest clock.Millis
-	// Revision is the configuration that the agent has in force.
+	// Revision is the configuration revision that the agent has in force.
 	Revision declaration.Revision
 }
 
-// QueuedBefore returns the work that waits before a new ticket of a tier.
+// QueuedBefore returns the work that waits ahead of a new ticket of a tier.
 func (l *Load) QueuedBefore(tier ids.TierRank) ids.Tokens {
 	if len(l.Queued) == 0 {
 		return 0
@@ -107,7 +106,7 @@
 	return l.Queued[min(int(tier), len(l.Queued)-1)]
 }
 
-// VerdictKind is what became of a ticket.
+// VerdictKind is the kind of decision on a ticket.
 type VerdictKind int
 
 //go:generate stringer -type=VerdictKind,RefuseReason,Fate -output=enums_string.go
@@ -118,7 +117,7 @@
 	Granted VerdictKind = iota
 	// Queued: the ticket waits; a later notice follows.
 	Queued
-	// Declined: the ticket is not held; Reason says why.
+	// Declined: the agent does not keep the ticket; Reason says why.
 	Declined
 )
 
@@ -137,26 +136,25 @@
 	NotPlaced
 	// Late: the request could not be answered by its deadline here.
 	Late
-	// Replaced: a duplicate of a ticket already held.
+	// Replaced: a duplicate of a ticket that the agent already has.
 	Replaced
 )
 
-// Verdict is the answer to a ticket, at once or later.
+// Verdict is the decision on a ticket, immediate or later.
 type Verdict struct {
 	Request ids.Request
-	Turn    int // of the ticket
+	Turn    int // attempt number of the ticket
 	Kind    VerdictKind
 	Reason  RefuseReason
 	Grant   ids.Grant
 }
 
-// PlaceArgs hands tickets to an agent, and takes others back with the same
-// message.
+// PlaceArgs sends tickets to an agent and withdraws others.
 type PlaceArgs struct {
 	Tickets   []Ticket
 	Withdrawn []ids.Request
-	// WithdrawnTurns has, for each of Withdrawn, the newest ticket that is meant. Without it, as an older
-	// release sends it, all are.
+	// WithdrawnTurns has, for each of Withdrawn, the attempt number of the newest ticket that is withdrawn.
+	// Entries of an older release do not send it; then all tickets of the request are withdrawn.
 	WithdrawnTurns []int
 }
 
@@ -168,7 +166,7 @@
 
 // NoticeArgs waits for later verdicts.
 type NoticeArgs struct {
-	// Wait bounds the time that the agent holds the call.
+	// Wait limits the time that the agent holds the call.
 	Wait clock.Millis
 }
 
@@ -178,27 +176,26 @@
 	Load     Load
 }
 
-// Fate is what an agent knows of a grant.
+// Fate is the outcome of a grant as far as the agent knows it.
 type Fate int
 
 // The fates.
 const (
-	// FateUnknown: this agent cannot say, since it forgot or was replaced.
+	// FateUnknown: this agent cannot say, because it no longer remembers the grant or has been replaced.
 	FateUnknown Fate = iota
 	// FateNever: the grant was not used and now never will be.
 	FateNever
-	// FateDispatched: the engine has been given the request.
+	// FateDispatched: the request has been sent to the engine.
 	FateDispatched
 )
 
-// OutcomeArgs asks what became of a grant. Asking puts down a tombstone if the
-// grant has not been used.
+// OutcomeArgs queries the outcome of a grant. The query leaves a tombstone if the grant has not been used.
 type OutcomeArgs struct {
 	Request ids.Request
 	Grant   ids.Grant
 }
 
-// OutcomeReply says what became of it.
+// OutcomeReply has the outcome of the grant.
 type OutcomeReply struct {
 	Fate Fate
 }
