--- a/pkg/lifecycle/state.go
+++ b/pkg/lifecycle/state.go
@@ -1,13 +1,13 @@
-// Package lifecycle is the state machine of one request at its entry. It says
-// which moves are legal and what may be claimed in each state. It does no I/O.
+// Package lifecycle is the state machine of one request at its entry. It defines which transitions are legal and
+// what a caller may be told in each state. It does no I/O.
 package lifecycle
 
 //go:generate stringer -type=State
 
-// State is how far a request has come.
+// State is the state of a request.
 type State int
 
-// The states of a request, in the order of its life.
+// The states of a request, in order.
 const (
 	// Waiting: tickets may be placed; nothing has been dispatched.
 	Waiting State = iota
@@ -16,20 +16,19 @@
 	// Sent: the body is on its way to the agent of the grant; only that agent
 	// knows whether it was dispatched.
 	Sent
-	// Dispatched: the agent has said that the engine was given the request.
+	// Dispatched: the agent has reported that the request was sent to the engine.
 	Dispatched
-	// Answered: the whole answer has been relayed.
+	// Answered: the complete answer has been relayed.
 	Answered
 	// Refused: the caller has been told that the request did not run.
 	Refused
-	// Unknown: the caller has been told that the outcome is not known, or has
-	// had a cut answer.
+	// Unknown: the caller has been told that the outcome is not known, or has received a broken-off answer.
 	Unknown
 )
 
-// legal lists the moves. A move back to Waiting from Sent stands on the
-// agent's tombstone: "never dispatched, and now never will be".
-var legal = [...][]State{
+// transitions lists the legal transitions. A transition from Sent back to Waiting requires the agent's tombstone,
+// which says that the grant was never dispatched and now never will be.
+var transitions = [...][]State{
 	Waiting:    {Bound, Refused},
 	Bound:      {Sent, Waiting, Refused},
 	Sent:       {Dispatched, Waiting, Unknown},
@@ -41,7 +40,7 @@
 
 // MayBecome reports whether a request in state s may move to next.
 func (s State) MayBecome(next State) bool {
-	for _, l := range legal[s] {
+	for _, l := range transitions[s] {
 		if l == next {
 			return true
 		}
--- a/pkg/lifecycle/state_test.go
+++ b/pkg/lifecycle/state_test.go
@@ -18,12 +18,12 @@
 		from, to lifecycle.State
 		want     bool
 	}{
-		{"a waiting request is bound", lifecycle.Waiting, lifecycle.Bound, true},
-		{"a tombstone lets it wait again", lifecycle.Sent, lifecycle.Waiting, true},
-		{"a dispatched one never waits again", lifecycle.Dispatched, lifecycle.Waiting, false},
-		{"a dispatched one is never refused as not run", lifecycle.Dispatched, lifecycle.Refused, false},
-		{"a sent one is never refused as not run", lifecycle.Sent, lifecycle.Refused, false},
-		{"an answered one stays answered", lifecycle.Answered, lifecycle.Unknown, false},
+		{"a waiting request may be bound", lifecycle.Waiting, lifecycle.Bound, true},
+		{"a sent request may wait again after a tombstone", lifecycle.Sent, lifecycle.Waiting, true},
+		{"a dispatched request never waits again", lifecycle.Dispatched, lifecycle.Waiting, false},
+		{"a dispatched request is never refused as not run", lifecycle.Dispatched, lifecycle.Refused, false},
+		{"a sent request is never refused as not run", lifecycle.Sent, lifecycle.Refused, false},
+		{"an answered request stays answered", lifecycle.Answered, lifecycle.Unknown, false},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
--- a/pkg/openai/body.go
+++ b/pkg/openai/body.go
@@ -1,5 +1,5 @@
-// Package openai reads, of the bodies that OpenAI clients send, the few fields
-// that routing needs. The body itself is passed on unchanged.
+// Package openai reads the few fields that routing needs from the bodies that OpenAI clients send. The body itself
+// is passed on unchanged.
 package openai
 
 import (
@@ -17,18 +17,18 @@
 	PathModels      = "/v1/models"
 )
 
-// Call is what routing needs of one body.
+// Call is what routing needs to know of one call.
 type Call struct {
 	Model  ids.Service
 	Stream bool
 	// Prefill estimates the prompt, Decode the answer, in tokens.
 	Prefill ids.Tokens
 	Decode  ids.Tokens
-	// Prefix is the chain of the prompt's blocks.
+	// Prefix is the chain of fingerprints of the prompt's blocks.
 	Prefix []prefix.Fingerprint
 }
 
-// body has the fields that are read. The prompt is only measured.
+// body has the fields that are read. Only the length and the prefix of the prompt are used.
 type body struct {
 	Model               string          `json:"model"`
 	Stream              bool            `json:"stream"`
@@ -41,9 +41,9 @@
 const (
 	// bytesPerToken is the usual length of a token in English or Spanish text.
 	bytesPerToken = 4
-	// usualDecode is the estimate for a call that bounds its answer nowhere.
-	usualDecode = 256
-	maxDecode   = 1 << 20
+	// defaultDecode is the estimate for a call that does not limit its answer.
+	defaultDecode = 256
+	maxDecode     = 1 << 20
 )
 
 // ReadChat reads the body of a chat completion.
@@ -86,15 +86,15 @@
 }
 
 func (b *body) call(prompt []byte) (Call, *refusal.Refusal) {
-	decode := int64(usualDecode)
-	for _, bound := range []*int64{b.MaxTokens, b.MaxCompletionTokens} {
-		if bound == nil {
+	decode := int64(defaultDecode)
+	for _, limit := range []*int64{b.MaxTokens, b.MaxCompletionTokens} {
+		if limit == nil {
 			continue
 		}
-		if *bound < 1 {
+		if *limit < 1 {
 			return Call{}, refusal.Malformed("max_tokens", "max_tokens must be 1 or more")
 		}
-		decode = min(*bound, maxDecode)
+		decode = min(*limit, maxDecode)
 	}
 	return Call{
 		Model:   ids.Service(b.Model),
--- a/pkg/openai/body_test.go
+++ b/pkg/openai/body_test.go
@@ -15,8 +15,8 @@
 	// Output: chart-small true 8 true
 }
 
-// Whatever a caller sends, it is either read with sane estimates or refused
-// with a body in the OpenAI form.
+// FuzzReadChat checks that any body is either read with plausible estimates or refused with a body in the OpenAI
+// form.
 func FuzzReadChat(f *testing.F) {
 	f.Add([]byte(`{"model":"m","messages":[]}`))
 	f.Add([]byte(`{"model":"m","messages":[],"max_tokens":9223372036854775807}`))
--- a/pkg/refusal/codes.go
+++ b/pkg/refusal/codes.go
@@ -32,8 +32,7 @@
 	return &Refusal{Status: status, Code: code, Outcome: NotRun, Message: fmt.Sprintf(message, args...)}
 }
 
-// Malformed refuses a request that cannot be read; param names the part at
-// fault.
+// Malformed refuses a request that cannot be read; param names the field or header at fault.
 func Malformed(param, message string, args ...any) *Refusal {
 	r := notRun(http.StatusBadRequest, CodeMalformed, message, args...)
 	r.Param = param
@@ -45,17 +44,17 @@
 	return notRun(http.StatusRequestEntityTooLarge, CodeBodyTooLarge, "the body is above the limit of %d bytes", limit)
 }
 
-// SlowSender refuses a request whose body did not come in time.
+// SlowSender refuses a request whose body did not arrive in time.
 func SlowSender() *Refusal {
 	return notRun(http.StatusRequestTimeout, CodeSlowSender, "the body did not arrive in time")
 }
 
-// NoKey refuses a request without a key.
+// NoKey refuses a request without an API key.
 func NoKey() *Refusal {
 	return notRun(http.StatusUnauthorized, CodeNoKey, "send the account's key as Authorization: Bearer <key>")
 }
 
-// BadKey refuses a key that belongs to no account.
+// BadKey refuses an API key that belongs to no client account.
 func BadKey() *Refusal {
 	return notRun(http.StatusUnauthorized, CodeBadKey, "the key belongs to no client account")
 }
@@ -82,15 +81,14 @@
 	return notRun(http.StatusNotFound, CodeNoService, "the service %q does not exist", service)
 }
 
-// AccountLimit refuses a request above its account's own limit.
+// AccountLimit refuses a request above its client account's limit of concurrent requests.
 func AccountLimit(retry clock.Millis) *Refusal {
 	r := notRun(http.StatusTooManyRequests, CodeAccountLimit, "the client account is at its limit of concurrent requests")
 	r.RetryAfter = retry
 	return r
 }
 
-// Overloaded sheds a request because every target is full of work that goes
-// before it.
+// Overloaded refuses a request because every target is full of work that goes before it.
 func Overloaded(retry clock.Millis) *Refusal {
 	r := notRun(http.StatusServiceUnavailable, CodeOverloaded, "every target is full of work of this tier or higher")
 	r.RetryAfter = retry
@@ -116,15 +114,15 @@
 	return notRun(http.StatusGatewayTimeout, CodeDeadline, "the deadline passed before the request was run")
 }
 
-// KeyInUse refuses a repeat of a call that is still running here.
+// KeyInUse refuses a repeat of a call that is still running at this entry.
 func KeyInUse(retry clock.Millis) *Refusal {
 	r := notRun(http.StatusConflict, CodeKeyInUse, "a request with this idempotency key is running; this repeat was not run")
 	r.RetryAfter = retry
 	return r
 }
 
-// KeyTaken refuses a repeat of a call that another attempt has claimed. The
-// repeat itself did not run, but the call may have.
+// KeyTaken refuses a repeat of a call whose idempotency key another request has claimed. The repeat itself did not
+// run, but the call may have.
 func KeyTaken() *Refusal {
 	return unknown(http.StatusConflict, CodeKeyInUse, "another request with this idempotency key was taken in; it runs, has run, or its outcome is not known; this repeat was not run")
 }
@@ -134,12 +132,12 @@
 	return unknown(http.StatusGatewayTimeout, CodeDeadline, "the deadline passed after the request was sent; it may have run")
 }
 
-// Cut ends an answer that broke off and could not be resumed.
+// AnswerCut ends an answer that broke off and could not be resumed.
 func Cut() *Refusal {
 	return unknown(http.StatusBadGateway, CodeCut, "the answer broke off and could not be resumed; the request has run in part or whole")
 }
 
-// Unknown ends a request whose agent cannot say what became of it.
+// Unknown ends a request whose agent cannot report its outcome.
 func Unknown() *Refusal {
 	return unknown(http.StatusBadGateway, CodeOutcomeUnknown, "the target's outcome could not be learned; the request may have run")
 }
--- a/pkg/refusal/refusal.go
+++ b/pkg/refusal/refusal.go
@@ -1,5 +1,5 @@
-// Package refusal has what a caller is told when a request gets no answer, in
-// the error form of the OpenAI interface.
+// Package refusal defines what a caller receives when a request gets no answer, in the error form of the OpenAI
+// interface.
 package refusal
 
 import (
@@ -11,7 +11,7 @@
 	"quaydock/pkg/clock"
 )
 
-// Outcome is what is claimed of a request that got no answer.
+// Outcome states whether a request that got no answer may have run.
 type Outcome string
 
 // The outcomes.
@@ -22,7 +22,7 @@
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// HeaderOutcome is the header with the outcome.
+// HeaderOutcome is the response header that carries the outcome.
 const HeaderOutcome = "Quaydock-Outcome"
 
 // Code is the stable name of a refusal.
@@ -36,11 +36,11 @@
 	Message string
 	// Param is the field or header at fault, if there is one.
 	Param string
-	// RetryAfter is when to come back; 0 where waiting does not help.
+	// RetryAfter is after what time to retry; 0 where waiting does not help.
 	RetryAfter clock.Millis
 }
 
-// Error gives code and message.
+// Error returns code, outcome and message.
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("%s (%s): %s", r.Code, r.Outcome, r.Message)
 }
@@ -96,6 +96,6 @@
 		h.Set("Retry-After", strconv.FormatInt(int64(seconds), 10))
 	}
 	w.WriteHeader(r.Status)
-	// A caller that has gone needs no answer.
+	// The caller may have disconnected.
 	_, _ = w.Write(body)
 }
--- a/pkg/resume/row.go
+++ b/pkg/resume/row.go
@@ -1,39 +1,41 @@
-// Package resume decides how often an answer that broke off is taken up again. It does no I/O and reads no clock.
+// Package resume decides how often an answer that broke off is resumed. It does no I/O and reads no clock.
 package resume
 
 import "quaydock/pkg/clock"
 
-// steady is for how long a connection has to hold to count as a good one, even without a byte: an answer
-// that isn't streamed is silent until its end.
-const steady = 500 * clock.Millisecond
+// stableAfter is how long a connection has to hold to count as good, even without a byte: an answer that isn't
+// streamed sends nothing until its end.
+const stableAfter = 500 * clock.Millisecond
 
-// Row counts the breaks of an answer's connections that follow close upon one another. A connection that held for some time or
-// brought something ends the row: however often a long answer breaks off, it can be whole as long as its source goes on.
+// BreakStreak counts consecutive breaks of an answer's connections. A connection that held for stableAfter or
+// delivered bytes ends the streak: however often a long answer breaks off, it can be completed as long as its
+// source makes progress.
 type Row struct {
-	most   int
-	breaks int
-	began  clock.Millis
-	taken  int64
+	maxBreaks int
+	breaks    int
+	began     clock.Millis
+	taken     int64
 }
 
-// NewRow returns a row for an answer's first connection; most is how many breaks it may have.
-func NewRow(most int, now clock.Millis) *Row {
-	return &Row{most: most, began: now}
+// NewBreakStreak returns a streak for an answer's first connection; maxBreaks is how many breaks in a row are
+// permitted.
+func NewRow(maxBreaks int, now clock.Millis) *Row {
+	return &Row{maxBreaks: maxBreaks, began: now}
 }
 
-// Broke notes that the connection broke, with so many of the answer's bytes taken by now. Made is false if there was no
-// connection, or the other side refused to go on: to wait for that is no sign of life. Broke returns how many breaks the row has, and
-// whether to go on.
+// Broke records that the connection broke, with taken bytes of the answer received so far. Made is false if there
+// was no connection, or the other side refused to resume: the time spent on that does not count as a good
+// connection. Broke returns the number of breaks in the streak, and whether to resume once more.
 func (r *Row) Broke(now clock.Millis, taken int64, made bool) (breaks int, again bool) {
-	if taken > r.taken || made && now-r.began >= steady {
+	if taken > r.taken || made && now-r.began >= stableAfter {
 		r.breaks = 0
 	}
 	r.taken = taken
 	r.breaks++
-	return r.breaks, r.breaks <= r.most
+	return r.breaks, r.breaks <= r.maxBreaks
 }
 
-// Begin notes that a next connection is begun.
+// Begin records that the next connection begins.
 func (r *Row) Begin(now clock.Millis) {
 	r.began = now
 }
--- a/pkg/resume/row_test.go
+++ b/pkg/resume/row_test.go
@@ -7,41 +7,42 @@
 	"quaydock/pkg/resume"
 )
 
-// TestRow: breaks count only if they follow close upon one another and nothing came between them.
-func TestRow(t *testing.T) {
-	const most = 3
+// TestBreakStreak checks that breaks count only if they follow close upon one another and no bytes came between
+// them.
+func TestBreakStreak(t *testing.T) {
+	const maxBreaks = 3
 	cases := []struct {
-		name  string
-		held  clock.Millis // by each connection
-		bytes int64        // that each brought
-		made  bool
-		goOn  int // how often, of 20
+		name    string
+		held    clock.Millis // by each connection
+		bytes   int64        // that each connection delivered
+		made    bool
+		resumes int // how often, of 20
 	}{
-		{"at once, nothing came", 0, 0, true, most},
-		{"soon, nothing came", 100, 0, true, most},
-		{"soon, something came", 100, 1, true, 20},
-		{"at once, something came", 0, 1, true, 20},
-		{"long held, nothing came", 1000, 0, true, 20},
-		{"not made, after a while", 1000, 0, false, most},
+		{"breaks at once, no bytes", 0, 0, true, maxBreaks},
+		{"breaks soon, no bytes", 100, 0, true, maxBreaks},
+		{"breaks soon, some bytes", 100, 1, true, 20},
+		{"breaks at once, some bytes", 0, 1, true, 20},
+		{"held long, no bytes", 1000, 0, true, 20},
+		{"not made after a long try", 1000, 0, false, maxBreaks},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			var now clock.Millis
 			var taken int64
-			row := resume.NewRow(most, now)
-			goOn := 0
+			streak := resume.NewRow(maxBreaks, now)
+			resumes := 0
 			for range 20 {
 				now += c.held
 				taken += c.bytes
-				if _, again := row.Broke(now, taken, c.made); !again {
+				if _, again := streak.Broke(now, taken, c.made); !again {
 					break
 				}
-				goOn++
+				resumes++
 				now += 50 // between two connections
-				row.Begin(now)
+				streak.Begin(now)
 			}
-			if goOn != c.goOn {
-				t.Errorf("went on %d times, want %d", goOn, c.goOn)
+			if resumes != c.resumes {
+				t.Errorf("resumed %d times, want %d", resumes, c.resumes)
 			}
 		})
 	}
