--- a/pkg/app/entry_follow.go
+++ b/pkg/app/entry_follow.go
@@ -51,7 +51,7 @@
 		known[a.Name] = true
 	}
 	p.callers.SetLimits(c.Limits)
-	p.controller.Forget(c.HasRoute)
+	p.controller.RetainRoutes(c.HasRoute)
 	p.meter.Forget(func(name ids.Account) bool { return known[name] })
 }
 
--- a/pkg/entry/dispatcher.go
+++ b/pkg/entry/dispatcher.go
@@ -162,7 +162,7 @@
 	case ctx.Err() != nil:
 		return callerLeft{}
 	case out.started():
-		return ended{refusal.Cut()}
+		return ended{refusal.AnswerCut()}
 	default:
 		return ended{refusal.Unknown()}
 	}
--- a/pkg/entry/exchange.go
+++ b/pkg/entry/exchange.go
@@ -97,7 +97,7 @@
 	if err != nil {
 		return broken{fmt.Errorf("resuming the answer at the agent: %w", err)}
 	}
-	return x.receive(r, bound, response, out, refusal.Cut()) // the agent has reported that it ran
+	return x.receive(r, bound, response, out, refusal.AnswerCut()) // the agent has reported that it ran
 }
 
 func (x *exchange) newCall(ctx context.Context, r *request, bound granted, method, path string, body io.Reader) (*http.Request, error) {
--- a/pkg/ingress/admission.go
+++ b/pkg/ingress/admission.go
@@ -37,7 +37,7 @@
 	// this happened to 85 to 780 callers when all 68 entries were started at once.
 	startupWait = 150 * clock.Millisecond
 	// retryDelay is the Retry-After of an entry that has no configuration or none that is fresh enough.
-	comeBack = 300 * clock.Millisecond
+	retryDelay = 300 * clock.Millisecond
 )
 
 // Meter limits what client accounts may have run over all entries together. A fraction of an account's burst may
@@ -63,7 +63,7 @@
 	dialect  HeaderCodec
 	meter    Meter
 	tries    *firstTries
-	closing  *drainAdmission
+	drain    *drainAdmission
 	entries  Entries
 	keyGrace atomic.Int64 // how long keys are used without a confirmation, in clock.Millis
 	// leasedKeyGrace is how long they are while this entry holds its membership lease.
@@ -115,7 +115,7 @@
 // admit reads a request and checks its route, key, size and allowance.
 func (a *admission) admit(w http.ResponseWriter, r *http.Request) (*request, *Refusal) {
 	arrived := a.Clock.Now()
-	q := &request{Call: a.dialect.Describe(r.Header), http: r, arrived: arrived, draw: a.Random.Fork().Float64()}
+	q := &request{Call: a.dialect.Describe(r.Header), http: r, arrived: arrived, splitDraw: a.Random.Fork().Float64()}
 	a.awaitConfiguration(r.Context())
 	if refusal := a.resolve(q); refusal != nil {
 		return q, refusal
@@ -125,19 +125,19 @@
 		timeout = q.Deadline
 	}
 	q.deadline = arrived + timeout
-	if !a.closing.admits(arrived, q.deadline, q.route) {
-		return q, notRun(CauseLeaving, a.closing.retryAfter(arrived))
+	if !a.drain.admits(arrived, q.deadline, q.route) {
+		return q, notRun(CauseLeaving, a.drain.retryAfter(arrived))
 	}
 	if !a.Ablation.Off(ablation.FirstTry) {
-		q.before = a.tries.before(q.route, q.Deadline)
+		q.sinceFirstTry = a.tries.sinceFirstTry(q.route, q.Deadline)
 	}
 	if refusal := a.read(w, q); refusal != nil {
 		return q, refusal
 	}
 	// The body may arrive long after the head. A request whose body took 1.2 s was sent to a target that then
 	// had 4 s left for an answer that may take up to 20 s.
-	if now := a.Clock.Now(); !a.closing.admits(now, q.deadline, q.route) {
-		return q, notRun(CauseLeaving, a.closing.retryAfter(now))
+	if now := a.Clock.Now(); !a.drain.admits(now, q.deadline, q.route) {
+		return q, notRun(CauseLeaving, a.drain.retryAfter(now))
 	}
 	if q.account != nil {
 		units := q.account.Units(q.Prompt + q.MaxOutput)
@@ -149,13 +149,13 @@
 		if !taken {
 			return q, a.quotaRefusal(wait)
 		}
-		q.takenAt = a.Clock.Now()
+		q.chargedAt = a.Clock.Now()
 	}
 	// Checked after the allowance: where that refuses most requests, 60,000 of 66,000, checking the connection
 	// first costs 1.8% of the processor time, over six days of such a load.
-	if hasLeft(r.Context()) {
+	if callerDisconnected(r.Context()) {
 		a.refund(q, q.account)
-		return q, &Refusal{Cause: CauseLeft, Err: errEndSeen}
+		return q, &Refusal{Cause: CauseLeft, Err: errCallerDisconnected}
 	}
 	return q, nil
 }
@@ -195,7 +195,7 @@
 // each exchange, since both may have been removed while the request waited.
 func (a *admission) resolve(q *request) *Refusal {
 	if !a.hasConfiguration() {
-		return notRun(CauseStarting, comeBack)
+		return notRun(CauseStarting, retryDelay)
 	}
 	catalog := a.view.Catalog()
 	now := a.Clock.Now()
@@ -205,13 +205,13 @@
 		return a.notFound(http.StatusNotFound, CauseNoRoute, age)
 	}
 	q.route = route
-	q.service = route.Pick(q.draw)
+	q.service = route.Pick(q.splitDraw)
 	q.account = nil
 	if !catalog.RequiresKey() || route.Anonymous {
 		return nil
 	}
 	if !a.keysUsable(now, age) {
-		return notRun(CauseStaleKeys, comeBack)
+		return notRun(CauseStaleKeys, retryDelay)
 	}
 	if q.account = catalog.Account(q.Key); q.account == nil {
 		return a.notFound(http.StatusUnauthorized, CauseUnknownKey, age)
@@ -223,7 +223,7 @@
 // is told to come back instead.
 func (a *admission) notFound(status int, cause Cause, age clock.Millis) *Refusal {
 	if age > maxNotFoundAge {
-		return notRun(cause, comeBack)
+		return notRun(cause, retryDelay)
 	}
 	return refuse(status, cause)
 }
@@ -278,6 +278,6 @@
 // refund returns the allowance of a request that has not run.
 func (a *admission) refund(q *request, account *routing.Account) {
 	if account != nil {
-		a.meter.Return(account, account.Units(q.Prompt+q.MaxOutput), q.takenAt)
+		a.meter.Return(account, account.Units(q.Prompt+q.MaxOutput), q.chargedAt)
 	}
 }
--- a/pkg/ingress/advice_test.go
+++ b/pkg/ingress/advice_test.go
@@ -37,32 +37,32 @@
 		name    string
 		path    string
 		header  map[string]string
-		engines []engine
+		engines []scriptedTarget
 		advisor int // the target that has given the advice, from 1
 		placed  int // the number of assignments after which it does, 0 for before the first
 		status  int
 		body    string
 		arrived []string // the targets at which the request arrives
 	}{
-		{"first try, repeatable", "/safe/a", nil, []engine{says(200, "", "no"), says(200, "", "yes")}, 1, 0, 200, "yes", []string{"t2"}},
-		{"first try, not repeatable", "/unsafe/a", nil, []engine{says(200, "", "no"), says(200, "", "yes")}, 1, 0, 200, "yes", []string{"t2"}},
-		{"first try, without a key", "/open/a", nil, []engine{says(200, "", "no"), says(200, "", "yes")}, 1, 0, 200, "yes", []string{"t2"}},
-		{"first try, a stream", "/stream/a", nil, []engine{streams(0), streams(0)}, 1, 0, 200, complete, []string{"t2"}},
-		{"first try, resumable", "/resume/a", nil, []engine{streams(0), streams(0)}, 1, 0, 200, complete, []string{"t2"}},
-		{"stream resumed by its caller", "/resume/a", map[string]string{"Last": "4"}, []engine{streams(0), streams(0)}, 1, 0, 200, strings.Join(events(10)[4:], ""), []string{"t2"}},
-		{"advice after the assignment", "/safe/a", nil, []engine{says(200, "", "no"), says(200, "", "yes")}, 1, 1, 200, "yes", []string{"t2"}},
-		{"advice after the assignment, not repeatable", "/unsafe/a", nil, []engine{says(200, "", "no"), says(200, "", "yes")}, 1, 1, 200, "yes", []string{"t2"}},
-		{"try after one that did not run", "/unsafe/a", nil, []engine{says(503, "Not-Run: 1\r\n", ""), says(200, "", "no"), says(200, "", "yes")}, 2, 0, 200, "yes", []string{"t1", "t3"}},
-		{"retry", "/safe/a", nil, []engine{closes, says(200, "", "no"), says(200, "", "yes")}, 2, 0, 200, "yes", []string{"t1", "t3"}},
-		{"retry, advice after its assignment", "/safe/a", nil, []engine{closes, says(200, "", "no"), says(200, "", "yes")}, 2, 2, 200, "yes", []string{"t1", "t3"}},
-		{"remainder of a stream", "/resume/a", nil, []engine{streams(5), streams(0), streams(0)}, 2, 0, 200, complete, []string{"t1", "t3"}},
-		{"no other target", "/safe/a", nil, []engine{says(200, "", "no")}, 1, 0, 503, "", nil},
+		{"first try, repeatable", "/safe/a", nil, []scriptedTarget{replies(200, "", "no"), replies(200, "", "yes")}, 1, 0, 200, "yes", []string{"t2"}},
+		{"first try, not repeatable", "/unsafe/a", nil, []scriptedTarget{replies(200, "", "no"), replies(200, "", "yes")}, 1, 0, 200, "yes", []string{"t2"}},
+		{"first try, without a key", "/open/a", nil, []scriptedTarget{replies(200, "", "no"), replies(200, "", "yes")}, 1, 0, 200, "yes", []string{"t2"}},
+		{"first try, a stream", "/stream/a", nil, []scriptedTarget{streams(0), streams(0)}, 1, 0, 200, complete, []string{"t2"}},
+		{"first try, resumable", "/resume/a", nil, []scriptedTarget{streams(0), streams(0)}, 1, 0, 200, complete, []string{"t2"}},
+		{"stream resumed by its caller", "/resume/a", map[string]string{"Last": "4"}, []scriptedTarget{streams(0), streams(0)}, 1, 0, 200, strings.Join(events(10)[4:], ""), []string{"t2"}},
+		{"advice after the assignment", "/safe/a", nil, []scriptedTarget{replies(200, "", "no"), replies(200, "", "yes")}, 1, 1, 200, "yes", []string{"t2"}},
+		{"advice after the assignment, not repeatable", "/unsafe/a", nil, []scriptedTarget{replies(200, "", "no"), replies(200, "", "yes")}, 1, 1, 200, "yes", []string{"t2"}},
+		{"try after one that did not run", "/unsafe/a", nil, []scriptedTarget{replies(503, "Not-Run: 1\r\n", ""), replies(200, "", "no"), replies(200, "", "yes")}, 2, 0, 200, "yes", []string{"t1", "t3"}},
+		{"retry", "/safe/a", nil, []scriptedTarget{closesUnanswered, replies(200, "", "no"), replies(200, "", "yes")}, 2, 0, 200, "yes", []string{"t1", "t3"}},
+		{"retry, advice after its assignment", "/safe/a", nil, []scriptedTarget{closesUnanswered, replies(200, "", "no"), replies(200, "", "yes")}, 2, 2, 200, "yes", []string{"t1", "t3"}},
+		{"remainder of a stream", "/resume/a", nil, []scriptedTarget{streams(5), streams(0), streams(0)}, 2, 0, 200, complete, []string{"t1", "t3"}},
+		{"no other target", "/safe/a", nil, []scriptedTarget{replies(200, "", "no")}, 1, 0, 503, "", nil},
 	}
 	for _, s := range scenarios {
 		for _, blocking := range blockingAdvice {
 			t.Run(fmt.Sprintf("%s, target %s", s.name, blocking.name), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					b := newBed(t, freely{}, s.engines...)
+					b := newTestbed(t, fakeMeter{}, s.engines...)
 					advise := func() {
 						b.advice.Observe(ids.TargetIncarnation{Target: ids.Target(fmt.Sprint("t", s.advisor))}, 0, "earlier", blocking.advice)
 					}
@@ -99,7 +99,7 @@
 	const both = "Leaving: 1\r\nRest: 5000\r\n"
 	stray := func(c net.Conn, r *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 503 X\r\nId: other\r\n%sContent-Length: 0\r\n\r\n", both)
-		return says(200, "", "yes")(c, r)
+		return replies(200, "", "yes")(c, r)
 	}
 	broken := func(c net.Conn, r *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 X\r\nId: %s\r\nSeal: s\r\n%sContent-Length: 9\r\n\r\nhal", r.Header.Get("Id"), both)
@@ -107,7 +107,7 @@
 	}
 	late := func(c net.Conn, r *http.Request) bool {
 		time.Sleep(time.Second) // until the caller has left
-		return says(200, both, "yes")(c, r)
+		return replies(200, both, "yes")(c, r)
 	}
 	stream := func(c net.Conn, r *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\n%sTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"), both)
@@ -117,17 +117,17 @@
 	scenarios := []struct {
 		name             string
 		path             string
-		first            engine
+		first            scriptedTarget
 		leaving, backoff bool
 	}{
-		{"200", "/unsafe/a", says(200, both, "yes"), true, false},
-		{"404", "/unsafe/a", says(404, both, ""), true, false},
-		{"429, not run", "/unsafe/a", says(429, "Not-Run: 1\r\n"+both, ""), true, false},
-		{"500", "/unsafe/a", says(500, both, ""), true, false},
-		{"503, not run", "/unsafe/a", says(503, "Not-Run: 1\r\n"+both, ""), true, true},
-		{"503, run", "/unsafe/a", says(503, both, ""), true, true},
-		{"504", "/unsafe/a", says(504, both, ""), true, false},
-		{"421", "/unsafe/a", says(421, both, ""), false, false},
+		{"200", "/unsafe/a", replies(200, both, "yes"), true, false},
+		{"404", "/unsafe/a", replies(404, both, ""), true, false},
+		{"429, not run", "/unsafe/a", replies(429, "Not-Run: 1\r\n"+both, ""), true, false},
+		{"500", "/unsafe/a", replies(500, both, ""), true, false},
+		{"503, not run", "/unsafe/a", replies(503, "Not-Run: 1\r\n"+both, ""), true, true},
+		{"503, run", "/unsafe/a", replies(503, both, ""), true, true},
+		{"504", "/unsafe/a", replies(504, both, ""), true, false},
+		{"421", "/unsafe/a", replies(421, both, ""), false, false},
 		{"answer to another request", "/unsafe/a", stray, false, false},
 		{"answer that is broken off", "/unsafe/a", broken, true, false},
 		{"answer after its caller has left", "/unsafe/a", late, false, false},
@@ -136,7 +136,7 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, freely{}, s.first)
+				b := newTestbed(t, fakeMeter{}, s.first)
 				ctx, leave := context.WithTimeout(context.Background(), 500*time.Millisecond)
 				defer leave()
 				b.call(ctx, s.path, nil)
@@ -161,15 +161,15 @@
 func TestEndOfLeavingTargetIsNotBlamedOnRequest(t *testing.T) {
 	for _, leaving := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBed(t, freely{}, silent)
-			b.list(func(t *routing.Target) { t.Start = formerStart })
+			b := newTestbed(t, fakeMeter{}, silent)
+			b.updateFirst(func(t *routing.Target) { t.Start = firstStart })
 			time.AfterFunc(50*time.Millisecond, func() {
-				b.advice.Observe(ids.TargetIncarnation{Target: "t1", Start: formerStart}, 0, "other", advisory.Advice{Leaving: leaving})
+				b.advice.Observe(ids.TargetIncarnation{Target: "t1", Start: firstStart}, 0, "other", advisory.Advice{Leaving: leaving})
 			})
 			time.AfterFunc(100*time.Millisecond, b.restart)
 			b.call(context.Background(), "/unsafe/a", nil)
 			blamed := false
-			for _, line := range b.lines.AllEntries() {
+			for _, line := range b.logs.AllEntries() {
 				blamed = blamed || line.Message == "a target has ended while it ran a request"
 			}
 			if blamed == leaving {
@@ -192,10 +192,10 @@
 	}
 	for _, s := range scenarios {
 		synctest.Test(t, func(t *testing.T) {
-			b := newBed(t, freely{}, says(503, "Not-Run: 1\r\nRest: 5000\r\n", ""))
-			b.list(func(t *routing.Target) { t.Start = formerStart })
+			b := newTestbed(t, fakeMeter{}, replies(503, "Not-Run: 1\r\nRest: 5000\r\n", ""))
+			b.updateFirst(func(t *routing.Target) { t.Start = firstStart })
 			b.call(context.Background(), "/unsafe/a", nil)
-			b.list(func(t *routing.Target) { t.Start = ids.Start(time.Now().Add(s.start).UnixMilli()) })
+			b.updateFirst(func(t *routing.Target) { t.Start = ids.Start(time.Now().Add(s.start).UnixMilli()) })
 			b.call(context.Background(), "/unsafe/a", map[string]string{"Id": "r2", "Wait": "300"})
 			if sent := len(b.arrived()) > 1; sent != s.sent {
 				t.Errorf("incarnation started %v after the connection, one more request was sent: %t", s.start, sent)
--- a/pkg/ingress/bed_test.go
+++ b/pkg/ingress/bed_test.go
@@ -35,14 +35,14 @@
 )
 
 // testCodec is a HeaderCodec with plain header names for tests.
-type dialect struct{}
+type testCodec struct{}
 
-func (dialect) Describe(h http.Header) ingress.Call {
+func (testCodec) Describe(h http.Header) ingress.Call {
 	wait, _ := strconv.Atoi(h.Get("Wait"))
 	return ingress.Call{ID: h.Get("Id"), Key: h.Get("Key"), Deadline: clock.Millis(wait), LastEvent: h.Get("Last")}
 }
 
-func (dialect) TargetHeaders(h http.Header, to ingress.TargetCall) http.Header {
+func (testCodec) TargetHeaders(h http.Header, to ingress.TargetCall) http.Header {
 	onward := h.Clone()
 	onward.Del("Key")
 	onward.Set("Account", string(to.Account))
@@ -54,12 +54,12 @@
 	return onward
 }
 
-func (dialect) AnswerMetadata(h http.Header) forward.AnswerMetadata {
+func (testCodec) AnswerMetadata(h http.Header) forward.AnswerMetadata {
 	rest, _ := strconv.Atoi(h.Get("Rest")) // in ms; none is 0
 	return forward.AnswerMetadata{ID: h.Get("Id"), NotRun: h.Get("Not-Run") != "", Leaving: h.Get("Leaving") != "", Backoff: clock.Millis(rest)}
 }
 
-func (dialect) CopyAnswer(from, to http.Header) {
+func (testCodec) CopyAnswer(from, to http.Header) {
 	for _, name := range []string{"Id", "Seal", "Content-Type"} {
 		if v := from.Get(name); v != "" {
 			to.Set(name, v)
@@ -68,42 +68,42 @@
 }
 
 // fakeMeter is a meter that refuses the accounts it names. It also implements Entries.
-type freely map[ids.Account]bool
+type fakeMeter map[ids.Account]bool
 
-func (f freely) Take(_ context.Context, a *routing.Account, _, _ float64) (bool, clock.Millis) {
+func (f fakeMeter) Take(_ context.Context, a *routing.Account, _, _ float64) (bool, clock.Millis) {
 	return !f[a.Name], 1500
 }
-func (freely) Return(*routing.Account, float64, clock.Millis) {}
-func (f freely) Share() float64 {
-	if f[shareless] {
+func (fakeMeter) Return(*routing.Account, float64, clock.Millis) {}
+func (f fakeMeter) Share() float64 {
+	if f[noShare] {
 		return 0
 	}
 	return 1
 }
-func (f freely) HoldsLease(clock.Millis) bool { return f[assuredAlways] }
+func (f fakeMeter) HoldsLease(clock.Millis) bool { return f[alwaysLeased] }
 
 // noShare is a pseudo-account of fakeMeter: the entry has no share of the allowances.
-const shareless ids.Account = "shareless"
+const noShare ids.Account = "shareless"
 
 // alwaysLeased is a pseudo-account of fakeMeter: the entry always holds its membership lease.
-const assuredAlways ids.Account = "assured always"
+const alwaysLeased ids.Account = "assured always"
 
 // orderedScheduler assigns requests to the targets in order, without those already tried.
-type inOrder struct {
-	b      *bed
-	delay  time.Duration // before each assignment
-	refuse bool
-	stuck  ids.Target // the target whose requests are re-dispatched after 300 ms
-	placed func()     // called before an assignment is returned
+type orderedScheduler struct {
+	b            *testbed
+	delay        time.Duration // before each assignment
+	refuse       bool
+	redispatched ids.Target // the target whose requests are re-dispatched after 300 ms
+	placed       func()     // called before an assignment is returned
 	// refuseRepeats refuses all requests for an assignment but the first, and repeatDelay delays all but the first.
 	refuseRepeats bool
 	repeatDelay   time.Duration
 	mu            sync.Mutex
 	acquires      int
-	ends          []string // target and outcome of each assignment
+	outcomes      []string // target and outcome of each assignment
 }
 
-func (s *inOrder) Acquire(ctx context.Context, ask schedule.Request) (schedule.Assignment, *schedule.Refused, error) {
+func (s *orderedScheduler) Acquire(ctx context.Context, ask schedule.Request) (schedule.Assignment, *schedule.Refused, error) {
 	s.mu.Lock()
 	s.acquires++
 	later, delay := s.acquires > 1, s.delay
@@ -134,28 +134,28 @@
 	return nil, &schedule.Refused{RetryAfter: 500}, nil
 }
 
-func (s *inOrder) refuses(later bool) bool {
+func (s *orderedScheduler) refuses(later bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.refuse || later && s.refuseRepeats
 }
 
 // setRepeats changes the result of all requests for an assignment but the first.
-func (s *inOrder) setRepeats(refuse bool, delay time.Duration) {
+func (s *orderedScheduler) setRepeats(refuse bool, delay time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refuseRepeats, s.repeatDelay = refuse, delay
 }
 
 type orderedAssignment struct {
-	s *inOrder
+	s *orderedScheduler
 	t *routing.Target
 }
 
 func (p *orderedAssignment) Target() *routing.Target { return p.t }
 func (p *orderedAssignment) Began(*planner.Load)     {}
 func (p *orderedAssignment) Moved() <-chan struct{} {
-	if p.t.ID == p.s.stuck {
+	if p.t.ID == p.s.redispatched {
 		moved := make(chan struct{})
 		time.AfterFunc(300*time.Millisecond, func() { close(moved) })
 		return moved
@@ -165,7 +165,7 @@
 func (p *orderedAssignment) Done(o planner.Outcome, _ planner.StreamStats) {
 	p.s.mu.Lock()
 	defer p.s.mu.Unlock()
-	p.s.ends = append(p.s.ends, string(p.t.ID)+" "+o.String())
+	p.s.outcomes = append(p.s.outcomes, string(p.t.ID)+" "+o.String())
 }
 
 // arrival is a request as it arrived at a target.
@@ -178,11 +178,11 @@
 }
 
 // testbed is an entry's controller between callers and scripted targets.
-type bed struct {
+type testbed struct {
 	t          *testing.T
-	reach      *network.Memory
+	network    *network.Memory
 	view       *view.View
-	scheduler  *inOrder
+	scheduler  *orderedScheduler
 	controller *ingress.Controller
 	targets    []*routing.Target
 	listeners  []net.Listener // of the targets, nil where nothing listens
@@ -193,8 +193,8 @@
 	routes     []*routing.Route
 	accounts   []*routing.Account
 	spans      *tracetest.SpanRecorder
-	keep       bool // callers use persistent connections
-	lines      *logtest.Hook
+	keepAlive  bool // callers use persistent connections
+	logs       *logtest.Hook
 	metrics    *telemetry.Metrics
 	dialer     *slowDialer
 	guard      *quarantine.Guard
@@ -207,7 +207,7 @@
 }
 
 // scriptedTarget answers one request; the connection is closed when it returns false.
-type engine func(c net.Conn, r *http.Request) bool
+type scriptedTarget func(c net.Conn, r *http.Request) bool
 
 // slowDialer is the network as seen by the entry, with slow or failing connections.
 type slowDialer struct {
@@ -241,20 +241,20 @@
 const entryAt = "10.0.0.1:80"
 
 // extraRequests is how many requests beyond the connection limit of callers are served at once.
-const places = 2
+const extraRequests = 2
 
-func newBed(t *testing.T, meter freely, engines ...engine) *bed {
-	b := &bed{t: t, reach: network.NewMemory(nil), started: make(map[net.Conn]ids.Start)}
-	b.dialer = &slowDialer{Memory: b.reach}
+func newTestbed(t *testing.T, meter fakeMeter, engines ...scriptedTarget) *testbed {
+	b := &testbed{t: t, network: network.NewMemory(nil), started: make(map[net.Conn]ids.Start)}
+	b.dialer = &slowDialer{Memory: b.network}
 	c := commontest.New(b.dialer)
 	b.spans = tracetest.NewSpanRecorder()
 	c.Tracer = sdktrace.NewTracerProvider(sdktrace.WithSpanProcessor(b.spans)).Tracer("test")
 	c.Clock, b.suspension = clock.NewSuspendable()
 	b.clock = c.Clock
-	b.lines = logtest.NewLocal(c.Log.Logger)
+	b.logs = logtest.NewLocal(c.Log.Logger)
 	b.metrics = c.Metrics
 	b.view = view.New(c.Check)
-	b.scheduler = &inOrder{b: b}
+	b.scheduler = &orderedScheduler{b: b}
 	for i, e := range engines {
 		b.serve(i, e)
 	}
@@ -273,16 +273,16 @@
 	b.configure(1)
 	b.view.Confirmed(b.clock.Now())
 	b.advice = advisory.NewTracker(c)
-	pool := forward.NewPool(c, func(h map[string][]string) forward.AnswerMetadata { return dialect{}.AnswerMetadata(h) }, b.advice)
+	pool := forward.NewPool(c, func(h map[string][]string) forward.AnswerMetadata { return testCodec{}.AnswerMetadata(h) }, b.advice)
 	b.retries = quota.NewRetryBudget(quota.RetryBounds{Ratio: 0.2, Slack: 100, Window: 10 * clock.Second}, c.Clock.Now()-10*clock.Second)
 	b.guard = quarantine.New(quarantine.Dependencies{Common: c})
 	b.controller = ingress.NewController(ingress.Dependencies{
-		Common: c, View: b.view, HeaderCodec: dialect{}, Scheduler: b.scheduler, Pool: pool, Meter: meter, Entries: meter,
-		Retries: b.retries, Keys: ingress.KeyGrace{Limit: 5000, Strict: true}, MaxExtra: places,
+		Common: c, View: b.view, HeaderCodec: testCodec{}, Scheduler: b.scheduler, Pool: pool, Meter: meter, Entries: meter,
+		Retries: b.retries, Keys: ingress.KeyGrace{Limit: 5000, Strict: true}, MaxExtra: extraRequests,
 		Advice: b.advice, Guard: b.guard,
 	})
 	server := &http.Server{Handler: b.controller, BaseContext: func(net.Listener) context.Context { return b.controller.Context() }}
-	listener, err := b.reach.Listen(entryAt)
+	listener, err := b.network.Listen(entryAt)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -295,11 +295,11 @@
 	return b
 }
 
-func (b *bed) configure(revision routing.Revision) {
+func (b *testbed) configure(revision routing.Revision) {
 	b.view.SetCatalog(routing.NewCatalog(revision, routing.Limits{BodyBytes: 1 << 16}, b.routes, nil, b.accounts))
 }
 
-func (b *bed) serve(i int, e engine) {
+func (b *testbed) serve(i int, e scriptedTarget) {
 	address := fmt.Sprintf("10.0.1.%d:80", i+1)
 	target := &routing.Target{ID: ids.Target(fmt.Sprint("t", i+1)), Service: "s", Address: address, Slots: 4}
 	b.targets = append(b.targets, target)
@@ -307,7 +307,7 @@
 	if e == nil {
 		return // nothing listens at the address
 	}
-	listener, err := b.reach.Listen(address)
+	listener, err := b.network.Listen(address)
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -327,7 +327,7 @@
 	}()
 }
 
-func (b *bed) serveConn(c net.Conn, target string, e engine) {
+func (b *testbed) serveConn(c net.Conn, target string, e scriptedTarget) {
 	defer func() { _ = c.Close() }()
 	reader := bufio.NewReader(c)
 	for {
@@ -345,14 +345,14 @@
 	}
 }
 
-func (b *bed) arrived() []arrival {
+func (b *testbed) arrived() []arrival {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.arrivals
 }
 
 // listed returns the newest list of targets.
-func (b *bed) listed() []*routing.Target {
+func (b *testbed) listed() []*routing.Target {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.targets)
@@ -360,20 +360,20 @@
 
 // reply is the answer that a caller got.
 type reply struct {
-	status int
-	header http.Header
-	body   string
-	whole  bool
-	closes bool // the answer closes the connection
-	took   time.Duration
+	status   int
+	header   http.Header
+	body     string
+	complete bool
+	closes   bool // the answer closes the connection
+	took     time.Duration
 }
 
 // call makes one request on a connection of its own.
-func (b *bed) call(ctx context.Context, path string, header map[string]string) reply {
+func (b *testbed) call(ctx context.Context, path string, header map[string]string) reply {
 	transport := &http.Transport{
-		DisableKeepAlives: !b.keep,
+		DisableKeepAlives: !b.keepAlive,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-			return b.reach.Dial(ctx, entryAt)
+			return b.network.Dial(ctx, entryAt)
 		},
 	}
 	defer transport.CloseIdleConnections()
@@ -393,19 +393,19 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
-	return reply{status: response.StatusCode, header: response.Header, body: string(body), whole: err == nil, closes: response.Close, took: time.Since(began)}
+	return reply{status: response.StatusCode, header: response.Header, body: string(body), complete: err == nil, closes: response.Close, took: time.Since(began)}
 }
 
 // Behaviours of scripted targets.
 
-func says(status int, header, body string) engine {
+func replies(status int, header, body string) scriptedTarget {
 	return func(c net.Conn, r *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 %d X\r\nId: %s\r\nSeal: s\r\n%sContent-Length: %d\r\n\r\n%s", status, r.Header.Get("Id"), header, len(body), body)
 		return true
 	}
 }
 
-func closes(net.Conn, *http.Request) bool { return false }
+func closesUnanswered(net.Conn, *http.Request) bool { return false }
 
 func silent(c net.Conn, _ *http.Request) bool {
 	_, _ = c.Read(make([]byte, 1)) // until the connection ends
@@ -414,7 +414,7 @@
 
 // streams sends the events after the last one that the caller has, up to the tenth. It breaks off in the middle of the
 // event numbered cut.
-func streams(cut int) engine {
+func streams(cut int) scriptedTarget {
 	return func(c net.Conn, r *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s%d\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"), cut)
 		last, _ := strconv.Atoi(r.Header.Get("Last"))
--- a/pkg/ingress/broken_off_test.go
+++ b/pkg/ingress/broken_off_test.go
@@ -26,9 +26,9 @@
 // stream had `Left` or `Deadline` depending on whether the caller's clock started 1 ms before or after the entry's.
 
 // causeOf returns the cause in the log line of the request that was not answered.
-func (b *bed) causeOf() string {
+func (b *testbed) causeOf() string {
 	synctest.Wait()
-	for _, line := range b.lines.AllEntries() {
+	for _, line := range b.logs.AllEntries() {
 		if line.Message == "request not answered" {
 			return fmt.Sprint(line.Data["cause"])
 		}
@@ -55,7 +55,7 @@
 )
 
 // longAnswer sends a part of a long answer, and after a pause the rest; without a rest it closes the connection then.
-func longAnswer(pause time.Duration, rest bool) engine {
+func longAnswer(pause time.Duration, rest bool) scriptedTarget {
 	return func(c net.Conn, r *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\nContent-Length: %d\r\n\r\n", r.Header.Get("Id"), longBody)
 		_, _ = io.WriteString(c, strings.Repeat("a", longPart))
@@ -73,7 +73,7 @@
 	cases := []struct {
 		name   string
 		path   string
-		engine engine
+		engine scriptedTarget
 		leaves time.Duration // when the caller leaves, from the arrival of its request at the entry; 0 if it stays
 		cause  string
 	}{
@@ -97,7 +97,7 @@
 	for _, s := range cases {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, freely{}, s.engine)
+				b := newTestbed(t, fakeMeter{}, s.engine)
 				ctx := context.Background()
 				if s.leaves > 0 {
 					limited, cancel := context.WithTimeout(ctx, s.leaves)
@@ -105,7 +105,7 @@
 					ctx = limited
 				}
 				got := b.call(ctx, s.path, map[string]string{"Wait": fmt.Sprint(callerTime.Milliseconds())})
-				if got.whole && got.status == http.StatusOK {
+				if got.complete && got.status == http.StatusOK {
 					t.Errorf("the answer is complete after %v", got.took)
 				}
 				if cause := b.causeOf(); cause != s.cause {
@@ -130,27 +130,27 @@
 	cases := []struct {
 		name    string
 		path    string
-		engines []engine
-		during  func(*bed) // 700 ms after the start of the request
-		by      string     // "" if there is no such line
-		silence int64      // ms since the last event
+		engines []scriptedTarget
+		during  func(*testbed) // 700 ms after the start of the request
+		by      string         // "" if there is no such line
+		silence int64          // ms since the last event
 	}{
-		{"its target", "/stream/a", []engine{streams(4)}, nil, "Target", 20},
-		{"its target, and the next one", "/resume/a", []engine{streams(4), streams(7)}, nil, "Target", 20},
-		{"its target, in a long answer", "/unsafe/a", []engine{longAnswer(time.Second, false)}, nil, "Target", 1000},
-		{"a restart of its target", "/stream/a", []engine{stallsAfter(3)}, (*bed).restart, "NewStart", 700},
-		{"its deadline", "/stream/a", []engine{stallsAfter(3)}, nil, "Deadline", 2000},
-		{"the end of the entry", "/stream/a", []engine{stallsAfter(3)}, func(b *bed) { b.controller.End() }, "Entry", 700},
-		{"its caller", "/stream/a", []engine{stallsAfter(3)}, nil, "Caller", 900},
-		{"this entry, as the VM of its target is gone", "/resume/a", []engine{stallsAfter(3), breaksLater}, func(b *bed) { _ = b.listeners[0].Close() }, "GivenUp", 1700},
-		{"none, as another target went on", "/resume/a", []engine{streams(4), streams(0)}, nil, "", 0},
-		{"none, as the answer had not begun", "/unsafe/a", []engine{closes}, nil, "", 0},
+		{"its target", "/stream/a", []scriptedTarget{streams(4)}, nil, "Target", 20},
+		{"its target, and the next one", "/resume/a", []scriptedTarget{streams(4), streams(7)}, nil, "Target", 20},
+		{"its target, in a long answer", "/unsafe/a", []scriptedTarget{longAnswer(time.Second, false)}, nil, "Target", 1000},
+		{"a restart of its target", "/stream/a", []scriptedTarget{stallsAfter(3)}, (*testbed).restart, "NewStart", 700},
+		{"its deadline", "/stream/a", []scriptedTarget{stallsAfter(3)}, nil, "Deadline", 2000},
+		{"the end of the entry", "/stream/a", []scriptedTarget{stallsAfter(3)}, func(b *testbed) { b.controller.End() }, "Entry", 700},
+		{"its caller", "/stream/a", []scriptedTarget{stallsAfter(3)}, nil, "Caller", 900},
+		{"this entry, as the VM of its target is gone", "/resume/a", []scriptedTarget{stallsAfter(3), breaksLater}, func(b *testbed) { _ = b.listeners[0].Close() }, "GivenUp", 1700},
+		{"none, as another target went on", "/resume/a", []scriptedTarget{streams(4), streams(0)}, nil, "", 0},
+		{"none, as the answer had not begun", "/unsafe/a", []scriptedTarget{closesUnanswered}, nil, "", 0},
 	}
 	for _, s := range cases {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, freely{}, s.engines...)
-				b.list(func(t *routing.Target) { t.Start = formerStart })
+				b := newTestbed(t, fakeMeter{}, s.engines...)
+				b.updateFirst(func(t *routing.Target) { t.Start = firstStart })
 				if s.during != nil {
 					time.AfterFunc(700*time.Millisecond, func() { s.during(b) })
 				}
@@ -169,10 +169,10 @@
 }
 
 // checkBrokenOff checks the log line and the metric of an answer that was broken off.
-func (b *bed) checkBrokenOff(by string, silence int64) {
+func (b *testbed) checkBrokenOff(by string, silence int64) {
 	b.t.Helper()
 	lines := 0
-	for _, line := range b.lines.AllEntries() {
+	for _, line := range b.logs.AllEntries() {
 		if line.Message != "an answer that had begun was broken off" {
 			continue
 		}
--- a/pkg/ingress/caller_conn.go
+++ b/pkg/ingress/caller_conn.go
@@ -16,13 +16,13 @@
 }
 
 // errCallerDisconnected is why a request is not sent whose caller's connection has ended.
-var errEndSeen = errors.New("caller's connection is closed")
+var errCallerDisconnected = errors.New("caller's connection is closed")
 
 // callerDisconnected reports whether the caller of a request has ended its connection. net/http's background
 // reader detects that too, but only once it is scheduled: of 60 callers that had left before their connections
 // were accepted from the backlog, the requests of 5 to 9 were sent to a target meanwhile, and up to 19 after a
 // shortage of descriptors.
-func hasLeft(ctx context.Context) bool {
+func callerDisconnected(ctx context.Context) bool {
 	c, _ := ctx.Value(connKey{}).(net.Conn)
 	return peek(c) == peekEnd
 }
--- a/pkg/ingress/caller_conn_test.go
+++ b/pkg/ingress/caller_conn_test.go
@@ -24,13 +24,13 @@
 		t.Fatal(err)
 	}
 	ctx := withConn(context.Background(), accepted)
-	if hasLeft(ctx) {
+	if callerDisconnected(ctx) {
 		t.Error("a waiting caller counts as disconnected")
 	}
 	if err := accepted.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if !hasLeft(ctx) {
+	if !callerDisconnected(ctx) {
 		t.Error("a caller whose connection is closed counts as connected")
 	}
 }
--- a/pkg/ingress/controller.go
+++ b/pkg/ingress/controller.go
@@ -85,7 +85,7 @@
 
 // NewController returns a controller with its dependencies.
 func NewController(p Dependencies) *Controller {
-	a := &admission{Common: p.Common, view: p.View, dialect: p.HeaderCodec, meter: p.Meter, entries: p.Entries, tries: newFirstTries(), closing: newDrainAdmission()}
+	a := &admission{Common: p.Common, view: p.View, dialect: p.HeaderCodec, meter: p.Meter, entries: p.Entries, tries: newFirstTries(), drain: newDrainAdmission()}
 	a.setKeyGrace(p.Keys)
 	d := &delivery{
 		Common: p.Common, admission: a, dialect: p.HeaderCodec, scheduler: p.Scheduler,
@@ -111,10 +111,10 @@
 	c.admission.setKeyGrace(keys)
 }
 
-// Forget drops the statistics of routes that no longer exist.
-func (c *Controller) Forget(exists func(route string) bool) {
-	c.admission.tries.forget(exists)
-	c.admission.closing.retain(exists)
+// RetainRoutes drops the statistics of routes that no longer exist.
+func (c *Controller) RetainRoutes(exists func(route string) bool) {
+	c.admission.tries.retain(exists)
+	c.admission.drain.retain(exists)
 }
 
 // Ready reports whether callers should be routed to this entry. An entry whose configuration is no longer
@@ -127,7 +127,7 @@
 // Leave starts a drain: every further answer closes its connection, and from stop.RestrictsFrom on only
 // requests are admitted that will end in time.
 func (c *Controller) Leave(stop Stop) {
-	c.admission.closing.stop.Store(&stop)
+	c.admission.drain.stop.Store(&stop)
 	c.leaving.Store(true)
 }
 
@@ -156,7 +156,7 @@
 func (c *Controller) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.running.Add(1)
 	defer c.running.Add(-1)
-	if c.admission.closing.restriction(c.Clock.Now()) != nil {
+	if c.admission.drain.restriction(c.Clock.Now()) != nil {
 		c.runningRestricted.Add(1)
 		defer c.runningRestricted.Add(-1)
 	}
@@ -225,7 +225,7 @@
 func (c *Controller) answered(q *request) {
 	n := c.answers.Add(1)
 	now := c.Clock.Now()
-	c.admission.closing.record(now, q.route.Name, now-q.arrived)
+	c.admission.drain.record(now, q.route.Name, now-q.arrived)
 	lateness := q.lateness()
 	late := lateness != LateNot
 	outcome := "answered"
@@ -241,7 +241,7 @@
 	fields["late"] = late
 	fields["first_ms"] = int64(q.firstAt - q.arrived)
 	fields["target_first_ms"] = int64(q.firstAt - q.placedAt)
-	fields["longest_pause_ms"] = int64(q.pause)
+	fields["longest_pause_ms"] = int64(q.longestPause)
 	if late {
 		fields["late_by"] = lateness.String()
 		fields["trail"] = q.formatTrail()
@@ -284,8 +284,8 @@
 	if q.account != nil {
 		fields["account"] = string(q.account.Name)
 	}
-	if q.before > 0 {
-		fields["before_ms"] = int64(q.before)
+	if q.sinceFirstTry > 0 {
+		fields["before_ms"] = int64(q.sinceFirstTry)
 	}
 	if q.Prompt > 0 {
 		fields["prompt_tokens"] = int64(q.Prompt)
@@ -296,8 +296,8 @@
 	if q.digest != (quarantine.Digest{}) {
 		fields["digest"] = q.digest.String()
 	}
-	if len(q.ended) > 0 {
-		fields["ended_targets"] = q.ended
+	if len(q.endedTargets) > 0 {
+		fields["ended_targets"] = q.endedTargets
 	}
 	if catalog := c.admission.view.Catalog(); catalog != nil {
 		fields["revision"] = int64(catalog.Revision)
--- a/pkg/ingress/controller_test.go
+++ b/pkg/ingress/controller_test.go
@@ -16,45 +16,45 @@
 )
 
 func TestAnswers(t *testing.T) {
-	yes := says(200, "", "yes")
-	failing := says(500, "", "no")
-	full := says(503, "Not-Run: 1\r\n", "")
-	moved := says(421, "", "")
-	encoded := says(200, "Content-Encoding: gzip\r\n", "zip")
+	yes := replies(200, "", "yes")
+	failing := replies(500, "", "no")
+	full := replies(503, "Not-Run: 1\r\n", "")
+	moved := replies(421, "", "")
+	encoded := replies(200, "Content-Encoding: gzip\r\n", "zip")
 	complete := strings.Join(events(10), "")
 	scenarios := []struct {
 		name     string
 		path     string
-		engines  []engine
+		engines  []scriptedTarget
 		status   int
 		body     string // compared if the status is 200
 		complete bool
 		arrivals int
 	}{
-		{"successful call", "/unsafe/a", []engine{yes}, 200, "yes", true, 1},
-		{"target's own failure is returned", "/unsafe/a", []engine{failing, yes}, 500, "", true, 1},
-		{"failed safe call is retried on another target", "/safe/a", []engine{failing, yes}, 200, "yes", true, 2},
-		{"failed safe call is not retried beyond its attempts", "/safe/a", []engine{failing, failing, yes}, 500, "", true, 2},
-		{"full target", "/unsafe/a", []engine{full, yes}, 200, "yes", true, 2},
-		{"other target at the address", "/unsafe/a", []engine{moved, yes}, 200, "yes", true, 2},
-		{"no listener at the address", "/unsafe/a", []engine{nil, yes}, 200, "yes", true, 1},
-		{"all targets full, refused as not run", "/unsafe/a", []engine{full}, 503, "", true, 1},
-		{"unsafe call that may have run is not retried", "/unsafe/a", []engine{closes, yes}, 502, "", true, 1},
-		{"safe call that may have run is retried", "/safe/a", []engine{closes, yes}, 200, "yes", true, 2},
-		{"answer with a content encoding that was not asked for", "/unsafe/a", []engine{encoded, yes}, 502, "", true, 1},
-		{"stream", "/stream/a", []engine{streams(0)}, 200, complete, true, 1},
-		{"broken stream does not look complete", "/stream/a", []engine{streams(4), streams(0)}, 200, strings.Join(events(3), ""), false, 1},
-		{"resumable stream resumes on another target", "/resume/a", []engine{streams(4), streams(0)}, 200, complete, true, 2},
-		{"resumable stream that broke before its first event", "/resume/a", []engine{streams(1), streams(0)}, 200, complete, true, 2},
-		{"resumable stream that breaks again", "/resume/a", []engine{streams(4), streams(7), streams(0)}, 200, strings.Join(events(6), ""), false, 2},
+		{"successful call", "/unsafe/a", []scriptedTarget{yes}, 200, "yes", true, 1},
+		{"target's own failure is returned", "/unsafe/a", []scriptedTarget{failing, yes}, 500, "", true, 1},
+		{"failed safe call is retried on another target", "/safe/a", []scriptedTarget{failing, yes}, 200, "yes", true, 2},
+		{"failed safe call is not retried beyond its attempts", "/safe/a", []scriptedTarget{failing, failing, yes}, 500, "", true, 2},
+		{"full target", "/unsafe/a", []scriptedTarget{full, yes}, 200, "yes", true, 2},
+		{"other target at the address", "/unsafe/a", []scriptedTarget{moved, yes}, 200, "yes", true, 2},
+		{"no listener at the address", "/unsafe/a", []scriptedTarget{nil, yes}, 200, "yes", true, 1},
+		{"all targets full, refused as not run", "/unsafe/a", []scriptedTarget{full}, 503, "", true, 1},
+		{"unsafe call that may have run is not retried", "/unsafe/a", []scriptedTarget{closesUnanswered, yes}, 502, "", true, 1},
+		{"safe call that may have run is retried", "/safe/a", []scriptedTarget{closesUnanswered, yes}, 200, "yes", true, 2},
+		{"answer with a content encoding that was not asked for", "/unsafe/a", []scriptedTarget{encoded, yes}, 502, "", true, 1},
+		{"stream", "/stream/a", []scriptedTarget{streams(0)}, 200, complete, true, 1},
+		{"broken stream does not look complete", "/stream/a", []scriptedTarget{streams(4), streams(0)}, 200, strings.Join(events(3), ""), false, 1},
+		{"resumable stream resumes on another target", "/resume/a", []scriptedTarget{streams(4), streams(0)}, 200, complete, true, 2},
+		{"resumable stream that broke before its first event", "/resume/a", []scriptedTarget{streams(1), streams(0)}, 200, complete, true, 2},
+		{"resumable stream that breaks again", "/resume/a", []scriptedTarget{streams(4), streams(7), streams(0)}, 200, strings.Join(events(6), ""), false, 2},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, freely{}, s.engines...)
+				b := newTestbed(t, fakeMeter{}, s.engines...)
 				got := b.call(context.Background(), s.path, nil)
-				if got.status != s.status || got.whole != s.complete {
-					t.Errorf("status %d, complete %t", got.status, got.whole)
+				if got.status != s.status || got.complete != s.complete {
+					t.Errorf("status %d, complete %t", got.status, got.complete)
 				}
 				if s.status == 200 && got.body != s.body {
 					t.Errorf("body %q", got.body)
@@ -77,7 +77,7 @@
 
 func TestResumedAnswerKeepsFirstHeaders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, freely{}, streams(4), streams(0))
+		b := newTestbed(t, fakeMeter{}, streams(4), streams(0))
 		got := b.call(context.Background(), "/resume/a", nil)
 		if got.header.Get("Seal") != "s4" {
 			t.Errorf("seal %q", got.header.Get("Seal"))
@@ -89,12 +89,12 @@
 }
 
 func TestRefusals(t *testing.T) {
-	outdate := func(b *bed) { time.Sleep(4400 * time.Millisecond) }
+	outdate := func(b *testbed) { time.Sleep(4400 * time.Millisecond) }
 	scenarios := []struct {
 		name    string
 		path    string
 		header  map[string]string
-		prepare func(b *bed)
+		prepare func(b *testbed)
 		status  int
 		retry   bool
 	}{
@@ -104,20 +104,20 @@
 		{"known key, outdated configuration", "/unsafe/a", nil, outdate, 503, true},
 		{"route without keys, outdated configuration", "/open/a", map[string]string{"Key": ""}, outdate, 200, false},
 		{"account over its allowance", "/unsafe/a", map[string]string{"Key": "fullkey"}, nil, 429, true},
-		{"overloaded", "/unsafe/a", nil, func(b *bed) { b.scheduler.refuse = true }, 503, true},
-		{"no target", "/unsafe/a", nil, func(b *bed) { b.targets = nil }, 503, true},
-		{"not placed before the deadline", "/unsafe/a", map[string]string{"Wait": "800"}, func(b *bed) { b.scheduler.delay = time.Hour }, 503, true},
+		{"overloaded", "/unsafe/a", nil, func(b *testbed) { b.scheduler.refuse = true }, 503, true},
+		{"no target", "/unsafe/a", nil, func(b *testbed) { b.targets = nil }, 503, true},
+		{"not placed before the deadline", "/unsafe/a", map[string]string{"Wait": "800"}, func(b *testbed) { b.scheduler.delay = time.Hour }, 503, true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, freely{"full": true}, says(200, "", "yes"))
+				b := newTestbed(t, fakeMeter{"full": true}, replies(200, "", "yes"))
 				if s.prepare != nil {
 					s.prepare(b)
 				}
 				got := b.call(context.Background(), s.path, s.header)
-				if got.status != s.status || !got.whole {
-					t.Errorf("status %d, complete %t", got.status, got.whole)
+				if got.status != s.status || !got.complete {
+					t.Errorf("status %d, complete %t", got.status, got.complete)
 				}
 				if (got.header.Get("Retry-After") != "") != s.retry {
 					t.Errorf("Retry-After %q", got.header.Get("Retry-After"))
@@ -143,10 +143,10 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, freely{"full": true, shareless: true}, says(200, "", "yes"))
+				b := newTestbed(t, fakeMeter{"full": true, noShare: true}, replies(200, "", "yes"))
 				got := b.call(context.Background(), s.path, map[string]string{"Key": s.key})
-				if got.status != s.status || !got.whole {
-					t.Errorf("status %d, complete %t", got.status, got.whole)
+				if got.status != s.status || !got.complete {
+					t.Errorf("status %d, complete %t", got.status, got.complete)
 				}
 				refused := s.status != http.StatusOK
 				if (got.header.Get("Retry-After") != "") != refused {
@@ -165,7 +165,7 @@
 		name   string
 		path   string
 		wait   string
-		engine engine
+		engine scriptedTarget
 		status int
 		took   time.Duration
 	}{
@@ -176,7 +176,7 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, freely{}, s.engine)
+				b := newTestbed(t, fakeMeter{}, s.engine)
 				got := b.call(context.Background(), s.path, map[string]string{"Wait": s.wait})
 				if got.status != s.status || got.took < s.took || got.took > s.took+100*time.Millisecond {
 					t.Errorf("status %d after %v", got.status, got.took)
@@ -192,7 +192,7 @@
 func TestCallerDisconnectCancelsTargetWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := make(chan time.Time, 1)
-		b := newBed(t, freely{}, func(c net.Conn, r *http.Request) bool {
+		b := newTestbed(t, fakeMeter{}, func(c net.Conn, r *http.Request) bool {
 			silent(c, r)
 			ended <- time.Now()
 			return false
@@ -213,11 +213,11 @@
 
 func TestAssignmentsAreReleasedWithOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, freely{}, nil, says(503, "Not-Run: 1\r\n", ""), says(421, "", ""), says(200, "", "yes"))
+		b := newTestbed(t, fakeMeter{}, nil, replies(503, "Not-Run: 1\r\n", ""), replies(421, "", ""), replies(200, "", "yes"))
 		b.call(context.Background(), "/safe/a", nil)
 		want := []string{"t1 Unreached", "t2 Full", "t3 Moved", "t4 Served"}
-		if !slices.Equal(b.scheduler.ends, want) {
-			t.Errorf("outcomes %v, want %v", b.scheduler.ends, want)
+		if !slices.Equal(b.scheduler.outcomes, want) {
+			t.Errorf("outcomes %v, want %v", b.scheduler.outcomes, want)
 		}
 	})
 }
@@ -230,7 +230,7 @@
 	scenarios := []struct {
 		name     string
 		path     string
-		first    engine
+		first    scriptedTarget
 		status   int
 		took     time.Duration // at most
 		arrivals int
@@ -244,11 +244,11 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, freely{}, s.first, streams(0))
-				b.scheduler.stuck = "t1"
+				b := newTestbed(t, fakeMeter{}, s.first, streams(0))
+				b.scheduler.redispatched = "t1"
 				got := b.call(context.Background(), s.path, nil)
-				if got.status != s.status || !got.whole || got.took > s.took {
-					t.Errorf("status %d, complete %t, after %v", got.status, got.whole, got.took)
+				if got.status != s.status || !got.complete || got.took > s.took {
+					t.Errorf("status %d, complete %t, after %v", got.status, got.complete, got.took)
 				}
 				if s.status == 200 && got.body != strings.Join(events(10), "") {
 					t.Errorf("body %q", got.body)
@@ -263,7 +263,7 @@
 
 func TestReadiness(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, freely{}, says(200, "", "yes"))
+		b := newTestbed(t, fakeMeter{}, replies(200, "", "yes"))
 		if !b.controller.Ready() {
 			t.Error("not ready with a configuration")
 		}
@@ -276,7 +276,7 @@
 
 func TestSpanForEachHop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, freely{}, says(421, "", ""), says(200, "", "yes"))
+		b := newTestbed(t, fakeMeter{}, replies(421, "", ""), replies(200, "", "yes"))
 		b.call(context.Background(), "/unsafe/a", nil)
 		synctest.Wait()
 		var names []string
@@ -299,8 +299,8 @@
 // not a refusal by the entry.
 func TestTargetFailureIsReturnedOnceRetryBudgetIsSpent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		failing := says(http.StatusInternalServerError, "", "failed")
-		b := newBed(t, freely{}, failing, failing)
+		failing := replies(http.StatusInternalServerError, "", "failed")
+		b := newTestbed(t, fakeMeter{}, failing, failing)
 		const calls = 200
 		for n := range calls {
 			r := b.call(context.Background(), "/safe/x", map[string]string{"Id": fmt.Sprint("r", n)})
@@ -317,7 +317,7 @@
 // The only target fails a request that may be retried. There is no other target for a retry, so its answer is returned.
 func TestFailureOfOnlyTargetIsReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, freely{}, says(http.StatusInternalServerError, "", "failed"))
+		b := newTestbed(t, fakeMeter{}, replies(http.StatusInternalServerError, "", "failed"))
 		r := b.call(context.Background(), "/safe/x", nil)
 		if r.status != http.StatusInternalServerError || r.header.Get("Seal") != "s" || r.body != "failed" {
 			t.Errorf("status %d, seal %q, body %q", r.status, r.header.Get("Seal"), r.body)
--- a/pkg/ingress/delivery.go
+++ b/pkg/ingress/delivery.go
@@ -86,7 +86,7 @@
 	admitted := q.account
 	d.retries.CountRequest(d.Clock.Now(), q.service)
 	refusal := d.runAttempts(ctx, q, out)
-	if refusal != nil && d.giveHeld(ctx, q, out, refusal) {
+	if refusal != nil && d.writeHeldFailure(ctx, q, out, refusal) {
 		return nil
 	}
 	if refusal != nil && q.sent == 0 {
@@ -144,7 +144,7 @@
 	assignment, refused, err := d.scheduler.Acquire(ctx, schedule.Request{Service: q.service, Job: planner.Job{
 		Account: q.accountName(), Tier: q.tier(),
 		Prompt: q.Prompt, Events: d.admission.estimateEvents(q), Gap: q.route.EventGap,
-		Arrived: q.arrived, SinceFirstTry: q.before, Objective: q.route.Objective, Deadline: q.deadline, Patience: q.patience(),
+		Arrived: q.arrived, SinceFirstTry: q.sinceFirstTry, Objective: q.route.Objective, Deadline: q.deadline, Patience: q.patience(),
 		Returned: q.returned(), Movable: d.movable(q), Exclude: q.tried,
 		Route: ids.Route(q.route.Name),
 	}})
@@ -153,24 +153,24 @@
 	case errors.Is(err, errNotNeeded):
 		return nil, &Refusal{Cause: CauseNone}
 	case err != nil:
-		q.note(now, "no assignment before the deadline", "")
+		q.addToTrail(now, "no assignment before the deadline", "")
 		return nil, &Refusal{Status: http.StatusGatewayTimeout, Cause: CauseDeadline}
 	case refused != nil && refused.Overloaded:
-		q.note(now, fmt.Sprintf("refused: %d ahead, a wait of %d ms", refused.Ahead, refused.Wait), "")
+		q.addToTrail(now, fmt.Sprintf("refused: %d ahead, a wait of %d ms", refused.Ahead, refused.Wait), "")
 		return nil, notRun(CauseOverloaded, refused.RetryAfter)
 	case refused != nil && refused.BackedOff:
-		q.note(now, fmt.Sprintf("all targets ask this entry to back off, the first for %d ms more", refused.Wait), "")
+		q.addToTrail(now, fmt.Sprintf("all targets ask this entry to back off, the first for %d ms more", refused.Wait), "")
 		return nil, notRun(CauseResting, refused.RetryAfter)
 	case refused != nil:
 		return nil, notRun(CauseNoTarget, refused.RetryAfter)
 	}
-	q.note(now, "placed on", assignment.Target().ID)
-	if hasLeft(ctx) {
+	q.addToTrail(now, "placed on", assignment.Target().ID)
+	if callerDisconnected(ctx) {
 		assignment.Done(planner.Abandoned, planner.StreamStats{})
-		return nil, &Refusal{Cause: CauseLeft, Err: errEndSeen}
+		return nil, &Refusal{Cause: CauseLeft, Err: errCallerDisconnected}
 	}
 	if refusal := d.recheck(q, assignment); refusal != nil {
-		q.note(now, "not sent after a recheck: "+refusal.Cause.String(), "")
+		q.addToTrail(now, "not sent after a recheck: "+refusal.Cause.String(), "")
 		assignment.Done(planner.Abandoned, planner.StreamStats{})
 		return nil, refusal
 	}
@@ -182,21 +182,21 @@
 	account := q.account
 	if refusal := d.admission.resolve(q); refusal != nil {
 		// It was allowed when it arrived, so the caller may come back and be checked again.
-		return notRun(refusal.Cause, comeBack)
+		return notRun(refusal.Cause, retryDelay)
 	}
 	if account != nil && q.account == nil || !q.route.LeadsTo(assignment.Target().Service) {
-		return notRun(CauseNoRoute, comeBack)
+		return notRun(CauseNoRoute, retryDelay)
 	}
 	if q.sent > 0 && !d.mayRepeat(q) {
-		return notRun(CauseNoRoute, comeBack)
+		return notRun(CauseNoRoute, retryDelay)
 	}
 	now := d.Clock.Now()
 	if now >= q.deadline {
 		// The VM was suspended, and with it the timer of the deadline.
-		return notRun(CauseDeadline, comeBack)
+		return notRun(CauseDeadline, retryDelay)
 	}
-	if q.sent == 0 && !d.admission.closing.sends(now, q.deadline, q.route) {
-		return notRun(CauseLeaving, d.admission.closing.retryAfter(now))
+	if q.sent == 0 && !d.admission.drain.maySend(now, q.deadline, q.route) {
+		return notRun(CauseLeaving, d.admission.drain.retryAfter(now))
 	}
 	return nil
 }
@@ -275,7 +275,7 @@
 	case errors.Is(context.Cause(ctx), errEnded) && q.sent > 0:
 		return &Refusal{Status: http.StatusBadGateway, Cause: CauseLeaving, Err: refusal.Err}
 	case errors.Is(context.Cause(ctx), errEnded):
-		return notRun(CauseLeaving, d.admission.closing.retryAfter(d.Clock.Now()))
+		return notRun(CauseLeaving, d.admission.drain.retryAfter(d.Clock.Now()))
 	case refusal.Cause == CauseLeft:
 		return d.callerGoneRefusal(q, refusal.Err)
 	case callerHasLeft(ctx) && !d.callerTimeOver(q):
@@ -283,7 +283,7 @@
 	case ended && q.sent > 0:
 		return &Refusal{Status: http.StatusGatewayTimeout, Cause: CauseDeadline, Err: refusal.Err}
 	case ended:
-		return notRun(CauseDeadline, comeBack)
+		return notRun(CauseDeadline, retryDelay)
 	case q.sent > 0:
 		return &Refusal{Status: http.StatusBadGateway, Cause: CauseLost, Err: refusal.Err}
 	default:
--- a/pkg/ingress/descriptors_test.go
+++ b/pkg/ingress/descriptors_test.go
@@ -70,7 +70,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	go newLimitedServer(c, singleTargetController(c, target, freely{}), descriptorLimit).Serve(listener)
+	go newLimitedServer(c, singleTargetController(c, target, fakeMeter{}), descriptorLimit).Serve(listener)
 	fmt.Println(listener.Addr())
 	ctx, stop := context.WithCancel(context.Background())
 	var dialing sync.WaitGroup
@@ -109,10 +109,10 @@
 	}
 	v.SetCatalog(routing.NewCatalog(1, routing.Limits{}, routes, nil, []*routing.Account{{Name: "acme", Keys: []string{"key"}}}))
 	v.Confirmed(c.Clock.Now())
-	scheduler := &inOrder{b: &bed{targets: []*routing.Target{target}}, stuck: ids.Target("none")}
+	scheduler := &orderedScheduler{b: &testbed{targets: []*routing.Target{target}}, redispatched: ids.Target("none")}
 	return ingress.NewController(ingress.Dependencies{
-		Common: c, View: v, HeaderCodec: dialect{}, Scheduler: scheduler, Meter: meter, Entries: freely{},
-		Pool:    forward.NewPool(c, func(h map[string][]string) forward.AnswerMetadata { return dialect{}.AnswerMetadata(h) }, nil),
+		Common: c, View: v, HeaderCodec: testCodec{}, Scheduler: scheduler, Meter: meter, Entries: fakeMeter{},
+		Pool:    forward.NewPool(c, func(h map[string][]string) forward.AnswerMetadata { return testCodec{}.AnswerMetadata(h) }, nil),
 		Retries: quota.NewRetryBudget(quota.RetryBounds{Ratio: 0.2, Slack: 100, Window: 10 * clock.Second}, c.Clock.Now()-10*clock.Second), Keys: ingress.KeyGrace{Limit: clock.Minute},
 	})
 }
--- a/pkg/ingress/endings_table_test.go
+++ b/pkg/ingress/endings_table_test.go
@@ -57,7 +57,7 @@
 }
 
 // pausesAt answers a request, and pauses at the given step.
-func pausesAt(at requestStep, pause time.Duration) engine {
+func pausesAt(at requestStep, pause time.Duration) scriptedTarget {
 	return func(c net.Conn, r *http.Request) bool {
 		wait := func(s requestStep) {
 			if s == at {
@@ -122,8 +122,8 @@
 // disturbance is an event that must not end a request unless its outcome says so.
 type disturbance struct {
 	name    string
-	prepare func(*bed) // before the request arrives
-	do      func(*bed) // while it is at a step
+	prepare func(*testbed) // before the request arrives
+	do      func(*testbed) // while it is at a step
 	outcome func(at requestStep, path string) callerOutcome
 }
 
@@ -155,7 +155,7 @@
 }
 
 // eachRoute changes all routes, and applies the configuration.
-func (b *bed) eachRoute(change func(*routing.Route)) {
+func (b *testbed) eachRoute(change func(*routing.Route)) {
 	for i, r := range b.routes {
 		changed := *r
 		change(&changed)
@@ -165,7 +165,7 @@
 }
 
 // endTargets reports target ends under the request of the table to the quarantine.
-func (b *bed) endTargets(path string, targets int) {
+func (b *testbed) endTargets(path string, targets int) {
 	request := quarantine.Request{Digest: quarantine.Identify("acme", path, []byte("question")), Account: "acme", Route: ids.Route(strings.Split(path, "/")[1])}
 	for n := range targets {
 		b.guard.Ended(quarantine.Run{Request: request, Incarnation: ids.TargetIncarnation{Target: ids.Target(fmt.Sprint("ended", n))}, Again: n > 0})
@@ -173,63 +173,63 @@
 }
 
 var disturbances = []disturbance{
-	{"nothing", nil, func(*bed) {}, alwaysComplete},
-	{"settings with a shorter key grace", nil, func(b *bed) { b.controller.SetKeyGrace(ingress.KeyGrace{Limit: 1, Strict: true}) }, refusedUnlessSent},
-	{"settings without retries", nil, func(b *bed) { b.retries.SetBounds(quota.RetryBounds{Window: 10 * clock.Second}) }, alwaysComplete},
-	{"its key is removed", nil, func(b *bed) {
+	{"nothing", nil, func(*testbed) {}, alwaysComplete},
+	{"settings with a shorter key grace", nil, func(b *testbed) { b.controller.SetKeyGrace(ingress.KeyGrace{Limit: 1, Strict: true}) }, refusedUnlessSent},
+	{"settings without retries", nil, func(b *testbed) { b.retries.SetBounds(quota.RetryBounds{Window: 10 * clock.Second}) }, alwaysComplete},
+	{"its key is removed", nil, func(b *testbed) {
 		b.accounts = []*routing.Account{{Name: "acme", Keys: []string{"another"}}}
 		b.configure(2)
 	}, refusedUnlessSent},
-	{"its account is removed", nil, func(b *bed) { b.accounts = b.accounts[1:]; b.configure(2) }, refusedUnlessSent},
-	{"its account gets a limit", nil, func(b *bed) {
+	{"its account is removed", nil, func(b *testbed) { b.accounts = b.accounts[1:]; b.configure(2) }, refusedUnlessSent},
+	{"its account gets a limit", nil, func(b *testbed) {
 		b.accounts = []*routing.Account{{Name: "acme", Keys: []string{"key"}, PerSecond: 0.001, Burst: 0.001}}
 		b.configure(2)
 	}, alwaysComplete},
-	{"its route is removed", nil, func(b *bed) { b.routes = nil; b.configure(2) }, refusedUnlessSent},
-	{"its route leads to another service", nil, func(b *bed) {
+	{"its route is removed", nil, func(b *testbed) { b.routes = nil; b.configure(2) }, refusedUnlessSent},
+	{"its route leads to another service", nil, func(b *testbed) {
 		b.eachRoute(func(r *routing.Route) { r.Split = []routing.WeightedService{{Service: "other", Weight: 1}} })
 	}, refusedUnlessSent},
-	{"the time-out of its route is shortened", nil, func(b *bed) { b.eachRoute(func(r *routing.Route) { r.Timeout = 100 }) }, alwaysComplete},
-	{"its route may not be repeated any more", nil, func(b *bed) {
+	{"the time-out of its route is shortened", nil, func(b *testbed) { b.eachRoute(func(r *routing.Route) { r.Timeout = 100 }) }, alwaysComplete},
+	{"its route may not be repeated any more", nil, func(b *testbed) {
 		b.eachRoute(func(r *routing.Route) { r.Attempts, r.Resumable = 1, false })
 	}, alwaysComplete},
-	{"its body would be too long now", nil, func(b *bed) {
+	{"its body would be too long now", nil, func(b *testbed) {
 		b.view.SetCatalog(routing.NewCatalog(2, routing.Limits{BodyBytes: 1}, b.routes, nil, b.accounts))
 	}, alwaysComplete},
-	{"its target is removed from the list", nil, func(b *bed) { b.expireFirst() }, alwaysComplete},
-	{"all targets are removed from the list", nil, func(b *bed) { b.view.SetDirectory(routing.NewDirectory(nil)) }, alwaysComplete},
-	{"its target is listed as leaving", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Leaving = true }) }, alwaysComplete},
-	{"its target is listed with another address", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Address = "10.0.9.9:80" }) }, alwaysComplete},
-	{"its target is listed in another service", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Service = "other" }) }, func(at requestStep, _ string) callerOutcome {
+	{"its target is removed from the list", nil, func(b *testbed) { b.expireFirst() }, alwaysComplete},
+	{"all targets are removed from the list", nil, func(b *testbed) { b.view.SetDirectory(routing.NewDirectory(nil)) }, alwaysComplete},
+	{"its target is listed as leaving", nil, func(b *testbed) { b.updateFirst(func(t *routing.Target) { t.Leaving = true }) }, alwaysComplete},
+	{"its target is listed with another address", nil, func(b *testbed) { b.updateFirst(func(t *routing.Target) { t.Address = "10.0.9.9:80" }) }, alwaysComplete},
+	{"its target is listed in another service", nil, func(b *testbed) { b.updateFirst(func(t *routing.Target) { t.Service = "other" }) }, func(at requestStep, _ string) callerOutcome {
 		return refusedUnlessSent(at, "")
 	}},
-	{"its target's version is withheld", nil, func(b *bed) { b.list(func(t *routing.Target) { t.Admission = routing.Withheld }) }, alwaysComplete},
-	{"its target was restarted", nil, (*bed).restart, afterRestart},
-	{"its target reports that it is leaving", nil, func(b *bed) {
-		b.advice.Observe(ids.TargetIncarnation{Target: "t1", Start: formerStart}, 0, "other", advisory.Advice{Leaving: true})
+	{"its target's version is withheld", nil, func(b *testbed) { b.updateFirst(func(t *routing.Target) { t.Admission = routing.Withheld }) }, alwaysComplete},
+	{"its target was restarted", nil, (*testbed).restart, afterRestart},
+	{"its target reports that it is leaving", nil, func(b *testbed) {
+		b.advice.Observe(ids.TargetIncarnation{Target: "t1", Start: firstStart}, 0, "other", advisory.Advice{Leaving: true})
 	}, alwaysComplete},
-	{"its target asks for back-off", nil, func(b *bed) {
-		b.advice.Observe(ids.TargetIncarnation{Target: "t1", Start: formerStart}, 0, "other", advisory.Advice{Backoff: 10 * clock.Second})
+	{"its target asks for back-off", nil, func(b *testbed) {
+		b.advice.Observe(ids.TargetIncarnation{Target: "t1", Start: firstStart}, 0, "other", advisory.Advice{Backoff: 10 * clock.Second})
 	}, alwaysComplete},
-	{"the VM was suspended for 3 s", nil, func(b *bed) { b.suspension.Add(3 * clock.Second) }, alwaysComplete},
-	{"the VM was suspended for 20 s", nil, func(b *bed) { b.suspension.Add(20 * clock.Second) }, refusedUnlessSent},
-	{"the owner of the service re-dispatches it", func(b *bed) { b.scheduler.stuck = "t1" }, func(*bed) {}, alwaysComplete},
-	{"the owner of the service refuses all further requests", nil, func(b *bed) { b.scheduler.setRepeats(true, 0) }, alwaysComplete},
-	{"the owner of the service is gone", nil, func(b *bed) { b.scheduler.setRepeats(false, time.Minute) }, alwaysComplete},
-	{"the entry is drained", nil, func(b *bed) {
+	{"the VM was suspended for 3 s", nil, func(b *testbed) { b.suspension.Add(3 * clock.Second) }, alwaysComplete},
+	{"the VM was suspended for 20 s", nil, func(b *testbed) { b.suspension.Add(20 * clock.Second) }, refusedUnlessSent},
+	{"the owner of the service re-dispatches it", func(b *testbed) { b.scheduler.redispatched = "t1" }, func(*testbed) {}, alwaysComplete},
+	{"the owner of the service refuses all further requests", nil, func(b *testbed) { b.scheduler.setRepeats(true, 0) }, alwaysComplete},
+	{"the owner of the service is gone", nil, func(b *testbed) { b.scheduler.setRepeats(false, time.Minute) }, alwaysComplete},
+	{"the entry is drained", nil, func(b *testbed) {
 		b.controller.Leave(ingress.Stop{RestrictsFrom: b.clock.Now() + clock.Second, EndsAt: b.clock.Now() + 8*clock.Second})
 	}, alwaysComplete},
-	{"the entry is drained within a short time", nil, func(b *bed) {
+	{"the entry is drained within a short time", nil, func(b *testbed) {
 		b.controller.Leave(ingress.Stop{RestrictsFrom: b.clock.Now(), EndsAt: b.clock.Now() + 3*clock.Second})
 	}, refusedUnlessSent},
-	{"the entry ends", nil, func(b *bed) { b.controller.End() }, afterProcessEnd},
-	{"no descriptor is left", nil, func(b *bed) { b.dialer.set(0, syscall.EMFILE) }, refusedUnlessSent},
-	{"memory is short", func(b *bed) {
+	{"the entry ends", nil, func(b *testbed) { b.controller.End() }, afterProcessEnd},
+	{"no descriptor is left", nil, func(b *testbed) { b.dialer.set(0, syscall.EMFILE) }, refusedUnlessSent},
+	{"memory is short", func(b *testbed) {
 		before := debug.SetMemoryLimit(-1)
 		b.t.Cleanup(func() { debug.SetMemoryLimit(before) })
-	}, func(*bed) { debug.SetMemoryLimit(1) }, alwaysComplete},
-	{"it is suspected of ending its targets", nil, func(b *bed) { b.endTargets(b.path, 1) }, alwaysComplete},
-	{"it is quarantined, as targets have ended under it", nil, func(b *bed) { b.endTargets(b.path, 3) }, refusedUnlessSent},
+	}, func(*testbed) { debug.SetMemoryLimit(1) }, alwaysComplete},
+	{"it is suspected of ending its targets", nil, func(b *testbed) { b.endTargets(b.path, 1) }, alwaysComplete},
+	{"it is quarantined, as targets have ended under it", nil, func(b *testbed) { b.endTargets(b.path, 3) }, refusedUnlessSent},
 }
 
 func TestDisturbancesOfRequestInProgress(t *testing.T) {
@@ -269,14 +269,14 @@
 			for _, pause := range pauses(s.step) {
 				t.Run(fmt.Sprintf("%s %s, %v", path, s.name, pause), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
-						all := func(b *bed) {
+						all := func(b *testbed) {
 							for _, h := range disturbances {
 								if h.outcome(s.step, path) == outcomeComplete && h.outcome(stepSent, "/unsafe/a") == outcomeComplete {
 									h.do(b)
 								}
 							}
 						}
-						prepare := func(b *bed) {
+						prepare := func(b *testbed) {
 							for _, h := range disturbances {
 								if h.prepare != nil {
 									h.prepare(b)
@@ -292,12 +292,12 @@
 }
 
 // checkDisturbance applies a disturbance to a request at a step, and checks what the caller gets.
-func checkDisturbance(t *testing.T, at requestStep, path string, pause time.Duration, prepare, do func(*bed), want callerOutcome) {
+func checkDisturbance(t *testing.T, at requestStep, path string, pause time.Duration, prepare, do func(*testbed), want callerOutcome) {
 	t.Helper()
 	const whileAtStep = 300 * time.Millisecond
-	b := newBed(t, freely{}, pausesAt(at, pause), pausesAt(at, 0))
+	b := newTestbed(t, fakeMeter{}, pausesAt(at, pause), pausesAt(at, 0))
 	b.path = path
-	b.list(func(t *routing.Target) { t.Start = formerStart })
+	b.updateFirst(func(t *routing.Target) { t.Start = firstStart })
 	when := whileAtStep
 	switch at {
 	case stepWaiting:
@@ -314,15 +314,15 @@
 	arrived := len(b.arrived())
 	outcome := outcomeBroken
 	switch {
-	case got.status == http.StatusOK && got.whole && got.body == completeAnswer(at, path):
+	case got.status == http.StatusOK && got.complete && got.body == completeAnswer(at, path):
 		outcome = outcomeComplete
-	case got.status == http.StatusServiceUnavailable && got.whole && got.header.Get("Retry-After") != "" && arrived == 0:
+	case got.status == http.StatusServiceUnavailable && got.complete && got.header.Get("Retry-After") != "" && arrived == 0:
 		outcome = outcomeRefused
-	case got.status == http.StatusOK && got.whole:
+	case got.status == http.StatusOK && got.complete:
 		t.Error("an incomplete answer looks complete")
 	}
 	if outcome != want {
-		t.Errorf("outcome %d, want %d: status %d, complete %t, %d bytes after %v, %d arrivals", outcome, want, got.status, got.whole, len(got.body), got.took, arrived)
+		t.Errorf("outcome %d, want %d: status %d, complete %t, %d bytes after %v, %d arrivals", outcome, want, got.status, got.complete, len(got.body), got.took, arrived)
 	}
 	maxArrivals := map[string]int{"/unsafe/a": 1, "/stream/a": 1, "/safe/a": 2, "/resume/a": 2}[path]
 	if arrived > maxArrivals {
--- a/pkg/ingress/endings_test.go
+++ b/pkg/ingress/endings_test.go
@@ -29,7 +29,7 @@
 func TestTargetListInForceBeforeExchangesEnd(t *testing.T) {
 	cases := []struct {
 		name, path string
-		former     engine
+		former     scriptedTarget
 		body, last string
 	}{
 		{"a call", "/safe/a", silent, "next", ""},
@@ -42,11 +42,11 @@
 			synctest.Test(t, func(t *testing.T) {
 				next := streams(0)
 				if s.path == "/safe/a" {
-					next = says(200, "", "next")
+					next = replies(200, "", "next")
 				}
-				var b *bed
-				b = newBed(t, freely{}, perIncarnation(&b, s.former, next))
-				b.list(func(t *routing.Target) { t.Start = formerStart })
+				var b *testbed
+				b = newTestbed(t, fakeMeter{}, perIncarnation(&b, s.former, next))
+				b.updateFirst(func(t *routing.Target) { t.Start = firstStart })
 				b.view.Watch(func(d *routing.Directory) {
 					if d.Target("t1").Start == secondStart {
 						time.Sleep(50 * time.Millisecond) // nothing else waits for the view's lock
@@ -54,10 +54,10 @@
 				})
 				time.AfterFunc(100*time.Millisecond, b.restart)
 				got := b.call(context.Background(), s.path, nil)
-				if got.status != 200 || !got.whole || got.body != s.body {
-					t.Errorf("status %d, complete %t, body %q", got.status, got.whole, got.body)
+				if got.status != 200 || !got.complete || got.body != s.body {
+					t.Errorf("status %d, complete %t, body %q", got.status, got.complete, got.body)
 				}
-				b.checkIncarnations([]ids.Start{formerStart, secondStart}, s.last)
+				b.checkIncarnations([]ids.Start{firstStart, secondStart}, s.last)
 			})
 		})
 	}
@@ -86,7 +86,7 @@
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				// An earlier call leaves an idle connection to each of the two targets.
-				earlier := func(then, before engine) engine {
+				earlier := func(then, before scriptedTarget) scriptedTarget {
 					return func(c net.Conn, r *http.Request) bool {
 						if r.Header.Get("Id") == "earlier" {
 							return before(c, r)
@@ -94,12 +94,12 @@
 						return then(c, r)
 					}
 				}
-				b := newBed(t, freely{}, earlier(pausesMidStream(3*time.Second), says(503, "Not-Run: 1\r\n", "")), earlier(breaksLater, says(200, "", "yes")))
+				b := newTestbed(t, fakeMeter{}, earlier(pausesMidStream(3*time.Second), replies(503, "Not-Run: 1\r\n", "")), earlier(breaksLater, replies(200, "", "yes")))
 				b.call(context.Background(), "/safe/a", map[string]string{"Id": "earlier"})
 				time.AfterFunc(500*time.Millisecond, func() { b.dialer.set(0, s.err) })
 				got := b.call(context.Background(), "/resume/a", nil)
-				if cut := !got.whole; cut != s.cut {
-					t.Errorf("status %d, complete %t after %v, body %q", got.status, got.whole, got.took, got.body)
+				if cut := !got.complete; cut != s.cut {
+					t.Errorf("status %d, complete %t after %v, body %q", got.status, got.complete, got.took, got.body)
 				}
 			})
 		})
@@ -107,10 +107,10 @@
 }
 
 // serveCallers starts a server for callers' connections in front of the controller.
-func (b *bed) serveCallers(shares descriptors.Limits) *ingress.Server {
+func (b *testbed) serveCallers(shares descriptors.Limits) *ingress.Server {
 	handlers := ingress.Handlers{Serve: b.controller, Reject: http.HandlerFunc(b.controller.Reject), Context: b.controller.Context()}
-	server := ingress.NewServer(commontest.New(b.reach), handlers, shares)
-	listener, err := b.reach.Listen(serverAt)
+	server := ingress.NewServer(commontest.New(b.network), handlers, shares)
+	listener, err := b.network.Listen(serverAt)
 	if err != nil {
 		b.t.Fatal(err)
 	}
@@ -132,23 +132,23 @@
 func TestConnectionChangesKeepAnswersInProgress(t *testing.T) {
 	cases := []struct {
 		name string
-		do   func(b *bed, s *ingress.Server)
+		do   func(b *testbed, s *ingress.Server)
 	}{
-		{"limits are lowered", func(_ *bed, s *ingress.Server) {
+		{"limits are lowered", func(_ *testbed, s *ingress.Server) {
 			s.SetLimits(routing.Limits{HeaderBytes: 1, HeaderTime: 1, IdleTime: 1, BodyBytes: 1})
 		}},
-		{"limits are changed often", func(_ *bed, s *ingress.Server) {
+		{"limits are changed often", func(_ *testbed, s *ingress.Server) {
 			for n := range 20 {
 				s.SetLimits(routing.Limits{HeaderBytes: 4096, HeaderTime: 1000, IdleTime: clock.Millis(n + 1)})
 			}
 		}},
-		{"more connections than the limit", func(b *bed, _ *ingress.Server) {
+		{"more connections than the limit", func(b *testbed, _ *ingress.Server) {
 			for range 20 {
-				c := dial(b.t, b.reach)
-				go func() { askFor(c, "/safe/b") }()
+				c := dial(b.t, b.network)
+				go func() { sendRequestTo(c, "/safe/b") }()
 			}
 		}},
-		{"the entry is drained", func(b *bed, s *ingress.Server) {
+		{"the entry is drained", func(b *testbed, s *ingress.Server) {
 			b.controller.Leave(ingress.Stop{RestrictsFrom: b.clock.Now(), EndsAt: b.clock.Now() + 8*clock.Second})
 			b.stopped = true
 			go func() { _ = s.Shutdown(context.Background()) }()
@@ -162,10 +162,10 @@
 		for _, s := range cases {
 			t.Run(fmt.Sprintf("step %d, %s", at, s.name), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					b := newBed(t, freely{}, pausesAt(at, 3*time.Second))
+					b := newTestbed(t, fakeMeter{}, pausesAt(at, 3*time.Second))
 					server := b.serveCallers(descriptors.Limits{Callers: 2, Rejecting: 2, Extra: 1})
 					time.AfterFunc(300*time.Millisecond, func() { s.do(b, server) })
-					if got := bodyOn(dial(t, b.reach), path); got != completeAnswer(at, path) {
+					if got := bodyOn(dial(t, b.network), path); got != completeAnswer(at, path) {
 						t.Errorf("%d bytes", len(got))
 					}
 					time.Sleep(5 * time.Second)
--- a/pkg/ingress/exchange.go
+++ b/pkg/ingress/exchange.go
@@ -50,18 +50,18 @@
 		Header: d.dialect.TargetHeaders(q.http.Header, call), Body: q.body,
 	})
 	if _, isWithheld := result.(forward.Withheld); isWithheld {
-		q.note(d.Clock.Now(), "not sent, by its own report, to", target.ID)
+		q.addToTrail(d.Clock.Now(), "not sent, by its own report, to", target.ID)
 		assignment.Done(planner.Withheld, planner.StreamStats{})
 		return nil, withheld{}
 	}
 	q.tried = append(q.tried, target.Incarnation())
 	switch result := result.(type) {
 	case forward.NotSent:
-		q.note(d.Clock.Now(), "not reached", target.ID)
+		q.addToTrail(d.Clock.Now(), "not reached", target.ID)
 		assignment.Done(unreachedOutcome(ctx), planner.StreamStats{})
 		return nil, declined{result.Err}
 	case forward.Declined:
-		q.note(d.Clock.Now(), "not run, by its own report, at", target.ID)
+		q.addToTrail(d.Clock.Now(), "not run, by its own report, at", target.ID)
 		q.sends++
 		if result.Status == http.StatusMisdirectedRequest {
 			assignment.Done(planner.Moved, planner.StreamStats{})
@@ -73,7 +73,7 @@
 		q.sends++
 		return result, nil
 	default:
-		q.note(d.Clock.Now(), "broken off without an answer at", target.ID)
+		q.addToTrail(d.Clock.Now(), "broken off without an answer at", target.ID)
 		q.sends++
 		assignment.Done(failureOutcome(ctx), planner.StreamStats{})
 		return nil, lost{err: result.(forward.Broken).Err}
--- a/pkg/ingress/first_tries.go
+++ b/pkg/ingress/first_tries.go
@@ -43,7 +43,7 @@
 
 // sinceFirstTry records a request's deadline, and returns how long ago its caller's first try was: 0 if this is the first
 // try, or if that is not known.
-func (f *firstTries) before(route *routing.Route, deadline clock.Millis) clock.Millis {
+func (f *firstTries) sinceFirstTry(route *routing.Route, deadline clock.Millis) clock.Millis {
 	if deadline <= 0 {
 		return 0
 	}
@@ -75,7 +75,7 @@
 }
 
 // retain drops the routes that are not known any more.
-func (f *firstTries) forget(known func(route string) bool) {
+func (f *firstTries) retain(known func(route string) bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for name := range f.routes {
--- a/pkg/ingress/first_tries_test.go
+++ b/pkg/ingress/first_tries_test.go
@@ -37,12 +37,12 @@
 			tries := newFirstTries()
 			route := &routing.Route{Name: "r"}
 			for _, d := range s.seen {
-				tries.before(route, d)
+				tries.sinceFirstTry(route, d)
 			}
-			if got := tries.before(route, s.deadline); got != s.before {
+			if got := tries.sinceFirstTry(route, s.deadline); got != s.before {
 				t.Errorf("a deadline of %d: first try %d ms ago, want %d", s.deadline, got, s.before)
 			}
-			if got := tries.before(route, 12_000); got != s.other {
+			if got := tries.sinceFirstTry(route, 12_000); got != s.other {
 				t.Errorf("a deadline of 12 s: first try %d ms ago, want %d", got, s.other)
 			}
 		})
@@ -52,9 +52,9 @@
 func TestRemovedRoutesAreDropped(t *testing.T) {
 	tries := newFirstTries()
 	for _, name := range []string{"kept", "gone"} {
-		tries.before(&routing.Route{Name: name}, 1_000)
+		tries.sinceFirstTry(&routing.Route{Name: name}, 1_000)
 	}
-	tries.forget(func(route string) bool { return route == "kept" })
+	tries.retain(func(route string) bool { return route == "kept" })
 	if len(tries.routes) != 1 || tries.routes["kept"] == nil {
 		t.Errorf("left: %v", tries.routes)
 	}
--- a/pkg/ingress/guarded.go
+++ b/pkg/ingress/guarded.go
@@ -45,7 +45,7 @@
 	}
 	permit, refused := d.guard.Enter(ctx, q.quarantineRequest())
 	if refused != nil {
-		q.note(d.Clock.Now(), "quarantined, as targets have ended under it", "")
+		q.addToTrail(d.Clock.Now(), "quarantined, as targets have ended under it", "")
 		return nil, quarantinedRefusal(refused)
 	}
 	return permit, nil
@@ -81,7 +81,7 @@
 		}
 	case lost:
 		if run := d.possibleEnd(ctx, q, target, permit); run != nil && !result.answered && d.checkEnded(ctx, run) {
-			q.ended = append(q.ended, target.ID)
+			q.endedTargets = append(q.endedTargets, target.ID)
 		}
 	case handedOver:
 		if run := d.possibleEnd(ctx, q, target, permit); run != nil {
--- a/pkg/ingress/held.go
+++ b/pkg/ingress/held.go
@@ -9,27 +9,27 @@
 
 // targetFailure is a target's own failure answer that was not passed on to the caller, because the request was to
 // be retried on another target.
-type heldAnswer struct {
+type targetFailure struct {
 	answer *forward.Answer
 	body   []byte
 }
 
 // keepFailure keeps a target's failure answer. One that is too long was not read to its end, and is lost.
-func (r *request) hold(a *forward.Answer, body []byte) {
-	if len(body) < wholeLimit {
-		r.held = &heldAnswer{answer: a, body: body}
+func (r *request) keepFailure(a *forward.Answer, body []byte) {
+	if len(body) < maxBuffered {
+		r.heldFailure = &targetFailure{answer: a, body: body}
 	}
 }
 
 // writeHeldFailure passes on a target's kept failure answer if no other target has answered: a target's answer is
 // preferred to a refusal by this entry. It reports whether it did.
-func (d *delivery) giveHeld(ctx context.Context, q *request, out *answerWriter, refusal *Refusal) bool {
-	if q.held == nil || out.started || refusal.Cause == CauseLeft || callerHasLeft(ctx) {
+func (d *delivery) writeHeldFailure(ctx context.Context, q *request, out *answerWriter, refusal *Refusal) bool {
+	if q.heldFailure == nil || out.started || refusal.Cause == CauseLeft || callerHasLeft(ctx) {
 		return false
 	}
-	q.note(d.Clock.Now(), "passed on the failure kept from a target", "")
-	out.head(d.dialect, q.held.answer, q.held.answer.Length)
-	return out.body(q.held.body) == nil
+	q.addToTrail(d.Clock.Now(), "passed on the failure kept from a target", "")
+	out.head(d.dialect, q.heldFailure.answer, q.heldFailure.answer.Length)
+	return out.body(q.heldFailure.body) == nil
 }
 
 // callerHasLeft reports whether a request's context was canceled by its caller, and not by its deadline or the
--- a/pkg/ingress/keys_test.go
+++ b/pkg/ingress/keys_test.go
@@ -15,7 +15,7 @@
 
 func TestTargetGetsAccountInsteadOfKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, freely{}, says(200, "", "yes"))
+		b := newTestbed(t, fakeMeter{}, replies(200, "", "yes"))
 		b.call(context.Background(), "/unsafe/a", map[string]string{"Account": "forged"})
 		got := b.arrived()[0]
 		if got.header.Get("Key") != "" || got.header.Get("Account") != "acme" || got.body != "question" {
@@ -26,7 +26,7 @@
 
 func TestKeyRemovedWhileRequestWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, freely{}, says(200, "", "yes"))
+		b := newTestbed(t, fakeMeter{}, replies(200, "", "yes"))
 		b.scheduler.delay = time.Second
 		time.AfterFunc(500*time.Millisecond, func() {
 			b.accounts = []*routing.Account{{Name: "acme", Keys: []string{"another"}}}
@@ -44,7 +44,7 @@
 // a strict limit of 5 s on removed keys. It must not run, as its key may have been removed.
 func TestStaleKeyIsNotUsedAfterWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, freely{}, says(200, "", "yes"))
+		b := newTestbed(t, fakeMeter{}, replies(200, "", "yes"))
 		b.scheduler.delay = 4500 * time.Millisecond
 		got := b.call(context.Background(), "/unsafe/a", nil)
 		if got.status != http.StatusServiceUnavailable || len(b.arrived()) != 0 {
@@ -74,7 +74,7 @@
 	for _, s := range scenarios {
 		t.Run(fmt.Sprint(s.strict, s.leased, s.after), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, freely{assuredAlways: s.leased}, says(200, "", "yes"))
+				b := newTestbed(t, fakeMeter{alwaysLeased: s.leased}, replies(200, "", "yes"))
 				b.controller.SetKeyGrace(ingress.KeyGrace{Limit: 5000, Strict: s.strict, Max: 20 * clock.Second})
 				time.Sleep(s.after)
 				if got := b.call(context.Background(), "/unsafe/a", nil); got.status != s.want {
--- a/pkg/ingress/lateness.go
+++ b/pkg/ingress/lateness.go
@@ -24,15 +24,15 @@
 	objective := r.route.Objective
 	first := r.firstAt - r.arrived
 	switch {
-	case objective <= 0 || first+r.before <= objective:
-	case r.before > 0 && first <= objective:
+	case objective <= 0 || first+r.sinceFirstTry <= objective:
+	case r.sinceFirstTry > 0 && first <= objective:
 		return LateReturn
 	case r.placedAt-r.arrived > r.firstAt-r.placedAt:
 		return LatePlace
 	default:
 		return LateTarget
 	}
-	if r.route.EventGap > 0 && r.pause > r.route.EventGap {
+	if r.route.EventGap > 0 && r.longestPause > r.route.EventGap {
 		return LatePause
 	}
 	return LateNot
--- a/pkg/ingress/lateness_test.go
+++ b/pkg/ingress/lateness_test.go
@@ -26,7 +26,7 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			const arrived = clock.Millis(5000)
-			r := &request{route: route, arrived: arrived, before: s.before, placedAt: arrived + s.placed, firstAt: arrived + s.first, pause: s.pause}
+			r := &request{route: route, arrived: arrived, sinceFirstTry: s.before, placedAt: arrived + s.placed, firstAt: arrived + s.first, longestPause: s.pause}
 			if got := r.lateness(); got != s.want {
 				t.Errorf("%v, want %v", got, s.want)
 			}
--- a/pkg/ingress/lives_test.go
+++ b/pkg/ingress/lives_test.go
@@ -22,18 +22,18 @@
 // The starts of the first target's two incarnations. The second one is lower, as if the clock of its VM had been set back
 // in between.
 const (
-	formerStart ids.Start = 5000
+	firstStart  ids.Start = 5000
 	secondStart ids.Start = 4000
 )
 
 // restart lists the first target as restarted. Its connections stay open and silent, as those to a VM that was partitioned
 // and came back.
-func (b *bed) restart() {
-	b.list(func(t *routing.Target) { t.Start = secondStart })
+func (b *testbed) restart() {
+	b.updateFirst(func(t *routing.Target) { t.Start = secondStart })
 }
 
 // updateFirst publishes a list of targets in which the first one is changed.
-func (b *bed) list(change func(*routing.Target)) {
+func (b *testbed) updateFirst(change func(*routing.Target)) {
 	b.mu.Lock()
 	first := *b.targets[0]
 	change(&first)
@@ -43,12 +43,12 @@
 }
 
 // expireFirst publishes a list without the first target, as if its row had expired.
-func (b *bed) expireFirst() {
+func (b *testbed) expireFirst() {
 	b.view.SetDirectory(routing.NewDirectory(b.listed()[1:]))
 }
 
 // startOf returns the start of the incarnation that a connection leads to, 0 if its target has none.
-func (b *bed) startOf(c net.Conn) ids.Start {
+func (b *testbed) startOf(c net.Conn) ids.Start {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.started[c]
@@ -56,7 +56,7 @@
 
 // perIncarnation behaves as former in a target's first incarnation and as next in the second. Nothing answers on a
 // connection to the first one after the restart.
-func perIncarnation(b **bed, former, next engine) engine {
+func perIncarnation(b **testbed, former, next scriptedTarget) scriptedTarget {
 	return func(c net.Conn, r *http.Request) bool {
 		switch {
 		case (*b).startOf(c) == secondStart:
@@ -69,7 +69,7 @@
 }
 
 // stallsAfter sends the events of a stream up to the nth, and then neither another event nor the end of the stream.
-func stallsAfter(n int) engine {
+func stallsAfter(n int) scriptedTarget {
 	return func(c net.Conn, r *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"))
 		last, _ := strconv.Atoi(r.Header.Get("Last"))
@@ -84,7 +84,7 @@
 // repliesLate answers after 0.4 s, which is after the restart.
 func repliesLate(c net.Conn, r *http.Request) bool {
 	time.Sleep(400 * time.Millisecond)
-	return says(200, "", "late")(c, r)
+	return replies(200, "", "late")(c, r)
 }
 
 // TestTargetRestartsUnderSameID guards against callers that wait until their deadline and get 504 or a stream that
@@ -97,37 +97,37 @@
 	scenarios := []struct {
 		name     string
 		path     string
-		former   engine
+		former   scriptedTarget
 		status   int
 		body     string // compared if the status is 200
 		complete bool
 		starts   []ids.Start // of the incarnations at which the request arrived, in order
 		last     string      // Last-Event-Id of the last arrival
 	}{
-		{"sent", "/unsafe/a", silent, 502, "", true, []ids.Start{formerStart}, ""},
-		{"sent, and may be repeated", "/safe/a", silent, 200, "next", true, []ids.Start{formerStart, secondStart}, ""},
-		{"sent, a late answer of the former incarnation", "/unsafe/a", repliesLate, 502, "", true, []ids.Start{formerStart}, ""},
-		{"sent, a stream", "/stream/a", silent, 502, "", true, []ids.Start{formerStart}, ""},
-		{"the first event", "/stream/a", stallsAfter(1), 200, strings.Join(events(1), ""), false, []ids.Start{formerStart}, ""},
-		{"the first event, resumable", "/resume/a", stallsAfter(1), 200, allEvents, true, []ids.Start{formerStart, secondStart}, "1"},
-		{"in the middle", "/stream/a", stallsAfter(4), 200, strings.Join(events(4), ""), false, []ids.Start{formerStart}, ""},
-		{"in the middle, resumable", "/resume/a", stallsAfter(4), 200, allEvents, true, []ids.Start{formerStart, secondStart}, "4"},
-		{"after the last event, before the end", "/stream/a", stallsAfter(10), 200, allEvents, false, []ids.Start{formerStart}, ""},
-		{"after the last event, resumable", "/resume/a", stallsAfter(10), 200, allEvents, true, []ids.Start{formerStart, secondStart}, "10"},
+		{"sent", "/unsafe/a", silent, 502, "", true, []ids.Start{firstStart}, ""},
+		{"sent, and may be repeated", "/safe/a", silent, 200, "next", true, []ids.Start{firstStart, secondStart}, ""},
+		{"sent, a late answer of the former incarnation", "/unsafe/a", repliesLate, 502, "", true, []ids.Start{firstStart}, ""},
+		{"sent, a stream", "/stream/a", silent, 502, "", true, []ids.Start{firstStart}, ""},
+		{"the first event", "/stream/a", stallsAfter(1), 200, strings.Join(events(1), ""), false, []ids.Start{firstStart}, ""},
+		{"the first event, resumable", "/resume/a", stallsAfter(1), 200, allEvents, true, []ids.Start{firstStart, secondStart}, "1"},
+		{"in the middle", "/stream/a", stallsAfter(4), 200, strings.Join(events(4), ""), false, []ids.Start{firstStart}, ""},
+		{"in the middle, resumable", "/resume/a", stallsAfter(4), 200, allEvents, true, []ids.Start{firstStart, secondStart}, "4"},
+		{"after the last event, before the end", "/stream/a", stallsAfter(10), 200, allEvents, false, []ids.Start{firstStart}, ""},
+		{"after the last event, resumable", "/resume/a", stallsAfter(10), 200, allEvents, true, []ids.Start{firstStart, secondStart}, "10"},
 	}
 	next := func(c net.Conn, r *http.Request) bool {
 		if strings.HasPrefix(r.URL.Path, "/resume/") {
 			return streams(0)(c, r)
 		}
-		return says(200, "", "next")(c, r)
+		return replies(200, "", "next")(c, r)
 	}
 	for _, s := range scenarios {
 		for _, stopping := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, entry stops %t", s.name, stopping), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					var b *bed
-					b = newBed(t, freely{}, perIncarnation(&b, s.former, next))
-					b.list(func(t *routing.Target) { t.Start = formerStart })
+					var b *testbed
+					b = newTestbed(t, fakeMeter{}, perIncarnation(&b, s.former, next))
+					b.updateFirst(func(t *routing.Target) { t.Start = firstStart })
 					replies := make(chan reply, 1)
 					go func() { replies <- b.call(context.Background(), s.path, nil) }()
 					time.Sleep(100 * time.Millisecond)
@@ -136,8 +136,8 @@
 					}
 					b.restart()
 					got := <-replies
-					if got.status != s.status || got.whole != s.complete || s.status == 200 && got.body != s.body {
-						t.Errorf("status %d, complete %t, body %q", got.status, got.whole, got.body)
+					if got.status != s.status || got.complete != s.complete || s.status == 200 && got.body != s.body {
+						t.Errorf("status %d, complete %t, body %q", got.status, got.complete, got.body)
 					}
 					if limit := 400 * time.Millisecond; got.took > limit {
 						t.Errorf("answered after %v, want within %v", got.took, limit)
@@ -149,7 +149,7 @@
 	}
 }
 
-func (b *bed) checkIncarnations(want []ids.Start, last string) {
+func (b *testbed) checkIncarnations(want []ids.Start, last string) {
 	b.t.Helper()
 	var starts []ids.Start
 	for _, a := range b.arrived() {
@@ -168,12 +168,12 @@
 // the target under the id by which all other lines name it.
 func TestLogOfLostRequestNamesRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, freely{}, silent)
-		b.list(func(t *routing.Target) { t.Start = formerStart })
+		b := newTestbed(t, fakeMeter{}, silent)
+		b.updateFirst(func(t *routing.Target) { t.Start = firstStart })
 		time.AfterFunc(100*time.Millisecond, b.restart)
 		b.call(context.Background(), "/unsafe/a", nil)
 		synctest.Wait()
-		line := b.lines.LastEntry()
+		line := b.logs.LastEntry()
 		if line == nil || line.Message != "request not answered" {
 			t.Fatalf("the last line is %v", line)
 		}
@@ -194,8 +194,8 @@
 // counted the request there, so that a target with all slots of both incarnations taken ran twice its slots.
 func TestUnsentRequestIsPlacedAgainAfterRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, freely{}, says(200, "", "yes"))
-		b.list(func(t *routing.Target) { t.Start = formerStart })
+		b := newTestbed(t, fakeMeter{}, replies(200, "", "yes"))
+		b.updateFirst(func(t *routing.Target) { t.Start = firstStart })
 		b.scheduler.placed = func() {
 			b.scheduler.placed = nil
 			b.restart()
@@ -206,8 +206,8 @@
 		b.checkIncarnations([]ids.Start{secondStart}, "")
 		b.scheduler.mu.Lock()
 		defer b.scheduler.mu.Unlock()
-		if want := []string{"t1 Unreached", "t1 Served"}; !slices.Equal(b.scheduler.ends, want) {
-			t.Errorf("assignments ended %v, want %v", b.scheduler.ends, want)
+		if want := []string{"t1 Unreached", "t1 Served"}; !slices.Equal(b.scheduler.outcomes, want) {
+			t.Errorf("assignments ended %v, want %v", b.scheduler.outcomes, want)
 		}
 	})
 }
@@ -216,9 +216,9 @@
 // that has ended, and is reported as possibly run, although the target was restarted long before.
 func TestConnectionOfFormerIncarnationNotReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var b *bed
-		b = newBed(t, freely{}, perIncarnation(&b, says(200, "", "former"), says(200, "", "next")))
-		b.list(func(t *routing.Target) { t.Start = formerStart })
+		var b *testbed
+		b = newTestbed(t, fakeMeter{}, perIncarnation(&b, replies(200, "", "former"), replies(200, "", "next")))
+		b.updateFirst(func(t *routing.Target) { t.Start = firstStart })
 		for i, want := range []string{"former", "next"} {
 			if i > 0 {
 				b.restart()
@@ -227,7 +227,7 @@
 				t.Errorf("status %d, body %q, want %q", got.status, got.body, want)
 			}
 		}
-		b.checkIncarnations([]ids.Start{formerStart, secondStart}, "")
+		b.checkIncarnations([]ids.Start{firstStart, secondStart}, "")
 	})
 }
 
@@ -239,24 +239,24 @@
 		start  ids.Start
 		status int
 	}{
-		{"the same incarnation", formerStart, 200},
+		{"the same incarnation", firstStart, 200},
 		{"another incarnation", secondStart, 502},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, freely{}, repliesLate)
-				b.list(func(t *routing.Target) { t.Start = formerStart })
+				b := newTestbed(t, fakeMeter{}, repliesLate)
+				b.updateFirst(func(t *routing.Target) { t.Start = firstStart })
 				replies := make(chan reply, 1)
 				go func() { replies <- b.call(context.Background(), "/unsafe/a", nil) }()
 				time.Sleep(100 * time.Millisecond)
 				b.expireFirst()
 				time.Sleep(200 * time.Millisecond)
-				b.list(func(t *routing.Target) { t.Start = s.start })
+				b.updateFirst(func(t *routing.Target) { t.Start = s.start })
 				if got := <-replies; got.status != s.status {
 					t.Errorf("status %d, want %d", got.status, s.status)
 				}
-				b.checkIncarnations([]ids.Start{formerStart}, "")
+				b.checkIncarnations([]ids.Start{firstStart}, "")
 			})
 		})
 	}
@@ -272,13 +272,13 @@
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhal")
 			return false
 		}
-		b := newBed(t, freely{}, breaks)
-		b.list(func(t *routing.Target) { t.Start = formerStart })
+		b := newTestbed(t, fakeMeter{}, breaks)
+		b.updateFirst(func(t *routing.Target) { t.Start = firstStart })
 		if got := b.call(context.Background(), "/unsafe/a", nil); got.status != 502 {
 			t.Errorf("status %d", got.status)
 		}
 		b.restart()
 		time.Sleep(time.Second)
-		b.checkIncarnations([]ids.Start{formerStart}, "")
+		b.checkIncarnations([]ids.Start{firstStart}, "")
 	})
 }
--- a/pkg/ingress/moves_test.go
+++ b/pkg/ingress/moves_test.go
@@ -29,7 +29,7 @@
 
 // pausesMidStream streams like a healthy target that is silent for a while after its third event, such as one that is
 // short of memory and processes the prompt again, or that processes the long prompt of another request.
-func pausesMidStream(silence time.Duration) engine {
+func pausesMidStream(silence time.Duration) scriptedTarget {
 	return func(c net.Conn, r *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"))
 		last, _ := strconv.Atoi(r.Header.Get("Last"))
@@ -50,7 +50,7 @@
 }
 
 // delayed behaves as another scripted target does, but later.
-func delayed(wait time.Duration, then engine) engine {
+func delayed(wait time.Duration, then scriptedTarget) scriptedTarget {
 	return func(c net.Conn, r *http.Request) bool {
 		time.Sleep(wait)
 		return then(c, r)
@@ -61,30 +61,30 @@
 // However the search for another one ends, the caller gets a complete answer.
 func TestSilentTargetKeptUntilReplacementResponds(t *testing.T) {
 	const silence = 1500 * time.Millisecond
-	streaming, safe := pausesMidStream(silence), delayed(900*time.Millisecond, says(200, "", "yes"))
-	failing := says(500, "", "failed")
-	full := says(503, "Not-Run: 1\r\n", "")
+	streaming, safe := pausesMidStream(silence), delayed(900*time.Millisecond, replies(200, "", "yes"))
+	failing := replies(500, "", "failed")
+	full := replies(503, "Not-Run: 1\r\n", "")
 	cases := []struct {
 		name    string
-		others  []engine // the targets besides the first
-		disturb func(*bed)
+		others  []scriptedTarget // the targets besides the first
+		disturb func(*testbed)
 	}{
 		{"there is no other target", nil, nil},
-		{"another one is free", []engine{streams(0)}, nil},
-		{"no retry is left", []engine{streams(0)}, exhaustRetryBudget},
-		{"there is no other assignment", []engine{streams(0)}, func(b *bed) { b.scheduler.refuseRepeats = true }},
-		{"another assignment comes late", []engine{streams(0)}, func(b *bed) { b.scheduler.repeatDelay = 10 * time.Second }},
-		{"the other declines", []engine{full}, nil},
-		{"all others decline", []engine{full, full, full}, nil},
-		{"the other is not reached", []engine{nil}, nil},
-		{"the other breaks off", []engine{closes}, nil},
-		{"the other breaks off after its head", []engine{breaksAfterHead}, nil},
-		{"the other fails", []engine{failing}, nil},
-		{"the other is silent", []engine{silent}, nil},
-		{"the other is slow", []engine{delayed(time.Second, streams(0))}, nil},
-		{"the key is removed", []engine{streams(0)}, func(b *bed) { b.changeDuring(func() { b.accounts = b.accounts[1:] }) }},
-		{"the route is removed", []engine{streams(0)}, func(b *bed) { b.changeDuring(func() { b.routes = b.routes[:1] }) }},
-		{"the route leads to another service now", []engine{streams(0)}, func(b *bed) {
+		{"another one is free", []scriptedTarget{streams(0)}, nil},
+		{"no retry is left", []scriptedTarget{streams(0)}, exhaustRetryBudget},
+		{"there is no other assignment", []scriptedTarget{streams(0)}, func(b *testbed) { b.scheduler.refuseRepeats = true }},
+		{"another assignment comes late", []scriptedTarget{streams(0)}, func(b *testbed) { b.scheduler.repeatDelay = 10 * time.Second }},
+		{"the other declines", []scriptedTarget{full}, nil},
+		{"all others decline", []scriptedTarget{full, full, full}, nil},
+		{"the other is not reached", []scriptedTarget{nil}, nil},
+		{"the other breaks off", []scriptedTarget{closesUnanswered}, nil},
+		{"the other breaks off after its head", []scriptedTarget{breaksAfterHead}, nil},
+		{"the other fails", []scriptedTarget{failing}, nil},
+		{"the other is silent", []scriptedTarget{silent}, nil},
+		{"the other is slow", []scriptedTarget{delayed(time.Second, streams(0))}, nil},
+		{"the key is removed", []scriptedTarget{streams(0)}, func(b *testbed) { b.changeDuring(func() { b.accounts = b.accounts[1:] }) }},
+		{"the route is removed", []scriptedTarget{streams(0)}, func(b *testbed) { b.changeDuring(func() { b.routes = b.routes[:1] }) }},
+		{"the route leads to another service now", []scriptedTarget{streams(0)}, func(b *testbed) {
 			b.changeDuring(func() {
 				for i, r := range b.routes {
 					changed := *r
@@ -96,7 +96,7 @@
 	}
 	kinds := []struct {
 		name, path   string
-		first        engine
+		first        scriptedTarget
 		status       int
 		body         string
 		redispatched bool // the owner re-dispatches the request after 0.3 s
@@ -110,17 +110,17 @@
 		for _, s := range cases {
 			t.Run(k.name+", "+s.name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					b := newBed(t, freely{}, append([]engine{k.first}, s.others...)...)
+					b := newTestbed(t, fakeMeter{}, append([]scriptedTarget{k.first}, s.others...)...)
 					if s.disturb != nil {
 						s.disturb(b)
 					}
 					if k.redispatched {
-						b.scheduler.stuck = "t1"
+						b.scheduler.redispatched = "t1"
 					}
 					got := b.call(context.Background(), k.path, nil)
 					answeredElsewhere := k.path == "/safe/a" && got.status == 200 && got.body == strings.Join(events(10), "")
-					if !got.whole || !answeredElsewhere && (got.status != k.status || got.body != k.body) {
-						t.Errorf("status %d, complete %t after %v, body %q", got.status, got.whole, got.took, got.body)
+					if !got.complete || !answeredElsewhere && (got.status != k.status || got.body != k.body) {
+						t.Errorf("status %d, complete %t after %v, body %q", got.status, got.complete, got.took, got.body)
 					}
 					if len(b.arrived()) > 2+len(s.others)-1 && s.name != "all others decline" {
 						t.Errorf("%d arrivals", len(b.arrived()))
@@ -133,14 +133,14 @@
 }
 
 // exhaustRetryBudget takes retries until less than one is left.
-func exhaustRetryBudget(b *bed) {
+func exhaustRetryBudget(b *testbed) {
 	for b.retries.TakeRetry(b.clock.Now(), "s", 1) {
 		continue
 	}
 }
 
 // changeDuring changes the configuration after the first target has begun, and before its silence starts a search.
-func (b *bed) changeDuring(change func()) {
+func (b *testbed) changeDuring(change func()) {
 	time.AfterFunc(200*time.Millisecond, func() {
 		change()
 		b.configure(2)
@@ -155,7 +155,7 @@
 
 // goesSilent streams three events and then sends nothing more, without closing its connection. It calls closed when the
 // other end has closed it.
-func goesSilent(closed func()) engine {
+func goesSilent(closed func()) scriptedTarget {
 	return func(c net.Conn, r *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"))
 		for n := 1; n <= 3; n++ {
@@ -190,13 +190,13 @@
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				left := make(chan time.Time, 1)
-				b := newBed(t, freely{}, goesSilent(func() { left <- time.Now() }), delayed(s.other, streams(0)))
+				b := newTestbed(t, fakeMeter{}, goesSilent(func() { left <- time.Now() }), delayed(s.other, streams(0)))
 				if s.ended {
 					time.AfterFunc(500*time.Millisecond, func() { _ = b.listeners[0].Close() })
 				}
 				got := b.call(context.Background(), "/resume/a", nil)
-				if !got.whole || got.body != strings.Join(events(10), "") || got.took > s.limit {
-					t.Errorf("status %d, complete %t after %v, body %q", got.status, got.whole, got.took, got.body)
+				if !got.complete || got.body != strings.Join(events(10), "") || got.took > s.limit {
+					t.Errorf("status %d, complete %t after %v, body %q", got.status, got.complete, got.took, got.body)
 				}
 				if both := (<-left).Sub(b.arrived()[1].at); both > maxOverlap {
 					t.Errorf("two targets ran the request for %v", both)
@@ -215,10 +215,10 @@
 			left <- time.Now()
 			return false
 		}
-		b := newBed(t, freely{}, pausesMidStream(4*time.Second), other)
+		b := newTestbed(t, fakeMeter{}, pausesMidStream(4*time.Second), other)
 		got := b.call(context.Background(), "/resume/a", nil)
-		if !got.whole || got.body != strings.Join(events(10), "") {
-			t.Errorf("status %d, complete %t after %v, body %q", got.status, got.whole, got.took, got.body)
+		if !got.complete || got.body != strings.Join(events(10), "") {
+			t.Errorf("status %d, complete %t after %v, body %q", got.status, got.complete, got.took, got.body)
 		}
 		arrived := b.arrived()
 		if len(arrived) != 2 {
@@ -236,19 +236,19 @@
 	const late = 900 * time.Millisecond
 	cases := []struct {
 		name   string
-		first  engine
+		first  scriptedTarget
 		status int
 		arrive int
 	}{
-		{"the first fails it", delayed(late, says(500, "", "failed")), 500, 2},
-		{"the first breaks off", delayed(late, closes), 502, 2},
-		{"the first declines it", delayed(late, says(503, "Not-Run: 1\r\n", "")), 200, 3},
+		{"the first fails it", delayed(late, replies(500, "", "failed")), 500, 2},
+		{"the first breaks off", delayed(late, closesUnanswered), 502, 2},
+		{"the first declines it", delayed(late, replies(503, "Not-Run: 1\r\n", "")), 200, 3},
 	}
 	for _, s := range cases {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, freely{}, s.first, silent, says(200, "", "yes"))
-				b.scheduler.stuck = "t1"
+				b := newTestbed(t, fakeMeter{}, s.first, silent, replies(200, "", "yes"))
+				b.scheduler.redispatched = "t1"
 				got := b.call(context.Background(), "/safe/a", nil)
 				if n := len(b.arrived()); got.status != s.status || n != s.arrive {
 					t.Errorf("status %d, %d arrivals", got.status, n)
@@ -262,11 +262,11 @@
 // not know that yet. The search goes on to a third one.
 func TestSearchSkipsLeavingTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, freely{}, pausesMidStream(4*time.Second), streams(0), streams(0))
+		b := newTestbed(t, fakeMeter{}, pausesMidStream(4*time.Second), streams(0), streams(0))
 		b.advice.Observe(ids.TargetIncarnation{Target: "t2"}, 0, "r", advisory.Advice{Leaving: true})
 		got := b.call(context.Background(), "/resume/a", nil)
-		if !got.whole || got.took > 1300*time.Millisecond {
-			t.Errorf("status %d, complete %t after %v", got.status, got.whole, got.took)
+		if !got.complete || got.took > 1300*time.Millisecond {
+			t.Errorf("status %d, complete %t after %v", got.status, got.complete, got.took)
 		}
 		if arrived := b.arrived(); len(arrived) != 2 || arrived[1].target != "t3" {
 			t.Errorf("%d arrivals", len(arrived))
--- a/pkg/ingress/relay.go
+++ b/pkg/ingress/relay.go
@@ -15,7 +15,7 @@
 
 // maxBuffered is the number of bytes of an answer that are read before any of it goes to the caller, so that a request
 // whose answer breaks off may be retried.
-const wholeLimit = 1 << 20
+const maxBuffered = 1 << 20
 
 var errEncoded = errors.New("answer has a Content-Encoding that was not requested")
 
@@ -39,7 +39,7 @@
 	}
 	body, err := readBuffered(a)
 	if err != nil {
-		q.note(d.Clock.Now(), "answer "+w.endText()+" at", assignment.Target().ID)
+		q.addToTrail(d.Clock.Now(), "answer "+w.endText()+" at", assignment.Target().ID)
 		assignment.Done(failureOutcome(w.exchangeCtx), planner.StreamStats{})
 		return lost{err: err}
 	}
@@ -56,7 +56,7 @@
 
 // readBuffered reads an answer that is not a stream, up to maxBuffered.
 func readBuffered(a *forward.Answer) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(a, wholeLimit))
+	body, err := io.ReadAll(io.LimitReader(a, maxBuffered))
 	if err != nil {
 		return nil, fmt.Errorf("reading the answer: %w", err)
 	}
@@ -67,8 +67,8 @@
 func (d *delivery) relayBuffered(w *watch, q *request, out *answerWriter, assignment schedule.Assignment, a *forward.Answer, body []byte) attempt {
 	failed := a.Status >= http.StatusInternalServerError
 	if failed && !out.started && w.isSearching() {
-		q.note(d.Clock.Now(), "status "+strconv.Itoa(a.Status)+", while another target is tried, from", assignment.Target().ID)
-		q.hold(a, body)
+		q.addToTrail(d.Clock.Now(), "status "+strconv.Itoa(a.Status)+", while another target is tried, from", assignment.Target().ID)
+		q.keepFailure(a, body)
 		assignment.Done(planner.Failed, planner.StreamStats{})
 		return lost{err: fmt.Errorf("target %s answered with status %d", assignment.Target().ID, a.Status), answered: true}
 	}
@@ -78,10 +78,10 @@
 	}
 	assignment.Began(load(a))
 	q.recordArrival(d.Clock.Now())
-	q.note(d.Clock.Now(), "status "+strconv.Itoa(a.Status)+" from", assignment.Target().ID)
+	q.addToTrail(d.Clock.Now(), "status "+strconv.Itoa(a.Status)+" from", assignment.Target().ID)
 	// If no retry is allowed, the caller gets this target's own answer.
 	if failed && !out.started && d.movable(q) && d.takeRetry(q) {
-		q.hold(a, body)
+		q.keepFailure(a, body)
 		assignment.Done(planner.Failed, planner.StreamStats{})
 		return lost{err: fmt.Errorf("target %s answered with status %d", assignment.Target().ID, a.Status), retryTaken: true, answered: true}
 	}
@@ -146,7 +146,7 @@
 		complete := errors.Is(err, io.EOF)
 		if err != nil && !complete {
 			now := d.Clock.Now()
-			q.note(now, fmt.Sprintf("stream %s after %d events, %d ms after the last, at", w.endText(), flow.Events, now-last), assignment.Target().ID)
+			q.addToTrail(now, fmt.Sprintf("stream %s after %d events, %d ms after the last, at", w.endText(), flow.Events, now-last), assignment.Target().ID)
 			assignment.Done(failureOutcome(w.exchangeCtx), flow)
 			return lost{err: err}
 		}
@@ -161,7 +161,7 @@
 		}
 		last = now
 		if flow.Events == 0 {
-			q.note(d.Clock.Now(), "first event from", assignment.Target().ID)
+			q.addToTrail(d.Clock.Now(), "first event from", assignment.Target().ID)
 			assignment.Began(load(a))
 			if !out.started {
 				out.head(d.dialect, a, -1)
--- a/pkg/ingress/request.go
+++ b/pkg/ingress/request.go
@@ -12,16 +12,16 @@
 // request is an admitted request.
 type request struct {
 	Call
-	http     *http.Request
-	body     []byte
-	route    *routing.Route
-	account  *routing.Account // nil on routes without keys
-	service  ids.Service
-	arrived  clock.Millis
-	before   clock.Millis // time from the caller's first try to this arrival
-	deadline clock.Millis
-	takenAt  clock.Millis // when it was charged to its account's allowance
-	draw     float64      // random number that picks the service of a split route, the same at each look-up
+	http          *http.Request
+	body          []byte
+	route         *routing.Route
+	account       *routing.Account // nil on routes without keys
+	service       ids.Service
+	arrived       clock.Millis
+	sinceFirstTry clock.Millis // time from the caller's first try to this arrival
+	deadline      clock.Millis
+	chargedAt     clock.Millis // when it was charged to its account's allowance
+	splitDraw     float64      // random number that picks the service of a split route, the same at each look-up
 
 	sent     int // exchanges that may have run at a target
 	declines int // exchanges that surely did not
@@ -29,22 +29,22 @@
 	withheld int // assignments that were not used, by their targets' own reports
 	tried    []ids.TargetIncarnation
 	// held is a failure that a target answered; the caller gets it if no other target does better.
-	held      *heldAnswer
-	lastEvent int64
-	hasEvent  bool
+	heldFailure *targetFailure
+	lastEvent   int64
+	hasEvent    bool
 
-	trail []mark
+	trail []trailEntry
 	// lostBy is the error of the latest exchange that may have run.
 	lostBy error
 	// digest identifies what is requested; it is computed once a target breaks off.
 	digest quarantine.Digest
 	// ended lists the targets whose processes ended while they ran the request.
-	ended []ids.Target
+	endedTargets []ids.Target
 
-	placedAt clock.Millis // when it was last sent to a target
-	firstAt  clock.Millis // when its answer, or the first event, arrived
-	eventAt  clock.Millis // when the last event, or part of an answer, arrived
-	pause    clock.Millis // the longest pause between two events
+	placedAt     clock.Millis // when it was last sent to a target
+	firstAt      clock.Millis // when its answer, or the first event, arrived
+	eventAt      clock.Millis // when the last event, or part of an answer, arrived
+	longestPause clock.Millis // the longest pause between two events
 }
 
 // Callers give up a stream that is silent for the longest of these, also before its first event.
@@ -67,7 +67,7 @@
 	if r.firstAt == 0 {
 		r.firstAt = now
 	} else {
-		r.pause = max(r.pause, now-r.eventAt)
+		r.longestPause = max(r.longestPause, now-r.eventAt)
 	}
 	r.eventAt = now
 }
@@ -93,7 +93,7 @@
 
 // returned reports whether a request is known to have been refused before.
 func (r *request) returned() bool {
-	return r.before > 0
+	return r.sinceFirstTry > 0
 }
 
 func (r *request) accountName() ids.Account {
--- a/pkg/ingress/search.go
+++ b/pkg/ingress/search.go
@@ -141,7 +141,7 @@
 	if refusal == nil && (!d.permitted(s.q, nil) || slices.Contains(s.q.tried, assignment.Target().Incarnation())) {
 		// It has to wait for its exclusive run, or there is no target left that it was not sent to.
 		assignment.Done(planner.Abandoned, planner.StreamStats{})
-		refusal = notRun(CauseNoTurn, comeBack)
+		refusal = notRun(CauseNoTurn, retryDelay)
 	}
 	if refusal != nil {
 		s.end = SearchNoPlace
@@ -243,7 +243,7 @@
 	if err == nil {
 		return nil
 	}
-	s.q.note(s.delivery.Clock.Now(), "no first response from", t.assignment.Target().ID)
+	s.q.addToTrail(s.delivery.Clock.Now(), "no first response from", t.assignment.Target().ID)
 	a.Close()
 	t.assignment.Done(failureOutcome(t.ctx), planner.StreamStats{})
 	return lost{err: err}
--- a/pkg/ingress/search_drawn_test.go
+++ b/pkg/ingress/search_drawn_test.go
@@ -27,10 +27,10 @@
 func TestSearchEndsWithRequest(t *testing.T) {
 	ends := []struct {
 		name string
-		do   func(b *bed, cancel context.CancelFunc)
+		do   func(b *testbed, cancel context.CancelFunc)
 	}{
-		{"the caller leaves", func(_ *bed, cancel context.CancelFunc) { cancel() }},
-		{"the entry ends", func(b *bed, _ context.CancelFunc) { b.controller.End() }},
+		{"the caller leaves", func(_ *testbed, cancel context.CancelFunc) { cancel() }},
+		{"the entry ends", func(b *testbed, _ context.CancelFunc) { b.controller.End() }},
 		{"the deadline passes", nil},
 	}
 	for _, attempts := range []int{2, 3, 4} {
@@ -42,10 +42,10 @@
 	}
 }
 
-func checkSearchEnds(t *testing.T, attempts int, name string, at time.Duration, do func(*bed, context.CancelFunc)) {
+func checkSearchEnds(t *testing.T, attempts int, name string, at time.Duration, do func(*testbed, context.CancelFunc)) {
 	var mu sync.Mutex
 	running, latest := 0, time.Time{}
-	count := func(then engine) engine {
+	count := func(then scriptedTarget) scriptedTarget {
 		return func(c net.Conn, r *http.Request) bool {
 			mu.Lock()
 			running++
@@ -59,7 +59,7 @@
 			return then(c, r)
 		}
 	}
-	b := newBed(t, freely{}, count(goesSilent(func() {})), count(silent), count(silent), count(silent))
+	b := newTestbed(t, fakeMeter{}, count(goesSilent(func() {})), count(silent), count(silent), count(silent))
 	b.allowAttempts(attempts)
 	b.scheduler.repeatDelay = 120 * time.Millisecond
 	b.dialer.set(70*time.Millisecond, nil)
@@ -81,7 +81,7 @@
 	}
 	assigned, reached := 0, len(b.arrived())
 	b.scheduler.mu.Lock()
-	ended := len(b.scheduler.ends)
+	ended := len(b.scheduler.outcomes)
 	b.scheduler.mu.Unlock()
 	for _, a := range b.arrived() {
 		if a.at.After(began.Add(at + 10*time.Millisecond)) {
@@ -104,7 +104,7 @@
 
 // randomTarget is a target that behaves at random: it declines, fails, closes, or streams with pauses, and may break
 // off. It counts the runs that it began.
-func randomTarget(random *rand.Rand, runs *atomic.Int64) engine {
+func randomTarget(random *rand.Rand, runs *atomic.Int64) scriptedTarget {
 	var mu sync.Mutex
 	draw := func(n int) int {
 		mu.Lock()
@@ -115,12 +115,12 @@
 		time.Sleep(time.Duration(draw(500)) * time.Millisecond)
 		behaviour := draw(10)
 		if behaviour == 0 {
-			return says(503, "Not-Run: 1\r\n", "")(c, r)
+			return replies(503, "Not-Run: 1\r\n", "")(c, r)
 		}
 		runs.Add(1)
 		switch behaviour {
 		case 1:
-			return says(500, "", "failed")(c, r)
+			return replies(500, "", "failed")(c, r)
 		case 2:
 			return false
 		}
@@ -160,15 +160,15 @@
 	random := rand.New(rand.NewPCG(seed, 44))
 	var runs atomic.Int64
 	attempts := 2 + random.IntN(3)
-	var targets []engine
+	var targets []scriptedTarget
 	for n := range 4 {
 		targets = append(targets, randomTarget(rand.New(rand.NewPCG(seed, uint64(n))), &runs))
 	}
-	b := newBed(t, freely{}, targets...)
+	b := newTestbed(t, fakeMeter{}, targets...)
 	b.allowAttempts(attempts)
 	b.scheduler.delay = time.Duration(random.IntN(100)) * time.Millisecond
 	b.scheduler.repeatDelay = time.Duration(random.IntN(300)) * time.Millisecond
-	b.scheduler.stuck = []ids.Target{"", "t1", "t2", "t3"}[random.IntN(4)]
+	b.scheduler.redispatched = []ids.Target{"", "t1", "t2", "t3"}[random.IntN(4)]
 	var assignments atomic.Int64
 	b.scheduler.placed = func() { assignments.Add(1) }
 	b.dialer.set(time.Duration(random.IntN(150))*time.Millisecond, nil)
@@ -181,8 +181,8 @@
 	time.Sleep(4 * time.Second)
 	all := strings.Join(events(10), "")
 	switch {
-	case got.status == 200 && (!strings.HasPrefix(all, got.body) || got.whole && got.body != all):
-		t.Errorf("complete %t, body %q", got.whole, got.body)
+	case got.status == 200 && (!strings.HasPrefix(all, got.body) || got.complete && got.body != all):
+		t.Errorf("complete %t, body %q", got.complete, got.body)
 	case got.status == 503 && runs.Load() > 0:
 		t.Errorf("reported as not run after %d runs", runs.Load())
 	}
@@ -191,7 +191,7 @@
 	}
 	b.scheduler.mu.Lock()
 	defer b.scheduler.mu.Unlock()
-	if ended := len(b.scheduler.ends); ended != int(assignments.Load()) {
-		t.Errorf("%d assignments, %d returned: %v", assignments.Load(), ended, b.scheduler.ends)
+	if ended := len(b.scheduler.outcomes); ended != int(assignments.Load()) {
+		t.Errorf("%d assignments, %d returned: %v", assignments.Load(), ended, b.scheduler.outcomes)
 	}
 }
--- a/pkg/ingress/search_test.go
+++ b/pkg/ingress/search_test.go
@@ -23,7 +23,7 @@
 // answer from another one. While a target is silent, a second one gets the request, and one of the two is given up.
 
 // pausesThenBreaks streams three events, is silent for a while, goes on with two more and breaks off.
-func pausesThenBreaks(silence time.Duration) engine {
+func pausesThenBreaks(silence time.Duration) scriptedTarget {
 	return func(c net.Conn, r *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"))
 		for n, text := range events(5) {
@@ -59,12 +59,12 @@
 	for _, s := range cases {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, freely{}, pausesThenBreaks(1100*time.Millisecond), delayed(s.first, streams(0)), streams(0))
+				b := newTestbed(t, fakeMeter{}, pausesThenBreaks(1100*time.Millisecond), delayed(s.first, streams(0)), streams(0))
 				time.AfterFunc(500*time.Millisecond, func() { b.dialer.set(s.connect, nil) })
 				time.AfterFunc(1120*time.Millisecond, func() { b.dialer.set(0, nil) })
 				got := b.call(context.Background(), "/resume/a", nil)
-				if n := len(b.arrived()); got.whole != s.complete || s.complete && got.body != strings.Join(events(10), "") || n != 2 {
-					t.Errorf("complete %t after %v, body %q, %d arrivals", got.whole, got.took, got.body, n)
+				if n := len(b.arrived()); got.complete != s.complete || s.complete && got.body != strings.Join(events(10), "") || n != 2 {
+					t.Errorf("complete %t after %v, body %q, %d arrivals", got.complete, got.took, got.body, n)
 				}
 			})
 		})
@@ -78,8 +78,8 @@
 // retried.
 func TestFailureOfFirstTargetDoesNotEndSearch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, freely{}, delayed(400*time.Millisecond, says(500, "", "failed")), delayed(250*time.Millisecond, says(200, "", "yes")))
-		b.scheduler.stuck = "t1" // a search begins after 0.3 s
+		b := newTestbed(t, fakeMeter{}, delayed(400*time.Millisecond, replies(500, "", "failed")), delayed(250*time.Millisecond, replies(200, "", "yes")))
+		b.scheduler.redispatched = "t1" // a search begins after 0.3 s
 		got := b.call(context.Background(), "/safe/a", nil)
 		if got.status != 200 || got.body != "yes" {
 			t.Errorf("status %d after %v, body %q, %d arrivals", got.status, got.took, got.body, len(b.arrived()))
@@ -89,7 +89,7 @@
 
 // streamsLargeEvents streams large events without a pause, from the one after the last that the caller has. It calls ended
 // when its connection has ended or all events are sent.
-func streamsLargeEvents(count int, ended func()) engine {
+func streamsLargeEvents(count int, ended func()) scriptedTarget {
 	return func(c net.Conn, r *http.Request) bool {
 		defer ended()
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"))
@@ -125,8 +125,8 @@
 			defer mu.Unlock()
 			firstEnded = time.Now()
 		})
-		b := newBed(t, freely{}, first, streamsLargeEvents(count, func() {}))
-		c, err := b.reach.Dial(context.Background(), entryAt)
+		b := newTestbed(t, fakeMeter{}, first, streamsLargeEvents(count, func() {}))
+		c, err := b.network.Dial(context.Background(), entryAt)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -160,7 +160,7 @@
 }
 
 // allowAttempts sets the number of targets that a request of any route may be sent to.
-func (b *bed) allowAttempts(attempts int) {
+func (b *testbed) allowAttempts(attempts int) {
 	for _, r := range b.routes {
 		r.Attempts = attempts
 	}
@@ -176,11 +176,11 @@
 			left <- time.Now()
 			return false
 		}
-		b := newBed(t, freely{}, pausesMidStream(4*time.Second), other, other)
+		b := newTestbed(t, fakeMeter{}, pausesMidStream(4*time.Second), other, other)
 		b.allowAttempts(3)
 		got := b.call(context.Background(), "/resume/a", nil)
-		if !got.whole || got.body != strings.Join(events(10), "") {
-			t.Errorf("complete %t after %v, body %q", got.whole, got.took, got.body)
+		if !got.complete || got.body != strings.Join(events(10), "") {
+			t.Errorf("complete %t after %v, body %q", got.complete, got.took, got.body)
 		}
 		arrived := b.arrived()
 		if len(arrived) != 3 {
@@ -200,7 +200,7 @@
 // It guards against a stream that is broken off although its first target is healthy and would have gone on.
 func TestSlowConnectionDoesNotGiveUpTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		earlier := func(then, before engine) engine {
+		earlier := func(then, before scriptedTarget) scriptedTarget {
 			return func(c net.Conn, r *http.Request) bool {
 				if r.Header.Get("Id") == "earlier" {
 					return before(c, r)
@@ -208,12 +208,12 @@
 				return then(c, r)
 			}
 		}
-		b := newBed(t, freely{}, earlier(pausesMidStream(2*time.Second), says(503, "Not-Run: 1\r\n", "")), earlier(delayed(600*time.Millisecond, closes), says(200, "", "yes")))
+		b := newTestbed(t, fakeMeter{}, earlier(pausesMidStream(2*time.Second), replies(503, "Not-Run: 1\r\n", "")), earlier(delayed(600*time.Millisecond, closesUnanswered), replies(200, "", "yes")))
 		b.call(context.Background(), "/safe/a", map[string]string{"Id": "earlier"})
 		time.AfterFunc(500*time.Millisecond, func() { b.dialer.set(300*time.Millisecond, nil) })
 		got := b.call(context.Background(), "/resume/a", nil)
-		if !got.whole || got.body != strings.Join(events(10), "") {
-			t.Errorf("complete %t after %v, body %q, %d arrivals", got.whole, got.took, got.body, len(b.arrived()))
+		if !got.complete || got.body != strings.Join(events(10), "") {
+			t.Errorf("complete %t after %v, body %q, %d arrivals", got.complete, got.took, got.body, len(b.arrived()))
 		}
 	})
 }
@@ -224,11 +224,11 @@
 	for n := range repetitions {
 		t.Run(fmt.Sprint("repetition ", n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, freely{}, pausesMidStream(1330*time.Millisecond), delayed(500*time.Millisecond, streams(0)))
+				b := newTestbed(t, fakeMeter{}, pausesMidStream(1330*time.Millisecond), delayed(500*time.Millisecond, streams(0)))
 				time.AfterFunc(500*time.Millisecond, func() { _ = b.listeners[0].Close() })
 				got := b.call(context.Background(), "/resume/a", nil)
-				if !got.whole || got.body != strings.Join(events(10), "") {
-					t.Errorf("complete %t after %v, body %q, %d arrivals", got.whole, got.took, got.body, len(b.arrived()))
+				if !got.complete || got.body != strings.Join(events(10), "") {
+					t.Errorf("complete %t after %v, body %q, %d arrivals", got.complete, got.took, got.body, len(b.arrived()))
 				}
 			})
 		})
@@ -243,18 +243,18 @@
 func TestFirstDeclinesAsReplacementAnswers(t *testing.T) {
 	cases := []struct {
 		name   string
-		others []engine
+		others []scriptedTarget
 	}{
-		{"no third target", []engine{delayed(200*time.Millisecond, says(200, "", "yes"))}},
-		{"others that break off", []engine{delayed(200*time.Millisecond, says(200, "", "yes")), closes, says(200, "", "yes")}},
+		{"no third target", []scriptedTarget{delayed(200*time.Millisecond, replies(200, "", "yes"))}},
+		{"others that break off", []scriptedTarget{delayed(200*time.Millisecond, replies(200, "", "yes")), closesUnanswered, replies(200, "", "yes")}},
 	}
 	for _, s := range cases {
 		for n := range repetitions {
 			t.Run(fmt.Sprint(s.name, ", repetition ", n), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					first := delayed(500*time.Millisecond, says(503, "Not-Run: 1\r\n", ""))
-					b := newBed(t, freely{}, append([]engine{first}, s.others...)...)
-					b.scheduler.stuck = "t1"
+					first := delayed(500*time.Millisecond, replies(503, "Not-Run: 1\r\n", ""))
+					b := newTestbed(t, fakeMeter{}, append([]scriptedTarget{first}, s.others...)...)
+					b.scheduler.redispatched = "t1"
 					got := b.call(context.Background(), "/safe/a", nil)
 					if runs := len(b.arrived()) - 1; got.status == http.StatusServiceUnavailable && runs > 0 || runs > 2 {
 						t.Errorf("status %d, %d runs", got.status, runs)
@@ -272,13 +272,13 @@
 // target that it tries, and has no time limit of its own once the first target is gone.
 func TestSearchFollowsOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, freely{}, goesSilent(func() {}), silent, streams(0))
+		b := newTestbed(t, fakeMeter{}, goesSilent(func() {}), silent, streams(0))
 		b.allowAttempts(3)
-		b.scheduler.stuck = "t2"
+		b.scheduler.redispatched = "t2"
 		time.AfterFunc(500*time.Millisecond, func() { _ = b.listeners[0].Close() })
 		got := b.call(context.Background(), "/resume/a", nil)
-		if !got.whole || got.took > 3*time.Second {
-			t.Errorf("complete %t after %v, body %q, %d arrivals", got.whole, got.took, got.body, len(b.arrived()))
+		if !got.complete || got.took > 3*time.Second {
+			t.Errorf("complete %t after %v, body %q, %d arrivals", got.complete, got.took, got.body, len(b.arrived()))
 		}
 	})
 }
@@ -287,12 +287,12 @@
 // has left.
 func TestHeldFailureNotSentToGoneCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, freely{}, says(500, "", "failed"), silent)
+		b := newTestbed(t, fakeMeter{}, replies(500, "", "failed"), silent)
 		ctx, cancel := context.WithCancel(context.Background())
 		time.AfterFunc(300*time.Millisecond, cancel)
 		b.call(ctx, "/safe/a", nil)
 		time.Sleep(time.Second)
-		for _, line := range b.lines.AllEntries() {
+		for _, line := range b.logs.AllEntries() {
 			if line.Message == "request answered" {
 				t.Errorf("%v", line.Data)
 			}
@@ -304,11 +304,11 @@
 // Searches are repeated from time to time, and hold no retry of the budget in between.
 func TestRepeatedSearchesDuringLongSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, freely{}, pausesMidStream(4*time.Second), nil)
+		b := newTestbed(t, fakeMeter{}, pausesMidStream(4*time.Second), nil)
 		b.eachRoute(func(r *routing.Route) { r.Timeout = 20 * clock.Second })
 		got := b.call(context.Background(), "/resume/a", nil)
-		if !got.whole {
-			t.Errorf("complete %t after %v", got.whole, got.took)
+		if !got.complete {
+			t.Errorf("complete %t after %v", got.complete, got.took)
 		}
 		b.scheduler.mu.Lock()
 		defer b.scheduler.mu.Unlock()
@@ -324,11 +324,11 @@
 	for n := range repetitions {
 		t.Run(fmt.Sprint("repetition ", n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, freely{}, pausesMidStream(2*time.Second), streams(0), streams(0))
+				b := newTestbed(t, fakeMeter{}, pausesMidStream(2*time.Second), streams(0), streams(0))
 				time.AfterFunc(500*time.Millisecond, func() { b.dialer.set(10*time.Second, nil) })
 				got := b.call(context.Background(), "/resume/a", nil)
-				if !got.whole || got.body != strings.Join(events(10), "") {
-					t.Errorf("complete %t after %v, body %q, %d arrivals", got.whole, got.took, got.body, len(b.arrived()))
+				if !got.complete || got.body != strings.Join(events(10), "") {
+					t.Errorf("complete %t after %v, body %q, %d arrivals", got.complete, got.took, got.body, len(b.arrived()))
 				}
 			})
 		})
@@ -348,11 +348,11 @@
 	for _, s := range changes {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, freely{}, pausesMidStream(2*time.Second), streams(0))
+				b := newTestbed(t, fakeMeter{}, pausesMidStream(2*time.Second), streams(0))
 				time.AfterFunc(200*time.Millisecond, func() { b.eachRoute(s.do) })
 				got := b.call(context.Background(), "/resume/a", nil)
-				if n := len(b.arrived()); !got.whole || n != 1 {
-					t.Errorf("complete %t after %v, %d arrivals", got.whole, got.took, n)
+				if n := len(b.arrived()); !got.complete || n != 1 {
+					t.Errorf("complete %t after %v, %d arrivals", got.complete, got.took, n)
 				}
 			})
 		})
@@ -363,7 +363,7 @@
 // target has arrived. It is relayed before it is known whether the process of the first target has ended.
 func TestReplacementEventsRelayedWithoutDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		earlier := func(then, before engine) engine {
+		earlier := func(then, before scriptedTarget) scriptedTarget {
 			return func(c net.Conn, r *http.Request) bool {
 				if r.Header.Get("Id") == "earlier" {
 					return before(c, r)
@@ -371,10 +371,10 @@
 				return then(c, r)
 			}
 		}
-		b := newBed(t, freely{}, earlier(goesSilent(func() {}), says(503, "Not-Run: 1\r\n", "")), earlier(streams(0), says(200, "", "yes")))
+		b := newTestbed(t, fakeMeter{}, earlier(goesSilent(func() {}), replies(503, "Not-Run: 1\r\n", "")), earlier(streams(0), replies(200, "", "yes")))
 		b.call(context.Background(), "/safe/a", map[string]string{"Id": "earlier"})
 		time.AfterFunc(500*time.Millisecond, func() { b.dialer.set(10*time.Second, nil) })
-		c, err := b.reach.Dial(context.Background(), entryAt)
+		c, err := b.network.Dial(context.Background(), entryAt)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -410,18 +410,18 @@
 		name          string
 		before, later ids.Start
 	}{
-		{"the start appears", 0, formerStart},
-		{"the start disappears", formerStart, 0},
+		{"the start appears", 0, firstStart},
+		{"the start disappears", firstStart, 0},
 	}
 	for _, s := range cases {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, freely{}, pausesMidStream(600*time.Millisecond))
-				b.list(func(t *routing.Target) { t.Start = s.before })
-				time.AfterFunc(300*time.Millisecond, func() { b.list(func(t *routing.Target) { t.Start = s.later }) })
+				b := newTestbed(t, fakeMeter{}, pausesMidStream(600*time.Millisecond))
+				b.updateFirst(func(t *routing.Target) { t.Start = s.before })
+				time.AfterFunc(300*time.Millisecond, func() { b.updateFirst(func(t *routing.Target) { t.Start = s.later }) })
 				got := b.call(context.Background(), "/stream/a", nil)
-				if !got.whole || got.body != strings.Join(events(10), "") {
-					t.Errorf("complete %t after %v, body %q", got.whole, got.took, got.body)
+				if !got.complete || got.body != strings.Join(events(10), "") {
+					t.Errorf("complete %t after %v, body %q", got.complete, got.took, got.body)
 				}
 			})
 		})
@@ -435,14 +435,14 @@
 // It guards against a stream that is broken off because only a refusal within the first 60 ms counted.
 func TestLateConnectionRefusalGivesUpTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, freely{}, goesSilent(func() {}), delayed(600*time.Millisecond, streams(0)))
+		b := newTestbed(t, fakeMeter{}, goesSilent(func() {}), delayed(600*time.Millisecond, streams(0)))
 		time.AfterFunc(500*time.Millisecond, func() {
 			_ = b.listeners[0].Close()
 			b.dialer.set(100*time.Millisecond, nil)
 		})
 		got := b.call(context.Background(), "/resume/a", nil)
-		if !got.whole || got.body != strings.Join(events(10), "") {
-			t.Errorf("complete %t after %v, body %q, %d arrivals", got.whole, got.took, got.body, len(b.arrived()))
+		if !got.complete || got.body != strings.Join(events(10), "") {
+			t.Errorf("complete %t after %v, body %q, %d arrivals", got.complete, got.took, got.body, len(b.arrived()))
 		}
 	})
 }
--- a/pkg/ingress/starting_test.go
+++ b/pkg/ingress/starting_test.go
@@ -31,13 +31,13 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, freely{}, says(200, "", "yes"))
-				c := commontest.New(b.reach)
+				b := newTestbed(t, fakeMeter{}, replies(200, "", "yes"))
+				c := commontest.New(b.network)
 				v := view.New(c.Check)
-				pool := forward.NewPool(c, func(h map[string][]string) forward.AnswerMetadata { return dialect{}.AnswerMetadata(h) }, nil)
+				pool := forward.NewPool(c, func(h map[string][]string) forward.AnswerMetadata { return testCodec{}.AnswerMetadata(h) }, nil)
 				defer pool.Close()
 				started := ingress.NewController(ingress.Dependencies{
-					Common: c, View: v, HeaderCodec: dialect{}, Scheduler: b.scheduler, Pool: pool, Meter: freely{}, Entries: freely{},
+					Common: c, View: v, HeaderCodec: testCodec{}, Scheduler: b.scheduler, Pool: pool, Meter: fakeMeter{}, Entries: fakeMeter{},
 					Retries: quota.NewRetryBudget(quota.RetryBounds{Window: clock.Second}, c.Clock.Now()), Keys: ingress.KeyGrace{Limit: 5000, Strict: true},
 				})
 				configure := func() {
--- a/pkg/ingress/stop_test.go
+++ b/pkg/ingress/stop_test.go
@@ -18,13 +18,13 @@
 func TestDrainAdmitsOnlyShortRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		durations := map[string]time.Duration{"/unsafe/": time.Second, "/resume/": 3 * time.Second}
-		b := newBed(t, freely{}, func(c net.Conn, r *http.Request) bool {
+		b := newTestbed(t, fakeMeter{}, func(c net.Conn, r *http.Request) bool {
 			for prefix, duration := range durations {
 				if strings.HasPrefix(r.URL.Path, prefix) {
 					time.Sleep(duration)
 				}
 			}
-			return says(200, "", "yes")(c, r)
+			return replies(200, "", "yes")(c, r)
 		})
 		for prefix := range durations {
 			b.call(context.Background(), prefix+"a", nil)
@@ -66,7 +66,7 @@
 // on a paused VM.
 func TestDrainRestrictionBeginsOnTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, freely{}, says(200, "", "yes"))
+		b := newTestbed(t, fakeMeter{}, replies(200, "", "yes"))
 		b.controller.Leave(ingress.Stop{RestrictsFrom: b.clock.Now() + clock.Second, EndsAt: b.clock.Now() + 3*clock.Second})
 		scenarios := []struct {
 			after time.Duration
@@ -83,8 +83,8 @@
 
 func TestLeavingEntryClosesConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, freely{}, says(200, "", "yes"))
-		b.keep = true // otherwise the caller itself asks for the close
+		b := newTestbed(t, fakeMeter{}, replies(200, "", "yes"))
+		b.keepAlive = true // otherwise the caller itself asks for the close
 		b.controller.Leave(ingress.Stop{RestrictsFrom: b.clock.Now() + clock.Second, EndsAt: b.clock.Now() + clock.Minute})
 		if got := b.call(context.Background(), "/unsafe/a", nil); got.status != 200 || !got.closes {
 			t.Errorf("status %d, closes %t", got.status, got.closes)
@@ -94,7 +94,7 @@
 
 func TestRunningCountsRequestsInProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, freely{}, silent)
+		b := newTestbed(t, fakeMeter{}, silent)
 		time.AfterFunc(clock.Second.Duration(), func() {
 			if n := b.controller.Running(); n != 1 {
 				t.Errorf("%d running", n)
--- a/pkg/ingress/suspension_test.go
+++ b/pkg/ingress/suspension_test.go
@@ -33,7 +33,7 @@
 		for _, s := range scenarios {
 			t.Run(fmt.Sprint(s.name, ", for ", length, " ms"), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					b := newBed(t, freely{}, says(200, "", "complete"))
+					b := newTestbed(t, fakeMeter{}, replies(200, "", "complete"))
 					b.scheduler.delay = s.place
 					if s.place > 0 {
 						time.AfterFunc(s.place/2, func() { b.suspension.Add(length) })
@@ -68,7 +68,7 @@
 // if the clock had stopped during it.
 func TestRemainingTimeAfterSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, freely{}, says(200, "", "complete"))
+		b := newTestbed(t, fakeMeter{}, replies(200, "", "complete"))
 		b.routes = append(b.routes, &routing.Route{
 			Name: "long", Host: "h", Prefix: "/long/", Kind: routing.Safe, Timeout: 30 * clock.Second, Objective: 500, Attempts: 1, Anonymous: true,
 			Split: []routing.WeightedService{{Service: "s", Weight: 1}},
--- a/pkg/ingress/trail.go
+++ b/pkg/ingress/trail.go
@@ -8,15 +8,15 @@
 )
 
 // trailEntry is one decision about a request.
-type mark struct {
+type trailEntry struct {
 	at     clock.Millis
 	what   string
 	target ids.Target
 }
 
 // addToTrail adds a decision to a request's trail, which is logged if the request fails or is answered late.
-func (r *request) note(now clock.Millis, what string, target ids.Target) {
-	r.trail = append(r.trail, mark{at: now, what: what, target: target})
+func (r *request) addToTrail(now clock.Millis, what string, target ids.Target) {
+	r.trail = append(r.trail, trailEntry{at: now, what: what, target: target})
 }
 
 // triedTargets returns the ids of the targets that a request was sent to.
--- a/pkg/ingress/turn_away_test.go
+++ b/pkg/ingress/turn_away_test.go
@@ -18,7 +18,7 @@
 )
 
 // reject makes a request on a connection beyond the callers' limit.
-func (b *bed) reject(path string) *httptest.ResponseRecorder {
+func (b *testbed) reject(path string) *httptest.ResponseRecorder {
 	r := httptest.NewRequest(http.MethodPost, "http://h"+path, strings.NewReader("question"))
 	r.Header.Set("Id", "r1")
 	r.Header.Set("Key", "key")
@@ -43,14 +43,14 @@
 		{"lower tier in progress", low, 0, high, http.StatusOK},
 		{"same tier in progress", low, 0, low, http.StatusServiceUnavailable},
 		{"higher tier in progress", high, 0, low, http.StatusServiceUnavailable},
-		{"lower tier in progress, but no free slot", low, places, high, http.StatusServiceUnavailable},
+		{"lower tier in progress, but no free slot", low, extraRequests, high, http.StatusServiceUnavailable},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBed(t, freely{}, func(c net.Conn, r *http.Request) bool {
+				b := newTestbed(t, fakeMeter{}, func(c net.Conn, r *http.Request) bool {
 					time.Sleep(time.Second)
-					return says(200, "", "yes")(c, r)
+					return replies(200, "", "yes")(c, r)
 				})
 				b.routes[1].Tier = 2
 				b.configure(2)
@@ -78,15 +78,15 @@
 // A request of a higher tier that is served beyond the limit takes three times as long as a rejected caller has.
 func TestRequestServedBeyondLimitIsNotCutShort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBed(t, freely{}, func(c net.Conn, r *http.Request) bool {
+		b := newTestbed(t, fakeMeter{}, func(c net.Conn, r *http.Request) bool {
 			time.Sleep(3 * time.Second)
-			return says(200, "", "yes")(c, r)
+			return replies(200, "", "yes")(c, r)
 		})
 		b.routes[1].Tier = 2
 		b.configure(2)
 		handlers := ingress.Handlers{Serve: b.controller, Reject: http.HandlerFunc(b.controller.Reject), Context: b.controller.Context()}
-		server := ingress.NewServer(commontest.New(b.reach), handlers, descriptors.Limits{Callers: 1, Rejecting: 2, Extra: 1})
-		listener, err := b.reach.Listen(serverAt)
+		server := ingress.NewServer(commontest.New(b.network), handlers, descriptors.Limits{Callers: 1, Rejecting: 2, Extra: 1})
+		listener, err := b.network.Listen(serverAt)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -94,8 +94,8 @@
 		synctest.Wait()
 		answers := make(chan int, 2)
 		for _, path := range []string{"/safe/a", "/unsafe/a"} {
-			c := dial(t, b.reach)
-			go func() { answers <- askFor(c, path) }()
+			c := dial(t, b.network)
+			go func() { answers <- sendRequestTo(c, path) }()
 			time.Sleep(10 * time.Millisecond)
 		}
 		for range 2 {
@@ -110,7 +110,7 @@
 }
 
 // sendRequestTo sends a request for a path, without a body, and returns the answer's status, or 0.
-func askFor(c net.Conn, path string) int {
+func sendRequestTo(c net.Conn, path string) int {
 	_, err := io.WriteString(c, "GET "+path+" HTTP/1.1\r\nHost: h\r\nId: r1\r\nKey: key\r\n\r\n")
 	if err != nil {
 		return 0
--- a/pkg/ingress/watch.go
+++ b/pkg/ingress/watch.go
@@ -72,7 +72,7 @@
 type searchUsage struct {
 	sends, sent, declines int
 	tried                 []ids.TargetIncarnation
-	trail                 []mark
+	trail                 []trailEntry
 }
 
 // watch begins an exchange of a request with the target of an assignment.
@@ -347,5 +347,5 @@
 	r.declines += u.declines
 	r.tried = append(r.tried, u.tried...)
 	r.trail = append(r.trail, u.trail...)
-	slices.SortStableFunc(r.trail, func(a, b mark) int { return int(a.at - b.at) })
+	slices.SortStableFunc(r.trail, func(a, b trailEntry) int { return int(a.at - b.at) })
 }
--- a/pkg/refusal/codes.go
+++ b/pkg/refusal/codes.go
@@ -23,7 +23,7 @@
 	CodeNoTarget       Code = "no_target"
 	CodeStarting       Code = "starting"
 	CodeDeadline       Code = "deadline_exceeded"
-	CodeCut            Code = "answer_cut"
+	CodeAnswerCut      Code = "answer_cut"
 	CodeOutcomeUnknown Code = "outcome_unknown"
 	CodeKeyInUse       Code = "idempotency_key_in_use"
 )
@@ -133,8 +133,8 @@
 }
 
 // AnswerCut ends an answer that broke off and could not be resumed.
-func Cut() *Refusal {
-	return unknown(http.StatusBadGateway, CodeCut, "the answer broke off and could not be resumed; the request has run in part or whole")
+func AnswerCut() *Refusal {
+	return unknown(http.StatusBadGateway, CodeAnswerCut, "the answer broke off and could not be resumed; the request has run in part or whole")
 }
 
 // Unknown ends a request whose agent cannot report its outcome.
