--- a/pkg/descriptors/book.go
+++ b/pkg/descriptors/book.go
@@ -1,148 +1,147 @@
-// Package descriptors decides what an entry does with its file descriptors: how many
-// connections callers may hold, and what becomes of one that comes beyond that. Connections to
-// targets, peers and the store, logs and metrics so always find descriptors left.
+// Package descriptors limits the use of an entry's file descriptors: how many connections callers may
+// hold, and what is done with one beyond that limit. So there are always descriptors left for
+// connections to targets, peers and the store, logs and metrics.
 package descriptors
 
 import "quaydock/pkg/clock"
 
-// Shares is how the descriptors of a process are divided.
+// Limits is how the descriptors of a process are divided.
 type Shares struct {
 	// Callers is how many connections callers may hold.
 	Callers int
-	// Turned is how many more connections may be there whose callers are being told to come
-	// back.
+	// Rejecting is how many more connections may be open whose callers are being told to come back.
 	Turned int
-	// Extra is how many of the Turned may be served instead of turned away, each while a request
-	// of a lower tier is being served.
+	// Extra is how many of the Rejecting may be served instead of rejected, each while a request of a
+	// lower tier is being served.
 	Extra int
 }
 
 const (
-	// ownPart is the part of all descriptors that is for peers, the store, logs, metrics and what
-	// the runtime needs. leastOwn is for a few connections each and six that are always open;
-	// with it the store stayed in reach of a process with 64 under 400 callers. mostOwn is
-	// for peers, most of whose messages are datagrams.
-	ownPart  = 1.0 / 8
-	leastOwn = 20
-	mostOwn  = 256
-	// turnedPart is the part for those that are turned away: each is there for one answer, a
-	// second at the most.
-	turnedPart  = 1.0 / 16
-	leastTurned = 4
-	// callersPart is the part of what is left that callers get. Each of their requests may
-	// need a connection to a target.
-	callersPart = 1.0 / 2
-	// extraPart is the part of those that are turned away that may be served instead. Served, one
-	// stays for a whole request; the other half stays free for being told at once.
-	extraPart = 1.0 / 2
+	// reservedFraction is the fraction of all descriptors reserved for peers, the store, logs, metrics
+	// and the runtime. minReserved allows for a few connections each and six descriptors that are
+	// always open; with it the store stayed reachable for a process with 64 descriptors under 400
+	// callers. maxReserved is enough for peers, since most of their messages are datagrams.
+	reservedFraction = 1.0 / 8
+	minReserved      = 20
+	maxReserved      = 256
+	// rejectingFraction is the fraction for connections that are being rejected: each is open for one
+	// answer, at most a second.
+	rejectingFraction = 1.0 / 16
+	minRejecting      = 4
+	// callersFraction is the fraction of the rest that callers get. Each of their requests may need a
+	// connection to a target.
+	callersFraction = 1.0 / 2
+	// extraFraction is the fraction of the connections to reject that may be served instead. A served
+	// one stays for a complete request; the other half stays free for answers at once.
+	extraFraction = 1.0 / 2
 )
 
-// Divide divides the descriptors that a process may have.
+// Divide divides the file descriptor limit of a process.
 func Divide(limit int) Shares {
-	own := min(max(int(ownPart*float64(limit)), leastOwn), mostOwn)
-	turned := max(int(turnedPart*float64(limit)), leastTurned)
-	return Shares{Callers: max(1, int(callersPart*float64(limit-own-turned))), Turned: turned, Extra: int(extraPart * float64(turned))}
+	reserved := min(max(int(reservedFraction*float64(limit)), minReserved), maxReserved)
+	rejecting := max(int(rejectingFraction*float64(limit)), minRejecting)
+	return Shares{Callers: max(1, int(callersFraction*float64(limit-reserved-rejecting))), Turned: rejecting, Extra: int(extraFraction * float64(rejecting))}
 }
 
-// Step is what becomes of a new connection.
+// Step is what is done with a new connection.
 type Step int
 
 //go:generate stringer -type=Step -trimprefix=Step -output=step_string.go
 
 // The steps.
 const (
-	// StepTake takes it.
+	// StepTake accepts it.
 	StepTake Step = iota
-	// StepReplace takes it in the place of the connection that has rested longest.
+	// StepReplace accepts it in place of the connection that has been idle longest.
 	StepReplace
-	// StepTurnAway tells its caller to come back, and closes it.
+	// StepTurnAway rejects it: tells its caller to come back, and closes it.
 	StepTurnAway
-	// StepWait leaves it until one that is being turned away is closed.
+	// StepWait leaves it until a connection that is being rejected is closed.
 	StepWait
 )
 
 const (
-	// A shortage is over when none has shown for calmFor and callers hold at most calmPart of their
-	// share. The gap to the whole share keeps a load that stays near it one shortage, with one line
-	// of log at its begin and its end.
-	calmPart = 3.0 / 4
-	calmFor  = clock.Second
+	// A shortage has ended when no connection has exceeded the limit for recoveredAfter and callers hold
+	// at most recoveredFraction of their limit. The gap to the full limit makes a load that stays near
+	// it one shortage, with one log line when it begins and one when it ends.
+	recoveredFraction = 3.0 / 4
+	recoveredAfter    = clock.Second
 )
 
-// Shortage is a time in which callers' share was used up.
+// Shortage is a time in which callers' connections were at their limit.
 type Shortage struct {
 	Began clock.Millis
-	// Replaced counts the connections that were closed for another, Turned those turned away.
+	// Replaced counts the connections that were closed for another, Rejected those rejected.
 	Replaced int
 	Turned   int
-	// last is when a connection last found the share used up.
-	last clock.Millis
+	// lastSeen is when a connection last found the limit reached.
+	lastSeen clock.Millis
 }
 
-// Book counts callers' connections against their share.
+// Limiter counts callers' connections against their limit. It is not safe for concurrent use.
 type Book struct {
-	shares   Shares
-	taken    int
-	turned   int
-	shortage *Shortage
+	limits    Shares
+	taken     int
+	rejecting int
+	shortage  *Shortage
 }
 
-// NewBook returns a book without connections.
-func NewBook(shares Shares) *Book {
-	return &Book{shares: shares}
+// NewLimiter returns a limiter without connections.
+func NewBook(limits Shares) *Book {
+	return &Book{limits: limits}
 }
 
-// Arrive decides on a new connection, and counts it. Resting is whether one can be closed in
-// its place. It reports whether a shortage begins with it.
-func (b *Book) Arrive(now clock.Millis, resting bool) (step Step, begins bool) {
+// Arrive decides on a new connection, and counts it. The parameter idle says whether an idle connection
+// can be closed in its place. It reports whether a shortage begins with it.
+func (b *Book) Arrive(now clock.Millis, idle bool) (step Step, begins bool) {
 	switch {
 	case !b.AtLimit():
 		b.taken++
 		return StepTake, false
-	case resting:
-		begins = b.short(now)
+	case idle:
+		begins = b.recordShortage(now)
 		b.shortage.Replaced++
 		return StepReplace, begins
-	case b.turned < b.shares.Turned:
-		begins = b.short(now)
-		b.turned++
+	case b.rejecting < b.limits.Turned:
+		begins = b.recordShortage(now)
+		b.rejecting++
 		b.shortage.Turned++
 		return StepTurnAway, begins
 	}
-	return StepWait, b.short(now)
+	return StepWait, b.recordShortage(now)
 }
 
-// short notes a shortage and reports whether it begins.
-func (b *Book) short(now clock.Millis) bool {
+// recordShortage records that the limit was reached, and reports whether a shortage begins.
+func (b *Book) recordShortage(now clock.Millis) bool {
 	begins := b.shortage == nil
 	if begins {
 		b.shortage = &Shortage{Began: now}
 	}
-	b.shortage.last = now
+	b.shortage.lastSeen = now
 	return begins
 }
 
-// Ended notes that a connection that was taken has ended.
+// Ended records that an accepted connection has ended.
 func (b *Book) Ended() { b.taken-- }
 
-// TurnedAway notes that a connection that was turned away has ended.
-func (b *Book) TurnedAway() { b.turned-- }
+// RejectionEnded records that a rejected connection has ended.
+func (b *Book) TurnedAway() { b.rejecting-- }
 
-// Over returns the shortage that is over by now, or nil. It returns each one once.
+// EndedShortage returns the shortage that has ended by now, or nil. It returns each one once.
 func (b *Book) Over(now clock.Millis) *Shortage {
 	s := b.shortage
-	if s == nil || now-s.last < calmFor || float64(b.taken) > calmPart*float64(b.shares.Callers) {
+	if s == nil || now-s.lastSeen < recoveredAfter || float64(b.taken) > recoveredFraction*float64(b.limits.Callers) {
 		return nil
 	}
 	b.shortage = nil
 	return s
 }
 
-// AtLimit reports whether callers hold their whole share.
-func (b *Book) AtLimit() bool { return b.taken >= b.shares.Callers }
+// AtLimit reports whether callers hold all connections that they may.
+func (b *Book) AtLimit() bool { return b.taken >= b.limits.Callers }
 
-// Taken is how many connections callers hold.
+// Taken returns how many connections callers hold.
 func (b *Book) Taken() int { return b.taken }
 
-// Turned is how many connections are being turned away.
-func (b *Book) Turned() int { return b.turned }
+// Rejecting returns how many connections are being rejected.
+func (b *Book) Turned() int { return b.rejecting }
--- a/pkg/descriptors/book_test.go
+++ b/pkg/descriptors/book_test.go
@@ -24,22 +24,22 @@
 	}
 }
 
-func TestBook(t *testing.T) {
+func TestLimiter(t *testing.T) {
 	type arrival struct {
-		resting bool
-		want    descriptors.Step
-		begins  bool
+		idle   bool
+		want   descriptors.Step
+		begins bool
 	}
 	scenarios := []struct {
 		name     string
 		arrivals []arrival
 	}{
-		{"up to the share", []arrival{{false, descriptors.StepTake, false}, {true, descriptors.StepTake, false}}},
-		{"beyond it the one that has rested longest goes first", []arrival{
+		{"accepted up to the limit", []arrival{{false, descriptors.StepTake, false}, {true, descriptors.StepTake, false}}},
+		{"beyond it the longest idle one is replaced", []arrival{
 			{false, descriptors.StepTake, false}, {false, descriptors.StepTake, false},
 			{true, descriptors.StepReplace, true}, {true, descriptors.StepReplace, false},
 		}},
-		{"then they are turned away, as many as fit", []arrival{
+		{"without an idle one they are rejected, up to the limit for that", []arrival{
 			{false, descriptors.StepTake, false}, {false, descriptors.StepTake, false},
 			{false, descriptors.StepTurnAway, true}, {false, descriptors.StepWait, false},
 		}},
@@ -48,7 +48,7 @@
 		t.Run(s.name, func(t *testing.T) {
 			b := descriptors.NewBook(descriptors.Shares{Callers: 2, Turned: 1})
 			for n, a := range s.arrivals {
-				if step, begins := b.Arrive(0, a.resting); step != a.want || begins != a.begins {
+				if step, begins := b.Arrive(0, a.idle); step != a.want || begins != a.begins {
 					t.Errorf("arrival %d: %v, a shortage begins: %t, want %v, %t", n, step, begins, a.want, a.begins)
 				}
 			}
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestAShortageIsToldOnceWhenItIsOver(t *testing.T) {
+func TestEndedShortageIsReportedOnce(t *testing.T) {
 	b := descriptors.NewBook(descriptors.Shares{Callers: 2, Turned: 1})
 	for range 2 {
 		b.Arrive(0, false)
@@ -64,20 +64,20 @@
 	b.Arrive(100, true)
 	b.Arrive(200, false)
 	if !b.AtLimit() || b.Over(5*clock.Second) != nil {
-		t.Error("over while callers hold their share")
+		t.Error("shortage ended while callers hold their limit")
 	}
 	b.Ended()
 	if b.Over(900) != nil {
-		t.Error("over within a second")
+		t.Error("shortage ended within a second")
 	}
 	s := b.Over(1200)
 	if s == nil || s.Began != 100 || s.Replaced != 1 || s.Turned != 1 {
-		t.Fatalf("shortage %+v", s)
+		t.Fatalf("ended shortage: %+v", s)
 	}
 	if b.Over(1300) != nil {
-		t.Error("told twice")
+		t.Error("ended shortage returned twice")
 	}
 	if _, begins := b.Arrive(1400, false); begins {
-		t.Error("one that fits begins a shortage")
+		t.Error("a connection within the limit begins a shortage")
 	}
 }
--- a/pkg/fields/object.go
+++ b/pkg/fields/object.go
@@ -1,7 +1,6 @@
 // Package fields reads JSON objects that another program may have written. It is stricter than
-// encoding/json: names of fields match exactly, a field that is there twice is an error, so is
-// null where a value is needed, and numbers and texts have bounds. Errors name the field and
-// don't quote the object.
+// encoding/json: field names match exactly, a duplicate field is an error, so is null where a value is
+// needed, and numbers and texts have limits. Errors name the field and don't quote the object.
 package fields
 
 import (
@@ -15,31 +14,31 @@
 	"unicode/utf8"
 )
 
-// Object is a JSON object. Its methods return zero for a field that is wrong, and Err then
-// tells of the first such field.
+// Object is a JSON object. Its methods return zero for an invalid field, and Err then returns the error
+// of the first such field.
 type Object struct {
 	values map[string]json.RawMessage
 	err    error
 }
 
-// Errors of objects.
+// Errors of objects and fields.
 var (
-	errEmpty      = errors.New("nothing that can be read: empty, or not base64")
+	errEmpty      = errors.New("empty value, or not base64")
 	errEncoding   = errors.New("not UTF-8")
-	errNoObject   = errors.New("not a JSON object")
-	errNoJSON     = errors.New("not JSON")
-	errTwice      = errors.New("a field stands there twice")
+	errNotObject  = errors.New("not a JSON object")
+	errNotJSON    = errors.New("not JSON")
+	errDuplicate  = errors.New("duplicate field")
 	errMissing    = errors.New("missing")
-	errType       = errors.New("of another type")
+	errType       = errors.New("wrong type")
 	errOutOfRange = errors.New("out of range")
-	errAddress    = errors.New("no IP and port")
+	errAddress    = errors.New("not an IP address and port")
 )
 
-// usualFields is the capacity that an object begins with: the rows that are read most have
-// no more fields.
-const usualFields = 16
+// typicalFields is the initial capacity of an object: the rows that are read most often have no more
+// fields.
+const typicalFields = 16
 
-// Parse reads an object's fields.
+// Parse reads the fields of a JSON object.
 func Parse(document []byte) (*Object, error) {
 	switch {
 	case len(document) == 0:
@@ -47,56 +46,56 @@
 	case !utf8.Valid(document):
 		return nil, errEncoding
 	case !json.Valid(document):
-		return nil, errNoJSON
+		return nil, errNotJSON
 	}
 	decoder := json.NewDecoder(bytes.NewReader(document))
 	if open, err := decoder.Token(); err != nil || open != json.Delim('{') {
-		return nil, errNoObject
+		return nil, errNotObject
 	}
-	o := &Object{values: make(map[string]json.RawMessage, usualFields)}
+	o := &Object{values: make(map[string]json.RawMessage, typicalFields)}
 	for decoder.More() {
-		if err := o.take(decoder); err != nil {
+		if err := o.parseField(decoder); err != nil {
 			return nil, err
 		}
 	}
 	return o, nil
 }
 
-// take reads the next field.
-func (o *Object) take(from *json.Decoder) error {
+// parseField reads the next field.
+func (o *Object) parseField(from *json.Decoder) error {
 	name, err := from.Token()
 	if err != nil {
-		return fmt.Errorf("a field's name: %w", err)
+		return fmt.Errorf("reading a field name: %w", err)
 	}
 	var value json.RawMessage
 	if err := from.Decode(&value); err != nil {
-		return fmt.Errorf("a field's value: %w", err)
+		return fmt.Errorf("reading a field value: %w", err)
 	}
 	key, _ := name.(string) // the token before a value of an object is its name
 	if o.Has(key) {
-		return errTwice
+		return errDuplicate
 	}
 	o.values[key] = value
 	return nil
 }
 
-// Has reports whether a field is there.
+// Has reports whether the object has a field.
 func (o *Object) Has(name string) bool {
 	_, has := o.values[name]
 	return has
 }
 
-// Err tells what is wrong with the first wrong field that was read.
+// Err returns the error of the first invalid field that was read, or nil.
 func (o *Object) Err() error { return o.err }
 
-// Fail notes that a field is wrong for a reason of the caller's.
+// Fail records that a field is invalid, for a reason that the caller gives. The first one is kept.
 func (o *Object) Fail(name string, err error) {
 	if o.err == nil {
 		o.err = fmt.Errorf("field %s: %w", name, err)
 	}
 }
 
-// raw returns a field's value, or notes that it is missing.
+// raw returns a field's value, or records that it is missing.
 func (o *Object) raw(name string) (json.RawMessage, bool) {
 	value, has := o.values[name]
 	if !has {
@@ -113,9 +112,8 @@
 	}
 }
 
-// Text returns a text that is not empty, of so many bytes at the most, without control
-// characters.
-func (o *Object) Text(name string, most int) string {
+// Text returns a string of 1 to maxBytes bytes without control characters.
+func (o *Object) Text(name string, maxBytes int) string {
 	value, has := o.raw(name)
 	if !has {
 		return ""
@@ -125,22 +123,22 @@
 		o.Fail(name, errType)
 		return ""
 	}
-	if err := CheckText(*text, most); err != nil {
+	if err := CheckText(*text, maxBytes); err != nil {
 		o.Fail(name, err)
 		return ""
 	}
 	return *text
 }
 
-// mostAddress is longer than any IP and port.
-const mostAddress = 64
+// maxAddressLength is longer than any IP and port, in bytes.
+const maxAddressLength = 64
 
-// Address returns the IP and port of one process: neither a group of processes, nor one that means something on one
-// VM alone.
+// Address returns the IP and port of one process: neither a multicast address, nor one that is valid on one
+// VM only (unspecified, or with an IPv6 scope).
 func (o *Object) Address(name string) netip.AddrPort {
-	text := o.Text(name, mostAddress)
+	text := o.Text(name, maxAddressLength)
 	if text == "" {
-		return netip.AddrPort{} // told already
+		return netip.AddrPort{} // already recorded
 	}
 	a, err := netip.ParseAddrPort(text)
 	if err != nil || a.Port() == 0 || a.Addr().Zone() != "" || a.Addr().IsUnspecified() || a.Addr().IsMulticast() {
@@ -149,10 +147,10 @@
 	return a
 }
 
-// CheckText reports what is wrong with a name: it is empty, longer than so many bytes, or
-// has control characters, which no header or log line takes.
-func CheckText(text string, most int) error {
-	if text == "" || len(text) > most {
+// CheckText returns an error if a text is empty, longer than maxBytes bytes, or has control characters,
+// which neither headers nor log lines can hold.
+func CheckText(text string, maxBytes int) error {
+	if text == "" || len(text) > maxBytes {
 		return errOutOfRange
 	}
 	for _, c := range text {
@@ -163,34 +161,33 @@
 	return nil
 }
 
-// Whole returns a whole number within bounds.
-func (o *Object) Whole(name string, least, most int64) int64 {
+// Integer returns an integer from lowest to highest.
+func (o *Object) Whole(name string, lowest, highest int64) int64 {
 	value, has := o.raw(name)
 	if !has {
 		return 0
 	}
 	number, err := strconv.ParseInt(string(value), 10, 64)
-	return within(o, name, number, err, least, most)
+	return within(o, name, number, err, lowest, highest)
 }
 
-// Number returns a number within bounds.
-func (o *Object) Number(name string, least, most float64) float64 {
+// Number returns a number from lowest to highest.
+func (o *Object) Number(name string, lowest, highest float64) float64 {
 	value, has := o.raw(name)
 	if !has {
 		return 0
 	}
 	number, err := strconv.ParseFloat(string(value), 64)
-	return within(o, name, number, err, least, most)
+	return within(o, name, number, err, lowest, highest)
 }
 
-// within returns a field's number, or 0 after noting that it could not be parsed or is out of
-// its bounds.
-func within[T int64 | float64](o *Object, name string, number T, parsing error, least, most T) T {
+// within returns a field's number, or 0 after recording that it could not be parsed or is out of range.
+func within[T int64 | float64](o *Object, name string, number T, parsing error, lowest, highest T) T {
 	if parsing != nil {
 		o.Fail(name, errType)
 		return 0
 	}
-	if number < least || number > most {
+	if number < lowest || number > highest {
 		o.Fail(name, errOutOfRange)
 		return 0
 	}
--- a/pkg/fields/object_test.go
+++ b/pkg/fields/object_test.go
@@ -25,16 +25,16 @@
 
 func TestParse(t *testing.T) {
 	scenarios := []struct{ name, document, want string }{
-		{"nothing", "", "empty"},
-		{"no JSON", "{", "not JSON"},
-		{"no object", "[1]", "not a JSON object"},
-		{"a bare text", `"{}"`, "not a JSON object"},
-		{"bytes", "{\"a\":\"\xff\"}", "UTF-8"},
-		{"more behind it", "{}{}", "not JSON"},
-		{"a field twice", `{"a":1,"b":2,"a":3}`, "twice"},
-		{"a field twice, once escaped", `{"a":1,"\u0061":3}`, "twice"},
+		{"empty document", "", "empty"},
+		{"truncated JSON", "{", "not JSON"},
+		{"an array", "[1]", "not a JSON object"},
+		{"a string", `"{}"`, "not a JSON object"},
+		{"invalid UTF-8", "{\"a\":\"\xff\"}", "UTF-8"},
+		{"two documents", "{}{}", "not JSON"},
+		{"a duplicate field", `{"a":1,"b":2,"a":3}`, "duplicate field"},
+		{"a duplicate field, once escaped", `{"a":1,"\u0061":3}`, "duplicate field"},
 		{"an empty object", " { } ", ""},
-		{"braces and quotes in texts", `{"a":"}\"{,","b":{"c":["]"]} , "d":"\\"}`, ""},
+		{"braces and quotes in strings", `{"a":"}\"{,","b":{"c":["]"]} , "d":"\\"}`, ""},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -58,18 +58,18 @@
 		{"a text that is too long", func(o *fields.Object) any { return o.Text("long", 8) }, "", "long: out of range"},
 		{"a text with a line break", func(o *fields.Object) any { return o.Text("line", 8) }, "", "line: out of range"},
 		{"an empty text", func(o *fields.Object) any { return o.Text("empty", 8) }, "", "empty: out of range"},
-		{"a number for a text", func(o *fields.Object) any { return o.Text("whole", 8) }, "", "whole: of another type"},
+		{"a number for a text", func(o *fields.Object) any { return o.Text("whole", 8) }, "", "whole: wrong type"},
 		{"a whole number", func(o *fields.Object) any { return o.Whole("whole", 7, 7) }, int64(7), ""},
 		{"one that is too small", func(o *fields.Object) any { return o.Whole("whole", 8, 9) }, int64(0), "whole: out of range"},
-		{"one with a part", func(o *fields.Object) any { return o.Whole("half", 0, 9) }, int64(0), "half: of another type"},
-		{"one with an exponent", func(o *fields.Object) any { return o.Whole("power", 0, 900) }, int64(0), "power: of another type"},
-		{"one beyond 64 bits", func(o *fields.Object) any { return o.Whole("huge", 0, 9) }, int64(0), "huge: of another type"},
-		{"null for one", func(o *fields.Object) any { return o.Whole("null", 0, 9) }, int64(0), "null: of another type"},
-		{"a text for one", func(o *fields.Object) any { return o.Whole("text", 0, 9) }, int64(0), "text: of another type"},
+		{"one with a fraction", func(o *fields.Object) any { return o.Whole("half", 0, 9) }, int64(0), "half: wrong type"},
+		{"one with an exponent", func(o *fields.Object) any { return o.Whole("power", 0, 900) }, int64(0), "power: wrong type"},
+		{"one beyond 64 bits", func(o *fields.Object) any { return o.Whole("huge", 0, 9) }, int64(0), "huge: wrong type"},
+		{"null for one", func(o *fields.Object) any { return o.Whole("null", 0, 9) }, int64(0), "null: wrong type"},
+		{"a text for one", func(o *fields.Object) any { return o.Whole("text", 0, 9) }, int64(0), "text: wrong type"},
 		{"a number", func(o *fields.Object) any { return o.Number("number", -1, 1) }, -0.5, ""},
 		{"one out of range", func(o *fields.Object) any { return o.Number("number", 0, 1) }, 0.0, "number: out of range"},
-		{"a list for one", func(o *fields.Object) any { return o.Number("list", 0, 1) }, 0.0, "list: of another type"},
-		{"none", func(o *fields.Object) any { return o.Number("none", 0, 1) }, 0.0, "none: missing"},
+		{"a list for one", func(o *fields.Object) any { return o.Number("list", 0, 1) }, 0.0, "list: wrong type"},
+		{"a missing field", func(o *fields.Object) any { return o.Number("none", 0, 1) }, 0.0, "none: missing"},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -87,7 +87,7 @@
 	}
 }
 
-// FuzzParse holds the fields that are found against those that encoding/json finds.
+// FuzzParse compares the fields that Parse finds with those that encoding/json finds.
 func FuzzParse(f *testing.F) {
 	for _, document := range []string{`{}`, `{"a":"}\"{,","b":{"c":["]"]} , "d":"\\"}`, `{"a":1,"\u0061":3}`, `[]`, `{"a":`, "{\"\\\\\":\t1 }"} {
 		f.Add([]byte(document))
@@ -104,7 +104,7 @@
 		for name, value := range known {
 			var got json.RawMessage
 			if string(value) == "null" {
-				continue // no value by the one, a value by the other
+				continue // fields rejects null, encoding/json accepts it
 			}
 			if o.Into(name, &got); o.Err() != nil || string(got) != string(value) {
 				t.Errorf("field %q of %q is %q, want %q; %v", name, document, got, value, o.Err())
--- a/pkg/follow/faults.go
+++ b/pkg/follow/faults.go
@@ -9,86 +9,86 @@
 )
 
 const (
-	// faultLines is how many lines about faulty rows a table writes at once, and faultPause
-	// how long it takes until it may write one more: whoever writes faulty rows, and however
-	// many, the log stays readable.
-	faultLines = 10
-	faultPause = clock.Second
-	// mostQuoted bounds what is quoted of a row's key and of an error, in bytes: both may
-	// be of another writer's making.
-	mostQuoted = 80
+	// maxBurstLines is how many log lines about faulty rows a table may write at once, and
+	// linePause how long it takes until it may write one more. The log stays readable however
+	// many faulty rows another writer makes.
+	maxBurstLines = 10
+	linePause     = clock.Second
+	// maxQuoted limits what is quoted of a row's key and of an error, in characters: both may
+	// come from another writer.
+	maxQuoted = 80
 )
 
-// Faults keeps account of the rows of one table that cannot be used, such as those of
-// another writer: each revision of one is counted and logged once.
+// Faults tracks the rows of one table that cannot be used, such as those of another writer: each
+// revision of such a row is counted and logged once. It is safe for concurrent use.
 type Faults struct {
 	common.Common
 	table string
 
-	mu       sync.Mutex
-	standing map[string]int64 // revisions of the faulty rows, by key
-	owed     clock.Millis     // each line moves it on by faultPause, at most up to the present
-	unlogged int              // since the last line
+	mu             sync.Mutex
+	faulty         map[string]int64 // revisions of the faulty rows, by key
+	linesPaidUntil clock.Millis     // when the lines so far are paid for: each one adds linePause
+	unlogged       int              // faulty revisions without a line since the last line
 }
 
-// NewFaults returns the account of a table, by the name that operators read.
+// NewFaults returns the tracker of a table, under the table name in metrics, and registers its gauge.
 func NewFaults(c common.Common, table string) *Faults {
-	f := &Faults{Common: c, table: table, standing: make(map[string]int64)}
+	f := &Faults{Common: c, table: table, faulty: make(map[string]int64)}
 	c.Metrics.Figures.LabelledGauge("faulty_rows", "table", table, func() float64 { return float64(f.Standing()) })
 	return f
 }
 
-// Standing is how many rows cannot be used.
+// Count returns how many rows cannot be used at present.
 func (f *Faults) Standing() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.standing)
+	return len(f.faulty)
 }
 
-// Note notes a row that cannot be used, and why.
+// Add records a row that cannot be used, and why.
 func (f *Faults) Note(row Row, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if revision, known := f.standing[row.Key]; known && revision == row.Version {
+	if revision, known := f.faulty[row.Key]; known && revision == row.Version {
 		return
 	}
-	f.standing[row.Key] = row.Version
+	f.faulty[row.Key] = row.Version
 	f.Metrics.Figures.Add("faulty_rows_seen", "table", f.table)
 	now := f.Clock.Now()
-	f.owed = max(f.owed, now-faultLines*faultPause)
-	if f.owed > now-faultPause {
+	f.linesPaidUntil = max(f.linesPaidUntil, now-maxBurstLines*linePause)
+	if f.linesPaidUntil > now-linePause {
 		f.unlogged++
 		return
 	}
-	f.owed += faultPause
+	f.linesPaidUntil += linePause
 	f.Log.WithField("row", quoted(row.Key)).WithField("revision", row.Version).WithField("fault", quoted(err.Error())).
 		WithField("unlogged", f.unlogged).Warn("a row cannot be used")
 	f.unlogged = 0
 }
 
-func quoted(text string) string { return fmt.Sprintf("%.*q", mostQuoted, text) }
+func quoted(text string) string { return fmt.Sprintf("%.*q", maxQuoted, text) }
 
-// Sound notes that a row can be used again, or is gone.
+// Clear records that a row can be used again, or has been deleted.
 func (f *Faults) Sound(key string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.standing, key)
+	delete(f.faulty, key)
 }
 
-// Retain forgets the rows that are not among all rows of the table.
-func (f *Faults) Retain(all []Row) {
+// Retain drops the faulty rows that are not in a snapshot of the table.
+func (f *Faults) Retain(snapshot []Row) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.standing) == 0 {
+	if len(f.faulty) == 0 {
 		return
 	}
-	present := make(map[string]bool, len(all))
-	for _, row := range all {
+	present := make(map[string]bool, len(snapshot))
+	for _, row := range snapshot {
 		present[row.Key] = true
 	}
-	for key := range f.standing {
+	for key := range f.faulty {
 		if !present[key] {
-			delete(f.standing, key)
+			delete(f.faulty, key)
 		}
 	}
 }
--- a/pkg/follow/faults_test.go
+++ b/pkg/follow/faults_test.go
@@ -16,8 +16,8 @@
 
 var errFaulty = errors.New("faulty")
 
-// TestFaultyRowsAreLoggedOnce has a table read again and again that another writer fills with
-// faulty rows: each is logged once a revision, at a bounded rate and length.
+// TestFaultyRowsAreLoggedOnce reads a table that another writer fills with faulty rows again and again:
+// each is logged once for each revision, at a limited rate and length.
 func TestFaultyRowsAreLoggedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log bytes.Buffer
@@ -54,7 +54,7 @@
 	})
 }
 
-func TestFaultyRowsThatStand(t *testing.T) {
+func TestFaultyRowCount(t *testing.T) {
 	f := follow.NewFaults(commontest.New(network.NewMemory(nil)), "targets")
 	for i := range 4 {
 		f.Note(follow.Row{Key: fmt.Sprint(i), Version: 1}, errFaulty)
@@ -62,10 +62,10 @@
 	f.Sound("0")
 	f.Sound("unknown")
 	if got := f.Standing(); got != 3 {
-		t.Errorf("%d stand", got)
+		t.Errorf("%d faulty rows", got)
 	}
 	f.Retain([]follow.Row{{Key: "1"}, {Key: "unknown"}})
 	if got := f.Standing(); got != 1 {
-		t.Errorf("%d stand after a whole read", got)
+		t.Errorf("%d faulty rows after a snapshot", got)
 	}
 }
--- a/pkg/follow/follower.go
+++ b/pkg/follow/follower.go
@@ -1,7 +1,7 @@
-// Package follow keeps a process's picture of a table of the platform's store
-// current: a whole read, then the changes since, and a whole read again when
-// the store has forgotten them. It decides when to ask and what an answer
-// proves; what the rows mean is up to the handler.
+// Package follow keeps a process's copy of a table of the platform's store current: it reads a
+// snapshot, then the changes since, and a snapshot again when the store has trimmed them from its
+// history. It decides when to read, and at which moment an answer was current (its freshness); what
+// the rows mean is up to the handler.
 package follow
 
 import (
@@ -14,92 +14,89 @@
 	"quaydock/pkg/random"
 )
 
-// ErrForgotten is returned by a source that no longer has the changes since the
-// version asked for.
-var ErrForgotten = errors.New("the store has forgotten these changes")
+// ErrTrimmed is returned by a source that no longer has the changes since the requested version.
+var ErrForgotten = errors.New("the store has trimmed these changes from its history")
 
-// Row is one row of a table, or the mark of its end.
+// Row is one row of a table, or the tombstone of a deleted row (Gone).
 type Row struct {
 	Key   string
 	Value []byte
 	Gone  bool
-	// Version is that at which the row was last written, 0 if it is not known.
+	// Version is the version at which the row was last written, 0 if it is not known.
 	Version int64
 }
 
 // Batch is an answer of a source.
 type Batch struct {
 	Rows []Row
-	// Version is what the table has been read up to.
+	// Version is the version up to which the table has been read.
 	Version int64
-	// StoreTime is the source's own steady clock when it answered.
+	// StoreTime is the store's own monotonic clock when it answered.
 	StoreTime clock.Millis
-	// Relayed says that another process asked the store, maybe before this one
-	// asked that process.
+	// Relayed says that another process read the store, possibly before this one queried that
+	// process.
 	Relayed bool
-	// Age, if set, is how long ago the store had said so when the question for a relayed
-	// answer was sent, but for the time that messages between processes took.
+	// Age, if set, is how long ago the store had answered when the query for a relayed answer was
+	// sent. The transit time of messages between processes is not included.
 	Age *clock.Millis
 }
 
 // Source reads one table.
 type Source interface {
-	// Whole reads all rows.
+	// Snapshot reads all rows.
 	Whole(ctx context.Context) (Batch, error)
-	// Changes returns the rows changed after a version as soon as there are
-	// any, or none after the wait.
+	// Changes returns the rows changed after a version as soon as there are any, or none after
+	// the wait. It returns ErrTrimmed if the source no longer has these changes.
 	Changes(ctx context.Context, after int64, wait clock.Millis) (Batch, error)
 }
 
-// Waker is a Source that also tells when the store has answered a question about another table.
+// Waker is a Source that also notifies when the store has answered a query about another table.
 type Waker interface {
-	// Answering is closed when the store answers somebody after it had failed.
+	// Recovered returns a channel that is closed when the store answers any source after it had failed.
 	Answering() <-chan struct{}
 }
 
-// Proof says when an answer of the store was true.
+// Freshness says at which moment an answer of the store was current.
 type Proof struct {
-	// AskedAt is when the question was sent: the store was in reach from about
-	// then on.
+	// RequestedAt is when the query was sent: the store was reachable from about then on.
 	AskedAt clock.Millis
 	// CurrentAt is a moment at which the rows were current.
 	CurrentAt clock.Millis
-	// Version is what the table has been read up to, and StoreTime the source's own clock at
-	// that version.
+	// Version is the version up to which the table has been read, and StoreTime the store's own
+	// clock at that version.
 	Version   int64
 	StoreTime clock.Millis
 }
 
-// Handler takes what a follower has read. Its methods are called by one
-// goroutine.
+// Handler receives what a follower has read. Its methods are called from one goroutine.
 type Handler interface {
-	// Whole replaces all rows.
-	Whole(rows []Row, proof Proof)
-	// Changed applies changes; an empty list only renews the proof.
-	Changed(rows []Row, proof Proof)
-	// Lost says that the store could not be read.
+	// Snapshot replaces all rows.
+	Whole(rows []Row, freshness Proof)
+	// Changed applies changes; an empty list only updates the freshness.
+	Changed(rows []Row, freshness Proof)
+	// ReadFailed reports that the store could not be read.
 	Lost(err error)
 }
 
-// Options are a follower's times.
+// Options are the times of a follower.
 type Options struct {
-	// Wait is how long the source may hold a question for changes.
+	// Wait is how long the source may hold a query for changes.
 	Wait clock.Millis
-	// Answer bounds the time an answer may take beyond the wait.
+	// AnswerTimeout limits the time that an answer may take beyond the wait.
 	Answer clock.Millis
-	// Reread, if set, is how often the table is read whole although changes
-	// were followed: a store that loses a change is then found out.
+	// SnapshotInterval, if set, is how often a snapshot is read although changes were followed:
+	// it shows a change that the store has lost.
 	Reread clock.Millis
 }
 
-// The pauses after a failed read.
+// The limits of the pause after a failed read.
 const (
 	minBackoff = 50 * clock.Millisecond
 	maxBackoff = 400 * clock.Millisecond
-	// maxWholeBackoff is the longest pause after a failed read of a whole table. Processes
-	// that know nothing yet know of nobody either who could ask for them: with maxBackoff a start of all would ask a
-	// store that turns them away for more than it bears.
-	maxWholeBackoff = 1600 * clock.Millisecond
+	// maxSnapshotBackoff is the longest pause after a failed read of a snapshot. Processes that
+	// have just started do not know the others yet, so that none can read for all: with maxBackoff
+	// a simultaneous start would overload a store that rejects them.
+	maxSnapshotBackoff = 1600 * clock.Millisecond
 )
 
 // Follower follows one table.
@@ -109,16 +106,16 @@
 	handler Handler
 	options Options
 
-	version  int64
-	known    bool
-	wholeAt  clock.Millis
-	lag      clock.Millis // the least seen between the store's clock and ours
-	lagKnown bool
-	// lagRelayed says that it is a lower bound that another process's answer gave.
-	lagRelayed bool
-	// lostAt is when the present outage was noticed, 0 if there is none: an outage takes one
-	// line at its beginning and one at its end.
-	lostAt clock.Millis
+	version     int64
+	hasSnapshot bool
+	snapshotAt  clock.Millis
+	clockOffset clock.Millis // the least offset seen from the store's clock to ours
+	offsetKnown bool
+	// offsetRelayed says that clockOffset is a lower limit, derived from an answer of another process.
+	offsetRelayed bool
+	// outageSince is when the present outage was detected, 0 if there is none. An outage is
+	// logged once when it begins and once when it ends.
+	outageSince clock.Millis
 }
 
 // NewFollower returns a follower that has read nothing.
@@ -129,52 +126,52 @@
 // Run follows the table until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	changes := f.Random.NewBackoff(minBackoff, maxBackoff)
-	whole := f.Random.NewBackoff(minBackoff, maxWholeBackoff)
+	snapshot := f.Random.NewBackoff(minBackoff, maxSnapshotBackoff)
 	for ctx.Err() == nil {
-		if f.known {
+		if f.hasSnapshot {
 			f.step(ctx, changes)
 		} else {
-			f.step(ctx, whole)
+			f.step(ctx, snapshot)
 		}
 	}
 }
 
 func (f *Follower) step(ctx context.Context, backoff *random.Backoff) {
-	answering := f.answering()
+	recovered := f.recovered()
 	err := f.read(ctx)
 	switch {
 	case err == nil:
 		backoff.Reset()
-		f.regained()
+		f.recordRecovery()
 	case ctx.Err() != nil:
 	case errors.Is(err, ErrForgotten):
-		f.known = false
-		f.Log.WithError(err).Warn("reading the whole table")
+		f.hasSnapshot = false
+		f.Log.WithError(err).Warn("reading a snapshot of the table")
 	default:
-		f.lost(err)
+		f.recordOutage(err)
 		f.handler.Lost(err)
-		pauseUntil(ctx, backoff, answering)
+		pauseUntilRecovered(ctx, backoff, recovered)
 	}
 }
 
-// answering returns a channel that is closed when the store answers others; nil if the source
-// cannot tell.
-func (f *Follower) answering() <-chan struct{} {
-	if w, tells := f.source.(Waker); tells {
+// recovered returns a channel that is closed when the store answers other followers after a failure,
+// nil if the source is no Waker.
+func (f *Follower) recovered() <-chan struct{} {
+	if w, ok := f.source.(Waker); ok {
 		return w.Answering()
 	}
 	return nil
 }
 
-// pauseUntil waits for the next try, but no longer than until the store answers others: a
-// store that comes and goes may answer for a moment only, and a process that has then read
-// one of its tables and not the other knows half of what it decides by.
-func pauseUntil(ctx context.Context, backoff *random.Backoff, answering <-chan struct{}) {
+// pauseUntilRecovered waits for the next try, but no longer than until the store answers other
+// followers: a store with intermittent outages may answer for a moment only, and a process that has
+// then read one of its tables and not the other knows only half of what its decisions need.
+func pauseUntilRecovered(ctx context.Context, backoff *random.Backoff, recovered <-chan struct{}) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		select {
-		case <-answering:
+		case <-recovered:
 			cancel()
 		case <-ctx.Done():
 		}
@@ -182,32 +179,33 @@
 	backoff.Pause(ctx)
 }
 
-// lost notes an outage, also one that was there before the first read: what a process does not
-// know then decides what it refuses.
-func (f *Follower) lost(err error) {
-	if f.lostAt > 0 {
+// recordOutage records and logs the begin of an outage, also of one before the first read: a process
+// then refuses requests because of what it does not know.
+func (f *Follower) recordOutage(err error) {
+	if f.outageSince > 0 {
 		return
 	}
-	f.lostAt = f.Clock.Now()
-	if f.wholeAt == 0 {
+	f.outageSince = f.Clock.Now()
+	if f.snapshotAt == 0 {
 		f.Log.WithError(err).Warn("store not read; nothing is known of the table yet")
 		return
 	}
 	f.Log.WithError(err).Warn("store not read; going on with what is known")
 }
 
-func (f *Follower) regained() {
-	if f.lostAt == 0 {
+// recordRecovery records and logs the end of an outage.
+func (f *Follower) recordRecovery() {
+	if f.outageSince == 0 {
 		return
 	}
-	f.Log.WithField("after_ms", int64(f.Clock.Now()-f.lostAt)).Info("store read again")
-	f.lostAt = 0
+	f.Log.WithField("after_ms", int64(f.Clock.Now()-f.outageSince)).Info("store read again")
+	f.outageSince = 0
 }
 
 func (f *Follower) read(ctx context.Context) error {
-	asked := f.Clock.Now()
-	if !f.known || f.options.Reread > 0 && asked-f.wholeAt >= f.options.Reread {
-		return f.readWhole(ctx, asked)
+	requestedAt := f.Clock.Now()
+	if !f.hasSnapshot || f.options.Reread > 0 && requestedAt-f.snapshotAt >= f.options.Reread {
+		return f.readSnapshot(ctx, requestedAt)
 	}
 	ctx, cancel := context.WithTimeout(ctx, (f.options.Wait + f.options.Answer).Duration())
 	defer cancel()
@@ -216,67 +214,68 @@
 		return fmt.Errorf("reading changes: %w", err)
 	}
 	f.version = max(f.version, batch.Version)
-	f.handler.Changed(batch.Rows, f.proof(asked, batch))
+	f.handler.Changed(batch.Rows, f.freshness(requestedAt, batch))
 	return nil
 }
 
-// wholeAnswers is how many answers' time a whole read may take: a long table comes in
-// pages of some hundred rows, each an answer of its own.
-const wholeAnswers = 4
+// snapshotAnswers is how many times the answer timeout reading a snapshot may take: a long table comes
+// in pages of some hundred rows, each an answer of its own.
+const snapshotAnswers = 4
 
-func (f *Follower) readWhole(ctx context.Context, asked clock.Millis) error {
-	ctx, cancel := context.WithTimeout(ctx, wholeAnswers*f.options.Answer.Duration())
+func (f *Follower) readSnapshot(ctx context.Context, requestedAt clock.Millis) error {
+	ctx, cancel := context.WithTimeout(ctx, snapshotAnswers*f.options.Answer.Duration())
 	defer cancel()
 	batch, err := f.source.Whole(ctx)
 	if err != nil {
-		return fmt.Errorf("reading the table: %w", err)
+		return fmt.Errorf("reading a snapshot: %w", err)
 	}
 	f.version = batch.Version
-	f.known = true
-	f.wholeAt = asked
-	f.handler.Whole(batch.Rows, f.wholeProof(asked, batch))
+	f.hasSnapshot = true
+	f.snapshotAt = requestedAt
+	f.handler.Whole(batch.Rows, f.snapshotFreshness(requestedAt, batch))
 	return nil
 }
 
-func (f *Follower) wholeProof(asked clock.Millis, batch Batch) Proof {
+func (f *Follower) snapshotFreshness(requestedAt clock.Millis, batch Batch) Proof {
 	if batch.Relayed {
-		return f.proof(asked, batch)
+		return f.freshness(requestedAt, batch)
 	}
-	f.current(asked, batch.StoreTime)
-	return Proof{AskedAt: asked, CurrentAt: asked, Version: batch.Version, StoreTime: batch.StoreTime}
+	f.currentMoment(requestedAt, batch.StoreTime)
+	return Proof{AskedAt: requestedAt, CurrentAt: requestedAt, Version: batch.Version, StoreTime: batch.StoreTime}
 }
 
-// relayTime is what a relayed answer's age may lack: the way of the message that told it
-// to the process that was asked.
-const relayTime = 200 * clock.Millisecond
+// maxRelayTime is what the age of a relayed answer may lack: the transit time of the message that
+// brought the state to the queried process.
+const maxRelayTime = 200 * clock.Millisecond
 
-func (f *Follower) proof(asked clock.Millis, batch Batch) Proof {
-	if batch.Relayed && !f.lagKnown && batch.Age == nil {
-		return Proof{Version: batch.Version} // the store's clock says nothing here yet
+func (f *Follower) freshness(requestedAt clock.Millis, batch Batch) Proof {
+	if batch.Relayed && !f.offsetKnown && batch.Age == nil {
+		return Proof{Version: batch.Version} // the offset of the store's clock is not known yet
 	}
-	if batch.Relayed && !f.lagKnown {
-		// Less than what the store itself would show, so that it proves no more.
-		f.lag = asked - *batch.Age - relayTime - batch.StoreTime
-		f.lagKnown = true
-		f.lagRelayed = true
+	if batch.Relayed && !f.offsetKnown {
+		// Below the offset that an answer of the store itself would give, so that the freshness is
+		// never too new.
+		f.clockOffset = requestedAt - *batch.Age - maxRelayTime - batch.StoreTime
+		f.offsetKnown = true
+		f.offsetRelayed = true
 	}
 	if batch.Relayed {
-		at := min(f.Clock.Now(), batch.StoreTime+f.lag)
+		at := min(f.Clock.Now(), batch.StoreTime+f.clockOffset)
 		return Proof{AskedAt: at, CurrentAt: at, Version: batch.Version, StoreTime: batch.StoreTime}
 	}
-	return Proof{AskedAt: asked, CurrentAt: f.current(asked, batch.StoreTime), Version: batch.Version, StoreTime: batch.StoreTime}
+	return Proof{AskedAt: requestedAt, CurrentAt: f.currentMoment(requestedAt, batch.StoreTime), Version: batch.Version, StoreTime: batch.StoreTime}
 }
 
-// current returns a moment, by our clock, at which an answer was current: the
-// store's own time, put on our clock by the quickest answer seen so far, and
-// never before the question or after the answer.
-func (f *Follower) current(asked, storeTime clock.Millis) clock.Millis {
+// currentMoment returns a moment, by our clock, at which an answer was current: the store's time plus
+// the least clock offset seen so far (that of the quickest answer), and never before the query or
+// after the answer.
+func (f *Follower) currentMoment(requestedAt, storeTime clock.Millis) clock.Millis {
 	now := f.Clock.Now()
-	lag := now - storeTime
-	if !f.lagKnown || f.lagRelayed || lag < f.lag {
-		f.lag = lag
-		f.lagKnown = true
-		f.lagRelayed = false
+	offset := now - storeTime
+	if !f.offsetKnown || f.offsetRelayed || offset < f.clockOffset {
+		f.clockOffset = offset
+		f.offsetKnown = true
+		f.offsetRelayed = false
 	}
-	return min(now, max(asked, storeTime+f.lag))
+	return min(now, max(requestedAt, storeTime+f.clockOffset))
 }
--- a/pkg/follow/follower_test.go
+++ b/pkg/follow/follower_test.go
@@ -17,38 +17,38 @@
 	"quaydock/pkg/network"
 )
 
-// source is a table whose answers are scripted.
+// source is a table whose answers the test sets.
 type source struct {
-	whole   func() (follow.Batch, error)
-	changes func(after int64, wait clock.Millis) (follow.Batch, error)
+	snapshot func() (follow.Batch, error)
+	changes  func(after int64, wait clock.Millis) (follow.Batch, error)
 }
 
-func (s *source) Whole(context.Context) (follow.Batch, error) { return s.whole() }
+func (s *source) Whole(context.Context) (follow.Batch, error) { return s.snapshot() }
 
 func (s *source) Changes(_ context.Context, after int64, wait clock.Millis) (follow.Batch, error) {
 	return s.changes(after, wait)
 }
 
 type handler struct {
-	wholes  int
-	changed []string
-	proofs  []follow.Proof
-	lost    int
+	snapshots int
+	changed   []string
+	freshness []follow.Proof
+	failures  int
 }
 
 func (h *handler) Whole(_ []follow.Row, p follow.Proof) {
-	h.wholes++
-	h.proofs = append(h.proofs, p)
+	h.snapshots++
+	h.freshness = append(h.freshness, p)
 }
 
 func (h *handler) Changed(rows []follow.Row, p follow.Proof) {
 	for _, r := range rows {
 		h.changed = append(h.changed, r.Key)
 	}
-	h.proofs = append(h.proofs, p)
+	h.freshness = append(h.freshness, p)
 }
 
-func (h *handler) Lost(error) { h.lost++ }
+func (h *handler) Lost(error) { h.failures++ }
 
 func run(s *source, h *handler, options follow.Options, length time.Duration) {
 	ctx, stop := context.WithTimeout(context.Background(), length)
@@ -58,30 +58,30 @@
 
 var options = follow.Options{Wait: clock.Second, Answer: 500}
 
-func TestChangesAreFollowedFromTheWholeTable(t *testing.T) {
+func TestChangesFollowSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var asked []int64
+		var versions []int64
 		s := &source{
-			whole: func() (follow.Batch, error) { return follow.Batch{Version: 7}, nil },
+			snapshot: func() (follow.Batch, error) { return follow.Batch{Version: 7}, nil },
 			changes: func(after int64, wait clock.Millis) (follow.Batch, error) {
-				asked = append(asked, after)
+				versions = append(versions, after)
 				time.Sleep(wait.Duration())
 				return follow.Batch{Version: after + 1, Rows: []follow.Row{{Key: "x"}}}, nil
 			},
 		}
 		h := &handler{}
 		run(s, h, options, 3500*time.Millisecond)
-		if h.wholes != 1 || len(asked) < 3 || asked[0] != 7 || asked[2] != 9 {
-			t.Errorf("wholes %d, asked after %v", h.wholes, asked)
+		if h.snapshots != 1 || len(versions) < 3 || versions[0] != 7 || versions[2] != 9 {
+			t.Errorf("%d snapshots, changes requested after versions %v", h.snapshots, versions)
 		}
 	})
 }
 
-func TestAForgetfulStoreIsReadWhole(t *testing.T) {
+func TestTrimmedHistoryIsReadAsSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls := 0
 		s := &source{
-			whole: func() (follow.Batch, error) { return follow.Batch{Version: 1}, nil },
+			snapshot: func() (follow.Batch, error) { return follow.Batch{Version: 1}, nil },
 			changes: func(int64, clock.Millis) (follow.Batch, error) {
 				calls++
 				time.Sleep(time.Second)
@@ -93,18 +93,18 @@
 		}
 		h := &handler{}
 		run(s, h, options, 5*time.Second)
-		if h.wholes != 2 || h.lost != 0 {
-			t.Errorf("wholes %d, lost %d", h.wholes, h.lost)
+		if h.snapshots != 2 || h.failures != 0 {
+			t.Errorf("%d snapshots, %d failed reads", h.snapshots, h.failures)
 		}
 	})
 }
 
-// TestALongTableOfASlowStoreIsRead has the whole table take longer than one answer may, as
-// pages of a long table do where the store is slow.
-func TestALongTableOfASlowStoreIsRead(t *testing.T) {
+// TestSlowSnapshotIsRead has a snapshot take longer than one answer may, as the pages of a long table
+// do where the store is slow.
+func TestSlowSnapshotIsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &source{
-			whole: func() (follow.Batch, error) {
+			snapshot: func() (follow.Batch, error) {
 				time.Sleep(1500 * time.Millisecond)
 				return follow.Batch{Version: 1}, nil
 			},
@@ -113,21 +113,21 @@
 				return follow.Batch{Version: after}, nil
 			},
 		}
-		heeding := heedingSource{s}
+		slow := deadlineSource{s}
 		h := &handler{}
 		ctx, stop := context.WithTimeout(context.Background(), 4*time.Second)
 		defer stop()
-		follow.NewFollower(commontest.New(network.NewMemory(nil)), heeding, h, options).Run(ctx)
-		if h.wholes != 1 || h.lost > 0 {
-			t.Errorf("read %d times, lost %d times", h.wholes, h.lost)
+		follow.NewFollower(commontest.New(network.NewMemory(nil)), slow, h, options).Run(ctx)
+		if h.snapshots != 1 || h.failures > 0 {
+			t.Errorf("%d snapshots, %d failed reads", h.snapshots, h.failures)
 		}
 	})
 }
 
-// heedingSource gives up when its caller's time is over, as a call to the store does.
-type heedingSource struct{ *source }
+// deadlineSource fails when its context has ended, as a call to the store does.
+type deadlineSource struct{ *source }
 
-func (s heedingSource) Whole(ctx context.Context) (follow.Batch, error) {
+func (s deadlineSource) Whole(ctx context.Context) (follow.Batch, error) {
 	batch, err := s.source.Whole(ctx)
 	if ctx.Err() != nil {
 		return follow.Batch{}, ctx.Err()
@@ -135,11 +135,11 @@
 	return batch, err
 }
 
-func TestAnOutageIsToldAndEnds(t *testing.T) {
+func TestOutageIsReportedAndEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		s := &source{
-			whole: func() (follow.Batch, error) { return follow.Batch{Version: 1}, nil },
+			snapshot: func() (follow.Batch, error) { return follow.Batch{Version: 1}, nil },
 			changes: func(int64, clock.Millis) (follow.Batch, error) {
 				if time.Since(began) < 4*time.Second {
 					return follow.Batch{}, errors.New("down")
@@ -150,31 +150,31 @@
 		}
 		h := &handler{}
 		run(s, h, options, 8*time.Second)
-		if h.lost < 8 || h.lost > 40 {
-			t.Errorf("told %d times in 4 s", h.lost)
+		if h.failures < 8 || h.failures > 40 {
+			t.Errorf("%d failed reads reported in 4 s", h.failures)
 		}
-		if len(h.proofs) < 3 {
-			t.Errorf("%d answers", len(h.proofs))
+		if len(h.freshness) < 3 {
+			t.Errorf("%d answers", len(h.freshness))
 		}
 	})
 }
 
-// TestProofIsNeverTooNew has the store answer late, and checks that what an
-// answer proves lies between the question and the moment the store spoke.
-func TestProofIsNeverTooNew(t *testing.T) {
+// TestFreshnessIsNeverTooNew has the answers of the store arrive late, and checks that their freshness
+// is not after the moment at which the store answered.
+func TestFreshnessIsNeverTooNew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		storeNow := func() clock.Millis { return clock.Millis(time.Since(began).Milliseconds()) + 5000 }
-		var spoke []clock.Millis
+		var answeredAt []clock.Millis
 		c := commontest.New(network.NewMemory(nil))
 		s := &source{
-			whole: func() (follow.Batch, error) {
+			snapshot: func() (follow.Batch, error) {
 				return follow.Batch{Version: 1, StoreTime: storeNow()}, nil
 			},
 			changes: func(int64, clock.Millis) (follow.Batch, error) {
 				at := storeNow()
-				spoke = append(spoke, c.Clock.Now())
-				time.Sleep(900 * time.Millisecond) // the answer is long under way
+				answeredAt = append(answeredAt, c.Clock.Now())
+				time.Sleep(900 * time.Millisecond) // the answer is in transit for long
 				return follow.Batch{Version: 1, StoreTime: at}, nil
 			},
 		}
@@ -182,33 +182,33 @@
 		ctx, stop := context.WithTimeout(context.Background(), 5*time.Second)
 		defer stop()
 		follow.NewFollower(c, s, h, options).Run(ctx)
-		for i, at := range spoke {
-			if i+1 < len(h.proofs) && h.proofs[i+1].CurrentAt > at {
-				t.Errorf("answer %d proves %d ms too much", i, h.proofs[i+1].CurrentAt-at)
+		for i, at := range answeredAt {
+			if i+1 < len(h.freshness) && h.freshness[i+1].CurrentAt > at {
+				t.Errorf("freshness of answer %d is %d ms too new", i, h.freshness[i+1].CurrentAt-at)
 			}
 		}
 	})
 }
 
-// TestAnOutageIsLoggedOnce has the store away before the first read and once more later: each
-// outage takes one line when it begins, which tells whether anything is known, and one when it
-// ends.
-func TestAnOutageIsLoggedOnce(t *testing.T) {
+// TestOutageIsLoggedOnce has the store unreachable before the first read and once more later: each
+// outage takes one log line when it begins, which says whether the table has been read before, and one
+// when it ends.
+func TestOutageIsLoggedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		away := func() bool {
+		unreachable := func() bool {
 			const first, from, to = time.Second, 3 * time.Second, 5 * time.Second
 			age := time.Since(began)
 			return age < first || age >= from && age < to
 		}
 		answer := func() (follow.Batch, error) {
-			if away() {
+			if unreachable() {
 				return follow.Batch{}, errors.New("down")
 			}
 			time.Sleep(100 * time.Millisecond)
 			return follow.Batch{Version: 1}, nil
 		}
-		s := &source{whole: answer, changes: func(int64, clock.Millis) (follow.Batch, error) { return answer() }}
+		s := &source{snapshot: answer, changes: func(int64, clock.Millis) (follow.Batch, error) { return answer() }}
 		c := commontest.New(network.NewMemory(nil))
 		logger, lines := logtest.NewNullLogger()
 		c.Log = logrus.NewEntry(logger)
--- a/pkg/packets/kinds.go
+++ b/pkg/packets/kinds.go
@@ -1,30 +1,33 @@
 package packets
 
-// The kinds of messages between processes of the system.
+// The kinds of datagrams between entries. Owner means the owner of the shard that is named.
 const (
-	KindHello    Kind = iota + 1 // entry to entry: alive, and whom it takes for alive
-	KindClaim                    // entry to the home of an account: may this run?
-	KindReply                    // the home's answer
-	KindReturn                   // entry to home: this did not run
-	KindAsk                      // entry to the home of a group of targets: a place, please
-	KindAnswer                   // the home's answer
-	KindStep                     // entry to home: begun, done or withdrawn
-	KindSync                     // entry to home: all that it has on the targets
-	KindBulletin                 // reader of the store to the others: how a table stands
-	KindLearned                  // home to the entry that would follow it: what it has learned
-	// KindSilenceQuestion and KindSilenceAnswer: for how long has an entry not been heard?
+	KindHello    Kind = iota + 1 // entry to entry: heartbeat, with the entries that it takes for alive
+	KindClaim                    // entry to the owner of an account: takes from the account's quota for a request
+	KindReply                    // answer to KindQuotaTake
+	KindReturn                   // entry to the owner of an account: this request did not run
+	KindAsk                      // entry to the owner of a planner: requests an assignment for a job
+	KindAnswer                   // the owner's decision on a job
+	KindStep                     // entry to the owner of a planner: a job has begun, is done or withdrawn
+	KindSync                     // entry to the owner of a planner: all jobs that it has on the targets
+	KindBulletin                 // feed reader to the others: the feed state of a table
+	KindLearned                  // owner to its successor: its estimates
+	// KindSilenceQuery and KindSilenceAnswer ask the others for how long an entry sent them no
+	// heartbeat.
 	KindSilenceQuestion
 	KindSilenceAnswer
-	KindInquiry // entry to a few others: how do the tables stand?
-	KindEnds    // entry to the others: under these requests targets have ended
-	// KindTurnAsk, KindTurnAnswer and KindTurnDone: whose turn is it to run a suspected request?
+	KindInquiry // entry to a few others: queries the feed state of tables
+	KindEnds    // entry to the others: requests under which targets have ended
+	// KindRunAsk, KindRunAnswer and KindRunDone request, decide and end an exclusive run of a
+	// suspected request.
 	KindTurnAsk
 	KindTurnAnswer
 	KindTurnDone
-	KindAdvice // entry to the home of a group of targets: what they have told it of themselves
-	// KindRegistration and KindTaken: write my row on the list of entries, and its sender does.
+	KindAdvice // entry to the owner of a planner: the advice that targets have sent it
+	// KindRegistration asks the registrar to write the sender's row in the list of entries;
+	// KindRegistrationTaken answers that it does.
 	KindRegistration
 	KindTaken
-	KindProbe     // entry to another one: greet me
-	KindSuspicion // entry to the others: these do not answer
+	KindProbe     // entry to another one: requests a heartbeat
+	KindSuspicion // entry to the others: entries that do not answer
 )
--- a/pkg/packets/link.go
+++ b/pkg/packets/link.go
@@ -1,7 +1,6 @@
-// Package packets is how processes of the system tell one another what is
-// small, frequent and may be lost: one datagram a message. A lost one is
-// repeated or outdated by whoever sent it within milliseconds, where a stream
-// would hold back everything behind it for a fifth of a second.
+// Package packets sends small and frequent messages that may be lost between processes, one datagram
+// for each. The sender repeats or replaces a lost message within milliseconds, while in a stream a lost
+// segment would delay everything behind it for a fifth of a second.
 package packets
 
 import (
@@ -16,10 +15,10 @@
 	"quaydock/pkg/common"
 )
 
-// Kind tells the messages apart; it is the first byte of a datagram.
+// Kind is the type of a message; it is the first byte of a datagram.
 type Kind byte
 
-// maxDatagram keeps messages within one frame of an ordinary link.
+// maxDatagram is the maximum length of a datagram in bytes: it fits into one Ethernet frame.
 const maxDatagram = 1400
 
 // Socket sends and receives datagrams. A *net.UDPConn is one.
@@ -29,10 +28,10 @@
 	Close() error
 }
 
-// Handler takes the body of a message.
+// Handler handles the body of a message. The body is overwritten once the handler returns.
 type Handler func(from netip.AddrPort, body []byte)
 
-// Link is a process's place for datagrams.
+// Link sends and receives the datagrams of a process.
 type Link struct {
 	common.Common
 	socket   Socket
@@ -43,7 +42,7 @@
 func Open(c common.Common, address string) (*Link, error) {
 	at, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return nil, fmt.Errorf("address for datagrams: %w", err)
+		return nil, fmt.Errorf("parsing datagram address: %w", err)
 	}
 	socket, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at))
 	if err != nil {
@@ -57,13 +56,13 @@
 	return &Link{Common: c, socket: socket, handlers: make(map[Kind]Handler)}
 }
 
-// Handle sets the handler of a kind; it is called before Run, and the handler
-// then by Run's goroutine, so that it must not wait.
+// Handle sets the handler of a kind. It must be called before Run. The handler is called from the
+// goroutine of Run and must not block.
 func (l *Link) Handle(kind Kind, handler Handler) {
 	l.handlers[kind] = handler
 }
 
-// Run receives until ctx ends.
+// Run receives datagrams until ctx ends, and then closes the socket.
 func (l *Link) Run(ctx context.Context) {
 	defer context.AfterFunc(ctx, func() { _ = l.socket.Close() })()
 	buffer := make([]byte, maxDatagram+1)
@@ -73,7 +72,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
-			continue // an earlier datagram found no one
+			continue // ICMP error: an earlier datagram had no receiver
 		case n < 1 || n > maxDatagram:
 			l.Metrics.Links.Add("datagrams_malformed", 1)
 			continue
@@ -84,11 +83,11 @@
 	}
 }
 
-// Send sends a message; it may be lost.
+// Send sends a message, which may be lost. Errors are counted and logged at debug level.
 func (l *Link) Send(to netip.AddrPort, kind Kind, message any) {
 	body, err := cbor.Marshal(message)
 	if err == nil && len(body) >= maxDatagram {
-		err = errors.New("message too long")
+		err = errors.New("message does not fit into one datagram")
 	}
 	if err == nil {
 		_, err = l.socket.WriteToUDPAddrPort(append([]byte{byte(kind)}, body...), to)
@@ -99,14 +98,15 @@
 	}
 }
 
-// Receive returns a handler that decodes messages of one type.
-func Receive[M any](l *Link, take func(from netip.AddrPort, message *M)) Handler {
+// Receive returns a handler that decodes messages of type M and passes them to handle. Malformed ones are
+// counted and dropped.
+func Receive[M any](l *Link, handle func(from netip.AddrPort, message *M)) Handler {
 	return func(from netip.AddrPort, body []byte) {
 		var message M
 		if err := cbor.Unmarshal(body, &message); err != nil {
 			l.Metrics.Links.Add("datagrams_malformed", 1)
 			return
 		}
-		take(from, &message)
+		handle(from, &message)
 	}
 }
--- a/pkg/packets/memory.go
+++ b/pkg/packets/memory.go
@@ -6,8 +6,7 @@
 	"sync"
 )
 
-// Memory is a network of datagrams inside one process, for tests. It works in
-// the virtual time of testing/synctest.
+// Memory is an in-process datagram network for tests. It works in the virtual time of testing/synctest.
 type Memory struct {
 	mu      sync.Mutex
 	sockets map[netip.AddrPort]*memorySocket
@@ -27,12 +26,12 @@
 	m.loses = loses
 }
 
-// Socket opens a socket at an address, in place of any earlier one there.
+// Socket opens a socket at an address and replaces any earlier one there.
 func (m *Memory) Socket(at netip.AddrPort) Socket {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	const room = 4096
-	s := &memorySocket{net: m, at: at, arriving: make(chan memoryDatagram, room), closed: make(chan struct{})}
+	const bufferSize = 4096
+	s := &memorySocket{net: m, at: at, arriving: make(chan memoryDatagram, bufferSize), closed: make(chan struct{})}
 	m.sockets[at] = s
 	return s
 }
@@ -68,7 +67,7 @@
 	}
 	select {
 	case peer.arriving <- memoryDatagram{from: s.at, body: append([]byte(nil), b...)}:
-	default: // as a full buffer loses it
+	default: // lost, as with a full receive buffer
 	}
 	return len(b), nil
 }
--- a/pkg/table/configuration.go
+++ b/pkg/table/configuration.go
@@ -14,20 +14,20 @@
 	"quaydock/pkg/ids"
 )
 
-// Rows of the configuration.
+// Keys of the rows of the configuration.
 const (
 	KeyHead      Key = "config/head" // names the newest revision
 	prefixSet    Key = "config/set/"
 	prefixChange Key = "config/change/"
 )
 
-// snapshotEvery is how many changes a new process has to read at most.
+// snapshotEvery is the number of changes between two snapshots: a new process reads at most so many.
 const snapshotEvery = 50
 
 // Head is the value of the row that names the newest revision.
 type Head struct {
 	Revision declaration.Revision `json:"revision"`
-	// Snapshot is the newest revision whose whole set has a row.
+	// Snapshot is the newest revision whose complete set has a row.
 	Snapshot declaration.Revision `json:"snapshot"`
 }
 
@@ -35,7 +35,7 @@
 func keyChange(revision declaration.Revision) Key { return numbered(prefixChange, revision) }
 func numbered(p Key, r declaration.Revision) Key  { return p + Key(strconv.FormatInt(int64(r), 10)) }
 
-// FirstRevision makes the transaction that fills an empty table.
+// FirstRevision returns the transaction that writes the first configuration into an empty table.
 func FirstRevision(set declaration.Set) (Transaction, error) {
 	const first = 1
 	t := Transaction{Conditions: []Condition{{Key: KeyHead}}}
@@ -46,17 +46,17 @@
 	return t, err
 }
 
-// put adds the write of a value.
+// put adds the write of a value as JSON.
 func (t *Transaction) put(key Key, value any) error {
 	document, err := json.Marshal(value)
 	if err != nil {
-		return fmt.Errorf("value of row %s: %w", key, err)
+		return fmt.Errorf("encoding value of row %s: %w", key, err)
 	}
 	t.Writes = append(t.Writes, Write{Key: key, Value: document})
 	return nil
 }
 
-// State is a configuration as it stands in the table.
+// State is a configuration as read from the table.
 type State struct {
 	Head    Head
 	Set     declaration.Set
@@ -67,14 +67,14 @@
 func (t *Table) Configuration(ctx context.Context) (State, error) {
 	row, err := t.Read(ctx, KeyHead)
 	if err != nil {
-		return State{}, fmt.Errorf("head: %w", err)
+		return State{}, fmt.Errorf("reading configuration head: %w", err)
 	}
 	s := State{version: row.Version}
 	if err := json.Unmarshal(row.Value, &s.Head); err != nil {
-		return State{}, fmt.Errorf("head: %w", err)
+		return State{}, fmt.Errorf("reading configuration head: %w", err)
 	}
 	if err := t.readValue(ctx, keySet(s.Head.Snapshot), &s.Set); err != nil {
-		return State{}, fmt.Errorf("snapshot %d: %w", s.Head.Snapshot, err)
+		return State{}, fmt.Errorf("reading configuration snapshot %d: %w", s.Head.Snapshot, err)
 	}
 	for r := s.Head.Snapshot + 1; r <= s.Head.Revision; r++ {
 		change, err := t.Change(ctx, r)
@@ -90,17 +90,17 @@
 func (t *Table) Change(ctx context.Context, revision declaration.Revision) (declaration.Change, error) {
 	var change declaration.Change
 	if err := t.readValue(ctx, keyChange(revision), &change); err != nil {
-		return declaration.Change{}, fmt.Errorf("change %d: %w", revision, err)
+		return declaration.Change{}, fmt.Errorf("reading configuration change %d: %w", revision, err)
 	}
 	return change, nil
 }
 
-// ConflictError says that another change was made since the state was read.
+// ConflictError says that another change was published since the state was read.
 type ConflictError struct {
 	Change declaration.Change
 }
 
-// Error names the other change.
+// Error describes the other change.
 func (e *ConflictError) Error() string {
 	c := e.Change
 	return fmt.Sprintf("revision %d was made meanwhile by %s: %s", c.Revision, c.Who, c.Why)
@@ -108,14 +108,14 @@
 
 const publishBackoff = 100 * clock.Millisecond
 
-// Publish makes a change upon the state that it was planned on. It tries for as
-// long as ctx lasts, and settles lost answers by reading back: it returns nil
-// only if the change is in the table, and a ConflictError only if another took
-// its place. After any other error it may be in the table or not.
-func (t *Table) Publish(ctx context.Context, upon State, change declaration.Change) (declaration.Revision, error) {
-	change.Revision = upon.Head.Revision + 1
+// Publish commits a change to the state that it was planned on. It tries until ctx ends, and resolves
+// lost answers by reading the change back: it returns nil only if the change is in the table, and a
+// ConflictError only if another change has its revision. After any other error the change may be in the
+// table or not.
+func (t *Table) Publish(ctx context.Context, base State, change declaration.Change) (declaration.Revision, error) {
+	change.Revision = base.Head.Revision + 1
 	change.ID = string(ids.NewRequest())
-	transaction, err := publication(upon, change)
+	transaction, err := publication(base, change)
 	if err != nil {
 		return 0, err
 	}
@@ -131,20 +131,20 @@
 		case readErr == nil:
 			return 0, &ConflictError{Change: made}
 		case ctx.Err() != nil:
-			return 0, fmt.Errorf("publishing: %w", errors.Join(jujuerrors.Timeout, err))
+			return 0, fmt.Errorf("publishing configuration change: %w", errors.Join(jujuerrors.Timeout, err))
 		}
 		clock.Pause(ctx, publishBackoff)
 	}
 }
 
-// publication makes the one transaction of a change, conditional on the head.
-func publication(upon State, change declaration.Change) (Transaction, error) {
-	made := change.Apply(upon.Set)
+// publication returns the transaction of a change, conditional on the version of the head.
+func publication(base State, change declaration.Change) (Transaction, error) {
+	made := change.Apply(base.Set)
 	if err := made.Check(); err != nil {
 		return Transaction{}, err
 	}
-	t := Transaction{Conditions: []Condition{{Key: KeyHead, Version: upon.version}}}
-	head := Head{Revision: change.Revision, Snapshot: upon.Head.Snapshot}
+	t := Transaction{Conditions: []Condition{{Key: KeyHead, Version: base.version}}}
+	head := Head{Revision: change.Revision, Snapshot: base.Head.Snapshot}
 	err := t.put(keyChange(change.Revision), change)
 	if err == nil && change.Revision-head.Snapshot >= snapshotEvery {
 		head.Snapshot = change.Revision
--- a/pkg/table/follower.go
+++ b/pkg/table/follower.go
@@ -12,8 +12,8 @@
 	"quaydock/pkg/invariant"
 )
 
-// Follower keeps the highest configuration that it has seen. It only moves
-// upwards, whatever a lagging read says.
+// Follower keeps the configuration with the highest revision that it has read. The revision never
+// decreases, even if a read returns an older head.
 type Follower struct {
 	common.Common
 	table   *Table
@@ -22,21 +22,21 @@
 	applied func(*declaration.Book)
 }
 
-// NewFollower returns a follower that has no configuration yet. The function
-// applied is called with each new one, from the goroutine of Run.
+// NewFollower returns a follower that has no configuration yet. The function applied is called with the
+// index of each new one, from the goroutine of Run.
 func NewFollower(c common.Common, table *Table, poll clock.Millis, applied func(*declaration.Book)) *Follower {
 	return &Follower{Common: c, table: table, poll: poll, applied: applied}
 }
 
-// Book returns the configuration in force, or nil before the first.
+// Index returns the index of the configuration in force, or nil before the first.
 func (f *Follower) Book() *declaration.Book {
 	return f.book.Load()
 }
 
-// Run looks at the head until ctx ends.
+// Run polls the head until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	for {
-		if err := f.look(ctx); err != nil {
+		if err := f.pollHead(ctx); err != nil {
 			f.Metrics.Configuration.Add("failed_polls", 1)
 			f.Log.WithError(err).Warning("configuration not read; the one in force stays")
 		}
@@ -48,7 +48,7 @@
 	}
 }
 
-// firstPoll is the time between looks before there is any configuration.
+// firstPoll is the time between polls before there is any configuration.
 const firstPoll = 100 * clock.Millisecond
 
 func (f *Follower) wait() clock.Millis {
@@ -58,10 +58,10 @@
 	return f.poll
 }
 
-func (f *Follower) look(ctx context.Context) error {
+func (f *Follower) pollHead(ctx context.Context) error {
 	var head Head
 	if err := f.table.readValue(ctx, KeyHead, &head); err != nil {
-		return fmt.Errorf("head: %w", err)
+		return fmt.Errorf("reading configuration head: %w", err)
 	}
 	if current := f.Book(); current != nil && head.Revision <= current.Revision {
 		return nil
@@ -69,35 +69,34 @@
 	return f.fetch(ctx, head)
 }
 
-// fetch moves to a higher revision, by the changes since the one in force or
-// since the newest snapshot.
+// fetch moves to a higher revision, by the changes since the one in force or since the newest snapshot.
 func (f *Follower) fetch(ctx context.Context, head Head) error {
 	revision, set := head.Snapshot, declaration.Set{}
 	if current := f.Book(); current != nil && current.Revision >= head.Snapshot {
 		revision, set = current.Revision, current.Set()
 	} else if err := f.table.readValue(ctx, keySet(head.Snapshot), &set); err != nil {
-		return fmt.Errorf("snapshot %d: %w", head.Snapshot, err)
+		return fmt.Errorf("reading configuration snapshot %d: %w", head.Snapshot, err)
 	}
 	for revision < head.Revision {
 		var change declaration.Change
 		if err := f.table.readValue(ctx, keyChange(revision+1), &change); err != nil {
-			return fmt.Errorf("change %d: %w", revision+1, err)
+			return fmt.Errorf("reading configuration change %d: %w", revision+1, err)
 		}
 		set = change.Apply(set)
 		revision++
 	}
-	book, err := declaration.NewBook(revision, set)
+	index, err := declaration.NewBook(revision, set)
 	if err != nil {
-		return fmt.Errorf("revision %d: %w", revision, err)
+		return fmt.Errorf("indexing configuration revision %d: %w", revision, err)
 	}
-	f.apply(book)
+	f.apply(index)
 	return nil
 }
 
-func (f *Follower) apply(book *declaration.Book) {
-	before := f.book.Swap(book)
-	f.Check.That(before == nil || before.Revision < book.Revision, invariant.RevisionUpward,
-		"revision %d applied", book.Revision)
-	f.Log.WithField("revision", book.Revision).Info("configuration in force")
-	f.applied(book)
+func (f *Follower) apply(index *declaration.Book) {
+	before := f.book.Swap(index)
+	f.Check.That(before == nil || before.Revision < index.Revision, invariant.RevisionUpward,
+		"revision %d applied", index.Revision)
+	f.Log.WithField("revision", index.Revision).Info("configuration in force")
+	f.applied(index)
 }
--- a/pkg/table/table.go
+++ b/pkg/table/table.go
@@ -1,5 +1,5 @@
-// Package table reaches the platform's services: the transactional table
-// that keeps what must last.
+// Package table is the client of the platform's transactional table, which holds durable data such as
+// the configuration.
 package table
 
 import (
@@ -35,13 +35,13 @@
 	Version Version `json:"version"`
 }
 
-// Write sets a row.
+// Write sets the value of a row.
 type Write struct {
 	Key   Key             `json:"key"`
 	Value json.RawMessage `json:"value"`
 }
 
-// Transaction makes all its writes if all its conditions hold, or none.
+// Transaction makes all its writes if all its conditions hold, and otherwise none.
 type Transaction struct {
 	Conditions []Condition `json:"conditions"`
 	Writes     []Write     `json:"writes"`
@@ -61,17 +61,15 @@
 	closed  atomic.Bool
 }
 
-// ErrClosed is returned by calls to a table that was closed.
+// ErrClosed is returned by calls to a closed table.
 var ErrClosed = errors.New("the table's client is closed")
 
-// NewTable returns a client of the table at base that gives each call the time
-// timeout.
-func NewTable(reach network.Network, base string, timeout clock.Millis) *Table {
-	return &Table{base: base, client: &http.Client{Transport: network.NewTransport(reach, network.TransportOptions{})}, timeout: timeout}
+// NewTable returns a client of the table at the URL base. Each call is limited by timeout.
+func NewTable(via network.Network, base string, timeout clock.Millis) *Table {
+	return &Table{base: base, client: &http.Client{Transport: network.NewTransport(via, network.TransportOptions{})}, timeout: timeout}
 }
 
-// Read returns the row at key. The error is of kind errors.NotFound if there
-// is none.
+// Read returns the row at key. The error is of kind errors.NotFound if there is no such row.
 func (t *Table) Read(ctx context.Context, key Key) (Row, error) {
 	var row Row
 	response, err := t.do(ctx, t.sling().Get(PathRows+string(key)), &row)
@@ -88,25 +86,25 @@
 	}
 }
 
-// readValue reads the value of a row.
+// readValue decodes the value of a row into into.
 func (t *Table) readValue(ctx context.Context, key Key, into any) error {
 	row, err := t.Read(ctx, key)
 	if err != nil {
 		return err
 	}
 	if err := json.Unmarshal(row.Value, into); err != nil {
-		return fmt.Errorf("value of row %s: %w", key, err)
+		return fmt.Errorf("decoding value of row %s: %w", key, err)
 	}
 	return nil
 }
 
-// Commit makes a transaction. An error of kind errors.AlreadyExists says that
-// a condition did not hold and nothing was written. After any other error the
-// writes may or may not have been made; read them back.
+// Commit commits a transaction. An error of kind errors.AlreadyExists says that a condition did not
+// hold and nothing was written. After any other error the writes may or may not have been made: the
+// caller has to read them back.
 func (t *Table) Commit(ctx context.Context, transaction Transaction) error {
 	response, err := t.do(ctx, t.sling().Post(PathTransactions).BodyJSON(transaction), nil)
 	if err != nil {
-		return fmt.Errorf("committing: %w", err)
+		return fmt.Errorf("committing transaction: %w", err)
 	}
 	switch response.StatusCode {
 	case http.StatusOK:
@@ -114,12 +112,12 @@
 	case http.StatusConflict:
 		return errors.AlreadyExistsf("a newer version of a row")
 	default:
-		return fmt.Errorf("committing: status %d", response.StatusCode)
+		return fmt.Errorf("committing transaction: status %d", response.StatusCode)
 	}
 }
 
-// Close drops idle connections. Calls after it fail with ErrClosed: one from the background, such
-// as the freeing of a claim, would open a connection that nobody closes.
+// Close closes idle connections. Calls after it fail with ErrClosed: a call in the background, such as
+// the release of a claim, would open a connection that is never closed.
 func (t *Table) Close() {
 	t.closed.Store(true)
 	t.client.CloseIdleConnections()
@@ -129,8 +127,8 @@
 	return sling.New().Base(t.base).Client(t.client)
 }
 
-// dropIfClosed is called at the end of each call: its connection has become idle after Close
-// if the table was closed meanwhile.
+// dropIfClosed is called at the end of each call: if the table was closed meanwhile, the connection of
+// the call has become idle only after Close.
 func (t *Table) dropIfClosed() {
 	if t.closed.Load() {
 		t.client.CloseIdleConnections()
@@ -146,7 +144,7 @@
 	defer cancel()
 	request, err := call.Request()
 	if err != nil {
-		return nil, fmt.Errorf("building the call: %w", err)
+		return nil, fmt.Errorf("building table request: %w", err)
 	}
 	response, err := call.Do(request.WithContext(ctx), into, nil)
 	if err != nil {
--- a/pkg/table/table_test.go
+++ b/pkg/table/table_test.go
@@ -14,12 +14,12 @@
 
 const tableAt = "10.0.0.1:80"
 
-// TestATableThatIsClosedIsNotCalled: what goes on in the background when an entry ends, as the freeing
-// of a claim, read the table once more and kept a connection that nobody would close.
-func TestATableThatIsClosedIsNotCalled(t *testing.T) {
+// TestClosedTableIsNotCalled guards against connections that are never closed: work in the background
+// while an entry ends, such as the release of a claim, read the table once more after it was closed.
+func TestClosedTableIsNotCalled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		reach := network.NewMemory(nil)
-		listener, err := reach.Listen(tableAt)
+		memory := network.NewMemory(nil)
+		listener, err := memory.Listen(tableAt)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -28,13 +28,13 @@
 		})}
 		go func() { _ = server.Serve(listener) }()
 		defer func() { _ = server.Shutdown(context.Background()) }()
-		c := table.NewTable(reach, "http://"+tableAt, clock.Second)
+		c := table.NewTable(memory, "http://"+tableAt, clock.Second)
 		if _, err := c.Read(context.Background(), "k"); err != nil {
 			t.Fatal(err)
 		}
 		c.Close()
 		if _, err := c.Read(context.Background(), "k"); err == nil {
-			t.Error("read after the table was closed")
+			t.Error("read succeeded after the table was closed")
 		}
 	})
 }
--- a/pkg/view/view.go
+++ b/pkg/view/view.go
@@ -1,5 +1,5 @@
-// Package view holds what an entry believes of the deployment: the
-// configuration, the targets, and how old the proof of each is.
+// Package view holds an entry's view of the deployment: the configuration in force and how long ago it
+// was confirmed as the newest, and the targets.
 package view
 
 import (
@@ -11,16 +11,16 @@
 	"quaydock/pkg/routing"
 )
 
-// View is read by every request and written by the followers of the store.
+// View is read by every request and written by the followers of the store. It is safe for concurrent use.
 type View struct {
-	check     *invariant.Checker
-	catalog   atomic.Pointer[routing.Catalog]
-	directory atomic.Pointer[routing.Directory]
-	provenAt  atomic.Int64
-	known     chan struct{} // closed once there are a proven configuration and targets
-	once      sync.Once
-
-	mu     sync.Mutex // held while the list of targets is replaced
+	check       *invariant.Checker
+	catalog     atomic.Pointer[routing.Catalog]
+	directory   atomic.Pointer[routing.Directory]
+	confirmedAt atomic.Int64
+	known       chan struct{} // closed once there are a confirmed configuration and targets
+	once        sync.Once
+
+	mu     sync.Mutex // held while the directory is replaced
 	before []func(*routing.Directory)
 	after  []func(*routing.Directory)
 }
@@ -35,13 +35,13 @@
 	return v.catalog.Load()
 }
 
-// Directory returns the targets, or nil before the first list.
+// Directory returns the targets, or nil before the first directory.
 func (v *View) Directory() *routing.Directory {
 	return v.directory.Load()
 }
 
-// SetCatalog puts a configuration in force unless it is older than the present
-// one; it reports whether it did.
+// SetCatalog puts a configuration in force unless its revision is not above the present one. It reports
+// whether it did.
 func (v *View) SetCatalog(c *routing.Catalog) bool {
 	before := v.catalog.Load()
 	if before != nil && before.Revision >= c.Revision {
@@ -49,62 +49,65 @@
 	}
 	swapped := v.catalog.Swap(c)
 	v.check.That(swapped == nil || swapped.Revision < c.Revision, invariant.RevisionUpward, "revision %d", c.Revision)
-	v.noteKnown()
+	v.closeKnown()
 	return true
 }
 
-// Watch has a function told of each list of targets before anything is placed by it.
-func (v *View) Watch(told func(*routing.Directory)) {
-	v.watch(&v.before, told)
+// Watch registers a function that is notified of each directory before requests are placed by it. It is
+// called at once with the present directory, if there is one.
+func (v *View) Watch(notify func(*routing.Directory)) {
+	v.watch(&v.before, notify)
 }
 
-// WatchAfter has a function told of each list of targets once requests are placed by it: a request that the
-// function sends elsewhere then finds the new targets.
-func (v *View) WatchAfter(told func(*routing.Directory)) {
-	v.watch(&v.after, told)
+// WatchAfter registers a function that is notified of each directory once requests are placed by it: a
+// request that the function re-dispatches then finds the new targets. It is called at once with the
+// present directory, if there is one.
+func (v *View) WatchAfter(notify func(*routing.Directory)) {
+	v.watch(&v.after, notify)
 }
 
-func (v *View) watch(watchers *[]func(*routing.Directory), told func(*routing.Directory)) {
+func (v *View) watch(watchers *[]func(*routing.Directory), notify func(*routing.Directory)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	*watchers = append(*watchers, told)
+	*watchers = append(*watchers, notify)
 	if d := v.directory.Load(); d != nil {
-		told(d)
+		notify(d)
 	}
 }
 
-// SetDirectory replaces the list of targets.
+// SetDirectory replaces the directory of targets and notifies the watchers.
 func (v *View) SetDirectory(d *routing.Directory) {
 	v.mu.Lock()
-	for _, told := range v.before {
-		told(d)
+	for _, notify := range v.before {
+		notify(d)
 	}
 	v.directory.Store(d)
-	for _, told := range v.after {
-		told(d)
+	for _, notify := range v.after {
+		notify(d)
 	}
 	v.mu.Unlock()
-	v.noteKnown()
+	v.closeKnown()
 }
 
-// Known is closed once there are a proven configuration and a list of targets.
+// Known returns a channel that is closed once there are a confirmed configuration and a directory.
 func (v *View) Known() <-chan struct{} { return v.known }
 
-func (v *View) noteKnown() {
-	if v.catalog.Load() != nil && v.directory.Load() != nil && v.provenAt.Load() > 0 {
+// closeKnown closes the channel known once all that it stands for is there.
+func (v *View) closeKnown() {
+	if v.catalog.Load() != nil && v.directory.Load() != nil && v.confirmedAt.Load() > 0 {
 		v.once.Do(func() { close(v.known) })
 	}
 }
 
-// Proven notes that the configuration in force was the newest at a moment.
+// Confirmed records that the configuration in force was the newest at a moment.
 func (v *View) Proven(at clock.Millis) {
-	if v.provenAt.Load() < int64(at) {
-		v.provenAt.Store(int64(at))
-		v.noteKnown()
+	if v.confirmedAt.Load() < int64(at) {
+		v.confirmedAt.Store(int64(at))
+		v.closeKnown()
 	}
 }
 
-// Age is how long ago the configuration in force was surely the newest.
+// Age returns how long ago the configuration in force was last confirmed as the newest.
 func (v *View) Age(now clock.Millis) clock.Millis {
-	return now - clock.Millis(v.provenAt.Load())
+	return now - clock.Millis(v.confirmedAt.Load())
 }
--- a/pkg/view/view_test.go
+++ b/pkg/view/view_test.go
@@ -9,23 +9,24 @@
 	"quaydock/pkg/view"
 )
 
-// TestWhenWatchersAreTold: a safe request was told as lost, although its target had started again and would have run it. What it
-// had sent to the former life was broken off as the new list came, and it looked for another target a moment before
-// that list was in its place: in two of sixty series beside other work.
-func TestWhenWatchersAreTold(t *testing.T) {
+// TestWatcherOrder guards against a repeatable request that is reported as lost although its target has
+// started again and would run it. The call to the former incarnation was aborted when the new directory
+// came, and the request looked for another target just before that directory was in place. It happened in
+// two of sixty test series on a busy VM.
+func TestWatcherOrder(t *testing.T) {
 	v := view.New(commontest.New(network.NewMemory(nil)).Check)
-	list := routing.NewDirectory(nil)
+	directory := routing.NewDirectory(nil)
 	var before, after *routing.Directory
 	v.Watch(func(*routing.Directory) { before = v.Directory() })
 	v.WatchAfter(func(*routing.Directory) { after = v.Directory() })
-	v.SetDirectory(list)
-	if before != nil || after != list {
-		t.Errorf("one that is told before sees %v, one after %v", before, after)
+	v.SetDirectory(directory)
+	if before != nil || after != directory {
+		t.Errorf("watcher before placement saw %v, watcher after it saw %v", before, after)
 	}
 	var late []*routing.Directory
 	v.Watch(func(d *routing.Directory) { late = append(late, d) })
 	v.WatchAfter(func(d *routing.Directory) { late = append(late, d) })
-	if len(late) != 2 || late[0] != list || late[1] != list {
-		t.Errorf("those that come later are told %v", late)
+	if len(late) != 2 || late[0] != directory || late[1] != directory {
+		t.Errorf("watchers registered later were notified of %v", late)
 	}
 }
