--- a/pkg/app/entry_follow.go
+++ b/pkg/app/entry_follow.go
@@ -15,7 +15,7 @@
 // followEntries follows the list of the entries.
 func (p *entryProcess) followEntries(ctx context.Context) {
 	handler := newEntriesHandler(p.Common, p.members, p.rollouts, p.guard)
-	p.follower(platform.TableMembers, handler, follow.Options{Wait: membersWait, Answer: storeAnswer}).Run(ctx)
+	p.follower(platform.TableMembers, handler, follow.Options{Wait: membersWait, AnswerTimeout: storeAnswer}).Run(ctx)
 }
 
 // followRest follows the configuration and the targets once it is known who the others
@@ -32,9 +32,9 @@
 	if p.rollouts != nil {
 		configuration.orders = p.rollouts
 	}
-	go p.follower(platform.TableOperators, configuration, follow.Options{Wait: configurationWait, Answer: storeAnswer, Reread: configurationReread}).Run(ctx)
+	go p.follower(platform.TableOperators, configuration, follow.Options{Wait: configurationWait, AnswerTimeout: storeAnswer, SnapshotInterval: configurationReread}).Run(ctx)
 	targets := roster.New(p.Common, platform.ParseTarget, p.domains.SetDirectory)
-	go p.follower(platform.TableTargets, targets, follow.Options{Wait: roster.WaitForChanges, Answer: storeAnswer}).Run(ctx)
+	go p.follower(platform.TableTargets, targets, follow.Options{Wait: roster.WaitForChanges, AnswerTimeout: storeAnswer}).Run(ctx)
 }
 
 func (p *entryProcess) follower(table string, handler follow.Handler, options follow.Options) *follow.Follower {
--- a/pkg/bulletin/bed_test.go
+++ b/pkg/bulletin/bed_test.go
@@ -314,7 +314,7 @@
 func (b *cluster) follow(i int, m *membership.Members, relay *bulletin.Relay) {
 	ctx := b.contexts[i]
 	e := newEntry()
-	f := follow.NewFollower(b.Common, relay.Source("t", client{b.store, i}), e, follow.Options{Wait: 1200, Answer: 800})
+	f := follow.NewFollower(b.Common, relay.Source("t", client{b.store, i}), e, follow.Options{Wait: 1200, AnswerTimeout: 800})
 	b.entries[i] = e
 	go m.Run(ctx)
 	go relay.Run(ctx)
--- a/pkg/bulletin/whole_test.go
+++ b/pkg/bulletin/whole_test.go
@@ -105,7 +105,7 @@
 				for i, relay := range relays {
 					e := newEntry()
 					others = append(others, e)
-					other := follow.NewFollower(b.Common, relay.Source("other", client{b.store, i}), e, follow.Options{Wait: 1200, Answer: 800})
+					other := follow.NewFollower(b.Common, relay.Source("other", client{b.store, i}), e, follow.Options{Wait: 1200, AnswerTimeout: 800})
 					go other.Run(b.contexts[i])
 				}
 				time.Sleep(40 * time.Millisecond)
--- a/pkg/capacity/target_size.go
+++ b/pkg/capacity/target_size.go
@@ -2,7 +2,7 @@
 // slopes that it measures, and writes the tables of docs/CAPACITY.md.
 package capacity
 
-// TargetSize is the size that the users have to carry in about two years.
+// DeploymentSize is the size that the users have to carry in about two years.
 // Source: their first letter.
 type DeploymentSize struct {
 	VMs               int
@@ -19,7 +19,7 @@
 	ControlMB    float64
 }
 
-// Users is the size of the letter.
+// RequiredSize is the size of the letter.
 func RequiredSize() DeploymentSize {
 	return DeploymentSize{
 		VMs: 350, Engines: 3600, RequestsPerSecond: 68_000, TokensPerSecond: 17e6,
--- a/pkg/commontest/no_notes.go
+++ b/pkg/commontest/no_notes.go
@@ -6,11 +6,11 @@
 	"quaydock/pkg/follow"
 )
 
-// NoNotes is a table in a store that keeps nothing.
+// NoEstimates is a table in a store that keeps nothing.
 type NoEstimates struct{}
 
 // Put takes a row.
 func (NoEstimates) Put(context.Context, string, []byte) error { return nil }
 
-// Whole returns no rows.
+// Snapshot returns no rows.
 func (NoEstimates) Snapshot(context.Context) (follow.Batch, error) { return follow.Batch{}, nil }
--- a/pkg/declaration/book.go
+++ b/pkg/declaration/book.go
@@ -13,7 +13,7 @@
 // Revision numbers configurations. A process only ever moves to a higher one.
 type Revision int64
 
-// Book is a set that has passed its checks, indexed for look-ups. It is not
+// Index is a set that has passed its checks, indexed for look-ups. It is not
 // changed after it is made, so that any goroutine may read it.
 type Index struct {
 	Revision Revision
@@ -26,7 +26,7 @@
 	placed   map[ids.Target][]Placement
 }
 
-// NewBook checks set and indexes it.
+// NewIndex checks set and indexes it.
 func NewIndex(revision Revision, set Set) (*Index, error) {
 	if err := set.Check(); err != nil {
 		return nil, err
--- a/pkg/follow/follower.go
+++ b/pkg/follow/follower.go
@@ -59,7 +59,7 @@
 // Freshness says at which moment an answer of the store was current.
 type Freshness struct {
 	// RequestedAt is when the query was sent: the store was reachable from about then on.
-	AskedAt clock.Millis
+	RequestedAt clock.Millis
 	// CurrentAt is a moment at which the rows were current.
 	CurrentAt clock.Millis
 	// Version is the version up to which the table has been read, and StoreTime the store's own
@@ -83,10 +83,10 @@
 	// Wait is how long the source may hold a query for changes.
 	Wait clock.Millis
 	// AnswerTimeout limits the time that an answer may take beyond the wait.
-	Answer clock.Millis
+	AnswerTimeout clock.Millis
 	// SnapshotInterval, if set, is how often a snapshot is read although changes were followed:
 	// it shows a change that the store has lost.
-	Reread clock.Millis
+	SnapshotInterval clock.Millis
 }
 
 // The limits of the pause after a failed read.
@@ -204,10 +204,10 @@
 
 func (f *Follower) read(ctx context.Context) error {
 	requestedAt := f.Clock.Now()
-	if !f.hasSnapshot || f.options.Reread > 0 && requestedAt-f.snapshotAt >= f.options.Reread {
+	if !f.hasSnapshot || f.options.SnapshotInterval > 0 && requestedAt-f.snapshotAt >= f.options.SnapshotInterval {
 		return f.readSnapshot(ctx, requestedAt)
 	}
-	ctx, cancel := context.WithTimeout(ctx, (f.options.Wait + f.options.Answer).Duration())
+	ctx, cancel := context.WithTimeout(ctx, (f.options.Wait + f.options.AnswerTimeout).Duration())
 	defer cancel()
 	batch, err := f.source.Changes(ctx, f.version, f.options.Wait)
 	if err != nil {
@@ -223,7 +223,7 @@
 const snapshotAnswers = 4
 
 func (f *Follower) readSnapshot(ctx context.Context, requestedAt clock.Millis) error {
-	ctx, cancel := context.WithTimeout(ctx, snapshotAnswers*f.options.Answer.Duration())
+	ctx, cancel := context.WithTimeout(ctx, snapshotAnswers*f.options.AnswerTimeout.Duration())
 	defer cancel()
 	batch, err := f.source.Snapshot(ctx)
 	if err != nil {
@@ -241,7 +241,7 @@
 		return f.freshness(requestedAt, batch)
 	}
 	f.currentMoment(requestedAt, batch.StoreTime)
-	return Freshness{AskedAt: requestedAt, CurrentAt: requestedAt, Version: batch.Version, StoreTime: batch.StoreTime}
+	return Freshness{RequestedAt: requestedAt, CurrentAt: requestedAt, Version: batch.Version, StoreTime: batch.StoreTime}
 }
 
 // maxRelayTime is what the age of a relayed answer may lack: the transit time of the message that
@@ -261,9 +261,9 @@
 	}
 	if batch.Relayed {
 		at := min(f.Clock.Now(), batch.StoreTime+f.clockOffset)
-		return Freshness{AskedAt: at, CurrentAt: at, Version: batch.Version, StoreTime: batch.StoreTime}
+		return Freshness{RequestedAt: at, CurrentAt: at, Version: batch.Version, StoreTime: batch.StoreTime}
 	}
-	return Freshness{AskedAt: requestedAt, CurrentAt: f.currentMoment(requestedAt, batch.StoreTime), Version: batch.Version, StoreTime: batch.StoreTime}
+	return Freshness{RequestedAt: requestedAt, CurrentAt: f.currentMoment(requestedAt, batch.StoreTime), Version: batch.Version, StoreTime: batch.StoreTime}
 }
 
 // currentMoment returns a moment, by our clock, at which an answer was current: the store's time plus
--- a/pkg/follow/follower_test.go
+++ b/pkg/follow/follower_test.go
@@ -56,7 +56,7 @@
 	follow.NewFollower(commontest.New(network.NewMemory(nil)), s, h, options).Run(ctx)
 }
 
-var options = follow.Options{Wait: clock.Second, Answer: 500}
+var options = follow.Options{Wait: clock.Second, AnswerTimeout: 500}
 
 func TestChangesFollowSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/pkg/ids/life.go
+++ b/pkg/ids/life.go
@@ -10,7 +10,7 @@
 // UnknownStart is the start of a target that does not tell it.
 const UnknownStart Start = 0
 
-// Life is one incarnation of a target: the process that runs under its id from one start to its
+// TargetIncarnation is one incarnation of a target: the process that runs under its id from one start to its
 // end. A target that starts again under its id knows nothing of its former life, and whatever
 // is known of that one says nothing of the new.
 type TargetIncarnation struct {
--- a/pkg/loadmodel/bound.go
+++ b/pkg/loadmodel/bound.go
@@ -11,7 +11,7 @@
 // boundWindow is the time in which the order of work is free for the bound.
 const boundWindow = 2 * clock.Second
 
-// Bound is what a scheduler could earn at the most that knew all that was to come: in
+// UpperBound is what a scheduler could earn at the most that knew all that was to come: in
 // each window the places go to what is asked in it, tiers in order, the shortest runs
 // first; what is left goes to what waits from before, which is late. Callers who come
 // back, runs that end in another window and the time to begin them cost it nothing; but what
--- a/pkg/loadmodel/load.go
+++ b/pkg/loadmodel/load.go
@@ -38,7 +38,7 @@
 	Late  float64 `json:"late_worth"`
 }
 
-// Targets are some alike.
+// TargetGroup are some alike.
 type TargetGroup struct {
 	Count int `json:"count"`
 	Slots int `json:"slots"`
--- a/pkg/membership/assurance.go
+++ b/pkg/membership/assurance.go
@@ -116,7 +116,7 @@
 	m.silenceQueries[name] = &pendingSilenceQuery{began: now, answers: make(map[ids.Process]clock.Millis)}
 	for other, listed := range m.list {
 		if other != m.self && other != name {
-			m.link.Send(listed.address, packets.KindSilenceQuestion, silenceQuery{Entry: name})
+			m.link.Send(listed.address, packets.KindSilenceQuery, silenceQuery{Entry: name})
 		}
 	}
 }
--- a/pkg/membership/members.go
+++ b/pkg/membership/members.go
@@ -138,7 +138,7 @@
 	link.Handle(packets.KindSuspicion, packets.Receive(link, m.handleSuspicion))
 	link.Handle(packets.KindRegistration, packets.Receive(link, m.handleRegistration))
 	link.Handle(packets.KindRegistrationTaken, packets.Receive(link, m.handleRegistrationAck))
-	link.Handle(packets.KindSilenceQuestion, packets.Receive(link, m.handleSilenceQuery))
+	link.Handle(packets.KindSilenceQuery, packets.Receive(link, m.handleSilenceQuery))
 	link.Handle(packets.KindSilenceAnswer, packets.Receive(link, m.handleSilenceReply))
 	return m
 }
--- a/pkg/packets/kinds.go
+++ b/pkg/packets/kinds.go
@@ -14,7 +14,7 @@
 	KindEstimates                   // owner to its successor: its estimates
 	// KindSilenceQuery and KindSilenceAnswer ask the others for how long an entry sent them no
 	// heartbeat.
-	KindSilenceQuestion
+	KindSilenceQuery
 	KindSilenceAnswer
 	KindFeedQuery  // entry to a few others: queries the feed state of tables
 	KindTargetEnds // entry to the others: requests under which targets have ended
--- a/pkg/prefix/holdings.go
+++ b/pkg/prefix/holdings.go
@@ -14,7 +14,7 @@
 // blocksPerTarget bounds what is remembered of one target.
 const blocksPerTarget = 4096
 
-// Holdings remembers which blocks were lately sent to which target, the least
+// CacheEstimate remembers which blocks were lately sent to which target, the least
 // used forgotten first, as in the target's own cache. Several goroutines may use
 // it.
 type CacheEstimate struct {
@@ -22,12 +22,12 @@
 	targets map[ids.Target]*lru.Cache[Fingerprint, struct{}]
 }
 
-// NewHoldings returns holdings that remember nothing.
+// NewCacheEstimate returns holdings that remember nothing.
 func NewCacheEstimate() *CacheEstimate {
 	return &CacheEstimate{targets: make(map[ids.Target]*lru.Cache[Fingerprint, struct{}])}
 }
 
-// Note remembers that a prompt was sent to a target.
+// Record remembers that a prompt was sent to a target.
 func (h *CacheEstimate) Record(target ids.Target, chain []Fingerprint) {
 	if len(chain) == 0 {
 		return
@@ -45,7 +45,7 @@
 	}
 }
 
-// Held returns how many blocks at the beginning of a prompt the target is
+// CachedBlocks returns how many blocks at the beginning of a prompt the target is
 // likely to hold.
 func (h *CacheEstimate) CachedBlocks(target ids.Target, chain []Fingerprint) int {
 	h.mu.Lock()
@@ -62,14 +62,14 @@
 	return len(chain)
 }
 
-// Place is a target as a home of prompts.
+// WeightedTarget is a target as a home of prompts.
 type WeightedTarget struct {
 	Target ids.Target
 	// Weight is above 0: a target has its share of all weights of the prompts.
 	Weight float64
 }
 
-// Home picks one of the places for a beginning that none is known to hold.
+// Owner picks one of the places for a beginning that none is known to hold.
 // Entries with the same places pick the same, without asking one another
 // (weighted rendezvous hashing).
 func Owner(first Fingerprint, places []WeightedTarget) int {
--- a/pkg/roster/lives_test.go
+++ b/pkg/roster/lives_test.go
@@ -99,7 +99,7 @@
 				c := commontest.New(network.NewMemory(nil))
 				var got *routing.Directory
 				r := roster.New(c, parseRow, func(d *routing.Directory) { got = d })
-				now := func() follow.Freshness { return follow.Freshness{AskedAt: c.Clock.Now(), CurrentAt: c.Clock.Now()} }
+				now := func() follow.Freshness { return follow.Freshness{RequestedAt: c.Clock.Now(), CurrentAt: c.Clock.Now()} }
 				r.Snapshot([]follow.Row{row{Start: 50}.at(7)}, now())
 				r.ReadFailed(errors.New("store unreachable"))
 				time.Sleep(time.Second)
--- a/pkg/roster/roster.go
+++ b/pkg/roster/roster.go
@@ -122,7 +122,7 @@
 // recordContact records that the store has answered. After an outage, the store was back by the time of the query.
 func (r *List) recordContact(proof follow.Freshness) clock.Millis {
 	if r.storeUnreachable {
-		r.graceUntil = proof.AskedAt + restoreGrace
+		r.graceUntil = proof.RequestedAt + restoreGrace
 	}
 	r.storeUnreachable = false
 	return r.Clock.Now()
--- a/pkg/roster/roster_test.go
+++ b/pkg/roster/roster_test.go
@@ -46,7 +46,7 @@
 }
 
 func (b *bed) now() follow.Freshness {
-	return follow.Freshness{AskedAt: b.Clock.Now(), CurrentAt: b.Clock.Now()}
+	return follow.Freshness{RequestedAt: b.Clock.Now(), CurrentAt: b.Clock.Now()}
 }
 
 func (b *bed) lists(id ids.Target) bool {
@@ -119,7 +119,7 @@
 			b.ReadFailed(away)
 			asked := b.Clock.Now()
 			time.Sleep(3 * time.Second)
-			b.Changed(gone(), follow.Freshness{AskedAt: asked, CurrentAt: b.Clock.Now()})
+			b.Changed(gone(), follow.Freshness{RequestedAt: asked, CurrentAt: b.Clock.Now()})
 		}, false},
 		{"a target with an invalid row is dropped", func(b *bed) {
 			b.Changed(invalid(), b.now())
--- a/pkg/story/story.go
+++ b/pkg/story/story.go
@@ -89,7 +89,7 @@
 // it.
 const around = 5 * time.Second
 
-// Of returns the lines of a request and those that may explain it, in order:
+// ForRequest returns the lines of a request and those that may explain it, in order:
 // what its process came to believe around that time, and what any process wrote
 // of the targets that it was sent to.
 func ForRequest(request string, lines []Line) []Line {
--- a/pkg/telemetry/figures.go
+++ b/pkg/telemetry/figures.go
@@ -9,13 +9,13 @@
 	"quaydock/pkg/clock"
 )
 
-// Figures are the counters and histograms of one process as text, in the form
+// PrometheusMetrics are the counters and histograms of one process as text, in the form
 // that Prometheus reads. Their labels are bounded by the configuration.
 type PrometheusMetrics struct {
 	set *metrics.Set
 }
 
-// NewFigures returns figures without any.
+// NewPrometheusMetrics returns figures without any.
 func NewPrometheusMetrics() *PrometheusMetrics {
 	return &PrometheusMetrics{set: metrics.NewSet()}
 }
