--- a/pkg/dispatch/home_report.go
+++ b/pkg/dispatch/home_report.go
@@ -24,7 +24,7 @@
 		"limited": s.Limited, "limited_per_second": roundToTenth(s.LimitedPerSecond),
 		"first_ms": roundToTenth(s.FirstBase), "first_per_1000_tokens_ms": roundToTenth(s.FirstPerThousand),
 		"pause_ms": roundToTenth(s.PauseBase), "pause_per_run_ms": roundToTenth(s.PausePerRun), "hold_ms": roundToTenth(s.PrefillStall), "factors": roundFactors(s.Factors),
-	}).Info("planner state")
+	}).Info("planning")
 }
 
 // roundToTenth rounds for logs.
