--- a/pkg/ids/ids.go
+++ b/pkg/ids/ids.go
@@ -1,5 +1,4 @@
-// Package ids has the named types for the identities that pass between
-// processes.
+// Package ids defines the types of the identifiers that processes exchange.
 package ids
 
 import (
@@ -13,19 +12,19 @@
 	"github.com/juju/errors"
 )
 
-// Names given by operators.
+// Names chosen by operators.
 type (
 	// Account names a client account.
 	Account string
-	// Service names what callers ask for: a model or a plain service.
+	// Service names what callers request: a model or a plain service.
 	Service string
 	// Target names one engine or plain service process.
 	Target string
 	// Tier names a tier of requests.
 	Tier string
-	// FailureDomain names a part of a deployment that fails as one.
+	// FailureDomain names a part of a deployment whose VMs may fail together.
 	FailureDomain string
-	// Process names one process of the system, as its settings give it.
+	// Process names one process of the system, as set in its settings.
 	Process string
 	// Version names a version of the software that a target runs.
 	Version string
@@ -33,13 +32,13 @@
 	Route string
 )
 
-// TierRank orders tiers: 0 is the highest.
+// TierRank is the position of a tier in the order of tiers; 0 is the highest.
 type TierRank int
 
-// BelowAllTiers is a rank that stands below every tier.
+// BelowAllTiers is a rank below that of every tier.
 const BelowAllTiers = TierRank(math.MaxInt32)
 
-// Higher reports whether r goes before other.
+// Higher reports whether r has priority over other.
 func (r TierRank) Higher(other TierRank) bool {
 	return r < other
 }
@@ -52,23 +51,23 @@
 
 const requestBytes = 16
 
-// NewRequest draws a random request id.
+// NewRequest returns a random request id.
 func NewRequest() Request {
 	var b [requestBytes]byte
-	// crypto/rand.Read never fails: the runtime stops the process instead.
+	// crypto/rand.Read never returns an error; the runtime aborts the process instead.
 	_, _ = rand.Read(b[:])
 	return Request(hex.EncodeToString(b[:]))
 }
 
-// Incarnation tells one run of a process from another run of the same process.
-// A later start has a higher number, as long as the VM clocks of one target
-// are within a second of one another.
+// Incarnation identifies one run of an agent's process. A later run has a higher
+// number, provided that the clocks of the VMs that one target runs on differ by
+// less than a second.
 type Incarnation uint64
 
 const incarnationRandomBits = 16
 
-// NewIncarnation makes the number from the start time in milliseconds and 16
-// random bits, which part two starts in the same millisecond.
+// NewIncarnation composes the number of the start time in milliseconds and 16
+// random bits, which distinguish two starts in the same millisecond.
 func NewIncarnation(startMillis int64) Incarnation {
 	var b [2]byte
 	_, _ = rand.Read(b[:])
@@ -76,33 +75,33 @@
 	return Incarnation(uint64(startMillis)<<incarnationRandomBits | low)
 }
 
-// Grant identifies one permission to dispatch, given by one incarnation of one
-// agent. The zero value is no grant.
+// Grant identifies one permission to dispatch, issued by one incarnation of one
+// agent. The zero value means no grant.
 type Grant struct {
 	Agent    Incarnation
 	Sequence uint64
 }
 
-// String gives the form used in headers: incarnation and sequence in
-// hexadecimal, parted by a dash.
+// String returns the form used in headers: incarnation and sequence number in
+// hexadecimal, separated by a dash.
 func (g Grant) String() string {
 	return strconv.FormatUint(uint64(g.Agent), 16) + "-" + strconv.FormatUint(g.Sequence, 16)
 }
 
-// ParseGrant reads the form that String gives. The error is of kind
+// ParseGrant parses the form that String returns. Its error is of kind
 // errors.NotValid.
 func ParseGrant(text string) (Grant, error) {
 	agent, sequence, found := strings.Cut(text, "-")
 	if !found {
-		return Grant{}, fmt.Errorf("grant %q without a dash: %w", text, errors.NotValid)
+		return Grant{}, fmt.Errorf("parsing grant %q: no dash: %w", text, errors.NotValid)
 	}
 	a, err := strconv.ParseUint(agent, 16, 64)
 	if err != nil {
-		return Grant{}, fmt.Errorf("grant %q, incarnation: %w", text, errors.NotValid)
+		return Grant{}, fmt.Errorf("parsing grant %q: incarnation is not a 64-bit hexadecimal number: %w", text, errors.NotValid)
 	}
 	s, err := strconv.ParseUint(sequence, 16, 64)
 	if err != nil {
-		return Grant{}, fmt.Errorf("grant %q, sequence: %w", text, errors.NotValid)
+		return Grant{}, fmt.Errorf("parsing grant %q: sequence is not a 64-bit hexadecimal number: %w", text, errors.NotValid)
 	}
 	return Grant{Agent: Incarnation(a), Sequence: s}, nil
 }
--- a/pkg/ids/ids_test.go
+++ b/pkg/ids/ids_test.go
@@ -22,7 +22,7 @@
 		want  ids.Grant
 		valid bool
 	}{
-		{name: "whole", text: "ab-10", want: ids.Grant{Agent: 0xab, Sequence: 16}, valid: true},
+		{name: "valid", text: "ab-10", want: ids.Grant{Agent: 0xab, Sequence: 16}, valid: true},
 		{name: "no dash", text: "ab10"},
 		{name: "bad incarnation", text: "xy-10"},
 		{name: "bad sequence", text: "ab-"},
--- a/pkg/ids/life.go
+++ b/pkg/ids/life.go
@@ -2,30 +2,31 @@
 
 import "fmt"
 
-// Start tells one start of a target from another: the Unix millisecond of it, by the clock of
-// the target's VM. Clocks step, so that it says nothing of order. UnknownStart stands for a
-// target that does not tell it.
+// Start identifies one start of a target by its time in Unix milliseconds, read from the clock of
+// the target's VM. That clock may be stepped, so starts cannot be ordered by it. UnknownStart stands
+// for a target that does not report its start.
 type Start int64
 
-// UnknownStart is the start of a target that does not tell it.
+// UnknownStart is the start of a target that does not report one.
 const UnknownStart Start = 0
 
-// Life is one incarnation of a target: the process that runs under its id from one start to its
-// end. A target that starts again under its id knows nothing of its former life, and whatever
-// is known of that one says nothing of the new.
+// Life is one incarnation of a target: one run of the process under its id, from start to end. A
+// target that is restarted under its id has lost the state of its former incarnation, and what is
+// known of the former incarnation does not apply to the new one.
 type Life struct {
 	_      struct{} `cbor:",toarray"`
 	Target Target
 	Start  Start
 }
 
-// Same reports whether both may be the same life: those of one target are unless both starts are
-// known and differ. Processes that have read different rows of a target agree by it.
+// Same reports whether both may be the same incarnation: two of one target are, unless both starts
+// are known and differ. Processes that have read different rows of a target, with and without its
+// start, thereby still agree.
 func (l Life) Same(other Life) bool {
 	return l.Target == other.Target && (l.Start == other.Start || l.Start == UnknownStart || other.Start == UnknownStart)
 }
 
-// String gives the target, and its start if that is known.
+// String returns the target, with its start if that is known.
 func (l Life) String() string {
 	if l.Start == UnknownStart {
 		return string(l.Target)
