--- a/pkg/clock/boot_time.go
+++ b/pkg/clock/boot_time.go
@@ -8,60 +8,61 @@
 )
 
 const (
-	// jump is from which change of the time of day against the steady clock on it is looked at
-	// whether the VM was suspended. The time of day is slewed by less than a ms in a second.
-	jump = 20 * time.Millisecond
-	// lookEvery is how often that is looked at anyway, as the time of day may be set back by as much
-	// as the VM was suspended. A look takes two system calls, which each reading of the clock would else pay.
-	lookEvery = time.Second
-	// leastSuspended is below what a difference of two readings of clocks, one after the other, is no
-	// suspension.
-	leastSuspended = 5 * time.Millisecond
+	// stepThreshold is by how much the time of day must have moved against the monotonic clock for the boot-time
+	// clock to be read at once. Slewing moves the time of day by less than a millisecond in a second.
+	stepThreshold = 20 * time.Millisecond
+	// checkInterval is how often the boot-time clock is read in any case, since the time of day may have been
+	// set back by as much as the VM was suspended. It takes two system calls, which is too much to do for
+	// each reading of the clock.
+	checkInterval = time.Second
+	// minSuspension is the shortest suspension that is counted. The two clocks are read one after the
+	// other, and a smaller difference may come from the time between the two readings.
+	minSuspension = 5 * time.Millisecond
 )
 
-// bootTime tells suspensions by a clock that counts them.
+// bootTime measures suspensions with a clock that runs on during them.
 type bootTime struct {
-	// read returns by how much that clock is ahead of the steady one.
-	read    func() (time.Duration, error)
-	began   time.Duration
-	total   atomic.Int64 // since the clock was made, in ns
-	lastGap atomic.Int64 // of the time of day against the steady clock at the last look, in ns
-	lastAt  atomic.Int64 // when that was by the steady clock, in ns
+	// read returns by how much that clock is ahead of the monotonic one.
+	read      func() (time.Duration, error)
+	initial   time.Duration // result of read when the clock was created
+	total     atomic.Int64  // time suspended since the clock was created, in ns
+	lastGap   atomic.Int64  // time of day less monotonic clock at the last check, in ns
+	lastCheck atomic.Int64  // time of the last check by the monotonic clock, in ns
 }
 
 func newBootTime(read func() (time.Duration, error)) *bootTime {
 	b := &bootTime{read: read}
 	if ahead, err := read(); err == nil {
-		b.began = ahead
+		b.initial = ahead
 	}
 	return b
 }
 
 func (b *bootTime) since(ofDay, steady time.Duration) time.Duration {
 	gap := ofDay - steady
-	if (gap-time.Duration(b.lastGap.Load())).Abs() > jump || steady-time.Duration(b.lastAt.Load()) > lookEvery {
+	if (gap-time.Duration(b.lastGap.Load())).Abs() > stepThreshold || steady-time.Duration(b.lastCheck.Load()) > checkInterval {
 		b.lastGap.Store(int64(gap))
-		b.lastAt.Store(int64(steady))
-		b.look()
+		b.lastCheck.Store(int64(steady))
+		b.check()
 	}
 	return time.Duration(b.total.Load())
 }
 
-// look reads the clocks. A system without the one that counts suspensions tells of none.
-func (b *bootTime) look() {
+// check reads the clocks. On a system without a boot-time clock no suspension is counted.
+func (b *bootTime) check() {
 	ahead, err := b.read()
 	if err != nil {
 		return
 	}
-	for now := int64(ahead - b.began); ; {
+	for now := int64(ahead - b.initial); ; {
 		known := b.total.Load()
-		if now-known < int64(leastSuspended) || b.total.CompareAndSwap(known, now) {
+		if now-known < int64(minSuspension) || b.total.CompareAndSwap(known, now) {
 			return
 		}
 	}
 }
 
-// readBootTime returns how long the VM was suspended since it was started.
+// readBootTime returns for how long the VM has been suspended since it was booted.
 func readBootTime() (time.Duration, error) {
 	var boot, steady unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot); err != nil {
@@ -73,16 +74,16 @@
 	return time.Duration(boot.Nano() - steady.Nano()), nil
 }
 
-// Suspension is a clock's account of suspensions in a test.
+// Suspension simulates the suspensions of a VM in tests.
 type Suspension struct{ total atomic.Int64 }
 
-// NewSuspendable returns a clock and what has it jump ahead while the steady clock stands, for tests.
+// NewSuspendable returns a clock for tests, and the Suspension that moves it ahead of the monotonic clock.
 func NewSuspendable() (Clock, *Suspension) {
 	s := &Suspension{}
 	return Clock{start: time.Now(), suspended: s}, s
 }
 
-// Add has the VM have been suspended for so long.
+// Add simulates a suspension of the given length.
 func (s *Suspension) Add(length Millis) { s.total.Add(int64(length.Duration())) }
 
 func (s *Suspension) since(time.Duration, time.Duration) time.Duration {
--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -1,4 +1,5 @@
-// Package clock has the one type for lengths of time and moments: milliseconds.
+// Package clock defines the type for durations and points in time, in milliseconds, and the clock that
+// a process reads.
 package clock
 
 import (
@@ -6,46 +7,46 @@
 	"time"
 )
 
-// Millis is a length of time or a moment, in milliseconds. Moments count from
-// the Unix epoch of the machine that made them; only their difference within
-// one process means anything.
+// Millis is a duration or a point in time, in milliseconds. Points in time count
+// from the Unix epoch by the clock of the VM that read them; only differences
+// within one process are meaningful.
 type Millis int64
 
-// Lengths of time.
+// Durations.
 const (
 	Millisecond Millis = 1
 	Second             = 1000 * Millisecond
 	Minute             = 60 * Second
 )
 
-// Duration returns m in the standard library's type.
+// Duration converts m to the standard library's type.
 func (m Millis) Duration() time.Duration {
 	return time.Duration(m) * time.Millisecond
 }
 
-// Clock tells the time. It is read once from the time of day and runs on the
-// steady clock from then on, since the time of day of a VM may jump. For as long as the VM is
-// suspended the steady clock stands; that time is added, so that what was known before is as old as
-// it is. Timers, contexts and deadlines of connections run on the steady clock and end late by it:
-// what they decide is decided by this clock. Under testing/synctest it runs in virtual time.
+// Clock tells the time. It reads the time of day once and follows the monotonic
+// clock from then on, since the time of day of a VM may jump. The monotonic clock stops while the VM
+// is suspended; that time is added, so that the age of earlier state is correct. Timers, contexts and
+// connection deadlines follow the monotonic clock and so end late after a suspension: what depends
+// on them must be decided by this clock. Under testing/synctest it runs in virtual time.
 type Clock struct {
 	start     time.Time
-	suspended suspendedTime
+	suspended suspensionMeter
 }
 
-// suspendedTime tells for how long the VM has been suspended since the clock was made.
-type suspendedTime interface {
-	// since returns that, given the time since the clock was made by the time of day and by the
-	// steady clock.
+// suspensionMeter measures for how long the VM has been suspended since the clock was created.
+type suspensionMeter interface {
+	// since returns that time, given the time since the clock was created by the time of day and by
+	// the monotonic clock.
 	since(ofDay, steady time.Duration) time.Duration
 }
 
-// New returns the clock of this machine.
+// New returns a clock that starts at the VM's present time of day.
 func New() Clock {
 	return Clock{start: time.Now(), suspended: newBootTime(readBootTime)}
 }
 
-// Now returns the present moment.
+// Now returns the present time.
 func (c Clock) Now() Millis {
 	now := time.Now()
 	steady := now.Sub(c.start)
@@ -53,18 +54,18 @@
 	return Millis(c.start.UnixMilli()) + Millis((steady + c.suspended.since(ofDay, steady)).Milliseconds())
 }
 
-// untilEvery is between two looks at the clock while a moment is waited for.
-const untilEvery = 100 * Millisecond
+// pollInterval is the time between two readings of the clock in PauseUntil.
+const pollInterval = 100 * Millisecond
 
-// PauseUntil waits for a moment, or returns early when ctx ends. Where the VM is suspended meanwhile it
-// returns soon after that, other than a timer.
+// PauseUntil waits for a point in time, or returns early when ctx ends. Unlike a timer it is not
+// delayed by the length of a suspension of the VM in between.
 func (c Clock) PauseUntil(ctx context.Context, moment Millis) {
 	for left := moment - c.Now(); left > 0 && ctx.Err() == nil; left = moment - c.Now() {
-		Pause(ctx, min(left, untilEvery))
+		Pause(ctx, min(left, pollInterval))
 	}
 }
 
-// Pause waits for a length of time, or returns early when ctx ends.
+// Pause waits for a duration, or returns early when ctx ends.
 func Pause(ctx context.Context, wait Millis) {
 	if wait <= 0 {
 		return
--- a/pkg/clock/stalls.go
+++ b/pkg/clock/stalls.go
@@ -5,49 +5,49 @@
 	"sync"
 )
 
-// Stalls remembers when this process stood still, as its VM got no processor: what ended meanwhile
-// looks as if it had taken longer. It is known by a timer that fires late.
+// Stalls records when this process was stalled, that is, got no processor: what ended in that time
+// seems to have taken longer than it did. A stall is detected by a timer that fires late.
 type Stalls struct {
 	mu   sync.Mutex
-	due  Millis // when the timer is to fire, 0 before its first time
+	due  Millis // when the timer is to fire, 0 if none is set
 	past []span // oldest first
 }
 
-// span is from when to when the process stood still.
+// span is a time during which the process was stalled.
 type span struct{ from, to Millis }
 
 const (
-	// leastStall is below what lateness a timer is only as late as timers are.
-	leastStall = 5 * Millisecond
-	// mostStalls is how many are remembered.
-	mostStalls = 256
+	// minStall is the shortest delay of the timer that counts as a stall; shorter ones are usual.
+	minStall = 5 * Millisecond
+	// maxStalls is how many stalls are recorded.
+	maxStalls = 256
 )
 
-// Expect says when the timer is to fire.
+// Expect records when the timer is to fire.
 func (s *Stalls) Expect(due Millis) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.due = due
 }
 
-// Fired says that the timer has fired.
+// Fired records that the timer has fired.
 func (s *Stalls) Fired(now Millis) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if now-s.due >= leastStall {
+	if now-s.due >= minStall {
 		s.past = append(s.past, span{s.due, now})
-		s.past = slices.Delete(s.past, 0, max(0, len(s.past)-mostStalls))
+		s.past = slices.Delete(s.past, 0, max(0, len(s.past)-maxStalls))
 	}
 	s.due = 0
 }
 
-// Within is for how long the process stood still between two moments, the second of which is now: the
-// timer may not have fired yet after the last time.
+// Within returns for how long the process was stalled between from and now. A stall that lasts until
+// now counts too, although its timer has not fired yet.
 func (s *Stalls) Within(from, now Millis) Millis {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var sum Millis
-	if s.due > 0 && now-s.due >= leastStall {
+	if s.due > 0 && now-s.due >= minStall {
 		sum = span{s.due, now}.since(from)
 	}
 	for i := len(s.past) - 1; i >= 0 && s.past[i].to > from; i-- {
@@ -56,5 +56,5 @@
 	return sum
 }
 
-// since is how much of a span is after a moment.
+// since returns the length of the part of a span after from.
 func (s span) since(from Millis) Millis { return max(0, s.to-max(s.from, from)) }
--- a/pkg/clock/stalls_test.go
+++ b/pkg/clock/stalls_test.go
@@ -6,14 +6,15 @@
 	"quaydock/pkg/clock"
 )
 
-// TestStalls: an answer that came while a process stood still looked as slow as the process was late.
-func TestStalls(t *testing.T) {
+// TestStallsWithinInterval guards against times of answers that include a stall of the process which received them:
+// such an answer looked as slow as the process was late.
+func TestStallsWithinInterval(t *testing.T) {
 	var s clock.Stalls
 	if got := s.Within(0, 1000); got != 0 {
-		t.Errorf("%d before the first timer", got)
+		t.Errorf("stalled for %d ms before the first timer", got)
 	}
 	s.Expect(100)
-	s.Fired(102) // as late as timers are
+	s.Fired(102) // the usual delay of a timer
 	s.Expect(200)
 	s.Fired(260)
 	s.Expect(300)
@@ -23,18 +24,18 @@
 		name            string
 		from, now, want clock.Millis
 	}{
-		{"over all", 0, 400, 70},
-		{"after the first", 260, 400, 10},
-		{"in the midst of the first", 240, 400, 30},
-		{"after both", 310, 400, 0},
-		{"the timer is late now", 310, 450, 50},
-		{"the timer is late now, and it began meanwhile", 430, 450, 20},
-		{"the timer is hardly late", 310, 404, 0},
+		{"both stalls", 0, 400, 70},
+		{"after the first stall", 260, 400, 10},
+		{"from the middle of the first stall", 240, 400, 30},
+		{"after both stalls", 310, 400, 0},
+		{"timer overdue", 310, 450, 50},
+		{"timer overdue, interval begins after it was due", 430, 450, 20},
+		{"timer overdue by a usual delay", 310, 404, 0},
 	}
 	for _, c := range scenarios {
 		t.Run(c.name, func(t *testing.T) {
 			if got := s.Within(c.from, c.now); got != c.want {
-				t.Errorf("%d, want %d", got, c.want)
+				t.Errorf("stalled for %d ms, want %d", got, c.want)
 			}
 		})
 	}
