--- a/pkg/declaration/book.go
+++ b/pkg/declaration/book.go
@@ -10,11 +10,11 @@
 
 const keySumBytes = sha256.Size
 
-// Revision numbers configurations. A process only ever moves to a higher one.
+// Revision numbers configurations. A process never goes back to a lower one.
 type Revision int64
 
-// Book is a set that has passed its checks, indexed for look-ups. It is not
-// changed after it is made, so that any goroutine may read it.
+// Book is a checked set of declarations, indexed for look-ups. It is immutable
+// and thus safe for concurrent use.
 type Book struct {
 	Revision Revision
 	set      Set
@@ -26,7 +26,7 @@
 	placed   map[ids.Target][]Placement
 }
 
-// NewBook checks set and indexes it.
+// NewBook checks and indexes set. Its error names every fault in the set.
 func NewBook(revision Revision, set Set) (*Book, error) {
 	if err := set.Check(); err != nil {
 		return nil, err
@@ -73,12 +73,12 @@
 	}
 }
 
-// Set returns what was declared. It must not be changed.
+// Set returns the declarations. The caller must not change them.
 func (b *Book) Set() Set {
 	return b.set
 }
 
-// Account returns the account that key belongs to, or nil.
+// Account returns the account that the API key belongs to, or nil.
 func (b *Book) Account(key string) *Account {
 	return b.accounts[sha256.Sum256([]byte(key))]
 }
@@ -88,7 +88,7 @@
 	return b.services[name]
 }
 
-// Services lists the services in declared order.
+// Services returns the services in declared order. The caller must not change them.
 func (b *Book) Services() []Service {
 	return b.set.Services
 }
@@ -98,17 +98,17 @@
 	return b.targets[name]
 }
 
-// Targets lists the targets in declared order.
+// Targets returns the targets in declared order. The caller must not change them.
 func (b *Book) Targets() []Target {
 	return b.set.Targets
 }
 
-// Serving lists the targets that service is placed on.
+// Serving returns the targets that service is placed on.
 func (b *Book) Serving(service ids.Service) []*Target {
 	return b.serving[service]
 }
 
-// Placements lists what target is to serve.
+// Placements returns what is placed on target.
 func (b *Book) Placements(target ids.Target) []Placement {
 	return b.placed[target]
 }
@@ -119,7 +119,7 @@
 	return rank, known
 }
 
-// Deadline returns the usual time for an answer in a tier.
+// Deadline returns the default time for an answer in a tier.
 func (b *Book) Deadline(rank ids.TierRank) clock.Millis {
 	return b.set.Tiers[rank].DeadlineMS
 }
--- a/pkg/declaration/change.go
+++ b/pkg/declaration/change.go
@@ -8,24 +8,24 @@
 	"quaydock/pkg/ids"
 )
 
-// Change is the step from one revision to the next. It names only what differs,
-// so that its size does not grow with the fleet.
+// Change is the difference between one revision and the next. It holds only what
+// differs, so that its size does not grow with the number of declarations.
 type Change struct {
 	Revision Revision `json:"revision"`
-	// ID is drawn by who made the change, so that after a lost answer the maker
-	// can tell its own change from another's.
+	// ID is chosen at random by the writer of the change. After a lost answer the
+	// writer recognizes its own change by it.
 	ID  string       `json:"id"`
 	Who string       `json:"who"`
 	Why string       `json:"why"`
 	At  clock.Millis `json:"at"`
-	// Set has what is new or different. Tiers are an order: they are there all
-	// or not at all.
+	// Set holds what is new or different. As the order of tiers matters, it holds
+	// all tiers or none.
 	Set Set `json:"set"`
-	// Removed names what is gone.
+	// Removed names the declarations that no longer exist.
 	Removed Removed `json:"removed"`
 }
 
-// Removed names declarations that are gone.
+// Removed names declarations that no longer exist.
 type Removed struct {
 	Accounts   []ids.Account  `json:"accounts,omitempty"`
 	Services   []ids.Service  `json:"services,omitempty"`
@@ -33,7 +33,7 @@
 	Placements []PlacementKey `json:"placements,omitempty"`
 }
 
-// PlacementKey names a placement.
+// PlacementKey identifies a placement.
 type PlacementKey struct {
 	Service ids.Service `json:"service"`
 	Target  ids.Target  `json:"target"`
@@ -44,7 +44,8 @@
 func targetKey(t Target) ids.Target         { return t.Name }
 func placementKey(p Placement) PlacementKey { return PlacementKey{p.Service, p.Target} }
 
-// Diff returns the change that turns one set into another.
+// Diff returns the change that turns from into to. The order of lists other than
+// the tiers is not compared.
 func Diff(from, to Set) Change {
 	var c Change
 	if !reflect.DeepEqual(from.Tiers, to.Tiers) {
@@ -62,9 +63,10 @@
 	return reflect.DeepEqual(c.Set, Set{}) && reflect.DeepEqual(c.Removed, Removed{})
 }
 
-// Apply returns the set that the change makes of another.
+// Apply returns the set that results from applying the change to a set, which
+// stays as it is.
 func (c *Change) Apply(to Set) Set {
-	made := Set{
+	result := Set{
 		Tiers:      to.Tiers,
 		Accounts:   applyList(to.Accounts, c.Set.Accounts, c.Removed.Accounts, accountKey),
 		Services:   applyList(to.Services, c.Set.Services, c.Removed.Services, serviceKey),
@@ -72,12 +74,13 @@
 		Placements: applyList(to.Placements, c.Set.Placements, c.Removed.Placements, placementKey),
 	}
 	if len(c.Set.Tiers) > 0 {
-		made.Tiers = c.Set.Tiers
+		result.Tiers = c.Set.Tiers
 	}
-	return made
+	return result
 }
 
-// diffList returns what is new or different in to, and the keys that it lacks.
+// diffList returns the items of to that are new or different, and the keys of
+// from that to lacks.
 func diffList[T any, K comparable](from, to []T, key func(T) K) (changed []T, removed []K) {
 	before := make(map[K]T, len(from))
 	for _, item := range from {
@@ -98,27 +101,27 @@
 	return changed, removed
 }
 
-// applyList puts changed items in their places, new ones at the end, and drops
-// the removed.
+// applyList replaces changed items in their positions, appends new ones and drops
+// removed ones.
 func applyList[T any, K comparable](list, changed []T, removed []K, key func(T) K) []T {
 	if len(changed) == 0 && len(removed) == 0 {
 		return list
 	}
-	places := make(map[K]int, len(list))
-	made := slices.Clone(list)
-	for i, item := range made {
-		places[key(item)] = i
+	positions := make(map[K]int, len(list))
+	result := slices.Clone(list)
+	for i, item := range result {
+		positions[key(item)] = i
 	}
 	for _, item := range changed {
-		if i, known := places[key(item)]; known {
-			made[i] = item
+		if i, known := positions[key(item)]; known {
+			result[i] = item
 			continue
 		}
-		made = append(made, item)
+		result = append(result, item)
 	}
 	gone := make(map[K]bool, len(removed))
 	for _, k := range removed {
 		gone[k] = true
 	}
-	return slices.DeleteFunc(made, func(item T) bool { return gone[key(item)] })
+	return slices.DeleteFunc(result, func(item T) bool { return gone[key(item)] })
 }
--- a/pkg/declaration/change_test.go
+++ b/pkg/declaration/change_test.go
@@ -13,7 +13,7 @@
 	"quaydock/pkg/ids"
 )
 
-// TestMain fixes the seed, so that every run gives the same verdict.
+// TestMain fixes the seed, so that every run checks the same sets.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -21,17 +21,17 @@
 	os.Exit(m.Run())
 }
 
-// A change turns the one set into the other, up to the order of its lists.
+// TestDiffAndApply checks that a change turns one set into the other, up to the order of lists.
 func TestDiffAndApply(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		from, to := drawSet(r), drawSet(r)
 		change := declaration.Diff(from, to)
-		made := change.Apply(from)
-		if rest := declaration.Diff(made, to); !rest.Empty() {
-			t.Fatalf("after the change %+v still differs: %+v", change, rest)
+		result := change.Apply(from)
+		if remaining := declaration.Diff(result, to); !remaining.Empty() {
+			t.Fatalf("after the change %+v the sets still differ: %+v", change, remaining)
 		}
 		if change.Empty() != reflect.DeepEqual(declaration.Diff(to, from), declaration.Change{}) {
-			t.Fatalf("change %+v is empty one way only", change)
+			t.Fatalf("change %+v is empty in one direction only", change)
 		}
 	})
 }
--- a/pkg/declaration/check.go
+++ b/pkg/declaration/check.go
@@ -13,18 +13,18 @@
 	"github.com/juju/errors"
 )
 
-// FaultError names every fault found in a document, each with its path.
+// FaultError holds all faults found in a document, each with its path.
 type FaultError struct {
 	Document string
 	Faults   []string
 }
 
-// Error lists the faults, one a line.
+// Error lists the faults, one per line.
 func (e *FaultError) Error() string {
 	return fmt.Sprintf("%s: %d faults:\n  %s", e.Document, len(e.Faults), strings.Join(e.Faults, "\n  "))
 }
 
-// Is makes a FaultError an error of kind errors.NotValid.
+// Is reports a FaultError as an error of kind errors.NotValid.
 func (e *FaultError) Is(target error) bool {
 	return target == errors.NotValid
 }
@@ -34,32 +34,32 @@
 	found []string
 }
 
-// Add notes a fault at path.
+// Add records a fault at path.
 func (f *Faults) Add(path, format string, args ...any) {
 	f.found = append(f.found, path+": "+fmt.Sprintf(format, args...))
 }
 
-// Unless notes a fault at path if holds is false.
+// Unless records a fault at path if holds is false.
 func (f *Faults) Unless(holds bool, path, format string, args ...any) {
 	if !holds {
 		f.Add(path, format, args...)
 	}
 }
 
-// Address notes a fault unless text is an IP number and a port.
+// Address records a fault unless text is an IP address and a port.
 func (f *Faults) Address(path, text string) {
 	host, port, err := net.SplitHostPort(text)
 	f.Unless(err == nil && net.ParseIP(host) != nil && port != "", path, "%q is not an IP number and port", text)
 }
 
-// URL notes a fault unless text is an http or https URL with a host.
+// URL records a fault unless text is an http or https URL with a host.
 func (f *Faults) URL(path, text string) {
 	u, err := url.Parse(text)
 	good := err == nil && u.Host != "" && (u.Scheme == "http" || u.Scheme == "https")
 	f.Unless(good, path, "%q is not an http URL", text)
 }
 
-// Err returns nil, or one error that names every fault in document.
+// Err returns one error that names every fault in document, or nil without any.
 func (f *Faults) Err(document string) error {
 	if len(f.found) == 0 {
 		return nil
@@ -78,14 +78,14 @@
 	return faults.Err("declarations")
 }
 
-// checkUnique notes a fault for an empty or repeated name.
+// checkUnique records a fault for an empty or repeated name.
 func checkUnique[N ~string](faults *Faults, seen map[N]bool, path string, name N) {
 	faults.Unless(name != "", path, "a name is required")
 	faults.Unless(!seen[name], path, "%q is declared twice", name)
 	seen[name] = true
 }
 
-// namesOf indexes a list by name.
+// namesOf returns the set of names in a list.
 func namesOf[T any, N ~string](list []T, name func(T) N) map[N]bool {
 	names := make(map[N]bool, len(list))
 	for _, item := range list {
@@ -116,9 +116,9 @@
 		checkUnique(faults, seen, path+".name", string(a.Name))
 		highest, known := ranks[string(a.HighestTier)]
 		faults.Unless(known, path+".highest_tier", "unknown tier %q", a.HighestTier)
-		usual, known := ranks[string(a.DefaultTier)]
+		defaultRank, known := ranks[string(a.DefaultTier)]
 		faults.Unless(known, path+".default_tier", "unknown tier %q", a.DefaultTier)
-		faults.Unless(usual >= highest, path+".default_tier", "is above highest_tier")
+		faults.Unless(defaultRank >= highest, path+".default_tier", "is above highest_tier")
 		faults.Unless(a.Weight >= 0, path+".weight", "must not be below 0")
 		faults.Unless(a.Concurrency >= 0, path+".concurrency", "must not be below 0")
 		for j, h := range a.KeyHashes {
@@ -171,8 +171,9 @@
 	}
 }
 
-// Parse reads and checks a declarations document. Unknown fields are refused.
-// The error is of kind errors.NotValid and names every fault.
+// Parse decodes and checks a declarations document. Unknown fields are rejected.
+// The error is of kind errors.NotValid. It names the first fault of the JSON, or
+// every fault of the declarations.
 func Parse(document []byte) (Set, error) {
 	d := json.NewDecoder(bytes.NewReader(document))
 	d.DisallowUnknownFields()
@@ -186,9 +187,9 @@
 	return set, nil
 }
 
-// lineOf says on which line of a document reading it failed.
-func lineOf(document []byte, read int64, err error) string {
-	offset := read
+// lineOf returns a prefix with the line of the document on which decoding failed.
+func lineOf(document []byte, decoded int64, err error) string {
+	offset := decoded
 	var syntax *json.SyntaxError
 	var kind *json.UnmarshalTypeError
 	switch {
--- a/pkg/declaration/check_test.go
+++ b/pkg/declaration/check_test.go
@@ -18,14 +18,14 @@
 		change func(string) string
 		fault  string // empty: valid
 	}{
-		{"the example", func(s string) string { return s }, ""},
+		{"example declarations", func(s string) string { return s }, ""},
 		{"unknown tier of an account", replace(`"default_tier": "summary"`, `"default_tier": "none"`), `accounts[0].default_tier: unknown tier "none"`},
-		{"default above highest", replace(`"highest_tier": "pilot"`, `"highest_tier": "tag"`), "accounts[0].default_tier: is above highest_tier"},
-		{"key in the clear", replace(`"key_hashes": ["`, `"key_hashes": ["local-key", "`), "accounts[0].key_hashes[0]: is not a SHA-256 sum"},
-		{"target twice", replace(`"name": "engine-slow"`, `"name": "engine-fast"`), `targets[1].name: "engine-fast" is declared twice`},
-		{"placement on nothing", replace(`"target": "depths-1"`, `"target": "none"`), `placements[2].target: unknown target "none"`},
+		{"default tier above highest tier", replace(`"highest_tier": "pilot"`, `"highest_tier": "tag"`), "accounts[0].default_tier: is above highest_tier"},
+		{"key in place of its hash", replace(`"key_hashes": ["`, `"key_hashes": ["local-key", "`), "accounts[0].key_hashes[0]: is not a SHA-256 sum"},
+		{"target declared twice", replace(`"name": "engine-slow"`, `"name": "engine-fast"`), `targets[1].name: "engine-fast" is declared twice`},
+		{"placement on an unknown target", replace(`"target": "depths-1"`, `"target": "none"`), `placements[2].target: unknown target "none"`},
 		{"unknown field", replace(`"slots"`, `"slot"`), `unknown field "slot"`},
-		{"name for an IP number", replace(`"agent_control": "127.0.0.1:7411"`, `"agent_control": "host:7411"`), `targets[0].agent_control: "host:7411"`},
+		{"host name in place of an IP address", replace(`"agent_control": "127.0.0.1:7411"`, `"agent_control": "host:7411"`), `targets[0].agent_control: "host:7411"`},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -34,7 +34,7 @@
 			case s.fault == "" && err != nil:
 				t.Error(err)
 			case s.fault != "" && (err == nil || !strings.Contains(err.Error(), s.fault)):
-				t.Errorf("%q is not named in: %v", s.fault, err)
+				t.Errorf("fault %q is missing from error: %v", s.fault, err)
 			}
 		})
 	}
--- a/pkg/declaration/declaration.go
+++ b/pkg/declaration/declaration.go
@@ -1,6 +1,6 @@
-// Package declaration has what operators declare: tiers, client accounts,
+// Package declaration defines what operators declare: tiers, client accounts,
 // services, targets and placements, with the checks that a set of them must
-// pass, and the index that processes look things up in.
+// pass, and an index for look-ups.
 package declaration
 
 import (
@@ -8,9 +8,9 @@
 	"quaydock/pkg/ids"
 )
 
-// Set is one whole configuration, as operators keep it in version control.
+// Set is one complete configuration, as operators keep it in version control.
 type Set struct {
-	// Tiers are in order, the highest first.
+	// Tiers are ordered, the highest first.
 	Tiers      []Tier      `json:"tiers"`
 	Accounts   []Account   `json:"accounts"`
 	Services   []Service   `json:"services"`
@@ -18,11 +18,11 @@
 	Placements []Placement `json:"placements"`
 }
 
-// Tier is one rank of requests.
+// Tier is one priority level of requests.
 type Tier struct {
 	Name ids.Tier `json:"name"`
-	// DeadlineMS is the time in which an answer must be complete when the
-	// caller names no deadline, in milliseconds.
+	// DeadlineMS is the time within which an answer must be complete if the
+	// caller sets no deadline, in milliseconds.
 	DeadlineMS clock.Millis `json:"deadline_ms"`
 }
 
@@ -31,17 +31,18 @@
 	Name ids.Account `json:"name"`
 	// KeyHashes are the SHA-256 sums of the account's keys, in hexadecimal.
 	KeyHashes []string `json:"key_hashes"`
-	// HighestTier is the highest tier that the account may ask for.
+	// HighestTier is the highest tier that the account may request.
 	HighestTier ids.Tier `json:"highest_tier"`
 	// DefaultTier is the tier of a request that names none.
 	DefaultTier ids.Tier `json:"default_tier"`
-	// Weight is the account's share against others of the same tier; 0 means 1.
+	// Weight is the account's weight relative to others of the same tier; 0 means 1.
 	Weight float64 `json:"weight,omitempty"`
-	// Concurrency bounds the account's requests at one entry; 0 means no bound.
+	// Concurrency limits the account's concurrent requests at one entry; 0 means no
+	// limit.
 	Concurrency int `json:"concurrency,omitempty"`
 }
 
-// ServiceKind says how callers reach a service.
+// ServiceKind determines how callers reach a service.
 type ServiceKind string
 
 // The kinds of service.
@@ -50,7 +51,7 @@
 	ServicePlain ServiceKind = "plain"
 )
 
-// Service is what callers ask for by name.
+// Service is what callers request by name.
 type Service struct {
 	Name ids.Service `json:"name"`
 	Kind ServiceKind `json:"kind"`
@@ -59,29 +60,30 @@
 // Target is one engine or plain service process.
 type Target struct {
 	Name ids.Target `json:"name"`
-	// Address is the base URL of the target, as its agent reaches it.
+	// Address is the base URL at which the agent reaches the target.
 	Address string `json:"address"`
-	// AgentControl and AgentData are the agent's addresses, IP and port.
+	// AgentControl and AgentData are the agent's addresses for messages and for
+	// streams, each an IP address and a port.
 	AgentControl string `json:"agent_control"`
 	AgentData    string `json:"agent_data"`
-	// FailureDomain is the part of the deployment that the target fails with.
+	// FailureDomain is the failure domain in which the target runs.
 	FailureDomain ids.FailureDomain `json:"failure_domain"`
 	// HardwareGeneration is 1 for the oldest accelerators in use.
 	HardwareGeneration int `json:"hardware_generation"`
-	// ChecksFencing says that the target refuses an order with an old fencing
-	// number.
+	// ChecksFencing reports whether the target rejects an order with an outdated
+	// fencing number.
 	ChecksFencing bool `json:"checks_fencing"`
-	// Slots is how many requests the target runs at once.
+	// Slots is how many requests the target runs concurrently.
 	Slots int `json:"slots"`
-	// Resumes says that the target can resume a broken answer by offset.
+	// Resumes reports whether the target can resume a broken-off answer at an offset.
 	Resumes bool `json:"resumes"`
 }
 
-// Placement says what a target serves.
+// Placement assigns a service to a target.
 type Placement struct {
 	Service ids.Service `json:"service"`
 	Target  ids.Target  `json:"target"`
-	// Model, Adapter and Version say what a model engine has loaded.
+	// Model, Adapter and Version describe what a model engine has loaded.
 	Model   string `json:"model,omitempty"`
 	Adapter string `json:"adapter,omitempty"`
 	Version string `json:"version,omitempty"`
