--- a/pkg/settings/check.go
+++ b/pkg/settings/check.go
@@ -11,8 +11,8 @@
 	"quaydock/pkg/declaration"
 )
 
-// minFloorHold is the least time for which a refusal of a tier keeps lower
-// tiers out; entries rely on refusals for half of it.
+// minFloorHold is the shortest time for which a refusal of a tier also rejects
+// lower tiers. Entries rely on a refusal for half of this time.
 const minFloorHold = 2 * clock.Second
 
 var exporters = []string{"none", "file", "otlp"}
--- a/pkg/settings/defaults.go
+++ b/pkg/settings/defaults.go
@@ -7,7 +7,7 @@
 	mebibyte = 1 << 20
 )
 
-// Default returns the settings that hold where a file says nothing.
+// Default returns the settings that apply where a file sets no value.
 func Default() Settings {
 	return Settings{
 		Log:           Log{Level: "info"},
@@ -20,7 +20,7 @@
 	}
 }
 
-// DefaultEntry returns the entry settings that hold where a file says nothing.
+// DefaultEntry returns the entry settings that apply where a file sets no value.
 func DefaultEntry() Entry {
 	return Entry{
 		TicketsPerRequest: 2,
@@ -42,7 +42,7 @@
 	}
 }
 
-// DefaultAgent returns the agent settings that hold where a file says nothing.
+// DefaultAgent returns the agent settings that apply where a file sets no value.
 func DefaultAgent() Agent {
 	return Agent{
 		QueueTimeMS:    20 * clock.Second,
--- a/pkg/settings/load.go
+++ b/pkg/settings/load.go
@@ -10,7 +10,7 @@
 	"github.com/juju/errors"
 )
 
-// UnmarshalJSON fills what the document leaves out with defaults.
+// UnmarshalJSON decodes strictly; fields that the document lacks get their defaults.
 func (e *Entry) UnmarshalJSON(document []byte) error {
 	type plain Entry
 	filled := plain(DefaultEntry())
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// UnmarshalJSON fills what the document leaves out with defaults.
+// UnmarshalJSON decodes strictly; fields that the document lacks get their defaults.
 func (a *Agent) UnmarshalJSON(document []byte) error {
 	type plain Agent
 	filled := plain(DefaultAgent())
@@ -32,7 +32,7 @@
 	return nil
 }
 
-// Load reads and checks the settings file at path.
+// Load reads, decodes and checks the settings file at path.
 func Load(path string) (Settings, error) {
 	document, err := os.ReadFile(path)
 	if err != nil {
@@ -40,13 +40,14 @@
 	}
 	s, err := Parse(document)
 	if err != nil {
-		return Settings{}, fmt.Errorf("settings %s: %w", path, err)
+		return Settings{}, fmt.Errorf("loading settings from %s: %w", path, err)
 	}
 	return s, nil
 }
 
-// Parse reads and checks a settings document. Unknown fields are refused. The
-// error is of kind errors.NotValid and names every fault.
+// Parse decodes and checks a settings document. Unknown fields are rejected. The
+// error is of kind errors.NotValid. It names the first fault of the JSON, or every
+// fault of the settings.
 func Parse(document []byte) (Settings, error) {
 	s := Default()
 	if err := decodeStrict(document, &s); err != nil {
@@ -58,15 +59,15 @@
 	return s, nil
 }
 
-// decodeStrict reads one JSON value without unknown fields or trailing text.
+// decodeStrict decodes one JSON value. It rejects unknown fields and data after the value.
 func decodeStrict(document []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(document))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
-		return fmt.Errorf("reading JSON: %w", err)
+		return fmt.Errorf("decoding JSON: %w", err)
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return fmt.Errorf("reading JSON: %w", errors.NotValidf("text behind the document"))
+		return fmt.Errorf("decoding JSON: %w", errors.NotValidf("unexpected data after the document"))
 	}
 	return nil
 }
--- a/pkg/settings/load_test.go
+++ b/pkg/settings/load_test.go
@@ -11,20 +11,20 @@
 	"quaydock/pkg/settings"
 )
 
-const whole = `{"process":"p","failure_domain":"a","operators":{"listen":"127.0.0.1:1"},
+const complete = `{"process":"p","failure_domain":"a","operators":{"listen":"127.0.0.1:1"},
 "platform":{"table":"http://127.0.0.1:2"},"entry":{"listen":"127.0.0.1:3"}}`
 
 func TestParse(t *testing.T) {
 	scenarios := []struct {
 		name     string
 		document string
-		// faults must all be named in the one error; none means valid.
+		// faults must all be named in the error; none means that the document is valid.
 		faults []string
 	}{
-		{name: "whole", document: whole},
+		{name: "complete", document: complete},
 		{name: "unknown field", document: `{"nonesuch":"p"}`, faults: []string{`unknown field "nonesuch"`}},
 		{name: "unknown field of an entry", document: `{"entry":{"listn":"x"}}`, faults: []string{`unknown field "listn"`}},
-		{name: "text behind", document: whole + "{}", faults: []string{"text behind the document"}},
+		{name: "data after the document", document: complete + "{}", faults: []string{"unexpected data after the document"}},
 		{name: "empty", document: `{}`, faults: []string{
 			"process: is required", "failure_domain: is required", "operators.listen:", "platform.table:", "entry: a process needs",
 		}},
@@ -51,26 +51,26 @@
 			}
 			for _, f := range s.faults {
 				if !strings.Contains(err.Error(), f) {
-					t.Errorf("%q is not named in: %v", f, err)
+					t.Errorf("fault %q is missing from error: %v", f, err)
 				}
 			}
 		})
 	}
 }
 
-// Defaults hold inside the elements of a file too.
+// TestDefaults checks that defaults also apply to objects that the file sets only in part.
 func TestDefaults(t *testing.T) {
-	s, err := settings.Parse([]byte(whole))
+	s, err := settings.Parse([]byte(complete))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s.Entry.TicketsPerRequest != settings.DefaultEntry().TicketsPerRequest {
-		t.Errorf("tickets per request %d", s.Entry.TicketsPerRequest)
+		t.Errorf("TicketsPerRequest = %d, want the default", s.Entry.TicketsPerRequest)
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(whole))
+	f.Add([]byte(complete))
 	example, err := os.ReadFile("../../examples/local/settings.json")
 	if err != nil {
 		f.Fatal(err)
@@ -79,7 +79,7 @@
 	f.Fuzz(func(t *testing.T, document []byte) {
 		s, err := settings.Parse(document)
 		if err == nil && s.Check() != nil {
-			t.Error("accepted settings do not pass their own check")
+			t.Error("Parse accepted settings that Check rejects")
 		}
 		if err != nil && !errors.Is(err, jujuerrors.NotValid) {
 			t.Errorf("error %v is not of kind NotValid", err)
--- a/pkg/settings/schema.go
+++ b/pkg/settings/schema.go
@@ -12,7 +12,7 @@
 	reflector := jsonschema.Reflector{RequiredFromJSONSchemaTags: true}
 	document, err := json.MarshalIndent(reflector.Reflect(&Settings{}), "", "  ")
 	if err != nil {
-		return nil, fmt.Errorf("writing the schema: %w", err)
+		return nil, fmt.Errorf("encoding the settings schema: %w", err)
 	}
 	return append(document, '\n'), nil
 }
--- a/pkg/settings/schema_test.go
+++ b/pkg/settings/schema_test.go
@@ -10,14 +10,14 @@
 	"quaydock/pkg/settings"
 )
 
-var update = flag.Bool("update", false, "write the schema anew")
+var update = flag.Bool("update", false, "regenerate the schema file")
 
 const (
 	schemaFile = "../../examples/settings.schema.json"
 	pageFile   = "../../docs/operating/SETTINGS.md"
 )
 
-// The committed schema is the one of the struct.
+// TestSchemaIsCurrent checks that the committed schema is that of the Settings struct.
 func TestSchemaIsCurrent(t *testing.T) {
 	want, err := settings.Schema()
 	if err != nil {
@@ -33,11 +33,11 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Error("the schema is not current: go test ./pkg/settings -run Schema -update")
+		t.Error("the schema file is outdated; run go test ./pkg/settings -run Schema -update")
 	}
 }
 
-// Every setting of the schema stands on the page.
+// TestPageNamesEverySetting checks that each setting of the schema is documented.
 func TestPageNamesEverySetting(t *testing.T) {
 	schema, err := os.ReadFile(schemaFile)
 	if err != nil {
@@ -54,7 +54,7 @@
 			continue
 		}
 		if !strings.Contains(string(page), "`"+name+"`") {
-			t.Errorf("%s is not on the page", name)
+			t.Errorf("setting %s is missing from the settings page", name)
 		}
 	}
 }
