--- a/pkg/telemetry/figures.go
+++ b/pkg/telemetry/figures.go
@@ -9,31 +9,31 @@
 	"quaydock/pkg/clock"
 )
 
-// Figures are the counters and histograms of one process as text, in the form
-// that Prometheus reads. Their labels are bounded by the configuration.
+// Figures holds the counters, gauges and histograms of one process in the text
+// format of Prometheus. The configuration limits the number of label values.
 type Figures struct {
 	set *metrics.Set
 }
 
-// NewFigures returns figures without any.
+// NewFigures returns an empty set of metrics.
 func NewFigures() *Figures {
 	return &Figures{set: metrics.NewSet()}
 }
 
-// Request is how one request ended, for counting.
+// Request describes how one request ended.
 type Request struct {
 	Service string
 	Account string
 	Tier    int
-	// Outcome is "answered", "answered_late", or why it was not answered.
+	// Outcome is "answered", "answered_late", or the reason why there was no answer.
 	Outcome string
-	// First is the time to its first event or answer, 0 without one; Held is how
-	// long the entry had it.
+	// First is the time to the first event or answer, 0 without one. Held is how
+	// long the request was at the entry.
 	First clock.Millis
 	Held  clock.Millis
 }
 
-// Count counts a request.
+// Count adds a request to the metrics.
 func (f *Figures) Count(r Request) {
 	f.set.GetOrCreateCounter(fmt.Sprintf(
 		`quaydock_requests_total{service=%q,account=%q,tier="%d",outcome=%q}`, r.Service, r.Account, r.Tier, r.Outcome)).Inc()
@@ -45,23 +45,23 @@
 	}
 }
 
-// Add counts something by name and one label.
+// Add increments the counter of a name and one label value.
 func (f *Figures) Add(name, label, value string) {
 	f.set.GetOrCreateCounter(fmt.Sprintf("quaydock_%s_total{%s=%q}", name, label, value)).Inc()
 }
 
-// Gauge shows a value whenever the figures are read.
+// Gauge registers a function that is called for the value on each read of the metrics.
 func (f *Figures) Gauge(name string, value func() float64) {
 	f.set.NewGauge("quaydock_"+name, value)
 }
 
-// LabelledGauge shows a value by name and one label whenever the figures are read. Only the
-// first value of a name and label is shown.
+// LabelledGauge registers a function that is called for the value of a name and one label value on
+// each read of the metrics. A second function for the same name and label value is ignored.
 func (f *Figures) LabelledGauge(name, label, labelled string, value func() float64) {
 	f.set.GetOrCreateGauge(fmt.Sprintf("quaydock_%s{%s=%q}", name, label, labelled), value)
 }
 
-// ServeHTTP shows all figures as text.
+// ServeHTTP writes all metrics in the text format of Prometheus.
 func (f *Figures) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
 	f.set.WritePrometheus(w)
--- a/pkg/telemetry/logger.go
+++ b/pkg/telemetry/logger.go
@@ -1,5 +1,4 @@
-// Package telemetry makes what a process shows of itself: logs, metrics and
-// traces.
+// Package telemetry provides the logs, metrics and traces of a process.
 package telemetry
 
 import (
@@ -11,14 +10,15 @@
 	"quaydock/pkg/ids"
 )
 
-// FieldRequest is the log field with the request id.
+// FieldRequest is the log field that holds the request id.
 const FieldRequest = "request"
 
-// NewLogger returns a logger that writes JSON lines of level or above to out.
+// NewLogger returns a logger that writes entries of the given level or above to
+// out as JSON lines.
 func NewLogger(out io.Writer, level string, process ids.Process) (*logrus.Entry, error) {
 	parsed, err := logrus.ParseLevel(level)
 	if err != nil {
-		return nil, fmt.Errorf("log level: %w", err)
+		return nil, fmt.Errorf("parsing the log level: %w", err)
 	}
 	logger := logrus.New()
 	logger.SetOutput(out)
--- a/pkg/telemetry/metrics.go
+++ b/pkg/telemetry/metrics.go
@@ -6,30 +6,31 @@
 	"runtime"
 )
 
-// Metrics are the counters of one process. They are expvar variables that are
-// not published globally, so that several processes' parts can run in one test.
+// Metrics holds the counters of one process. They are expvar variables that are
+// not published globally, so that a test can run several processes in one.
 type Metrics struct {
 	root expvar.Map
 	// Requests counts requests at an entry by how they ended.
 	Requests *expvar.Map
 	// Refusals counts refusals at an entry by code.
 	Refusals *expvar.Map
-	// Tickets counts tickets by what became of them.
+	// Tickets counts tickets by outcome.
 	Tickets *expvar.Map
 	// Dispatches counts dispatches at an agent by how they ended.
 	Dispatches *expvar.Map
-	// Links counts connections and resumes, made and lost.
+	// Links counts events on the connections between processes by kind, such as
+	// lost sessions and resumes.
 	Links *expvar.Map
-	// Configuration has the revision in force and what became of polls.
+	// Configuration holds the revision in force and counts polls by outcome.
 	Configuration *expvar.Map
-	// Figures are the counters and histograms by tier, account and service, as
-	// text.
+	// Figures holds the metrics by tier, account and service, in the format of
+	// Prometheus.
 	Figures *Figures
 	// Violations counts violated invariants by name.
 	Violations *expvar.Map
 }
 
-// NewMetrics returns counters at zero.
+// NewMetrics returns metrics whose counters are zero.
 func NewMetrics() *Metrics {
 	m := &Metrics{Figures: NewFigures()}
 	m.root.Init()
@@ -51,7 +52,7 @@
 	return group
 }
 
-// memoryState is the part of the runtime's memory figures that is shown.
+// memoryState is the part of the runtime's memory statistics that is published.
 type memoryState struct {
 	HeapBytes  uint64 `json:"heap_bytes"`
 	StackBytes uint64 `json:"stack_bytes"`
@@ -64,9 +65,9 @@
 	return memoryState{HeapBytes: stats.HeapAlloc, StackBytes: stats.StackInuse, SysBytes: stats.Sys}
 }
 
-// ServeHTTP shows all counters as JSON, in expvar's form.
+// ServeHTTP writes all counters as JSON, in expvar's format.
 func (m *Metrics) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
-	// A reader that has gone needs no answer.
+	// An error means that the client has disconnected.
 	_, _ = w.Write([]byte(m.root.String()))
 }
--- a/pkg/telemetry/queued_writer.go
+++ b/pkg/telemetry/queued_writer.go
@@ -7,47 +7,48 @@
 	"sync/atomic"
 )
 
-// QueuedWriter hands lines to another writer by one goroutine. Whoever writes
-// never waits: when the queue is full, the line is left out and counted.
+// QueuedWriter passes lines to another writer in one goroutine. Write never
+// blocks: when the queue is full, the line is dropped and counted.
 type QueuedWriter struct {
-	lines   chan []byte
-	left    atomic.Int64
-	written sync.WaitGroup
+	lines    chan []byte
+	dropped  atomic.Int64
+	finished sync.WaitGroup
 }
 
-// queuedLines is how many lines may wait: about two seconds of a flood that the
-// sampler lets through.
-const queuedLines = 1024
+// queueCapacity is how many lines may wait, which is about what the sampler lets
+// through in two seconds of a flood of log lines.
+const queueCapacity = 1024
 
-// NewQueuedWriter returns a writer to out. Close it to have the rest written.
+// NewQueuedWriter returns a writer to out. Close writes the lines that are still
+// queued.
 func NewQueuedWriter(out io.Writer) *QueuedWriter {
-	w := &QueuedWriter{lines: make(chan []byte, queuedLines)}
-	w.written.Go(func() { w.run(out) })
+	w := &QueuedWriter{lines: make(chan []byte, queueCapacity)}
+	w.finished.Go(func() { w.run(out) })
 	return w
 }
 
-// Write queues one line. It always reports success.
+// Write queues one line or drops it. It always reports success.
 func (w *QueuedWriter) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
 	default:
-		w.left.Add(1)
+		w.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
 func (w *QueuedWriter) run(out io.Writer) {
 	for line := range w.lines {
-		if n := w.left.Swap(0); n > 0 {
+		if n := w.dropped.Swap(0); n > 0 {
 			_, _ = fmt.Fprintf(out, "{\"level\":\"warning\",\"msg\":\"log lines left out: the queue was full\",\"lines\":%d}\n", n)
 		}
-		// Nobody is left to tell if standard output is gone.
+		// An error cannot be reported: this is the log's own output.
 		_, _ = out.Write(line)
 	}
 }
 
-// Close writes what is queued. Nothing may be written after it.
+// Close writes the queued lines and returns. Write must not be called after it.
 func (w *QueuedWriter) Close() {
 	close(w.lines)
-	w.written.Wait()
+	w.finished.Wait()
 }
--- a/pkg/telemetry/sampler.go
+++ b/pkg/telemetry/sampler.go
@@ -8,46 +8,46 @@
 	"quaydock/pkg/clock"
 )
 
-// Sampler bounds how many lines of a kind are logged in a second, and tells how
-// many were left out.
+// Sampler limits how many lines of each kind are logged in a second, and logs how
+// many were dropped.
 type Sampler struct {
 	clock clock.Clock
 	log   *logrus.Entry
-	most  int
+	limit int
 
 	mu     sync.Mutex
 	second clock.Millis
 	counts map[string]int
 }
 
-// NewSampler returns a sampler that lets most lines of each kind through in a
-// second.
-func NewSampler(c clock.Clock, log *logrus.Entry, most int) *Sampler {
-	return &Sampler{clock: c, log: log, most: most, counts: make(map[string]int)}
+// NewSampler returns a sampler that lets up to limit lines of each kind through in
+// a second.
+func NewSampler(c clock.Clock, log *logrus.Entry, limit int) *Sampler {
+	return &Sampler{clock: c, log: log, limit: limit, counts: make(map[string]int)}
 }
 
-// Allow reports whether a line of a kind is to be logged.
+// Allow counts a line of a kind and reports whether to log it.
 func (s *Sampler) Allow(kind string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if second := s.clock.Now() / clock.Second; second != s.second {
 		s.second = second
-		s.tell()
+		s.reportDropped()
 	}
 	s.counts[kind]++
-	return s.counts[kind] <= s.most
+	return s.counts[kind] <= s.limit
 }
 
-// tell logs what was left out, and begins anew.
-func (s *Sampler) tell() {
-	left := logrus.Fields{}
+// reportDropped logs how many lines were dropped and resets the counts.
+func (s *Sampler) reportDropped() {
+	dropped := logrus.Fields{}
 	for kind, n := range s.counts {
-		if n > s.most {
-			left[kind] = n - s.most
+		if n > s.limit {
+			dropped[kind] = n - s.limit
 		}
 		delete(s.counts, kind)
 	}
-	if len(left) > 0 {
-		s.log.WithFields(left).Warn("log lines left out in a second, by kind")
+	if len(dropped) > 0 {
+		s.log.WithFields(dropped).Warn("log lines left out in a second, by kind")
 	}
 }
--- a/pkg/telemetry/telemetry_test.go
+++ b/pkg/telemetry/telemetry_test.go
@@ -16,23 +16,23 @@
 	"quaydock/pkg/telemetry"
 )
 
-// blocked is an output that takes nothing until it is released.
-type blocked struct {
+// blockedOutput is a writer that blocks until it is released.
+type blockedOutput struct {
 	release chan struct{}
 	mu      sync.Mutex
 	got     bytes.Buffer
 }
 
-func (b *blocked) Write(p []byte) (int, error) {
+func (b *blockedOutput) Write(p []byte) (int, error) {
 	<-b.release
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.got.Write(p)
 }
 
-func TestABlockedOutputDelaysNobody(t *testing.T) {
+func TestQueuedWriterDoesNotBlockItsCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &blocked{release: make(chan struct{})}
+		out := &blockedOutput{release: make(chan struct{})}
 		w := telemetry.NewQueuedWriter(out)
 		began := time.Now()
 		for range 5000 {
@@ -41,21 +41,21 @@
 			}
 		}
 		if took := time.Since(began); took != 0 {
-			t.Errorf("writing took %v", took)
+			t.Errorf("Write blocked for %v", took)
 		}
 		close(out.release)
 		w.Close()
 		text := out.got.String()
 		if n := strings.Count(text, "line\n"); n < 1000 || n > 1100 {
-			t.Errorf("%d lines written", n)
+			t.Errorf("%d lines written, want 1000 to 1100", n)
 		}
 		if !strings.Contains(text, "left out") {
-			t.Error("nothing says that lines were left out")
+			t.Error("no line reports the dropped lines")
 		}
 	})
 }
 
-func TestAFloodStaysUnderItsBoundAndIsTold(t *testing.T) {
+func TestSamplerLimitsEachKindAndReportsDroppedLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		logger := logrus.New()
@@ -69,18 +69,18 @@
 			time.Sleep(time.Millisecond)
 		}
 		if allowed > 40 {
-			t.Errorf("%d lines in 3 s, bound 10 a second", allowed)
+			t.Errorf("%d lines in 3 s, limit 10 a second", allowed)
 		}
 		if !s.Allow("Lost") {
-			t.Error("a flood of one kind hides another")
+			t.Error("a flood of one kind suppresses lines of another kind")
 		}
 		if !strings.Contains(out.String(), "Overloaded=") {
-			t.Errorf("what was left out is not told: %s", out.String())
+			t.Errorf("dropped lines are not reported: %s", out.String())
 		}
 	})
 }
 
-func TestFigures(t *testing.T) {
+func TestPrometheusMetrics(t *testing.T) {
 	f := telemetry.NewFigures()
 	f.Count(telemetry.Request{Service: "s", Account: "a", Tier: 1, Outcome: "answered", First: 30, Held: 200})
 	f.Count(telemetry.Request{Service: "s", Account: "a", Tier: 1, Outcome: "answered", First: 40, Held: 300})
--- a/pkg/telemetry/tracing.go
+++ b/pkg/telemetry/tracing.go
@@ -22,19 +22,19 @@
 
 const traceParentKey = "traceparent"
 
-// Tracing makes spans and sends them where the settings say.
+// Tracing creates spans and exports them as the settings determine.
 type Tracing struct {
 	Tracer   trace.Tracer
 	provider *sdktrace.TracerProvider
 	file     *os.File
 }
 
-// NewTracing opens the exporter that the settings name.
+// NewTracing opens the configured exporter. Without one, spans are discarded.
 func NewTracing(ctx context.Context, s settings.Trace, process ids.Process) (*Tracing, error) {
 	t := &Tracing{}
 	exporter, err := t.open(ctx, s)
 	if err != nil {
-		return nil, fmt.Errorf("trace exporter: %w", err)
+		return nil, fmt.Errorf("creating the trace exporter: %w", err)
 	}
 	if exporter == nil {
 		t.Tracer = noop.NewTracerProvider().Tracer(tracerName)
@@ -68,13 +68,13 @@
 	}
 }
 
-// Shutdown sends the spans that remain.
+// Shutdown exports the remaining spans and closes the trace file.
 func (t *Tracing) Shutdown(ctx context.Context) error {
 	if t.provider == nil {
 		return nil
 	}
 	if err := t.provider.Shutdown(ctx); err != nil {
-		return fmt.Errorf("sending the last spans: %w", err)
+		return fmt.Errorf("exporting the remaining spans: %w", err)
 	}
 	if t.file == nil {
 		return nil
@@ -93,7 +93,8 @@
 	return carrier[traceParentKey]
 }
 
-// WithTraceParent returns ctx with the trace context that parent names.
+// WithTraceParent returns ctx with the W3C trace context parent, or ctx if parent
+// is empty.
 func WithTraceParent(ctx context.Context, parent string) context.Context {
 	if parent == "" {
 		return ctx
