--- a/pkg/ablation/ablation.go
+++ b/pkg/ablation/ablation.go
@@ -1,5 +1,5 @@
-// Package ablation names mechanisms that can be switched off one by one, for
-// experiments that tell what each is worth. Nothing is switched off in service.
+// Package ablation names the mechanisms that can be switched off one by one in
+// experiments that measure what each contributes. In production all are on.
 package ablation
 
 import (
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Mechanism is one that can be switched off.
+// Mechanism is a part of the scheduler that can be switched off.
 type Mechanism int
 
 //go:generate stringer -type=Mechanism -linecomment -output=mechanism_string.go
@@ -37,13 +37,13 @@
 	count
 )
 
-// Set is the mechanisms that are switched off; the zero value has none.
+// Set is a set of mechanisms that are switched off; the zero value is empty.
 type Set uint64
 
 // Off reports whether a mechanism is switched off.
 func (s Set) Off(m Mechanism) bool { return s&(1<<m) != 0 }
 
-// All lists the mechanisms.
+// All returns all mechanisms.
 func All() []Mechanism {
 	list := make([]Mechanism, 0, count)
 	for m := range count {
@@ -52,7 +52,7 @@
 	return list
 }
 
-// Parse reads names, separated by commas.
+// Parse parses a list of mechanism names, separated by commas.
 func Parse(names string) (Set, error) {
 	var s Set
 	for name := range strings.SplitSeq(names, ",") {
--- a/pkg/ablation/ablation_test.go
+++ b/pkg/ablation/ablation_test.go
@@ -7,7 +7,7 @@
 	"quaydock/pkg/ablation"
 )
 
-func TestEachMechanismHasItsName(t *testing.T) {
+func TestParseReadsEveryMechanism(t *testing.T) {
 	for _, m := range ablation.All() {
 		s, err := ablation.Parse(m.String())
 		if err != nil {
@@ -15,7 +15,7 @@
 		}
 		for _, other := range ablation.All() {
 			if s.Off(other) != (other == m) {
-				t.Errorf("%v off: %v is off: %t", m, other, s.Off(other))
+				t.Errorf("with %v switched off, Off(%v) = %t", m, other, s.Off(other))
 			}
 		}
 	}
--- a/pkg/invariant/checker.go
+++ b/pkg/invariant/checker.go
@@ -1,5 +1,5 @@
-// Package invariant checks, while the program runs, what must always hold. A
-// violation is logged and counted; in strict mode (tests) it stops the process.
+// Package invariant checks the invariants of the system at run time. A violation
+// is logged and counted; in strict mode (tests) it stops the process.
 package invariant
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Checker records violations. The zero value is not usable; see NewChecker.
+// Checker records violations. The zero value is not usable; use NewChecker.
 type Checker struct {
 	log    *logrus.Entry
 	counts *expvar.Map
@@ -22,8 +22,8 @@
 	return &Checker{log: log, counts: counts, strict: strict}
 }
 
-// That records a violation of name if holds is false. The detail is formatted
-// only then, so that a check on a hot path costs one branch.
+// That records a violation of the invariant name if holds is false. The detail is
+// formatted only then, so that a check on a hot path costs one branch.
 func (c *Checker) That(holds bool, name Name, detail string, args ...any) {
 	if holds {
 		return
@@ -39,8 +39,8 @@
 	}
 }
 
-// stop ends the process. It panics on a goroutine of its own, since net/http
-// and net/rpc would recover a panic of a handler and go on.
+// stop ends the process. It panics in a goroutine of its own, since net/http and
+// net/rpc would recover from a panic in a handler and carry on.
 func stop(message string) {
 	go panic(message)
 	select {}
