--- a/cmd/quayctl/main.go
+++ b/cmd/quayctl/main.go
@@ -1,4 +1,4 @@
-// Quayctl is the operator's command-line tool.
+// Quayctl is the command-line tool for operators.
 package main
 
 import (
--- a/cmd/quaydock/main.go
+++ b/cmd/quaydock/main.go
@@ -1,4 +1,5 @@
-// Quaydock is the daemon: an entry, an agent, or several roles for a trial.
+// Quaydock is the daemon. It runs as an entry or an agent, or in several roles for
+// tests.
 package main
 
 import (
--- a/pkg/commontest/commontest.go
+++ b/pkg/commontest/commontest.go
@@ -1,4 +1,5 @@
-// Package commontest builds what all parts share, for tests.
+// Package commontest provides the shared dependencies and fakes of outside systems
+// for tests.
 package commontest
 
 import (
@@ -15,8 +16,9 @@
 	"quaydock/pkg/telemetry"
 )
 
-// New returns strict parts over a network, with a fixed seed and no log.
-func New(reach network.Network) common.Common {
+// New returns dependencies for tests: strict invariants, a fixed seed, no log and
+// the given network.
+func New(net network.Network) common.Common {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	log := logrus.NewEntry(logger)
@@ -25,7 +27,7 @@
 	return common.Common{
 		Log:     log,
 		Clock:   clock.New(),
-		Network: reach,
+		Network: net,
 		Metrics: metrics,
 		Tracer:  noop.NewTracerProvider().Tracer(""),
 		Random:  random.NewSource(seed),
--- a/pkg/commontest/no_notes.go
+++ b/pkg/commontest/no_notes.go
@@ -6,10 +6,10 @@
 	"quaydock/pkg/follow"
 )
 
-// NoNotes is a table in a store that keeps nothing.
+// NoNotes is an estimate store that keeps nothing.
 type NoNotes struct{}
 
-// Put takes a row.
+// Put discards a row.
 func (NoNotes) Put(context.Context, string, []byte) error { return nil }
 
 // Whole returns no rows.
--- a/pkg/commontest/rows.go
+++ b/pkg/commontest/rows.go
@@ -2,15 +2,14 @@
 
 import "context"
 
-// NoRows is a table of entries in a store that takes everything and tells
-// nothing.
+// NoRows is a writer of the rows of entries that discards everything.
 type NoRows struct{}
 
-// Put takes a row.
+// Put discards a row.
 func (NoRows) Put(context.Context, string, []byte) error { return nil }
 
-// PutAll does nothing.
+// PutAll discards rows.
 func (NoRows) PutAll(context.Context, map[string][]byte) error { return nil }
 
-// Remove takes a row away.
+// Remove does nothing.
 func (NoRows) Remove(context.Context, ...string) error { return nil }
--- a/pkg/operators/port.go
+++ b/pkg/operators/port.go
@@ -1,4 +1,5 @@
-// Package operators is the port for operators: health, readiness and metrics.
+// Package operators serves the operators' port: health, readiness, metrics and
+// profiles.
 package operators
 
 import (
@@ -14,37 +15,38 @@
 
 const headerTimeout = 5 * clock.Second
 
-// Paths of the port.
+// Paths that the port serves.
 const (
 	PathHealth  = "/healthz"
 	PathReady   = "/readyz"
 	PathMetrics = "/debug/vars"
-	// PathRollouts tells what a process knows of roll-outs; it is served by entries on the
-	// platform, on the port of the metrics.
+	// PathRollouts returns what a process knows of roll-outs. Entries on the platform serve it, on
+	// the port of the metrics.
 	PathRollouts = "/rollouts"
-	// PathQuarantine tells which requests are held back, and lets the one go whose digest a POST names; it
-	// is served as PathRollouts is.
+	// PathQuarantine returns which requests are quarantined; a POST releases the one whose digest it names.
+	// It is served as PathRollouts is.
 	PathQuarantine = "/quarantine"
-	// PathAdvice tells which targets leave or rest by their own word; it is served as PathRollouts is.
+	// PathAdvice returns which targets are leaving or asked for a back-off, by their own report. It is served as
+	// PathRollouts is.
 	PathAdvice = "/advice"
-	// PathDomains tells of each failure domain whether it is drained and how many of its targets are cold; it is
-	// served as PathRollouts is.
+	// PathDomains returns for each failure domain whether it is drained and how many of its targets are cold. It
+	// is served as PathRollouts is.
 	PathDomains = "/domains"
-	// PathProfile takes a processor profile for ?seconds=N.
+	// PathProfile records a CPU profile for ?seconds=N.
 	PathProfile    = "/debug/pprof/profile"
 	PathHeap       = "/debug/pprof/heap"
 	PathGoroutines = "/debug/pprof/goroutine"
 )
 
-// Port serves operators.
+// Port is the HTTP server for operators.
 type Port struct {
 	common.Common
 	address string
 	server  *http.Server
 }
 
-// NewPort returns a port at address. The function ready returns nil if the
-// process may be sent work.
+// NewPort returns a port that is to listen at address. The function ready returns
+// nil if the process accepts work, else the refusal to answer with.
 func NewPort(c common.Common, address string, ready func() *refusal.Refusal) *Port {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathHealth, func(w http.ResponseWriter, _ *http.Request) {
@@ -65,11 +67,11 @@
 	return &Port{Common: c, address: address, server: server}
 }
 
-// Start listens for operators.
+// Start listens and serves requests in the background.
 func (p *Port) Start() error {
 	listener, err := p.Network.Listen(p.address)
 	if err != nil {
-		return fmt.Errorf("operators' port: %w", err)
+		return fmt.Errorf("listening on the operators' port: %w", err)
 	}
 	go func() {
 		if err := p.server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
@@ -79,8 +81,8 @@
 	return nil
 }
 
-// Close stops at once.
+// Close stops the port at once, without waiting for requests.
 func (p *Port) Close() {
-	// An error says only that it was closed before.
+	// An error means only that the server was closed before.
 	_ = p.server.Close()
 }
--- a/pkg/random/backoff.go
+++ b/pkg/random/backoff.go
@@ -7,26 +7,26 @@
 )
 
 // Backoff waits between tries, each time about twice as long as before, up to a
-// bound. It is for one goroutine.
+// limit. It is not safe for concurrent use.
 type Backoff struct {
-	source *Source
-	least  clock.Millis
-	most   clock.Millis
-	next   clock.Millis
+	source   *Source
+	shortest clock.Millis
+	longest  clock.Millis
+	next     clock.Millis
 }
 
-// NewBackoff returns a backoff that begins at least and ends at most.
-func (s *Source) NewBackoff(least, most clock.Millis) *Backoff {
-	return &Backoff{source: s, least: least, most: most, next: least}
+// NewBackoff returns a backoff whose waits grow from shortest to longest.
+func (s *Source) NewBackoff(shortest, longest clock.Millis) *Backoff {
+	return &Backoff{source: s, shortest: shortest, longest: longest, next: shortest}
 }
 
-// Pause waits for the next time, with jitter, or returns early when ctx ends.
+// Pause waits before the next try, with jitter, or returns early when ctx ends.
 func (b *Backoff) Pause(ctx context.Context) {
 	clock.Pause(ctx, b.source.Jitter(b.next))
-	b.next = min(2*b.next, b.most)
+	b.next = min(2*b.next, b.longest)
 }
 
-// Reset begins anew, after a try that succeeded.
+// Reset returns to the shortest wait, after a try that succeeded.
 func (b *Backoff) Reset() {
-	b.next = b.least
+	b.next = b.shortest
 }
--- a/pkg/random/source.go
+++ b/pkg/random/source.go
@@ -1,5 +1,5 @@
-// Package random is the one source of a process's random choices. A seed
-// repeats them, as far as goroutines draw in the same order.
+// Package random is the only source of a process's random choices. The same seed
+// gives the same choices if the goroutines draw in the same order.
 package random
 
 import (
@@ -9,38 +9,38 @@
 	"quaydock/pkg/clock"
 )
 
-// Source may be used by several goroutines.
+// Source generates random values. It is safe for concurrent use.
 type Source struct {
-	mu   sync.Mutex
-	from *rand.Rand
+	mu        sync.Mutex
+	generator *rand.Rand
 }
 
-// NewSource returns a source with the given seed; 0 draws one.
+// NewSource returns a source with the given seed; 0 chooses a random seed.
 func NewSource(seed uint64) *Source {
 	if seed == 0 {
 		seed = rand.Uint64()
 	}
-	return &Source{from: rand.New(rand.NewPCG(seed, 0))}
+	return &Source{generator: rand.New(rand.NewPCG(seed, 0))}
 }
 
-// Fork returns a generator for one decision, to be used by one goroutine.
+// Fork returns a new generator for one decision. It is not safe for concurrent use.
 func (s *Source) Fork() *rand.Rand {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return rand.New(rand.NewPCG(s.from.Uint64(), s.from.Uint64()))
+	return rand.New(rand.NewPCG(s.generator.Uint64(), s.generator.Uint64()))
 }
 
-// Jitter draws from half of wait to the whole, so that many processes do not
-// come back at the same moment.
+// Jitter returns a random duration from half of wait to wait, so that many
+// processes do not retry at the same time.
 func (s *Source) Jitter(wait clock.Millis) clock.Millis {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return wait/2 + clock.Millis(s.from.Int64N(int64(wait/2)+1))
+	return wait/2 + clock.Millis(s.generator.Int64N(int64(wait/2)+1))
 }
 
-// Within draws from 0 to most.
-func (s *Source) Within(most clock.Millis) clock.Millis {
+// Within returns a random duration from 0 to longest, inclusive.
+func (s *Source) Within(longest clock.Millis) clock.Millis {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return clock.Millis(s.from.Int64N(int64(most) + 1))
+	return clock.Millis(s.generator.Int64N(int64(longest) + 1))
 }
