--- a/pkg/clock/boot_time.go
+++ b/pkg/clock/boot_time.go
@@ -38,11 +38,11 @@
 	return b
 }
 
-func (b *bootTime) since(ofDay, steady time.Duration) time.Duration {
-	gap := ofDay - steady
-	if (gap-time.Duration(b.lastGap.Load())).Abs() > stepThreshold || steady-time.Duration(b.lastCheck.Load()) > checkInterval {
+func (b *bootTime) since(wall, monotonic time.Duration) time.Duration {
+	gap := wall - monotonic
+	if (gap-time.Duration(b.lastGap.Load())).Abs() > stepThreshold || monotonic-time.Duration(b.lastCheck.Load()) > checkInterval {
 		b.lastGap.Store(int64(gap))
-		b.lastCheck.Store(int64(steady))
+		b.lastCheck.Store(int64(monotonic))
 		b.check()
 	}
 	return time.Duration(b.total.Load())
@@ -64,14 +64,14 @@
 
 // readBootTime returns for how long the VM has been suspended since it was booted.
 func readBootTime() (time.Duration, error) {
-	var boot, steady unix.Timespec
+	var boot, monotonic unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot); err != nil {
 		return 0, err
 	}
-	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady); err != nil {
+	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic); err != nil {
 		return 0, err
 	}
-	return time.Duration(boot.Nano() - steady.Nano()), nil
+	return time.Duration(boot.Nano() - monotonic.Nano()), nil
 }
 
 // Suspension simulates the suspensions of a VM in tests.
--- a/pkg/clock/boot_time_test.go
+++ b/pkg/clock/boot_time_test.go
@@ -15,7 +15,7 @@
 		name       string
 		suspended  time.Duration
 		step       time.Duration // of the time of day, in addition
-		steady     time.Duration // monotonic time from there to the reading
+		monotonic  time.Duration // monotonic time from there to the reading
 		want       time.Duration
 		unreadable bool
 	}{
@@ -37,16 +37,16 @@
 				}
 				return ahead, nil
 			})
-			steady := 500 * time.Millisecond
-			if got := b.since(steady, steady); got != 0 {
+			monotonic := 500 * time.Millisecond
+			if got := b.since(monotonic, monotonic); got != 0 {
 				t.Errorf("suspended for %v before the first suspension", got)
 			}
 			ahead += s.suspended
-			steady += s.steady
-			if got := b.since(steady+s.suspended+s.step, steady); got != s.want {
+			monotonic += s.monotonic
+			if got := b.since(monotonic+s.suspended+s.step, monotonic); got != s.want {
 				t.Errorf("suspended for %v, want %v", got, s.want)
 			}
-			if got := b.since(steady+s.suspended+s.step, steady); got != s.want {
+			if got := b.since(monotonic+s.suspended+s.step, monotonic); got != s.want {
 				t.Errorf("suspended for %v at the next reading, want %v", got, s.want)
 			}
 		})
--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -38,7 +38,7 @@
 type suspensionMeter interface {
 	// since returns that time, given the time since the clock was created by the time of day and by
 	// the monotonic clock.
-	since(ofDay, steady time.Duration) time.Duration
+	since(wall, monotonic time.Duration) time.Duration
 }
 
 // New returns a clock that starts at the VM's present time of day.
@@ -49,9 +49,9 @@
 // Now returns the present time.
 func (c Clock) Now() Millis {
 	now := time.Now()
-	steady := now.Sub(c.start)
-	ofDay := time.Duration(now.UnixNano() - c.start.UnixNano())
-	return Millis(c.start.UnixMilli()) + Millis((steady + c.suspended.since(ofDay, steady)).Milliseconds())
+	monotonic := now.Sub(c.start)
+	wall := time.Duration(now.UnixNano() - c.start.UnixNano())
+	return Millis(c.start.UnixMilli()) + Millis((monotonic + c.suspended.since(wall, monotonic)).Milliseconds())
 }
 
 // pollInterval is the time between two readings of the clock in PauseUntil.
--- a/pkg/declaration/book.go
+++ b/pkg/declaration/book.go
@@ -13,7 +13,7 @@
 // Revision numbers configurations. A process never goes back to a lower one.
 type Revision int64
 
-// Book is a checked set of declarations, indexed for look-ups. It is immutable
+// Index is a checked set of declarations, indexed for look-ups. It is immutable
 // and thus safe for concurrent use.
 type Book struct {
 	Revision Revision
@@ -26,7 +26,7 @@
 	placed   map[ids.Target][]Placement
 }
 
-// NewBook checks and indexes set. Its error names every fault in the set.
+// NewIndex checks and indexes set. Its error names every fault in the set.
 func NewBook(revision Revision, set Set) (*Book, error) {
 	if err := set.Check(); err != nil {
 		return nil, err
--- a/pkg/ids/life.go
+++ b/pkg/ids/life.go
@@ -10,9 +10,9 @@
 // UnknownStart is the start of a target that does not report one.
 const UnknownStart Start = 0
 
-// Life is one incarnation of a target: one run of the process under its id, from start to end. A
-// target that is restarted under its id has lost the state of its former incarnation, and what is
-// known of the former incarnation does not apply to the new one.
+// TargetIncarnation is one run of a target's process under its id, from start to end. A target that
+// is restarted under its id has lost the state of its former incarnation, and what is known of the
+// former incarnation does not apply to the new one.
 type Life struct {
 	_      struct{} `cbor:",toarray"`
 	Target Target
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -117,7 +117,7 @@
 	QueueTimeMS clock.Millis `json:"queue_time_ms"`
 	// QueueMinTokens is the amount of work that may always be queued.
 	QueueMinTokens ids.Tokens `json:"queue_min_tokens"`
-	// GrantLifeMS is the time within which a grant must be used.
+	// GrantLifetimeMS is the time within which a grant must be used.
 	GrantLifeMS clock.Millis `json:"grant_life_ms"`
 	// FloorHoldMS is how long lower tiers are rejected after the refusal of a tier.
 	FloorHoldMS clock.Millis `json:"floor_hold_ms"`
--- a/pkg/telemetry/figures.go
+++ b/pkg/telemetry/figures.go
@@ -9,13 +9,13 @@
 	"quaydock/pkg/clock"
 )
 
-// Figures holds the counters, gauges and histograms of one process in the text
+// PrometheusMetrics holds the counters, gauges and histograms of one process in the text
 // format of Prometheus. The configuration limits the number of label values.
 type Figures struct {
 	set *metrics.Set
 }
 
-// NewFigures returns an empty set of metrics.
+// NewPrometheusMetrics returns an empty set of metrics.
 func NewFigures() *Figures {
 	return &Figures{set: metrics.NewSet()}
 }
--- a/pkg/telemetry/metrics.go
+++ b/pkg/telemetry/metrics.go
@@ -23,7 +23,7 @@
 	Links *expvar.Map
 	// Configuration holds the revision in force and counts polls by outcome.
 	Configuration *expvar.Map
-	// Figures holds the metrics by tier, account and service, in the format of
+	// Prometheus holds the metrics by tier, account and service, in the format of
 	// Prometheus.
 	Figures *Figures
 	// Violations counts violated invariants by name.
