--- a/pkg/commontest/no_notes.go
+++ b/pkg/commontest/no_notes.go
@@ -6,10 +6,10 @@
 	"quaydock/pkg/follow"
 )
 
-// NoEstimates is a table in a store that keeps nothing.
+// NoEstimates is an estimate store that keeps nothing.
 type NoEstimates struct{}
 
-// Put takes a row.
+// Put discards a row.
 func (NoEstimates) Put(context.Context, string, []byte) error { return nil }
 
 // Snapshot returns no rows.
--- a/pkg/declaration/book.go
+++ b/pkg/declaration/book.go
@@ -10,11 +10,11 @@
 
 const keySumBytes = sha256.Size
 
-// Revision numbers configurations. A process only ever moves to a higher one.
+// Revision numbers configurations. A process never goes back to a lower one.
 type Revision int64
 
-// Index is a set that has passed its checks, indexed for look-ups. It is not
-// changed after it is made, so that any goroutine may read it.
+// Index is a checked set of declarations, indexed for look-ups. It is immutable
+// and thus safe for concurrent use.
 type Index struct {
 	Revision Revision
 	set      Set
@@ -26,7 +26,7 @@
 	placed   map[ids.Target][]Placement
 }
 
-// NewIndex checks set and indexes it.
+// NewIndex checks and indexes set. Its error names every fault in the set.
 func NewIndex(revision Revision, set Set) (*Index, error) {
 	if err := set.Check(); err != nil {
 		return nil, err
@@ -73,12 +73,12 @@
 	}
 }
 
-// Set returns what was declared. It must not be changed.
+// Set returns the declarations. The caller must not change them.
 func (b *Index) Set() Set {
 	return b.set
 }
 
-// Account returns the account that key belongs to, or nil.
+// Account returns the account that the API key belongs to, or nil.
 func (b *Index) Account(key string) *Account {
 	return b.accounts[sha256.Sum256([]byte(key))]
 }
@@ -88,7 +88,7 @@
 	return b.services[name]
 }
 
-// Services lists the services in declared order.
+// Services returns the services in declared order. The caller must not change them.
 func (b *Index) Services() []Service {
 	return b.set.Services
 }
@@ -98,17 +98,17 @@
 	return b.targets[name]
 }
 
-// Targets lists the targets in declared order.
+// Targets returns the targets in declared order. The caller must not change them.
 func (b *Index) Targets() []Target {
 	return b.set.Targets
 }
 
-// Serving lists the targets that service is placed on.
+// Serving returns the targets that service is placed on.
 func (b *Index) Serving(service ids.Service) []*Target {
 	return b.serving[service]
 }
 
-// Placements lists what target is to serve.
+// Placements returns what is placed on target.
 func (b *Index) Placements(target ids.Target) []Placement {
 	return b.placed[target]
 }
@@ -119,7 +119,7 @@
 	return rank, known
 }
 
-// Deadline returns the usual time for an answer in a tier.
+// Deadline returns the default time for an answer in a tier.
 func (b *Index) Deadline(rank ids.TierRank) clock.Millis {
 	return b.set.Tiers[rank].DeadlineMS
 }
