--- a/pkg/random/source.go
+++ b/pkg/random/source.go
@@ -39,7 +39,7 @@
 }
 
 // Within returns a random duration from 0 to longest, inclusive.
-func (s *Source) Within(longest clock.Millis) clock.Millis {
+func (s *Source) UpTo(longest clock.Millis) clock.Millis {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return clock.Millis(s.generator.Int64N(int64(longest) + 1))
