--- a/pkg/app/advice_bed_test.go
+++ b/pkg/app/advice_bed_test.go
@@ -102,7 +102,7 @@
 		}
 	}
 	if b.leaving[e.n] {
-		wiretest.Leave(w.Header())
+		wiretest.MarkLeaving(w.Header())
 	}
 	shed := b.sheds[e.n]
 	if shed.share <= 0 || b.draw(1000) >= int(shed.share*1000) {
@@ -113,9 +113,9 @@
 	if shed.own {
 		wiretest.Seal(w.Header(), e.id)
 	} else {
-		wiretest.NotRun(w.Header())
+		wiretest.MarkNotRun(w.Header())
 	}
-	wiretest.Rest(w.Header(), shed.rest)
+	wiretest.SetBackoff(w.Header(), shed.rest)
 	w.WriteHeader(http.StatusServiceUnavailable)
 	return true
 }
@@ -186,7 +186,7 @@
 
 func (b *adviceBed) callOnce(entry int) adviceAnswer {
 	a, head := b.callKnown(entry)
-	if wiretest.SaysLeaving(head) {
+	if wiretest.IsLeaving(head) {
 		b.said.Lock()
 		noteFirst(b.told, pair{entry, wiretest.SealedBy(head)}, b.now())
 		b.said.Unlock()
--- a/pkg/app/configuration_handler.go
+++ b/pkg/app/configuration_handler.go
@@ -62,7 +62,7 @@
 func (h *configurationHandler) takeDrained(rows []follow.Row, all bool) {
 	var orders []domains.DrainOrder
 	for _, row := range rows {
-		if domain, is := platform.DrainedOf(row.Key); is {
+		if domain, is := platform.DrainedDomain(row.Key); is {
 			orders = append(orders, domains.DrainOrder{Domain: domain, Drained: !row.Gone})
 		}
 	}
--- a/pkg/app/crash_callers_test.go
+++ b/pkg/app/crash_callers_test.go
@@ -41,7 +41,7 @@
 		b.t.Error(err)
 		return 0, nil, ""
 	}
-	wiretest.Call(r.Header, id, key, 3*time.Second)
+	wiretest.SetCall(r.Header, id, key, 3*time.Second)
 	response, err := transport.RoundTrip(r)
 	if err != nil {
 		return 0, nil, ""
--- a/pkg/app/crash_engines_test.go
+++ b/pkg/app/crash_engines_test.go
@@ -87,7 +87,7 @@
 }
 
 func (e *crashEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	wiretest.Echo(w.Header(), wiretest.RequestID(r.Header))
+	wiretest.SetRequestID(w.Header(), wiretest.RequestID(r.Header))
 	if wiretest.Meant(r.Header) != e.id {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
--- a/pkg/app/domains_test.go
+++ b/pkg/app/domains_test.go
@@ -49,7 +49,7 @@
 
 // drain has the operators drain a failure domain.
 func (b *domainsBed) drain(domain ids.FailureDomain) {
-	b.store.Put(platform.TableOperators, wiretest.Drain(domain), []byte("{}"))
+	b.store.Put(platform.TableOperators, wiretest.DrainKey(domain), []byte("{}"))
 	b.ordered.Lock()
 	defer b.ordered.Unlock()
 	b.drained[domain] = b.now()
@@ -62,7 +62,7 @@
 	delete(b.drained, domain)
 	b.arrivals[domain] = 0
 	b.ordered.Unlock()
-	b.store.Remove(platform.TableOperators, wiretest.Drain(domain))
+	b.store.Remove(platform.TableOperators, wiretest.DrainKey(domain))
 }
 
 // TestADrainedFailureDomain: operators drained a failure domain, so that its machines could be taken away, and
--- a/pkg/app/endings_test.go
+++ b/pkg/app/endings_test.go
@@ -181,7 +181,7 @@
 		b.t.Error(err)
 		return c
 	}
-	wiretest.Call(r.Header, c.id, "key-a", endingsWait)
+	wiretest.SetCall(r.Header, c.id, "key-a", endingsWait)
 	response, err := transport.RoundTrip(r)
 	if err != nil {
 		return c
--- a/pkg/app/entries_handler.go
+++ b/pkg/app/entries_handler.go
@@ -54,8 +54,8 @@
 func (h *entriesHandler) divide(rows []follow.Row) divided {
 	var d divided
 	for _, row := range rows {
-		_, isRollout := platform.RolloutOf(row.Key)
-		_, isRequest := platform.QuarantineOf(row.Key)
+		_, isRollout := platform.RolloutService(row.Key)
+		_, isRequest := platform.QuarantineDigest(row.Key)
 		switch {
 		case isRequest:
 			d.requests = append(d.requests, row)
@@ -94,7 +94,7 @@
 
 // goneDigest returns the digest of a row that is gone, if its key has one.
 func goneDigest(key string) []quarantine.Digest {
-	text, _ := platform.QuarantineOf(key)
+	text, _ := platform.QuarantineDigest(key)
 	digest, err := quarantine.ParseDigest(text)
 	if err != nil {
 		return nil // another writer's key: nothing was known by it
--- a/pkg/app/fleet_test.go
+++ b/pkg/app/fleet_test.go
@@ -29,8 +29,8 @@
 func newFleetBed(t *testing.T, seed uint64, entries int) *fleetBed {
 	b := &fleetBed{newBed(t, seed, entries, entries*10/3, 0, true)}
 	b.entryDomains = fleetDomains
-	b.store.Pace(fleetWrites)
-	b.store.Break(func(*http.Request) storetest.Fault { return storetest.Fault{Delay: fleetAnswer} })
+	b.store.LimitWrites(fleetWrites)
+	b.store.InjectFaults(func(*http.Request) storetest.Fault { return storetest.Fault{Delay: fleetAnswer} })
 	for n := range b.engines {
 		row := wiretest.Engine{Service: "s", Address: targetAddress(n), Domain: "d0", Version: "v1", Slots: crashSlots, State: wiretest.Ready, Sequence: 1, Born: 1}
 		b.store.Put(platform.TableTargets, fmt.Sprint("t-", n), row.Row())
--- a/pkg/app/limit_bed_test.go
+++ b/pkg/app/limit_bed_test.go
@@ -99,7 +99,7 @@
 	now := b.now()
 	b.arrived[e.n] = append(b.arrived[e.n], now)
 	if named := b.limits[e.n]; len(named) > 0 && named[len(named)-1].text != noLimit {
-		wiretest.Limit(w.Header(), named[len(named)-1].text)
+		wiretest.SetLimit(w.Header(), named[len(named)-1].text)
 		noteFirst(b.first, e.id, now)
 	}
 	if told, known := b.told[pair{entry, e.id}]; known && now >= told+limitToldFor && now >= b.first[e.id]+contactTime {
@@ -140,7 +140,7 @@
 // callOnce is a request to an entry, of which it notes what the answer names.
 func (b *limitBed) callOnce(entry int) adviceAnswer {
 	a, head := b.callKnown(entry)
-	if wiretest.LimitOf(head) != "" {
+	if wiretest.LimitIn(head) != "" {
 		b.counting.Lock()
 		noteFirst(b.told, pair{entry, wiretest.SealedBy(head)}, b.now())
 		b.counting.Unlock()
--- a/pkg/app/rollout_play_test.go
+++ b/pkg/app/rollout_play_test.go
@@ -171,9 +171,9 @@
 
 // faultOfStore has all calls to the store meet a fault for a while.
 func (b *rolloutBed) faultOfStore(lasts time.Duration, fault func(r *http.Request) storetest.Fault) {
-	b.store.Break(fault)
+	b.store.InjectFaults(fault)
 	time.Sleep(lasts)
-	b.store.Break(nil)
+	b.store.InjectFaults(nil)
 }
 
 func troublesOfAll() []trouble {
--- a/pkg/app/rollouts.go
+++ b/pkg/app/rollouts.go
@@ -44,7 +44,7 @@
 		r.orderFaults.Retain(rows)
 	}
 	for _, row := range rows {
-		service, is := platform.RolloutOf(row.Key)
+		service, is := platform.RolloutService(row.Key)
 		switch {
 		case !is:
 		case row.Gone:
@@ -124,7 +124,7 @@
 // of that row's revision: the home writes the next state over it. The revision of a completed one
 // tells which targets are older, and stays.
 func (r *rollouts) overwriting(row follow.Row) []rollout.Record {
-	service, _ := platform.RolloutOf(row.Key)
+	service, _ := platform.RolloutService(row.Key)
 	known, has := r.book.Record(service)
 	if !has || known.State.Final() {
 		return nil
