--- a/pkg/app/advice_bed_test.go
+++ b/pkg/app/advice_bed_test.go
@@ -111,7 +111,7 @@
 	b.declined++
 	b.rests[at] = append(b.rests[at], &rest{from: now, until: now + shed.rest})
 	if shed.own {
-		wiretest.Seal(w.Header(), e.id)
+		wiretest.MarkAnsweredBy(w.Header(), e.id)
 	} else {
 		wiretest.MarkNotRun(w.Header())
 	}
@@ -188,7 +188,7 @@
 	a, head := b.callKnown(entry)
 	if wiretest.IsLeaving(head) {
 		b.said.Lock()
-		noteFirst(b.told, pair{entry, wiretest.SealedBy(head)}, b.now())
+		noteFirst(b.told, pair{entry, wiretest.AnsweredBy(head)}, b.now())
 		b.said.Unlock()
 	}
 	return a
--- a/pkg/app/crash_engines_test.go
+++ b/pkg/app/crash_engines_test.go
@@ -88,7 +88,7 @@
 
 func (e *crashEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	wiretest.SetRequestID(w.Header(), wiretest.RequestID(r.Header))
-	if wiretest.Meant(r.Header) != e.id {
+	if wiretest.IntendedEngine(r.Header) != e.id {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -114,7 +114,7 @@
 	if e.bed.breaksOff() {
 		panic(http.ErrAbortHandler)
 	}
-	wiretest.Seal(w.Header(), e.id)
+	wiretest.MarkAnsweredBy(w.Header(), e.id)
 	_, _ = io.WriteString(w, "answer to "+body)
 }
 
--- a/pkg/app/crash_test.go
+++ b/pkg/app/crash_test.go
@@ -60,7 +60,7 @@
 		{"a store that forgets its history", "/unsafe/q", func(b *crashBed) {
 			for range 12 {
 				time.Sleep(time.Second)
-				b.store.Forget()
+				b.store.TrimHistory()
 			}
 		}, 3, 5 * time.Second},
 	}
--- a/pkg/app/domains_test.go
+++ b/pkg/app/domains_test.go
@@ -116,7 +116,7 @@
 		{"the store forgets its history", func(b *domainsBed) {
 			for range 12 {
 				time.Sleep(time.Second)
-				b.store.Forget()
+				b.store.TrimHistory()
 			}
 		}, 0.99},
 		{"entries that hear nothing of one another", func(b *domainsBed) {
--- a/pkg/app/endings_test.go
+++ b/pkg/app/endings_test.go
@@ -123,7 +123,7 @@
 		b.onTrial[id]++
 	}
 	b.said.Unlock()
-	wiretest.Seal(w.Header(), e.id)
+	wiretest.MarkAnsweredBy(w.Header(), e.id)
 	streams := strings.HasPrefix(r.URL.Path, "/stream/") || strings.HasPrefix(r.URL.Path, "/resume/")
 	switch {
 	case streams:
@@ -307,7 +307,7 @@
 		}
 	}},
 	{"the store is silent", func(b *endingsBed) { b.silenceStore(true) }},
-	{"the store forgets what changed", func(b *endingsBed) { b.store.Forget() }},
+	{"the store forgets what changed", func(b *endingsBed) { b.store.TrimHistory() }},
 	{"entries hear nothing of one another", func(b *endingsBed) {
 		for i := range endingsEntries {
 			b.cutOff(i, true)
--- a/pkg/app/fleet_test.go
+++ b/pkg/app/fleet_test.go
@@ -100,12 +100,12 @@
 			time.Sleep(fleetSettles)
 			n := len(b.entries)
 			calls := b.store.AllCalls() - before
-			t.Logf("%s: %d entries serve after %v; %.2f calls an entry, %d turned away", when, n, took, float64(calls)/float64(n), b.store.TurnedAway())
+			t.Logf("%s: %d entries serve after %v; %.2f calls an entry, %d turned away", when, n, took, float64(calls)/float64(n), b.store.Rejected())
 			if float64(calls) > fleetCalls*float64(n)+fleetFirst {
 				t.Errorf("%s: %d calls of %d entries", when, calls, n)
 			}
-			if b.store.TurnedAway() > 0 {
-				t.Errorf("%s: %d calls were turned away", when, b.store.TurnedAway())
+			if b.store.Rejected() > 0 {
+				t.Errorf("%s: %d calls were turned away", when, b.store.Rejected())
 			}
 			if took > fleetServes {
 				t.Errorf("%s: all serve after %v", when, took)
--- a/pkg/app/limit_bed_test.go
+++ b/pkg/app/limit_bed_test.go
@@ -142,7 +142,7 @@
 	a, head := b.callKnown(entry)
 	if wiretest.LimitIn(head) != "" {
 		b.counting.Lock()
-		noteFirst(b.told, pair{entry, wiretest.SealedBy(head)}, b.now())
+		noteFirst(b.told, pair{entry, wiretest.AnsweredBy(head)}, b.now())
 		b.counting.Unlock()
 	}
 	return a
--- a/pkg/app/rollout_play_test.go
+++ b/pkg/app/rollout_play_test.go
@@ -217,7 +217,7 @@
 				return storetest.Fault{}
 			})
 		}},
-		{"the store forgets", func(b *rolloutBed) { b.store.Forget() }},
+		{"the store forgets", func(b *rolloutBed) { b.store.TrimHistory() }},
 		{"a burst", func(b *rolloutBed) {
 			b.during(4*time.Second, func(on bool) {
 				b.rate = 1
