--- a/pkg/load/generator.go
+++ b/pkg/load/generator.go
@@ -1,5 +1,5 @@
-// Package load sends bounded load to an OpenAI interface and measures what
-// comes back. It takes addresses on the loopback only.
+// Package load sends a limited load to an OpenAI-compatible endpoint and measures the
+// answers. It accepts loopback addresses only.
 package load
 
 import (
@@ -24,7 +24,7 @@
 	maxRequests = 5_000_000
 )
 
-// Plan says what is sent.
+// Plan describes the requests to send.
 type Plan struct {
 	URL         string
 	Key         string
@@ -36,7 +36,7 @@
 	Stream      bool
 }
 
-// Result is what was measured. Latencies are in microseconds.
+// Result holds the measurements. Latencies are in microseconds.
 type Result struct {
 	Requests  int64
 	Failed    int64
@@ -45,16 +45,16 @@
 	FirstByte *hdrhistogram.Histogram
 }
 
-// PerSecond is the rate of whole answers.
+// PerSecond returns the rate of complete answers.
 func (r *Result) PerSecond() float64 {
 	return float64(r.Requests-r.Failed) / r.Elapsed.Seconds()
 }
 
-// Check refuses plans without bounds and addresses off this machine.
+// Check returns an error for a plan with counts out of range or an address other than the loopback.
 func (p *Plan) Check() error {
 	u, err := url.Parse(p.URL)
 	if err != nil {
-		return fmt.Errorf("url: %w", err)
+		return fmt.Errorf("parsing the URL: %w", err)
 	}
 	ip := net.ParseIP(u.Hostname())
 	if ip == nil || !ip.IsLoopback() {
@@ -66,10 +66,10 @@
 	return nil
 }
 
-// Run sends the load, each caller one request after the other.
+// Run sends the load. Each of the concurrent callers sends one request after the other.
 func Run(ctx context.Context, p Plan) (*Result, error) {
 	if err := p.Check(); err != nil {
-		return nil, fmt.Errorf("plan: %w", err)
+		return nil, fmt.Errorf("checking the plan: %w", err)
 	}
 	g := &generator{plan: p, body: p.body(), left: int64(p.Requests)}
 	g.client = &http.Client{Transport: &http.Transport{
@@ -85,7 +85,7 @@
 		running.Go(func() { callers[i].run(ctx) })
 	}
 	running.Wait()
-	return g.sum(callers, time.Since(begun)), nil
+	return g.merge(callers, time.Since(begun)), nil
 }
 
 func (p *Plan) body() []byte {
@@ -101,7 +101,7 @@
 	client *http.Client
 }
 
-func (g *generator) sum(callers []*caller, elapsed time.Duration) *Result {
+func (g *generator) merge(callers []*caller, elapsed time.Duration) *Result {
 	r := &Result{Elapsed: elapsed, Latency: newHistogram(), FirstByte: newHistogram()}
 	for _, c := range callers {
 		r.Requests += c.sent
@@ -112,7 +112,7 @@
 	return r
 }
 
-// caller is one caller with figures of its own, so that callers share nothing.
+// caller is one caller. It has its own measurements, so that callers need no lock.
 type caller struct {
 	*generator
 	sent, failed int64
@@ -143,14 +143,14 @@
 func (c *caller) call(ctx context.Context) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.plan.URL, bytes.NewReader(c.body))
 	if err != nil {
-		return fmt.Errorf("building the call: %w", err)
+		return fmt.Errorf("building the request: %w", err)
 	}
 	request.Header.Set("Authorization", "Bearer "+c.plan.Key)
 	request.Header.Set("Content-Type", "application/json")
 	begun := time.Now()
 	response, err := c.client.Do(request)
 	if err != nil {
-		return fmt.Errorf("calling: %w", err)
+		return fmt.Errorf("sending the request: %w", err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	first := true
@@ -164,7 +164,7 @@
 			break
 		}
 		if err != nil {
-			return fmt.Errorf("reading: %w", err)
+			return fmt.Errorf("reading the answer: %w", err)
 		}
 	}
 	if response.StatusCode != http.StatusOK {
@@ -175,6 +175,6 @@
 }
 
 func record(h *hdrhistogram.Histogram, latency time.Duration) {
-	// A latency above the histogram's bound counts as the bound.
+	// A latency above the histogram's maximum counts as the maximum.
 	_ = h.RecordValue(min(latency, maxLatency).Microseconds())
 }
--- a/pkg/loadmodel/arrivals.go
+++ b/pkg/loadmodel/arrivals.go
@@ -7,39 +7,40 @@
 	"quaydock/pkg/ids"
 )
 
-// drawAll draws the first tries of all kinds.
-func (p *play) drawAll() {
-	for i := range p.load.Kinds {
-		p.draw(&p.load.Kinds[i])
+// drawAll draws the callers of all kinds.
+func (s *simulation) drawAll() {
+	for i := range s.load.Kinds {
+		s.draw(&s.load.Kinds[i])
 	}
 }
 
-// draw draws the first tries of a kind, at random moments.
-func (p *play) draw(k *Kind) {
-	most := k.PerSecond
-	for _, b := range p.load.Bursts {
-		most *= max(1, b.Times)
+// draw draws the callers of a kind, whose first tries are a Poisson process with a rate that bursts raise
+// (by thinning).
+func (s *simulation) draw(k *Kind) {
+	maxRate := k.PerSecond
+	for _, b := range s.load.Bursts {
+		maxRate *= max(1, b.Times)
 	}
-	if most <= 0 {
+	if maxRate <= 0 {
 		return
 	}
 	for at := 0.0; ; {
-		at += p.random.ExpFloat64() / most * float64(clock.Second)
+		at += s.random.ExpFloat64() / maxRate * float64(clock.Second)
 		moment := clock.Millis(at)
-		if moment >= p.load.Length {
+		if moment >= s.load.Length {
 			return
 		}
-		if p.random.Float64()*most > k.PerSecond*p.load.times(moment, k.Name) {
+		if s.random.Float64()*maxRate > k.PerSecond*s.load.burstFactor(moment, k.Name) {
 			continue
 		}
-		size := math.Exp(k.Spread * p.random.NormFloat64())
+		size := math.Exp(k.Spread * s.random.NormFloat64())
 		c := &caller{
-			kind: k, first: start + moment, size: size,
+			kind: k, firstTryAt: startTime + moment, size: size,
 			prompt: ids.Tokens(float64(k.Prompt) * size), events: max(1, int(float64(k.Events)*size)),
 		}
 		if k.Events == 0 {
 			c.events = 0
 		}
-		p.callers = append(p.callers, c)
+		s.callers = append(s.callers, c)
 	}
 }
--- a/pkg/loadmodel/bound.go
+++ b/pkg/loadmodel/bound.go
@@ -8,72 +8,72 @@
 	"quaydock/pkg/clock"
 )
 
-// boundWindow is the time in which the order of work is free for the bound.
-const boundWindow = 2 * clock.Second
+// window is the time within which the upper bound may reorder work.
+const window = 2 * clock.Second
 
-// Bound is what a scheduler could earn at the most that knew all that was to come: in
-// each window the places go to what is asked in it, tiers in order, the shortest runs
-// first; what is left goes to what waits from before, which is late. Callers who come
-// back, runs that end in another window and the time to begin them cost it nothing; but what
-// comes at the end of a window finds no place in the next, by which a play may earn half a
-// hundredth more.
+// UpperBound estimates the best result of a scheduler that knows the whole load beforehand. In
+// each window the slots go to the requests that arrive in it, by tier and then shortest run
+// first; what is left goes to requests that wait from earlier windows, whose answers are late. Returning
+// callers, runs that extend into another window and the time to start runs cost it nothing. But requests
+// that arrive at the end of a window get no slot in the next one, so that a simulation may earn up to 0.005
+// more than this bound.
 func Bound(load Load) Result {
-	p := newPlay(&load, Observer{})
-	p.drawAll()
+	s := newSimulation(&load, Observer{})
+	s.drawAll()
 	var waiting []*caller
-	for from := clock.Millis(0); from < load.Length+boundWindow; from += boundWindow {
-		left := load.places(from) * float64(boundWindow)
-		var fresh []*caller
-		for _, c := range p.callers {
-			if at := c.first - start; at >= from && at < from+boundWindow {
-				fresh = append(fresh, c)
+	for from := clock.Millis(0); from < load.Length+window; from += window {
+		left := load.slots(from) * float64(window)
+		var arrived []*caller
+		for _, c := range s.callers {
+			if at := c.firstTryAt - startTime; at >= from && at < from+window {
+				arrived = append(arrived, c)
 			}
 		}
-		fresh, left = p.serve(fresh, left, inTime)
-		waiting = slices.DeleteFunc(append(waiting, fresh...), func(c *caller) bool { return c.deadline()-start < from+boundWindow })
-		waiting, _ = p.serve(waiting, left, late)
+		arrived, left = s.serve(arrived, left, inTime)
+		waiting = slices.DeleteFunc(append(waiting, arrived...), func(c *caller) bool { return c.deadline()-startTime < from+window })
+		waiting, _ = s.serve(waiting, left, late)
 	}
-	return p.result()
+	return s.result()
 }
 
-// serve gives callers places as long as there are some, and returns those who got none.
-func (p *play) serve(callers []*caller, left float64, as fate) ([]*caller, float64) {
+// serve gives slot time to callers until it is used up, and returns the callers that got none and the time that is left.
+func (s *simulation) serve(callers []*caller, left float64, as status) ([]*caller, float64) {
 	slices.SortFunc(callers, func(a, b *caller) int {
-		return cmp.Or(cmp.Compare(a.kind.Tier, b.kind.Tier), cmp.Compare(p.runTime(a), p.runTime(b)))
+		return cmp.Or(cmp.Compare(a.kind.Tier, b.kind.Tier), cmp.Compare(s.runTime(a), s.runTime(b)))
 	})
-	var without []*caller
+	var rejected []*caller
 	for _, c := range callers {
-		need := p.runTime(c)
+		need := s.runTime(c)
 		if need > left {
-			without = append(without, c)
-			c.fate = refused
+			rejected = append(rejected, c)
+			c.status = refused
 			continue
 		}
 		left -= need
-		c.fate = as
+		c.status = as
 	}
-	return without, left
+	return rejected, left
 }
 
-// runTime is for how many ms a caller's run takes a place of a target of factor 1 where
-// no other prompt is read.
-func (p *play) runTime(c *caller) float64 {
-	s := p.load.Speed
+// runTime returns for how many ms a caller's run occupies a slot of a target of speed factor 1 that
+// prefills no other prompt.
+func (s *simulation) runTime(c *caller) float64 {
+	speed := s.load.Speed
 	const thousand = 1000
-	return s.First + s.ThousandToken*float64(c.prompt)/thousand + s.Event*float64(c.events)
+	return speed.First + speed.ThousandToken*float64(c.prompt)/thousand + speed.Event*float64(c.events)
 }
 
-// places is how many places of targets of factor 1 there are in the window from a moment
-// on; an outage counts by how much of the window it takes.
-func (l *Load) places(from clock.Millis) float64 {
+// slots returns the number of slots, in slots of targets of speed factor 1, in the window that begins at from;
+// an outage counts in proportion to its overlap with the window.
+func (l *Load) slots(from clock.Millis) float64 {
 	all := 0.0
 	for _, t := range l.Targets {
 		all += float64(t.Count*t.Slots) / t.Factor
 	}
-	away := 0.0
+	down := 0.0
 	for _, o := range l.Outages {
-		overlap := min(from+boundWindow, o.At+o.For) - max(from, o.At)
-		away += o.Share * math.Max(0, float64(overlap)) / float64(boundWindow)
+		overlap := min(from+window, o.At+o.For) - max(from, o.At)
+		down += o.Share * math.Max(0, float64(overlap)) / float64(window)
 	}
-	return all * math.Max(0, 1-away)
+	return all * math.Max(0, 1-down)
 }
--- a/pkg/loadmodel/caller.go
+++ b/pkg/loadmodel/caller.go
@@ -8,58 +8,57 @@
 	"quaydock/pkg/planner"
 )
 
-// fate is what became of a caller.
-type fate int
+// status is the state of a caller, or its final result.
+type status int
 
 const (
-	underWay fate = iota
+	underWay status = iota
 	inTime
 	late
 	refused
 	refusedAgain
-	lost // its target failed, or its time was over
+	lost // its target failed, or it left because its patience or its deadline was over
 )
 
-// caller is one who asks for one thing, and comes back for it if told to.
+// caller sends one request, and repeats it if it is refused.
 type caller struct {
-	kind   *Kind
-	prompt ids.Tokens
-	events int
-	size   float64      // against the middle of its kind
-	first  clock.Millis // when it first asked
-	tries  int
-	fate   fate
+	kind       *Kind
+	prompt     ids.Tokens
+	events     int
+	size       float64      // relative to the median of its kind
+	firstTryAt clock.Millis // time of its first try
+	tries      int
+	status     status
 
-	asked   clock.Millis // its latest try
-	id      planner.JobID
-	granted clock.Millis
-	begun   clock.Millis
-	target  *target
-	held    clock.Millis // for how long its tries waited in vain
+	triedAt   clock.Millis // time of its latest try
+	id        planner.JobID
+	grantedAt clock.Millis
+	begunAt   clock.Millis
+	target    *target
+	heldFor   clock.Millis // total waiting time of tries that were not granted
 }
 
 func (c *caller) job() planner.Job {
 	return planner.Job{
 		ID: c.id, Tier: c.kind.Tier, Prompt: c.prompt, Events: c.events,
-		Arrived: c.asked, Objective: c.kind.Objective, Deadline: c.first + c.kind.Deadline,
-		Patience: c.kind.Patience, Before: c.asked - c.first, Returned: c.tries > 1,
+		Arrived: c.triedAt, Objective: c.kind.Objective, Deadline: c.firstTryAt + c.kind.Deadline,
+		Patience: c.kind.Patience, Before: c.triedAt - c.firstTryAt, Returned: c.tries > 1,
 	}
 }
 
-// deadline is when an answer has become useless.
-func (c *caller) deadline() clock.Millis { return c.first + c.kind.Deadline }
+// deadline returns the time from which an answer is useless.
+func (c *caller) deadline() clock.Millis { return c.firstTryAt + c.kind.Deadline }
 
-// returnsAt is when a caller comes back that was told to after some time: callers honour
-// that up to a third of the time that they have left.
+// returnsAt returns when a refused caller tries again: after the given Retry-After, but at most after a third of
+// its remaining time.
 func (c *caller) returnsAt(now, after clock.Millis) clock.Millis {
 	const honoured = 3
 	return now + min(after, (c.deadline()-now)/honoured)
 }
 
-// worth is what a caller's answer was worth. The larger a request against its kind, the
-// more.
+// worth returns the value of a caller's answer. It grows with the size of the request relative to its kind.
 func (c *caller) worth() float64 {
-	switch c.fate {
+	switch c.status {
 	case inTime:
 		return c.kind.Worth * c.weight()
 	case late:
@@ -70,6 +69,6 @@
 }
 
 func (c *caller) weight() float64 {
-	const base, most = 0.3, 4.0
-	return math.Min(most, base+(1-base)*c.size)
+	const base, maxWeight = 0.3, 4.0
+	return math.Min(maxWeight, base+(1-base)*c.size)
 }
--- a/pkg/loadmodel/events.go
+++ b/pkg/loadmodel/events.go
@@ -6,10 +6,10 @@
 	"quaydock/pkg/clock"
 )
 
-// event is something that happens at a moment.
+// event is an action at a time of the simulation.
 type event struct {
 	at     clock.Millis
-	number int // equal moments keep their order
+	number int // keeps events of the same time in the order in which they were added
 	do     func(now clock.Millis)
 }
 
@@ -31,7 +31,7 @@
 	return last
 }
 
-func (p *play) at(moment clock.Millis, do func(now clock.Millis)) {
-	p.number++
-	heap.Push(&p.events, event{moment, p.number, do})
+func (s *simulation) at(moment clock.Millis, do func(now clock.Millis)) {
+	s.number++
+	heap.Push(&s.events, event{moment, s.number, do})
 }
--- a/pkg/loadmodel/load.go
+++ b/pkg/loadmodel/load.go
@@ -1,8 +1,8 @@
-// Package loadmodel plays a described load against a planner in virtual time, without a
-// network: callers by tier with first tries, patience and returns after what they were
-// told, unlike targets whose places are taken by what they were given, bursts, outages and
-// planners that begin anew. It tells what callers get, and what the best possible order
-// could have given them.
+// Package loadmodel simulates a described load on a planner in virtual time, without a
+// network: callers of all tiers with limited patience who return after the time that a refusal
+// names, targets of different speed factors with limited slots, bursts, outages and
+// restarts of the planner. It reports what callers get, and an upper bound of what the best possible
+// order of work could have given them.
 package loadmodel
 
 import (
@@ -19,41 +19,41 @@
 type Kind struct {
 	Name string       `json:"name"`
 	Tier ids.TierRank `json:"tier"`
-	// PerSecond is how many callers ask a second.
+	// PerSecond is the rate of new callers.
 	PerSecond float64 `json:"per_second"`
-	// Prompt and Events are the middle size; Spread is the standard deviation of its
+	// Prompt and Events are the median size; Spread is the standard deviation of its
 	// logarithm.
 	Prompt ids.Tokens `json:"prompt_tokens"`
 	Events int        `json:"events"`
 	Spread float64    `json:"spread"`
-	// Objective is for the first event, by the caller's first try.
+	// Objective is the time limit for the first event, from the caller's first try on.
 	Objective clock.Millis `json:"objective_ms"`
 	Deadline  clock.Millis `json:"deadline_ms"`
-	// Patience is for how long a caller waits for a first sign; 0 if to the deadline.
+	// Patience is how long a caller waits for the first event of a try; 0 means until the deadline.
 	Patience clock.Millis `json:"patience_ms"`
-	// Returns is how often a caller comes back.
+	// MaxReturns is how often a caller tries again.
 	Returns int `json:"returns"`
-	// Worth is what an answer in time is worth, Late one after the objective.
+	// Worth is the value of an answer within the objective, LateWorth that of a later one.
 	Worth float64 `json:"worth"`
 	Late  float64 `json:"late_worth"`
 }
 
-// Targets are some alike.
+// TargetGroup is a number of equal targets.
 type Targets struct {
 	Count int `json:"count"`
 	Slots int `json:"slots"`
-	// Factor is how much slower than the others they are.
+	// Factor is the speed factor: their runs take so many times as long.
 	Factor float64 `json:"factor"`
 }
 
-// Speed is how long a target of factor 1 takes.
+// Speed gives the times of a target of speed factor 1.
 type Speed struct {
 	First         float64 `json:"first_ms"`
 	ThousandToken float64 `json:"first_per_1000_tokens_ms"`
 	Event         float64 `json:"event_ms"`
 }
 
-// Burst multiplies the callers of a kind, or of all kinds, for a while.
+// Burst multiplies the rate of callers of a kind, or of all kinds, for a time.
 type Burst struct {
 	At    clock.Millis `json:"at_ms"`
 	For   clock.Millis `json:"for_ms"`
@@ -61,14 +61,14 @@
 	Kind  string       `json:"kind,omitempty"`
 }
 
-// Outage takes a share of the targets away for a while; what runs there is lost.
+// Outage stops a fraction of the targets for a time; the requests that run there are lost.
 type Outage struct {
 	At    clock.Millis `json:"at_ms"`
 	For   clock.Millis `json:"for_ms"`
 	Share float64      `json:"share"`
 }
 
-// Load is what is played.
+// Load is the description of a load.
 type Load struct {
 	Length   clock.Millis   `json:"length_ms"`
 	Kinds    []Kind         `json:"kinds"`
@@ -86,7 +86,7 @@
 	decoder := json.NewDecoder(from)
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&l); err != nil {
-		return l, fmt.Errorf("description of a load: %w", err)
+		return l, fmt.Errorf("decoding the description of a load: %w", err)
 	}
 	return l, l.check()
 }
@@ -102,19 +102,19 @@
 	require(len(l.Kinds) > 0, "there are no kinds")
 	require(len(l.Targets) > 0, "there are no targets")
 	for _, k := range l.Kinds {
-		require(k.PerSecond >= 0 && k.Objective > 0 && k.Deadline >= k.Objective, "kind "+k.Name+" needs per_second, objective_ms and a deadline_ms behind it")
+		require(k.PerSecond >= 0 && k.Objective > 0 && k.Deadline >= k.Objective, "kind "+k.Name+" needs per_second of at least 0, objective_ms above 0 and deadline_ms of at least objective_ms")
 	}
 	for _, t := range l.Targets {
 		require(t.Count > 0 && t.Slots > 0 && t.Factor > 0, "targets need count, slots and factor above 0")
 	}
 	for _, o := range l.Outages {
-		require(o.Share > 0 && o.Share <= 1, "an outage needs a share above 0, 1 at the most")
+		require(o.Share > 0 && o.Share <= 1, "an outage needs a share above 0 and at most 1")
 	}
 	return errors.Join(faults...)
 }
 
-// times is how much more a kind's callers ask at a moment than usual.
-func (l *Load) times(at clock.Millis, kind string) float64 {
+// burstFactor returns the factor by which bursts raise the rate of a kind's callers at a time.
+func (l *Load) burstFactor(at clock.Millis, kind string) float64 {
 	x := 1.0
 	for _, b := range l.Bursts {
 		if (b.Kind == "" || b.Kind == kind) && at >= b.At && at < b.At+b.For {
--- a/pkg/loadmodel/load_test.go
+++ b/pkg/loadmodel/load_test.go
@@ -10,7 +10,7 @@
 	"quaydock/pkg/loadmodel"
 )
 
-func TestFaultyDescriptionsAreRefused(t *testing.T) {
+func TestInvalidDescriptionsAreRefused(t *testing.T) {
 	scenarios := []struct{ name, text, says string }{
 		{"no length", `{"kinds": [{"name": "a", "objective_ms": 1, "deadline_ms": 1}], "targets": [{"count": 1, "slots": 1, "factor": 1}]}`, "length_ms"},
 		{"unknown field", `{"length": 1}`, "unknown field"},
@@ -21,14 +21,14 @@
 		t.Run(s.name, func(t *testing.T) {
 			_, err := loadmodel.Read(strings.NewReader(s.text))
 			if err == nil || !strings.Contains(err.Error(), s.says) {
-				t.Errorf("got %v, want something of %s", err, s.says)
+				t.Errorf("got error %v, want one that contains %q", err, s.says)
 			}
 		})
 	}
 }
 
-// TestTheExampleCanBePlayed reads the load that the repository ships.
-func TestTheExampleCanBePlayed(t *testing.T) {
+// TestExampleLoadIsSimulated simulates the example load of the repository.
+func TestExampleLoadIsSimulated(t *testing.T) {
 	file, err := os.Open("../../examples/loads/overload.json")
 	if err != nil {
 		t.Fatal(err)
@@ -40,10 +40,10 @@
 	}
 	first, again := loadmodel.Play(load, loadmodel.Observer{}), loadmodel.Play(load, loadmodel.Observer{})
 	if first.All() != again.All() {
-		t.Error("two plays with one seed differ")
+		t.Error("two simulations with the same seed differ")
 	}
 	if all := first.All(); all.Asked != all.InTime+all.Late+all.Refused+all.RefusedAgain+all.Lost {
-		t.Errorf("%d callers asked, their fates add up to something else: %+v", all.Asked, all)
+		t.Errorf("%d callers, but their results do not add up to that: %+v", all.Asked, all)
 	}
 }
 
@@ -51,11 +51,11 @@
 	load := loadmodel.Load{
 		Length:  4 * clock.Second,
 		Kinds:   []loadmodel.Kind{{Name: "tag", PerSecond: 20, Prompt: 1000, Events: 5, Objective: 500, Deadline: 2000, Worth: 1, Late: 0.3}},
-		Targets: []loadmodel.Targets{{Count: 1, Slots: 2, Factor: 1}}, // two places, half of what is asked for
+		Targets: []loadmodel.Targets{{Count: 1, Slots: 2, Factor: 1}}, // two slots, half of what the callers need
 		Speed:   loadmodel.Speed{First: 50, ThousandToken: 50, Event: 20},
 		Seed:    1,
 	}
-	most := loadmodel.Bound(load).All().Share()
-	fmt.Println(most > 0.4 && most < 0.65)
+	earned := loadmodel.Bound(load).All().Share()
+	fmt.Println(earned > 0.4 && earned < 0.65)
 	// Output: true
 }
--- a/pkg/loadmodel/play.go
+++ b/pkg/loadmodel/play.go
@@ -13,29 +13,29 @@
 	"quaydock/pkg/routing"
 )
 
-// Observer is told of moments of a play, for tests.
+// Observer has callbacks for events of a simulation, for tests. Each may be nil.
 type Observer struct {
-	// Asked is called after a caller's try was submitted.
+	// Submitted is called after a caller's try was submitted.
 	Asked func(now clock.Millis, p *planner.Planner, id planner.JobID)
-	// Granted is called with how long the try had waited.
+	// Granted is called when a try is granted, with its waiting time.
 	Granted func(now clock.Millis, id planner.JobID, tier ids.TierRank, waited clock.Millis)
-	// Refused is called with the time for which the try was held.
+	// Refused is called when a try is refused, with its waiting time.
 	Refused func(now clock.Millis, id planner.JobID, tier ids.TierRank, held clock.Millis)
-	// Began is called with each planner that begins.
+	// PlannerStarted is called with each new planner.
 	Began func(p *planner.Planner)
 }
 
 const (
 	tickEvery = 25 * clock.Millisecond
-	// askEvery is how often callers' entries ask again for what waits.
-	askEvery = 60 * clock.Millisecond
-	// service is what the model's targets serve.
+	// resubmitEvery is how often entries submit waiting tries again.
+	resubmitEvery = 60 * clock.Millisecond
+	// service is the service of all simulated targets.
 	service = ids.Service("modelled")
 	entry   = "10.0.0.1:7600"
 )
 
-// play is one play of a load.
-type play struct {
+// simulation is one simulation of a load.
+type simulation struct {
 	load     *Load
 	observer Observer
 	random   *rand.Rand
@@ -50,175 +50,175 @@
 	tries    uint64
 }
 
-// start is the moment at which a play begins: planners take 0 for unknown.
-const start = 1000 * clock.Second
+// startTime is the time at which a simulation begins. It is not 0 because planners take that for unknown.
+const startTime = 1000 * clock.Second
 
-// Play plays a load and returns what callers got.
+// Simulate simulates a load and returns what the callers got.
 func Play(load Load, observer Observer) Result {
-	p := newPlay(&load, observer)
-	p.build()
-	p.begin(start)
-	p.schedule()
-	for len(p.events) > 0 {
-		e := heap.Pop(&p.events).(event)
+	s := newSimulation(&load, observer)
+	s.buildTargets()
+	s.startPlanner(startTime)
+	s.scheduleInputs()
+	for len(s.events) > 0 {
+		e := heap.Pop(&s.events).(event)
 		e.do(e.at)
 	}
-	return p.result()
+	return s.result()
 }
 
-func newPlay(load *Load, observer Observer) *play {
-	return &play{
+func newSimulation(load *Load, observer Observer) *simulation {
+	return &simulation{
 		load: load, observer: observer, random: rand.New(rand.NewPCG(load.Seed, 1)),
 		byID: make(map[ids.Target]*target), waiting: make(map[planner.JobID]*caller), running: make(map[planner.JobID]*caller),
 	}
 }
 
-// begin starts a planner that knows nothing but the targets.
-func (p *play) begin(now clock.Millis) {
-	p.planner = planner.New(rand.New(rand.NewPCG(p.load.Seed, 2)))
-	if p.observer.Began != nil {
-		p.observer.Began(p.planner)
+// startPlanner replaces the planner by a new one that knows only the targets.
+func (s *simulation) startPlanner(now clock.Millis) {
+	s.planner = planner.New(rand.New(rand.NewPCG(s.load.Seed, 2)))
+	if s.observer.Began != nil {
+		s.observer.Began(s.planner)
 	}
-	p.offer(now)
+	s.setTargets(now)
 }
 
-func (p *play) offer(now clock.Millis) {
+func (s *simulation) setTargets(now clock.Millis) {
 	var offered []*routing.Target
-	for _, t := range p.targets {
-		if !t.away {
+	for _, t := range s.targets {
+		if !t.down {
 			offered = append(offered, t.Target)
 		}
 	}
-	p.planner.SetTargets(now, offered)
+	s.planner.SetTargets(now, offered)
 }
 
-// schedule puts down all that comes from outside.
-func (p *play) schedule() {
-	end := start + p.load.Length
-	p.drawAll()
-	for _, c := range p.callers {
-		p.at(c.first, func(now clock.Millis) { p.ask(now, c) })
+// scheduleInputs schedules the callers, the outages, the restarts and the ticks.
+func (s *simulation) scheduleInputs() {
+	end := startTime + s.load.Length
+	s.drawAll()
+	for _, c := range s.callers {
+		s.at(c.firstTryAt, func(now clock.Millis) { s.submit(now, c) })
 	}
-	for _, o := range p.load.Outages {
-		p.at(start+o.At, func(now clock.Millis) { p.strike(now, o) })
+	for _, o := range s.load.Outages {
+		s.at(startTime+o.At, func(now clock.Millis) { s.startOutage(now, o) })
 	}
-	for _, at := range p.load.Restarts {
-		p.at(start+at, p.restart)
+	for _, at := range s.load.Restarts {
+		s.at(startTime+at, s.restart)
 	}
 	longest := clock.Millis(0)
-	for _, k := range p.load.Kinds {
+	for _, k := range s.load.Kinds {
 		longest = max(longest, k.Deadline)
 	}
-	for at := start; at < end+longest; at += tickEvery {
-		p.at(at, p.tick)
+	for at := startTime; at < end+longest; at += tickEvery {
+		s.at(at, s.tick)
 	}
 }
 
-// ask submits a caller's try.
-func (p *play) ask(now clock.Millis, c *caller) {
-	p.tries++
+// submit submits a caller's next try.
+func (s *simulation) submit(now clock.Millis, c *caller) {
+	s.tries++
 	c.tries++
-	c.asked = now
-	c.id = planner.JobID{Entry: entry, Number: p.tries}
-	p.waiting[c.id] = c
-	p.planner.Submit(now, c.job())
-	if p.observer.Asked != nil {
-		p.observer.Asked(now, p.planner, c.id)
-	}
-	p.heed(now)
+	c.triedAt = now
+	c.id = planner.JobID{Entry: entry, Number: s.tries}
+	s.waiting[c.id] = c
+	s.planner.Submit(now, c.job())
+	if s.observer.Asked != nil {
+		s.observer.Asked(now, s.planner, c.id)
+	}
+	s.applyDecisions(now)
 	id := c.id
-	leave := func(now clock.Millis) { p.leave(now, c, id) }
-	p.at(c.deadline(), leave)
+	leave := func(now clock.Millis) { s.leave(now, c, id) }
+	s.at(c.deadline(), leave)
 	if patience := now + c.kind.Patience; patience > now && patience < c.deadline() {
-		p.at(patience, leave)
+		s.at(patience, leave)
 	}
 }
 
-// leave ends a try that has seen no event yet, and any at the deadline.
-func (p *play) leave(now clock.Millis, c *caller, id planner.JobID) {
-	if c.id != id || c.fate != underWay || c.begun > 0 && now < c.deadline() {
+// leave ends a try that has seen no event yet, or any try at the deadline.
+func (s *simulation) leave(now clock.Millis, c *caller, id planner.JobID) {
+	if c.id != id || c.status != underWay || c.begunAt > 0 && now < c.deadline() {
 		return
 	}
-	if _, waits := p.waiting[id]; !waits && p.running[id] == nil {
-		return // it is to come back
+	if _, waits := s.waiting[id]; !waits && s.running[id] == nil {
+		return // the caller has yet to return
 	}
-	c.fate = lost
-	delete(p.waiting, id)
+	c.status = lost
+	delete(s.waiting, id)
 	if c.target != nil {
-		p.free(c)
+		s.release(c)
 	} else {
-		c.held += now - c.asked
+		c.heldFor += now - c.triedAt
 	}
-	p.planner.Withdraw(now, id)
-	p.heed(now)
+	s.planner.Withdraw(now, id)
+	s.applyDecisions(now)
 }
 
-// heed does what the planner has decided.
-func (p *play) heed(now clock.Millis) {
-	for _, d := range p.planner.Decisions() {
+// applyDecisions carries out the decisions of the planner.
+func (s *simulation) applyDecisions(now clock.Millis) {
+	for _, d := range s.planner.Decisions() {
 		switch d := d.(type) {
 		case planner.Grant:
-			if c := p.waiting[d.ID]; c != nil {
-				p.run(now, c, p.byID[d.Life.Target])
+			if c := s.waiting[d.ID]; c != nil {
+				s.run(now, c, s.byID[d.Life.Target])
 			}
 		case planner.Refuse:
-			if c := p.waiting[d.ID]; c != nil {
-				p.refuse(now, c, d.RetryAfter)
+			if c := s.waiting[d.ID]; c != nil {
+				s.refuse(now, c, d.RetryAfter)
 			}
 		case planner.Move:
-			// The model's targets begin what they are given.
+			// Simulated targets start every request at once, so that none is re-dispatched.
 		}
 	}
 }
 
-func (p *play) refuse(now clock.Millis, c *caller, after clock.Millis) {
-	delete(p.waiting, c.id)
-	c.held += now - c.asked
-	if p.observer.Refused != nil {
-		p.observer.Refused(now, c.id, c.kind.Tier, now-c.asked)
+func (s *simulation) refuse(now clock.Millis, c *caller, after clock.Millis) {
+	delete(s.waiting, c.id)
+	c.heldFor += now - c.triedAt
+	if s.observer.Refused != nil {
+		s.observer.Refused(now, c.id, c.kind.Tier, now-c.triedAt)
 	}
 	if c.tries > c.kind.Returns {
-		c.fate = refused
+		c.status = refused
 		if c.tries > 1 {
-			c.fate = refusedAgain
+			c.status = refusedAgain
 		}
 		return
 	}
-	if back := c.returnsAt(now, after); back < c.deadline() {
-		p.at(back, func(now clock.Millis) { p.ask(now, c) })
+	if again := c.returnsAt(now, after); again < c.deadline() {
+		s.at(again, func(now clock.Millis) { s.submit(now, c) })
 		return
 	}
-	c.fate = refused
+	c.status = refused
 }
 
-// inOrder lists tries as they were made, so that a seed repeats a play.
-func inOrder(tries map[planner.JobID]*caller) []planner.JobID {
+// sortedTries returns the ids of tries in the order in which they were made, so that a simulation is repeatable.
+func sortedTries(tries map[planner.JobID]*caller) []planner.JobID {
 	ids := slices.Collect(maps.Keys(tries))
 	slices.SortFunc(ids, func(a, b planner.JobID) int { return cmp.Compare(a.Number, b.Number) })
 	return ids
 }
 
-// restart has another planner begin, which is told what runs and asked for what waits.
-func (p *play) restart(now clock.Millis) {
-	p.begin(now)
-	for _, id := range inOrder(p.running) {
-		c := p.running[id]
-		p.planner.Restore(now, c.job(), c.target.Life(), c.begun > 0)
+// restart replaces the planner by a new one, to which running tries are restored and waiting ones submitted again.
+func (s *simulation) restart(now clock.Millis) {
+	s.startPlanner(now)
+	for _, id := range sortedTries(s.running) {
+		c := s.running[id]
+		s.planner.Restore(now, c.job(), c.target.Life(), c.begunAt > 0)
 	}
-	for _, id := range inOrder(p.waiting) {
-		p.planner.Submit(now, p.waiting[id].job())
+	for _, id := range sortedTries(s.waiting) {
+		s.planner.Submit(now, s.waiting[id].job())
 	}
-	p.heed(now)
+	s.applyDecisions(now)
 }
 
-func (p *play) tick(now clock.Millis) {
-	if (now-start)%askEvery < tickEvery {
-		for _, id := range inOrder(p.waiting) {
-			if p.planner.Waits(id) {
-				p.planner.Submit(now, p.waiting[id].job())
+func (s *simulation) tick(now clock.Millis) {
+	if (now-startTime)%resubmitEvery < tickEvery {
+		for _, id := range sortedTries(s.waiting) {
+			if s.planner.Waits(id) {
+				s.planner.Submit(now, s.waiting[id].job())
 			}
 		}
 	}
-	p.planner.Tick(now)
-	p.heed(now)
+	s.planner.Tick(now)
+	s.applyDecisions(now)
 }
--- a/pkg/loadmodel/result.go
+++ b/pkg/loadmodel/result.go
@@ -11,18 +11,20 @@
 	Kind  string
 	Tier  ids.TierRank
 	Asked int
-	// InTime and Late were answered, Refused once or again, Lost otherwise.
+	// InTime and Late count callers that were answered within the objective and after it, RefusedAgain those that were
+	// refused after they had used all their returns, Refused other refused callers, and Lost the rest.
 	InTime, Late, Refused, RefusedAgain, Lost int
-	// Worth is what the answers were worth, Owed what all in time would have been.
+	// Worth is the value of the answers, MaxWorth what it would be if all were in time.
 	Worth, Owed float64
-	// Cost is what callers were cost beside: by coming back for nothing, and by waiting for
-	// what they did not get, the more the longer.
+	// Cost is the cost to callers that got no answer: a constant for returning in vain, and an amount that grows
+	// with the time that they waited.
 	Cost float64
-	// LargestServed is the share of the largest tenth that was answered, Served that of all.
+	// Served is the fraction of the callers that were answered, LargestServed that of the tenth with the largest
+	// prompts.
 	LargestServed, Served float64
 }
 
-// Share is the part of what was owed that was earned.
+// EarnedFraction returns Worth as a fraction of MaxWorth.
 func (o Outcome) Share() float64 {
 	if o.Owed == 0 {
 		return 0
@@ -30,18 +32,18 @@
 	return o.Worth / o.Owed
 }
 
-// Result is what all callers got, by kind in the order of the load.
+// Result holds the outcome of each kind, in the order of the load.
 type Result struct {
 	Outcomes []Outcome
 }
 
-// Of returns the outcome of a kind; it must be one of the load's.
+// ForKind returns the outcome of a kind. It panics if the load has no such kind.
 func (r Result) Of(kind string) *Outcome {
 	i := slices.IndexFunc(r.Outcomes, func(o Outcome) bool { return o.Kind == kind })
 	return &r.Outcomes[i]
 }
 
-// All is the sum over all kinds.
+// All returns the sum over all kinds, without Served and LargestServed.
 func (r Result) All() Outcome {
 	all := Outcome{Kind: "all"}
 	for _, o := range r.Outcomes {
@@ -58,28 +60,28 @@
 	return all
 }
 
-func (p *play) result() Result {
+func (s *simulation) result() Result {
 	var r Result
-	for i := range p.load.Kinds {
-		r.Outcomes = append(r.Outcomes, p.outcome(&p.load.Kinds[i]))
+	for i := range s.load.Kinds {
+		r.Outcomes = append(r.Outcomes, s.outcome(&s.load.Kinds[i]))
 	}
 	return r
 }
 
-func (p *play) outcome(k *Kind) Outcome {
+func (s *simulation) outcome(k *Kind) Outcome {
 	o := Outcome{Kind: k.Name, Tier: k.Tier}
-	var of []*caller
-	for _, c := range p.callers {
+	var callers []*caller
+	for _, c := range s.callers {
 		if c.kind != k {
 			continue
 		}
-		of = append(of, c)
+		callers = append(callers, c)
 		o.count(c)
 	}
-	o.Served = served(of)
-	slices.SortFunc(of, func(a, b *caller) int { return int(b.prompt - a.prompt) })
+	o.Served = servedFraction(callers)
+	slices.SortFunc(callers, func(a, b *caller) int { return int(b.prompt - a.prompt) })
 	const tenth = 10
-	o.LargestServed = served(of[:len(of)/tenth])
+	o.LargestServed = servedFraction(callers[:len(callers)/tenth])
 	return o
 }
 
@@ -87,7 +89,7 @@
 	o.Asked++
 	o.Owed += c.kind.Worth * c.weight()
 	o.Worth += c.worth()
-	switch c.fate {
+	switch c.status {
 	case inTime:
 		o.InTime++
 	case late:
@@ -102,7 +104,7 @@
 	o.Cost += c.cost()
 }
 
-// Net is what was earned less what it cost the callers, as a part of what was owed.
+// NetFraction returns Worth less Cost as a fraction of MaxWorth.
 func (o Outcome) Net() float64 {
 	if o.Owed == 0 {
 		return 0
@@ -111,35 +113,35 @@
 }
 
 const (
-	// againCost is what it costs a caller to come back for nothing, as a part of the worth.
-	againCost = 0.3
-	// freeHold is the part of the objective for which waiting in vain costs nothing, and
-	// longHold the part of the caller's time for which it costs the whole worth.
-	freeHold = 0.125
-	longHold = 0.75
+	// returnCost is the cost of returning in vain, as a fraction of the worth.
+	returnCost = 0.3
+	// freeWaitFraction is the fraction of the objective for which waiting in vain costs nothing, and
+	// fullCostWaitFraction the fraction of the caller's deadline from which it costs the whole worth.
+	freeWaitFraction     = 0.125
+	fullCostWaitFraction = 0.75
 )
 
 func (c *caller) cost() float64 {
-	if c.fate == inTime || c.fate == late {
+	if c.status == inTime || c.status == late {
 		return 0
 	}
 	worth := c.kind.Worth * c.weight()
-	free := freeHold * float64(c.kind.Objective)
-	span := longHold*float64(c.kind.Deadline) - free
-	cost := worth * min(1, max(0, (float64(c.held)-free)/span))
-	if c.fate != refused && c.tries > 1 {
-		cost += againCost * worth
+	freeWait := freeWaitFraction * float64(c.kind.Objective)
+	span := fullCostWaitFraction*float64(c.kind.Deadline) - freeWait
+	cost := worth * min(1, max(0, (float64(c.heldFor)-freeWait)/span))
+	if c.status != refused && c.tries > 1 {
+		cost += returnCost * worth
 	}
 	return cost
 }
 
-func served(callers []*caller) float64 {
+func servedFraction(callers []*caller) float64 {
 	if len(callers) == 0 {
 		return 0
 	}
 	n := 0
 	for _, c := range callers {
-		if c.fate == inTime || c.fate == late {
+		if c.status == inTime || c.status == late {
 			n++
 		}
 	}
--- a/pkg/loadmodel/targets.go
+++ b/pkg/loadmodel/targets.go
@@ -11,99 +11,99 @@
 	"quaydock/pkg/routing"
 )
 
-// target is one that is played.
+// target is a simulated target.
 type target struct {
 	*routing.Target
-	factor  float64
-	reading ids.Tokens
-	running map[planner.JobID]*caller
-	away    bool
+	factor     float64
+	prefilling ids.Tokens
+	running    map[planner.JobID]*caller
+	down       bool
 }
 
-func (p *play) build() {
-	for _, group := range p.load.Targets {
+func (s *simulation) buildTargets() {
+	for _, group := range s.load.Targets {
 		for range group.Count {
-			id := ids.Target("t" + strconv.Itoa(len(p.targets)))
+			id := ids.Target("t" + strconv.Itoa(len(s.targets)))
 			t := &target{Target: &routing.Target{ID: id, Service: service, Slots: group.Slots}, factor: group.Factor, running: make(map[planner.JobID]*caller)}
-			p.targets = append(p.targets, t)
-			p.byID[id] = t
+			s.targets = append(s.targets, t)
+			s.byID[id] = t
 		}
 	}
 }
 
-// run has a target work on a try: its prompt is read behind those that are read there.
-func (p *play) run(now clock.Millis, c *caller, t *target) {
-	delete(p.waiting, c.id)
-	if p.observer.Granted != nil {
-		p.observer.Granted(now, c.id, c.kind.Tier, now-c.asked)
+// run starts a try at a target: its prompt is prefilled after those that are being prefilled there.
+func (s *simulation) run(now clock.Millis, c *caller, t *target) {
+	delete(s.waiting, c.id)
+	if s.observer.Granted != nil {
+		s.observer.Granted(now, c.id, c.kind.Tier, now-c.triedAt)
 	}
-	c.granted, c.begun, c.target = now, 0, t
-	p.running[c.id] = c
+	c.grantedAt, c.begunAt, c.target = now, 0, t
+	s.running[c.id] = c
 	t.running[c.id] = c
-	t.reading += c.prompt
+	t.prefilling += c.prompt
 	const thousand = 1000
-	first := t.factor * (p.load.Speed.First + p.load.Speed.ThousandToken*float64(t.reading)/thousand)
+	first := t.factor * (s.load.Speed.First + s.load.Speed.ThousandToken*float64(t.prefilling)/thousand)
 	id := c.id
-	p.at(now+clock.Millis(first), func(now clock.Millis) { p.first(now, c, id) })
+	s.at(now+clock.Millis(first), func(now clock.Millis) { s.firstEvent(now, c, id) })
 }
 
-func (p *play) first(now clock.Millis, c *caller, id planner.JobID) {
-	if c.id != id || p.running[id] == nil {
+func (s *simulation) firstEvent(now clock.Millis, c *caller, id planner.JobID) {
+	if c.id != id || s.running[id] == nil {
 		return
 	}
-	c.target.reading -= c.prompt
-	c.begun = now
-	p.planner.Begin(now, id, nil)
-	p.heed(now)
-	rest := c.target.factor * p.load.Speed.Event * float64(c.events)
-	p.at(now+clock.Millis(rest), func(now clock.Millis) { p.end(now, c, id) })
+	c.target.prefilling -= c.prompt
+	c.begunAt = now
+	s.planner.Begin(now, id, nil)
+	s.applyDecisions(now)
+	decode := c.target.factor * s.load.Speed.Event * float64(c.events)
+	s.at(now+clock.Millis(decode), func(now clock.Millis) { s.finish(now, c, id) })
 }
 
-func (p *play) end(now clock.Millis, c *caller, id planner.JobID) {
-	if c.id != id || p.running[id] == nil {
+func (s *simulation) finish(now clock.Millis, c *caller, id planner.JobID) {
+	if c.id != id || s.running[id] == nil {
 		return
 	}
-	c.fate = late
-	if c.begun <= c.first+c.kind.Objective {
-		c.fate = inTime
+	c.status = late
+	if c.begunAt <= c.firstTryAt+c.kind.Objective {
+		c.status = inTime
 	}
-	p.free(c)
-	p.planner.Finish(now, id, planner.Served, planner.Flow{Events: c.events})
-	p.heed(now)
+	s.release(c)
+	s.planner.Finish(now, id, planner.Served, planner.Flow{Events: c.events})
+	s.applyDecisions(now)
 }
 
-// free takes a try off its target.
-func (p *play) free(c *caller) {
-	if c.begun == 0 {
-		c.target.reading -= c.prompt
+// release frees the slot of a try.
+func (s *simulation) release(c *caller) {
+	if c.begunAt == 0 {
+		c.target.prefilling -= c.prompt
 	}
 	delete(c.target.running, c.id)
-	delete(p.running, c.id)
+	delete(s.running, c.id)
 	c.target = nil
 }
 
-// strike takes targets away for a while.
-func (p *play) strike(now clock.Millis, o Outage) {
-	n := int(math.Ceil(o.Share * float64(len(p.targets))))
-	struck := slices.Clone(p.targets)
-	p.random.Shuffle(len(struck), func(i, j int) { struck[i], struck[j] = struck[j], struck[i] })
-	struck = struck[:n]
-	for _, t := range struck {
-		t.away = true
-		for _, id := range inOrder(t.running) {
+// startOutage stops random targets and schedules the end of the outage.
+func (s *simulation) startOutage(now clock.Millis, o Outage) {
+	n := int(math.Ceil(o.Share * float64(len(s.targets))))
+	stopped := slices.Clone(s.targets)
+	s.random.Shuffle(len(stopped), func(i, j int) { stopped[i], stopped[j] = stopped[j], stopped[i] })
+	stopped = stopped[:n]
+	for _, t := range stopped {
+		t.down = true
+		for _, id := range sortedTries(t.running) {
 			c := t.running[id]
-			c.fate = lost
-			p.free(c)
-			p.planner.Finish(now, id, planner.Failed, planner.Flow{})
+			c.status = lost
+			s.release(c)
+			s.planner.Finish(now, id, planner.Failed, planner.Flow{})
 		}
 	}
-	p.offer(now)
-	p.heed(now)
-	p.at(now+o.For, func(now clock.Millis) {
-		for _, t := range struck {
-			t.away = false
+	s.setTargets(now)
+	s.applyDecisions(now)
+	s.at(now+o.For, func(now clock.Millis) {
+		for _, t := range stopped {
+			t.down = false
 		}
-		p.offer(now)
-		p.heed(now)
+		s.setTargets(now)
+		s.applyDecisions(now)
 	})
 }
--- a/pkg/network/faults.go
+++ b/pkg/network/faults.go
@@ -12,78 +12,78 @@
 
 //go:generate stringer -type=Direction,Effect -output=faults_string.go
 
-// Direction is which way a message goes on a connection.
+// Direction is the direction of a message on a connection.
 type Direction int
 
-// The directions.
+// The directions of messages.
 const (
-	// Request: from the side that dialled.
+	// Request: sent by the side that dialled.
 	Request Direction = iota
-	// Reply: to the side that dialled.
+	// Reply: sent to the side that dialled.
 	Reply
 )
 
 // Effect is what a fault does to a message.
 type Effect int
 
-// The effects.
+// The effects of faults.
 const (
-	// CutBefore breaks the connection; the message does not arrive.
+	// BreakBefore breaks the connection; the message does not arrive.
 	CutBefore Effect = iota
-	// CutAfter breaks the connection once the message has arrived.
+	// BreakAfter breaks the connection once the message has arrived.
 	CutAfter
-	// Delay holds the message back, and all behind it on the connection.
+	// Delay delays the message, and all that follow it on the connection.
 	Delay
 )
 
-// Fault strikes one message. A message is one write or read of a connection;
-// they are counted over all connections to an address.
+// Fault affects one message. A message is one write or read of a connection;
+// messages are counted over all connections to an address.
 type Fault struct {
 	Address   string
 	Direction Direction
-	// Message is the number of the message that is struck, from 0.
+	// Message is the number of the affected message, from 0.
 	Message int
 	Effect  Effect
-	// Length is how long Delay holds the message back.
+	// Length is the time by which Delay delays the message.
 	Length clock.Millis
 }
 
-// Faults makes the connections of a Memory network fail, for tests. Its Wrap
-// goes to NewMemory.
+// Faults makes the connections of a Memory network fail, for tests. Pass its Wrap
+// to NewMemory. It is safe for concurrent use.
 type Faults struct {
-	mu     sync.Mutex
-	faults []Fault
-	counts map[lane]int
-	struck int
+	mu        sync.Mutex
+	faults    []Fault
+	counts    map[messageKey]int
+	triggered int
 }
 
-type lane struct {
+type messageKey struct {
 	address   string
 	direction Direction
 }
 
-var errCut = errors.ConstError("connection cut by a fault")
+var errBroken = errors.ConstError("connection broken by an injected fault")
 
 // NewFaults returns a set of faults.
 func NewFaults(faults ...Fault) *Faults {
-	return &Faults{faults: faults, counts: make(map[lane]int)}
+	return &Faults{faults: faults, counts: make(map[messageKey]int)}
 }
 
-// Strike adds a fault.
+// Add adds a fault.
 func (f *Faults) Strike(fault Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults = append(f.faults, fault)
 }
 
-// Struck returns how many faults have struck.
+// Triggered returns how many faults have taken effect.
 func (f *Faults) Struck() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.struck
+	return f.triggered
 }
 
-// Heal drops the faults that have not struck yet.
+// Clear removes all faults.
 func (f *Faults) Heal() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -92,20 +92,20 @@
 
 // Wrap makes conn subject to the faults of its address.
 func (f *Faults) Wrap(address string, conn net.Conn) net.Conn {
-	return &faultyConn{Conn: conn, faults: f, address: address, turn: make(chan struct{}, 1), closed: make(chan struct{})}
+	return &faultyConn{Conn: conn, faults: f, address: address, sem: make(chan struct{}, 1), closed: make(chan struct{})}
 }
 
-// next counts a message and returns the fault that strikes it, if any.
-func (f *Faults) next(address string, direction Direction) *Fault {
+// nextFault counts a message and returns the fault that affects it, or nil.
+func (f *Faults) nextFault(address string, direction Direction) *Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	l := lane{address, direction}
-	number := f.counts[l]
-	f.counts[l]++
+	key := messageKey{address, direction}
+	number := f.counts[key]
+	f.counts[key]++
 	for i := range f.faults {
 		fault := &f.faults[i]
 		if fault.Address == address && fault.Direction == direction && fault.Message == number {
-			f.struck++
+			f.triggered++
 			return fault
 		}
 	}
@@ -116,22 +116,22 @@
 	net.Conn
 	faults  *Faults
 	address string
-	// turn is held by who uses what follows. It is a channel, since virtual
-	// time stands still while a goroutine waits for a mutex.
-	turn    chan struct{}
-	held    []byte
+	// sem guards pending and holding. It is a channel because virtual
+	// time does not advance while a goroutine waits for a mutex.
+	sem     chan struct{}
+	pending []byte
 	holding bool
 	once    sync.Once
 	closed  chan struct{}
 }
 
-// Write sends a message, or has it struck.
+// Write sends a message, or applies the fault for it.
 func (c *faultyConn) Write(p []byte) (int, error) {
-	fault := c.faults.next(c.address, Request)
-	c.turn <- struct{}{}
-	defer func() { <-c.turn }()
+	fault := c.faults.nextFault(c.address, Request)
+	c.sem <- struct{}{}
+	defer func() { <-c.sem }()
 	if c.holding {
-		c.held = append(c.held, p...)
+		c.pending = append(c.pending, p...)
 		return len(p), nil
 	}
 	if fault == nil {
@@ -139,47 +139,47 @@
 	}
 	switch fault.Effect {
 	case CutBefore:
-		return 0, c.cut()
+		return 0, c.breakOff()
 	case CutAfter:
 		n, err := c.Conn.Write(p)
 		if err != nil {
 			return n, err
 		}
-		return n, c.cut()
+		return n, c.breakOff()
 	default:
-		// As in a kernel's buffers, the writer goes on.
+		// The writer goes on, as with a kernel's buffers.
 		c.holding = true
-		c.held = append(c.held, p...)
+		c.pending = append(c.pending, p...)
 		time.AfterFunc(fault.Length.Duration(), c.release)
 		return len(p), nil
 	}
 }
 
-// release sends what was held back.
+// release sends the delayed messages.
 func (c *faultyConn) release() {
-	c.turn <- struct{}{}
-	defer func() { <-c.turn }()
+	c.sem <- struct{}{}
+	defer func() { <-c.sem }()
 	c.holding = false
-	// The connection may be closed by now; its users have been told.
-	_, _ = c.Conn.Write(c.held)
-	c.held = nil
+	// The connection may be closed by now; its users have got an error then.
+	_, _ = c.Conn.Write(c.pending)
+	c.pending = nil
 }
 
-// Read takes a message, or has it struck.
+// Read receives a message, or applies the fault for it.
 func (c *faultyConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if err != nil {
 		return n, err
 	}
-	fault := c.faults.next(c.address, Reply)
+	fault := c.faults.nextFault(c.address, Reply)
 	if fault == nil {
 		return n, nil
 	}
 	switch fault.Effect {
 	case CutBefore:
-		return 0, c.cut()
+		return 0, c.breakOff()
 	case CutAfter:
-		_ = c.cut()
+		_ = c.breakOff()
 		return n, nil
 	default:
 		select {
@@ -191,13 +191,13 @@
 	}
 }
 
-// Close ends the connection, and with it a message that is held back.
+// Close closes the connection and discards a delayed message.
 func (c *faultyConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.Conn.Close()
 }
 
-func (c *faultyConn) cut() error {
+func (c *faultyConn) breakOff() error {
 	_ = c.Close()
-	return errCut
+	return errBroken
 }
--- a/pkg/network/memory.go
+++ b/pkg/network/memory.go
@@ -14,7 +14,7 @@
 const backlog = 1024
 
 // Memory is a network inside one process, for tests. Its connections buffer as
-// a kernel's would and work in the virtual time of testing/synctest.
+// a kernel's do and work in the virtual time of testing/synctest. It is safe for concurrent use.
 type Memory struct {
 	mu        sync.Mutex
 	listeners map[string]*memoryListener
@@ -22,16 +22,16 @@
 }
 
 // WrapFunc may replace the dialling side of a new connection to address, to
-// watch it or to make it fail.
+// observe it or to make it fail.
 type WrapFunc func(address string, conn net.Conn) net.Conn
 
-// NewMemory returns a network without listeners. A nil wrap changes nothing.
+// NewMemory returns a network without listeners. A nil wrap leaves connections as they are.
 func NewMemory(wrap WrapFunc) *Memory {
 	return &Memory{listeners: make(map[string]*memoryListener), wrap: wrap}
 }
 
-// Dial connects to the listener at address. The error is of kind
-// errors.NotFound if there is none, and tells of a refusal as that of a kernel does.
+// Dial connects to the listener at address. If there is none, the error wraps
+// errors.NotFound and syscall.ECONNREFUSED, the error of a kernel for a refused connection.
 func (m *Memory) Dial(ctx context.Context, address string) (net.Conn, error) {
 	m.mu.Lock()
 	listener := m.listeners[address]
@@ -46,7 +46,7 @@
 	}
 	conn, accepted := newPipe(address)
 	select {
-	case listener.arriving <- accepted:
+	case listener.pending <- accepted:
 	case <-listener.closed:
 		return nil, fmt.Errorf("listener at %s closed: %w: %w", address, errors.NotFound, syscall.ECONNREFUSED)
 	case <-ctx.Done():
@@ -54,7 +54,7 @@
 	}
 	select {
 	case <-listener.closed:
-		// It closed at the same moment, and may not have seen the connection.
+		// It was closed at the same moment and may have missed the connection.
 		_ = accepted.Close()
 	default:
 	}
@@ -64,12 +64,12 @@
 	return conn, nil
 }
 
-// Listen takes connections at address, in place of any earlier listener there.
+// Listen accepts connections at address and replaces any earlier listener there.
 func (m *Memory) Listen(address string) (net.Listener, error) {
 	listener := &memoryListener{
-		address:  memoryAddr(address),
-		arriving: make(chan net.Conn, backlog),
-		closed:   make(chan struct{}),
+		address: memoryAddr(address),
+		pending: make(chan net.Conn, backlog),
+		closed:  make(chan struct{}),
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -78,29 +78,29 @@
 }
 
 type memoryListener struct {
-	address  memoryAddr
-	arriving chan net.Conn
-	closed   chan struct{}
-	once     sync.Once
+	address memoryAddr
+	pending chan net.Conn
+	closed  chan struct{}
+	once    sync.Once
 }
 
 // Accept returns the next connection.
 func (l *memoryListener) Accept() (net.Conn, error) {
 	select {
-	case conn := <-l.arriving:
+	case conn := <-l.pending:
 		return conn, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-// Close refuses further connections, and breaks those not yet accepted.
+// Close refuses further connections and closes those not yet accepted.
 func (l *memoryListener) Close() error {
 	l.once.Do(func() {
 		close(l.closed)
 		for {
 			select {
-			case conn := <-l.arriving:
+			case conn := <-l.pending:
 				_ = conn.Close()
 			default:
 				return
--- a/pkg/network/memory_conn.go
+++ b/pkg/network/memory_conn.go
@@ -11,24 +11,24 @@
 // pipeBytes is how much one direction buffers before its writer waits.
 const pipeBytes = 64 << 10
 
-// stream is one direction of an in-memory connection. It is our own, since a
-// library's pipe starts timers of no length, which crash the race detector in
+// stream is one direction of an in-memory connection. We don't use a library's
+// pipe because it starts timers of zero length, which crash the race detector in
 // virtual time.
 type stream struct {
-	mu      sync.Mutex
-	changed sync.Cond
-	data    []byte
-	ended   bool // its writer has closed
-	broken  bool // its reader has closed
-	reading limit
-	writing limit
+	mu            sync.Mutex
+	changed       sync.Cond
+	data          []byte
+	ended         bool // the writer has closed it
+	broken        bool // the reader has closed it
+	readDeadline  deadline
+	writeDeadline deadline
 }
 
-// limit is a deadline of one side.
-type limit struct {
-	expired bool
-	timer   *time.Timer
-	setting int // counts the settings, so that an old timer is known
+// deadline is the read or write deadline of one side.
+type deadline struct {
+	expired    bool
+	timer      *time.Timer
+	generation int // incremented by each setDeadline, so that an old timer has no effect
 }
 
 func newStream() *stream {
@@ -40,13 +40,13 @@
 func (s *stream) read(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for len(s.data) == 0 && !s.ended && !s.broken && !s.reading.expired {
+	for len(s.data) == 0 && !s.ended && !s.broken && !s.readDeadline.expired {
 		s.changed.Wait()
 	}
 	switch {
 	case s.broken:
 		return 0, net.ErrClosed
-	case s.reading.expired:
+	case s.readDeadline.expired:
 		return 0, os.ErrDeadlineExceeded
 	case len(s.data) == 0:
 		return 0, io.EOF
@@ -62,7 +62,7 @@
 	defer s.mu.Unlock()
 	written := 0
 	for written < len(p) {
-		for len(s.data) >= pipeBytes && !s.ended && !s.broken && !s.writing.expired {
+		for len(s.data) >= pipeBytes && !s.ended && !s.broken && !s.writeDeadline.expired {
 			s.changed.Wait()
 		}
 		switch {
@@ -70,7 +70,7 @@
 			return written, net.ErrClosed
 		case s.broken:
 			return written, io.ErrClosedPipe
-		case s.writing.expired:
+		case s.writeDeadline.expired:
 			return written, os.ErrDeadlineExceeded
 		}
 		n := min(len(p)-written, pipeBytes-len(s.data))
@@ -81,42 +81,42 @@
 	return written, nil
 }
 
-// close ends the stream from one side; flag is ended or broken.
+// close closes the stream from one side; flag is ended for the writer and broken for the reader.
 func (s *stream) close(flag *bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*flag = true
-	for _, l := range []*limit{&s.reading, &s.writing} {
-		if l.timer != nil {
-			l.timer.Stop()
+	for _, d := range []*deadline{&s.readDeadline, &s.writeDeadline} {
+		if d.timer != nil {
+			d.timer.Stop()
 		}
 	}
 	s.changed.Broadcast()
 }
 
-// set makes a limit expire at a moment; the zero time lifts it.
-func (s *stream) set(l *limit, at time.Time) {
+// setDeadline makes d expire at a time; the zero time removes the deadline.
+func (s *stream) setDeadline(d *deadline, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l.timer != nil {
-		l.timer.Stop()
-		l.timer = nil
+	if d.timer != nil {
+		d.timer.Stop()
+		d.timer = nil
 	}
-	l.setting++
+	d.generation++
 	wait := time.Until(at)
-	l.expired = !at.IsZero() && wait <= 0
+	d.expired = !at.IsZero() && wait <= 0
 	if !at.IsZero() && wait > 0 {
-		setting := l.setting
-		l.timer = time.AfterFunc(wait, func() { s.expire(l, setting) })
+		generation := d.generation
+		d.timer = time.AfterFunc(wait, func() { s.expire(d, generation) })
 	}
 	s.changed.Broadcast()
 }
 
-func (s *stream) expire(l *limit, setting int) {
+func (s *stream) expire(d *deadline, generation int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l.setting == setting {
-		l.expired = true
+	if d.generation == generation {
+		d.expired = true
 		s.changed.Broadcast()
 	}
 }
@@ -127,26 +127,26 @@
 	address memoryAddr
 }
 
-// memoryAddr is the address of a listener.
+// memoryAddr is the address of a listener in a Memory network.
 type memoryAddr string
 
-// Network names the kind of network.
+// Network implements net.Addr.
 func (memoryAddr) Network() string { return "memory" }
 
-// String gives the address.
+// String implements net.Addr.
 func (a memoryAddr) String() string { return string(a) }
 
 // newPipe returns the two sides of a connection to address.
 func newPipe(address string) (dialled, accepted net.Conn) {
-	there, back := newStream(), newStream()
-	return &memoryConn{in: back, out: there, address: memoryAddr(address)},
-		&memoryConn{in: there, out: back, address: memoryAddr(address)}
+	request, reply := newStream(), newStream()
+	return &memoryConn{in: reply, out: request, address: memoryAddr(address)},
+		&memoryConn{in: request, out: reply, address: memoryAddr(address)}
 }
 
 func (c *memoryConn) Read(p []byte) (int, error)  { return c.in.read(p) }
 func (c *memoryConn) Write(p []byte) (int, error) { return c.out.write(p) }
 
-// Close ends both directions. What was written before can still be read.
+// Close closes both directions. The peer can still read what was written before.
 func (c *memoryConn) Close() error {
 	c.in.close(&c.in.broken)
 	c.out.close(&c.out.ended)
@@ -157,17 +157,17 @@
 func (c *memoryConn) RemoteAddr() net.Addr { return c.address }
 
 func (c *memoryConn) SetReadDeadline(at time.Time) error {
-	c.in.set(&c.in.reading, at)
+	c.in.setDeadline(&c.in.readDeadline, at)
 	return nil
 }
 
 func (c *memoryConn) SetWriteDeadline(at time.Time) error {
-	c.out.set(&c.out.writing, at)
+	c.out.setDeadline(&c.out.writeDeadline, at)
 	return nil
 }
 
 func (c *memoryConn) SetDeadline(at time.Time) error {
-	c.in.set(&c.in.reading, at)
-	c.out.set(&c.out.writing, at)
+	c.in.setDeadline(&c.in.readDeadline, at)
+	c.out.setDeadline(&c.out.writeDeadline, at)
 	return nil
 }
--- a/pkg/network/network.go
+++ b/pkg/network/network.go
@@ -1,5 +1,5 @@
-// Package network is how processes reach one another: TCP in production, and
-// an in-memory network for tests in virtual time.
+// Package network makes connections between processes: by TCP in production, and
+// in memory for tests in virtual time.
 package network
 
 import (
@@ -10,24 +10,24 @@
 	"time"
 )
 
-// Network makes and takes connections. Addresses are IP number and port.
+// Network dials and accepts connections. Addresses are IP address and port.
 type Network interface {
 	// Dial connects to address.
 	Dial(ctx context.Context, address string) (net.Conn, error)
-	// Listen takes connections at address.
+	// Listen accepts connections at address.
 	Listen(address string) (net.Listener, error)
 }
 
-// TCP is the network of the machine. A peer it has dialled that has gone
-// without a word, as behind a cut, is found out by keep-alive probes and by
+// TCP is the VM's network. On connections that it has dialled it detects a peer that is gone
+// without closing the connection, as behind a network partition, by keep-alive probes and by
 // unacknowledged bytes.
 type TCP struct {
 	dialer   net.Dialer
 	listener net.ListenConfig
 }
 
-// The probes find out a silent peer in about 2.5 s; userTimeout does so for
-// bytes that are under way.
+// The probes detect a peer that does not answer within about 2.5 s; userTimeout does so while
+// sent bytes are unacknowledged.
 const (
 	probeAfter  = time.Second
 	probeEvery  = 500 * time.Millisecond
@@ -37,7 +37,7 @@
 	optionUserTimeout = 18
 )
 
-// NewTCP returns the network of the machine.
+// NewTCP returns the VM's network.
 func NewTCP() *TCP {
 	probes := net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeEvery, Count: probeCount}
 	return &TCP{
@@ -47,11 +47,11 @@
 }
 
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var setErr error
 	err := raw.Control(func(descriptor uintptr) {
-		failed = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, optionUserTimeout, int(userTimeout.Milliseconds()))
+		setErr = syscall.SetsockoptInt(int(descriptor), syscall.IPPROTO_TCP, optionUserTimeout, int(userTimeout.Milliseconds()))
 	})
-	return errors.Join(err, failed)
+	return errors.Join(err, setErr)
 }
 
 // Dial connects to address by TCP.
@@ -59,7 +59,7 @@
 	return t.dialer.DialContext(ctx, "tcp", address)
 }
 
-// Listen takes TCP connections at address.
+// Listen accepts TCP connections at address.
 func (t *TCP) Listen(address string) (net.Listener, error) {
 	return t.listener.Listen(context.Background(), "tcp", address)
 }
--- a/pkg/network/transport.go
+++ b/pkg/network/transport.go
@@ -9,26 +9,26 @@
 	"quaydock/pkg/clock"
 )
 
-// TransportOptions say how an HTTP transport makes and keeps connections.
+// TransportOptions describe how an HTTP transport makes and keeps connections.
 type TransportOptions struct {
-	// DialTimeout bounds the making of a connection; 0 leaves it to the call.
+	// DialTimeout limits the time to make a connection; 0 means no limit but the call's.
 	DialTimeout clock.Millis
-	// DialError, if set, is wrapped into the error of a failed dial: then
-	// nothing has been sent.
+	// DialError, if set, is wrapped in the error of a failed dial, by which the caller knows that
+	// nothing was sent.
 	DialError error
-	// IdlePerHost is how many idle connections to one address are kept, and
-	// IdleAfter for how long; 0 means the library's number and for ever.
+	// IdlePerHost is the maximum number of idle connections to one address, and
+	// IdleAfter the time after which they are closed; 0 means net/http's default number and no limit of time.
 	IdlePerHost int
 	IdleAfter   clock.Millis
 	// Wrap, if set, may replace a new connection.
 	Wrap func(net.Conn) net.Conn
 }
 
-// NewTransport returns an HTTP transport over reach.
-func NewTransport(reach Network, o TransportOptions) *http.Transport {
+// NewTransport returns an HTTP transport that dials by way of network.
+func NewTransport(network Network, o TransportOptions) *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, _, address string) (net.Conn, error) {
-			return o.dial(ctx, reach, address)
+			return o.dial(ctx, network, address)
 		},
 		MaxIdleConnsPerHost: o.IdlePerHost,
 		IdleConnTimeout:     o.IdleAfter.Duration(),
@@ -36,13 +36,13 @@
 	}
 }
 
-func (o *TransportOptions) dial(ctx context.Context, reach Network, address string) (net.Conn, error) {
+func (o *TransportOptions) dial(ctx context.Context, network Network, address string) (net.Conn, error) {
 	if o.DialTimeout > 0 {
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithTimeout(ctx, o.DialTimeout.Duration())
 		defer cancel()
 	}
-	conn, err := reach.Dial(ctx, address)
+	conn, err := network.Dial(ctx, address)
 	switch {
 	case err != nil && o.DialError != nil:
 		return nil, fmt.Errorf("%w: %w", o.DialError, err)
--- a/pkg/network/write_limit.go
+++ b/pkg/network/write_limit.go
@@ -8,9 +8,9 @@
 	"quaydock/pkg/clock"
 )
 
-// LimitWrites returns conn with a bound on the time of each write. A write that
-// takes longer breaks the connection: its peer is frozen or cut off, and who
-// waits for the write would wait with it.
+// LimitWrites returns conn with a time limit for each write. A write that takes longer closes the
+// connection: its peer is stalled or partitioned, and everyone who waits for the write would
+// be blocked too.
 func LimitWrites(conn net.Conn, limit clock.Millis) net.Conn {
 	return &writeLimitConn{Conn: conn, limit: limit}
 }
@@ -23,11 +23,11 @@
 // Write sends p within the limit, or closes the connection.
 func (c *writeLimitConn) Write(p []byte) (int, error) {
 	if err := c.SetWriteDeadline(time.Now().Add(c.limit.Duration())); err != nil {
-		return 0, fmt.Errorf("bounding a write: %w", err)
+		return 0, fmt.Errorf("setting the write deadline: %w", err)
 	}
 	n, err := c.Conn.Write(p)
 	if err != nil {
-		// The error of the write says more than one of closing.
+		// The error of the write is more useful than one of Close.
 		_ = c.Close()
 		return n, fmt.Errorf("writing: %w", err)
 	}
--- a/pkg/prefix/chain.go
+++ b/pkg/prefix/chain.go
@@ -1,6 +1,5 @@
-// Package prefix says which targets are likely to hold the beginning of a
-// prompt in their cache. What it knows is a hint: a wrong one costs computing a
-// prompt again, nothing else.
+// Package prefix estimates which targets have the prefix of a prompt in their
+// cache. An estimate is only a hint: if it is wrong, the target computes the prompt again.
 package prefix
 
 import (
@@ -9,19 +8,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fingerprint stands for a prompt from its beginning to the end of one block.
+// Fingerprint is a hash of a prompt from its beginning to the end of one block.
 type Fingerprint uint64
 
 const (
-	// BlockBytes is the length of a block. Shorter ones find more of a prompt,
-	// and cost more to look up.
+	// BlockBytes is the length of a block. Shorter blocks match more of a prompt
+	// but cost more look-ups.
 	BlockBytes = 1024
-	// maxBlocks bounds a chain: what is shared lies at the beginning.
+	// maxBlocks limits a chain: prompts share their beginnings.
 	maxBlocks = 64
 )
 
-// Chain returns the fingerprints of the whole blocks of prompt, each taking in
-// the one before, so that equal fingerprints mean equal beginnings.
+// Chain returns the fingerprints of the complete blocks of prompt, at most maxBlocks. Each includes
+// the one before, so that equal fingerprints mean equal prefixes.
 func Chain(prompt []byte) []Fingerprint {
 	n := min(len(prompt)/BlockBytes, maxBlocks)
 	if n == 0 {
--- a/pkg/prefix/holdings.go
+++ b/pkg/prefix/holdings.go
@@ -11,23 +11,22 @@
 	"quaydock/pkg/ids"
 )
 
-// blocksPerTarget bounds what is remembered of one target.
+// blocksPerTarget limits the blocks kept per target.
 const blocksPerTarget = 4096
 
-// Holdings remembers which blocks were lately sent to which target, the least
-// used forgotten first, as in the target's own cache. Several goroutines may use
-// it.
+// CacheEstimate keeps the blocks most recently sent to each target in an LRU cache, like the
+// target's own prompt cache. It is safe for concurrent use.
 type Holdings struct {
 	mu      sync.Mutex
 	targets map[ids.Target]*lru.Cache[Fingerprint, struct{}]
 }
 
-// NewHoldings returns holdings that remember nothing.
+// NewCacheEstimate returns an empty CacheEstimate.
 func NewHoldings() *Holdings {
 	return &Holdings{targets: make(map[ids.Target]*lru.Cache[Fingerprint, struct{}])}
 }
 
-// Note remembers that a prompt was sent to a target.
+// Record records that a prompt with this chain was sent to target.
 func (h *Holdings) Note(target ids.Target, chain []Fingerprint) {
 	if len(chain) == 0 {
 		return
@@ -36,7 +35,7 @@
 	defer h.mu.Unlock()
 	cache := h.targets[target]
 	if cache == nil {
-		// The size is above 0, so that there is no error.
+		// New fails only for sizes below 1.
 		cache, _ = lru.New[Fingerprint, struct{}](blocksPerTarget)
 		h.targets[target] = cache
 	}
@@ -45,8 +44,8 @@
 	}
 }
 
-// Held returns how many blocks at the beginning of a prompt the target is
-// likely to hold.
+// CachedBlocks returns how many blocks at the beginning of a prompt the target is
+// likely to have in its cache.
 func (h *Holdings) Held(target ids.Target, chain []Fingerprint) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -62,29 +61,29 @@
 	return len(chain)
 }
 
-// Place is a target as a home of prompts.
+// WeightedTarget is a target that can be the owner of prompts.
 type Place struct {
 	Target ids.Target
-	// Weight is above 0: a target has its share of all weights of the prompts.
+	// Weight is above 0: a target owns prompts in proportion to its fraction of all weights.
 	Weight float64
 }
 
-// Home picks one of the places for a beginning that none is known to hold.
-// Entries with the same places pick the same, without asking one another
-// (weighted rendezvous hashing).
-func Home(first Fingerprint, places []Place) int {
-	best, most := -1, 0.0
+// Owner returns the index of the target that owns the prompts with the fingerprint first, for prompts that no
+// target is known to have in its cache; -1 if there are no targets. Entries with the same targets choose the same one
+// without communication (weighted rendezvous hashing).
+func Home(first Fingerprint, targets []Place) int {
+	best, bestScore := -1, 0.0
 	var seed [8]byte
 	binary.LittleEndian.PutUint64(seed[:], uint64(first))
-	for i, p := range places {
+	for i, t := range targets {
 		var digest xxhash.Digest
 		digest.Reset()
 		// Writing to a digest never fails.
 		_, _ = digest.Write(seed[:])
-		_, _ = digest.WriteString(string(p.Target))
-		drawn := (float64(digest.Sum64()>>11) + 1) / (1<<53 + 1) // in (0, 1)
-		if score := p.Weight / -math.Log(drawn); best < 0 || score > most {
-			best, most = i, score
+		_, _ = digest.WriteString(string(t.Target))
+		uniform := (float64(digest.Sum64()>>11) + 1) / (1<<53 + 1) // in (0, 1)
+		if score := t.Weight / -math.Log(uniform); best < 0 || score > bestScore {
+			best, bestScore = i, score
 		}
 	}
 	return best
--- a/pkg/prefix/prefix_test.go
+++ b/pkg/prefix/prefix_test.go
@@ -17,36 +17,36 @@
 	// Output: true false
 }
 
-func TestHeld(t *testing.T) {
-	h := prefix.NewHoldings()
-	h.Note("a", []prefix.Fingerprint{1, 2, 3})
+func TestCachedBlocks(t *testing.T) {
+	estimate := prefix.NewHoldings()
+	estimate.Note("a", []prefix.Fingerprint{1, 2, 3})
 	scenarios := []struct {
 		name   string
 		target ids.Target
 		chain  []prefix.Fingerprint
 		want   int
 	}{
-		{"whole", "a", []prefix.Fingerprint{1, 2, 3}, 3},
-		{"the beginning", "a", []prefix.Fingerprint{1, 2, 9}, 2},
-		{"a later part is no beginning", "a", []prefix.Fingerprint{9, 2, 3}, 0},
+		{"complete chain", "a", []prefix.Fingerprint{1, 2, 3}, 3},
+		{"only the beginning", "a", []prefix.Fingerprint{1, 2, 9}, 2},
+		{"a later part but not the beginning", "a", []prefix.Fingerprint{9, 2, 3}, 0},
 		{"another target", "b", []prefix.Fingerprint{1}, 0},
 	}
 	for _, s := range scenarios {
-		if got := h.Held(s.target, s.chain); got != s.want {
+		if got := estimate.Held(s.target, s.chain); got != s.want {
 			t.Errorf("%s: %d blocks, want %d", s.name, got, s.want)
 		}
 	}
 }
 
-// A target that leaves moves only the prompts whose home it was.
-func TestHomeMovesLittle(t *testing.T) {
+// TestRemovedTargetMovesOnlyItsPrompts: removing a target changes the owner only of the prompts that it owned.
+func TestRemovedTargetMovesOnlyItsPrompts(t *testing.T) {
 	all := []prefix.Place{{"a", 1}, {"b", 2}, {"c", 1}, {"d", 3}}
 	without := all[:3]
 	for f := range prefix.Fingerprint(200) {
 		before := all[prefix.Home(f, all)].Target
 		after := without[prefix.Home(f, without)].Target
 		if before != "d" && before != after {
-			t.Fatalf("fingerprint %d moved from %s to %s", f, before, after)
+			t.Fatalf("owner of fingerprint %d changed from %s to %s, although only target d was removed", f, before, after)
 		}
 	}
 }
--- a/pkg/standin/batch.go
+++ b/pkg/standin/batch.go
@@ -10,10 +10,10 @@
 	e.runs[s.id]++
 	e.sequences[s.id] = s
 	e.order = append(e.order, s.id)
-	if len(e.order) > keptSequences {
+	if len(e.order) > maxSequences {
 		delete(e.sequences, e.order[0])
 		delete(e.runs, e.order[0])
-		delete(e.firsts, e.order[0])
+		delete(e.firstTokens, e.order[0])
 		e.order = e.order[1:]
 	}
 	if e.settings.StepMS == 0 {
@@ -29,7 +29,7 @@
 	}
 }
 
-// run steps until no sequence is active.
+// run executes steps until no sequence is active or queued.
 func (e *Engine) run() {
 	for {
 		time.Sleep(e.stepTime())
@@ -45,12 +45,12 @@
 	return e.settings.StepMS.Duration() * time.Duration(e.slowdown)
 }
 
-// admit moves queued sequences into the batch while it has room; the lock is
+// admit moves queued sequences into the batch until it is full; e.mu is
 // held.
 func (e *Engine) admit() {
 	for len(e.queued) > 0 && (e.settings.MaxBatch == 0 || len(e.active) < e.settings.MaxBatch) {
 		if !e.queued[0].ended() {
-			e.queued[0].prefill -= e.cache.held(e.queued[0].blocks)
+			e.queued[0].prefill -= e.cache.cachedTokens(e.queued[0].blocks)
 			e.active = append(e.active, e.queued[0])
 		}
 		e.queued[0] = nil
@@ -62,15 +62,15 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.admit()
-	prompt := e.settings.PrefillPerStep
+	budget := e.settings.PrefillPerStep
 	kept := e.active[:0]
 	for _, s := range e.active {
-		taken := max(0, min(prompt, s.prefill))
+		taken := max(0, min(budget, s.prefill))
 		s.prefill -= taken
-		prompt -= taken
+		budget -= taken
 		e.computed += taken
 		if s.prefill <= 0 {
-			e.noteFirst(s)
+			e.recordFirstToken(s)
 			s.emit()
 		}
 		if !s.ended() {
@@ -83,9 +83,9 @@
 	return e.stepping
 }
 
-func (e *Engine) noteFirst(s *sequence) {
-	if _, made := e.firsts[s.id]; !made {
-		e.firsts[s.id] = time.Now()
+func (e *Engine) recordFirstToken(s *sequence) {
+	if _, found := e.firstTokens[s.id]; !found {
+		e.firstTokens[s.id] = time.Now()
 		e.cache.add(s.blocks)
 	}
 }
--- a/pkg/standin/engine.go
+++ b/pkg/standin/engine.go
@@ -1,6 +1,6 @@
-// Package standin has small replacements of the outside systems: a model
-// engine, a plain service and the platform's table. They speak the published
-// protocols and no more than the system uses of them.
+// Package standin simulates the outside systems: a model
+// engine, a plain service and the platform's table. The stand-ins implement the part of the
+// published protocols that quaydock uses.
 package standin
 
 import (
@@ -20,94 +20,93 @@
 )
 
 const (
-	usualTokens   = 16
-	bytesPerToken = 4
-	// keptSequences bounds the finished answers kept for a resume.
-	keptSequences = 1 << 16
+	defaultMaxTokens = 16
+	bytesPerToken    = 4
+	// maxSequences limits the sequences kept for resuming their answers.
+	maxSequences = 1 << 16
 )
 
-// Engine is a model engine that batches continuously: each step takes some
-// prompt tokens and gives every decoding sequence one token.
+// Engine is a model engine with continuous batching: each step prefills a number of
+// prompt tokens and generates one token for each decoding sequence. It is safe for concurrent use.
 type Engine struct {
 	settings settings.EngineStandIn
 
-	mu        sync.Mutex
-	active    []*sequence
-	queued    []*sequence
-	slowdown  int // steps take so many times as long
-	firsts    map[string]time.Time
-	computed  int // prompt tokens
-	cache     *promptCache
-	sequences map[string]*sequence
-	order     []string
-	runs      map[string]int
-	rest      time.Duration // it turns all calls away and asks for that, if above 0
-	turned    int
-	stepping  bool
-	steps     sync.WaitGroup
+	mu          sync.Mutex
+	active      []*sequence
+	queued      []*sequence
+	slowdown    int // factor by which steps take longer
+	firstTokens map[string]time.Time
+	computed    int // prompt tokens computed
+	cache       *promptCache
+	sequences   map[string]*sequence
+	order       []string
+	runs        map[string]int
+	retryAfter  time.Duration // if above 0, all calls are rejected with this Retry-After
+	rejected    int
+	stepping    bool
+	steps       sync.WaitGroup
 }
 
 // NewEngine returns an idle engine.
 func NewEngine(s settings.EngineStandIn) *Engine {
-	return &Engine{settings: s, sequences: make(map[string]*sequence), runs: make(map[string]int), firsts: make(map[string]time.Time), slowdown: 1, cache: newPromptCache(s.CacheTokens)}
+	return &Engine{settings: s, sequences: make(map[string]*sequence), runs: make(map[string]int), firstTokens: make(map[string]time.Time), slowdown: 1, cache: newPromptCache(s.CacheTokens)}
 }
 
-// SlowDown makes steps take factor times as long, as an engine does without
-// warning.
+// SlowDown makes steps take factor times as long from now on.
 func (e *Engine) SlowDown(factor int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.slowdown = factor
 }
 
-// TurnAway has the engine turn all calls away and ask for rest in seconds, as an engine does that has too
-// much to do; 0 ends that.
-func (e *Engine) TurnAway(rest time.Duration) {
+// Reject makes the engine reject all calls with the given Retry-After, as an overloaded engine does; 0 makes it
+// accept calls again.
+func (e *Engine) TurnAway(retryAfter time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.rest = rest
+	e.retryAfter = retryAfter
 }
 
-// TurnedAway returns how many calls the engine has turned away.
+// Rejected returns the number of calls that the engine has rejected.
 func (e *Engine) TurnedAway() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.turned
+	return e.rejected
 }
 
-// turnsAway answers a call that the engine turns away; it reports false if it takes it.
-func (e *Engine) turnsAway(w http.ResponseWriter) bool {
+// rejectIfBusy answers a call that the engine rejects, and reports whether it did.
+func (e *Engine) rejectIfBusy(w http.ResponseWriter) bool {
 	e.mu.Lock()
-	rest := e.rest
-	if rest > 0 {
-		e.turned++
+	retryAfter := e.retryAfter
+	if retryAfter > 0 {
+		e.rejected++
 	}
 	e.mu.Unlock()
-	if rest <= 0 {
+	if retryAfter <= 0 {
 		return false
 	}
-	w.Header().Set("Retry-After", strconv.FormatFloat(rest.Seconds(), 'f', -1, 64))
+	w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
 	http.Error(w, `{"error":{"message":"too much to do","type":"server_error","code":null,"param":null}}`, http.StatusServiceUnavailable)
 	return true
 }
 
-// FirstToken returns when the engine made the first token of a request's
-// answer, and whether it has.
+// FirstToken returns when the engine generated the first token of a request's
+// answer, and whether it has done so.
 func (e *Engine) FirstToken(request string) (time.Time, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	at, made := e.firsts[request]
-	return at, made
+	at, found := e.firstTokens[request]
+	return at, found
 }
 
-// Runs returns how often the engine was given a request.
+// Runs returns how often the engine received a request.
 func (e *Engine) Runs(request string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs[request]
 }
 
-// AllRuns returns how often the engine was given each request.
+// AllRuns returns how often the engine received each request, by request id.
 func (e *Engine) AllRuns() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -128,7 +127,7 @@
 	return mux
 }
 
-// engineCall is what the engine reads of a body.
+// engineCall holds the fields that the engine reads from a request body.
 type engineCall struct {
 	Model     string          `json:"model"`
 	Stream    bool            `json:"stream"`
@@ -140,8 +139,8 @@
 	} `json:"stream_options"`
 }
 
-// OwnToken is the first token of the answer to a body, by which a test tells
-// whose answer it got.
+// OwnToken returns the first token of the answer to a body, by which a test checks
+// that it got the answer to its own request.
 func OwnToken(body []byte) string {
 	return strconv.FormatUint(xxhash.Sum64(body), 16)
 }
@@ -156,11 +155,11 @@
 		http.Error(w, `{"error":{"message":"bad body","type":"invalid_request_error","code":null,"param":null}}`, http.StatusBadRequest)
 		return
 	}
-	if e.turnsAway(w) {
+	if e.rejectIfBusy(w) {
 		return
 	}
 	if call.MaxTokens < 1 {
-		call.MaxTokens = usualTokens
+		call.MaxTokens = defaultMaxTokens
 	}
 	s := &sequence{
 		id:      r.Header.Get("X-Request-Id"),
@@ -202,20 +201,20 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Close breaks every answer and waits for the engine to stand still.
+// Close breaks off all answers and waits until the engine has stopped.
 func (e *Engine) Close() {
 	e.CutAll()
 	e.steps.Wait()
 }
 
-// Computed returns how many prompt tokens the engine has computed.
+// Computed returns the number of prompt tokens that the engine has computed.
 func (e *Engine) Computed() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.computed
 }
 
-// CutAll breaks every answer under way for good, as an engine that dies does.
+// AbortAll breaks off all running answers so that they cannot be resumed, as when the process of an engine ends.
 func (e *Engine) CutAll() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/standin/prompt_cache.go
+++ b/pkg/standin/prompt_cache.go
@@ -7,11 +7,11 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 )
 
-// cacheBlockTokens is the unit in which an engine caches prompts.
+// cacheBlockTokens is the size of a block of the prompt cache.
 const cacheBlockTokens = 64
 
-// promptCache keeps the beginnings of prompts, block by block, the least used
-// dropped first. A nil cache keeps nothing.
+// promptCache is an LRU cache of the blocks of prompt prefixes. A nil cache is always
+// empty.
 type promptCache struct {
 	blocks *lru.Cache[uint64, struct{}]
 }
@@ -20,12 +20,12 @@
 	if tokens < cacheBlockTokens {
 		return nil
 	}
-	// The size is above 0, so that there is no error.
+	// New fails only for sizes below 1.
 	blocks, _ := lru.New[uint64, struct{}](tokens / cacheBlockTokens)
 	return &promptCache{blocks: blocks}
 }
 
-// promptBlocks returns a hash for the prompt up to the end of each block.
+// promptBlocks returns, for each complete block, a hash of the prompt up to its end.
 func promptBlocks(prompt []byte) []uint64 {
 	const size = cacheBlockTokens * bytesPerToken
 	var chain []uint64
@@ -38,13 +38,13 @@
 	return chain
 }
 
-// held returns how many tokens at the beginning of a prompt are kept.
-func (c *promptCache) held(chain []uint64) int {
+// cachedTokens returns the length of the cached prefix of a prompt.
+func (c *promptCache) cachedTokens(chain []uint64) int {
 	if c == nil {
 		return 0
 	}
 	for i, block := range chain {
-		if _, kept := c.blocks.Get(block); !kept {
+		if _, found := c.blocks.Get(block); !found {
 			return i * cacheBlockTokens
 		}
 	}
--- a/pkg/standin/sequence.go
+++ b/pkg/standin/sequence.go
@@ -14,16 +14,16 @@
 	left    int
 	made    int
 	stream  bool
-	usage   bool // a stream ends with what it used
+	usage   bool // whether a stream ends with its token usage
 	prompt  int  // tokens of the prompt
 	id      string
-	text    string // the first token: tells whose answer it is
+	text    string // the first token, which identifies the request
 
 	mu      sync.Mutex
 	changed sync.Cond
 	out     []byte
 	done    bool
-	cut     bool
+	aborted bool
 }
 
 func (s *sequence) ended() bool {
@@ -32,7 +32,7 @@
 	return s.done
 }
 
-// emit makes the next token.
+// emit generates the next token.
 func (s *sequence) emit() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,8 +64,8 @@
 	}
 }
 
-// writeChunk writes a token of a stream. The last one says why the answer ends,
-// by which a client tells a whole answer from one that was cut.
+// writeChunk writes a token of a stream. The last chunk has a finish reason,
+// by which a client tells a complete answer from a truncated one.
 func (s *sequence) writeChunk(token string) {
 	reason := "null"
 	if s.done {
@@ -96,7 +96,7 @@
 	}
 	w.WriteHeader(status)
 	for {
-		p, end := s.from(offset)
+		p, end := s.waitFrom(offset)
 		offset += len(p)
 		if _, err := w.Write(p); err != nil {
 			return
@@ -110,14 +110,14 @@
 	}
 }
 
-// from waits for bytes from offset on; end reports that they are the last.
-func (s *sequence) from(offset int) (p []byte, end bool) {
+// waitFrom waits for bytes from offset on; end reports whether they are the last.
+func (s *sequence) waitFrom(offset int) (p []byte, end bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for offset == len(s.out) && !s.done {
 		s.changed.Wait()
 	}
-	if s.cut {
+	if s.aborted {
 		panic(http.ErrAbortHandler)
 	}
 	return s.out[offset:], s.done
@@ -126,7 +126,7 @@
 func (s *sequence) abort() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cut = !s.done
+	s.aborted = !s.done
 	s.done = true
 	s.changed.Broadcast()
 }
--- a/pkg/standin/service.go
+++ b/pkg/standin/service.go
@@ -7,13 +7,13 @@
 	"sync"
 )
 
-// Service is a plain service: it answers every call with what it was asked.
+// Service is a plain service that echoes each call. It is safe for concurrent use.
 type Service struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-// Echo is the answer of a Service.
+// Echo is the answer of a Service: the call as it was received.
 type Echo struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
@@ -21,19 +21,19 @@
 	Body   string `json:"body,omitempty"`
 }
 
-// NewService returns a service that has not been called.
+// NewService returns a Service.
 func NewService() *Service {
 	return &Service{runs: make(map[string]int)}
 }
 
-// Runs returns how often the service was given a request.
+// Runs returns how often the service received a request.
 func (s *Service) Runs(request string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[request]
 }
 
-// ServeHTTP answers with what it was asked.
+// ServeHTTP answers a call with its Echo.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -44,6 +44,6 @@
 	s.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("X-Served-By", "stand-in")
-	// A client that has gone needs no answer.
+	// An error means that the client is gone.
 	_ = json.NewEncoder(w).Encode(Echo{Method: r.Method, Path: r.URL.Path, Query: r.URL.RawQuery, Body: string(body)})
 }
--- a/pkg/standin/table.go
+++ b/pkg/standin/table.go
@@ -10,14 +10,14 @@
 	"quaydock/pkg/table"
 )
 
-// Table is the platform's transactional table.
+// Table simulates the platform's transactional table. It is safe for concurrent use.
 type Table struct {
 	mu   sync.Mutex
 	rows map[table.Key]table.Row
 	down bool
-	// While lagging is set, reads show old.
+	// While lagging is set, reads return the saved rows.
 	lagging bool
-	old     map[table.Key]table.Row
+	saved   map[table.Key]table.Row
 }
 
 // NewTable returns an empty table.
@@ -38,22 +38,22 @@
 	})
 }
 
-// SetDown takes the table away, or brings it back.
+// SetDown makes the table unreachable, or reachable again.
 func (t *Table) SetDown(down bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.down = down
 }
 
-// Remember keeps the table as it is now, for ShowRemembered.
+// SaveState saves the current rows for ServeSaved.
 func (t *Table) Remember() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.old = maps.Clone(t.rows)
+	t.saved = maps.Clone(t.rows)
 }
 
-// ShowRemembered makes reads show the remembered state, as a replica that lags
-// does; or lets them show the table as it is.
+// ServeSaved makes reads return the saved rows, as a lagging replica
+// does, or the current rows again.
 func (t *Table) ShowRemembered(lagging bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -71,7 +71,7 @@
 	t.mu.Lock()
 	rows := t.rows
 	if t.lagging {
-		rows = t.old
+		rows = t.saved
 	}
 	row, found := rows[key]
 	t.mu.Unlock()
@@ -94,7 +94,7 @@
 	}
 }
 
-// Commit makes a transaction; it reports false if a condition does not hold.
+// Commit applies a transaction and reports whether all of its conditions held.
 func (t *Table) Commit(transaction table.Transaction) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/testbed/bed.go
+++ b/pkg/testbed/bed.go
@@ -1,4 +1,4 @@
-// Package testbed puts the real processes of a small deployment on an
+// Package testbed runs the real processes of a small deployment on an
 // in-memory network, for tests and experiments in virtual time.
 package testbed
 
@@ -22,7 +22,7 @@
 	"quaydock/pkg/table"
 )
 
-// Names and addresses of a bed.
+// Names and addresses of a testbed.
 const (
 	Key          = "test-key"
 	Model        = "chart-small"
@@ -30,40 +30,41 @@
 	TableAddress = "10.0.0.1:80"
 )
 
-// EntryAddress is the callers' port of entry i.
+// EntryAddress is the address at which entry i accepts callers' connections.
 func EntryAddress(i int) string { return fmt.Sprintf("10.0.1.%d:80", i+1) }
 
-// ControlAddress is the control port of the agent of target i.
+// ControlAddress is the address of the control port of the agent of target i.
 func ControlAddress(i int) string { return fmt.Sprintf("10.0.2.%d:81", i+1) }
 
-// DataAddress is the data port of the agent of target i.
+// DataAddress is the address of the data port of the agent of target i.
 func DataAddress(i int) string { return fmt.Sprintf("10.0.2.%d:82", i+1) }
 
-// TargetAddress is the port of target i itself.
+// TargetAddress is the address of target i itself.
 func TargetAddress(i int) string { return fmt.Sprintf("10.0.3.%d:80", i+1) }
 
-// TargetName names target i.
+// TargetName returns the name of target i.
 func TargetName(i int) ids.Target { return ids.Target(fmt.Sprintf("target-%d", i+1)) }
 
-// Options say what a bed has. Engines come first among the targets, then one
-// plain service if Plain is set.
+// Options describe a testbed. The engines are its first targets; if Plain is set, a
+// plain service is the last one.
 type Options struct {
 	Entries int
 	Engines []settings.EngineStandIn
 	Plain   bool
 	Slots   int
-	// CoalesceMS is the agents' setting; 0 gives the most messages to strike.
+	// CoalesceMS is the agents' setting. 0 sends each token in a message of its own, which gives faults the most
+	// messages to affect.
 	CoalesceMS clock.Millis
-	// Seed repeats the random choices of a run.
+	// Seed makes the random choices of a run repeatable.
 	Seed   uint64
 	Faults *network.Faults
-	// Wrap may replace the dialling side of connections, where there are no Faults.
+	// Wrap may replace the dialling side of connections; it is ignored if Faults is set.
 	Wrap network.WrapFunc
 	// Adjust may change the settings of a process before it is built.
 	Adjust func(*settings.Settings)
-	// Declare may change the declarations.
+	// Declare may change the declarations before they are stored.
 	Declare func(*declaration.Set)
-	// Logs is where processes log; nil drops the lines.
+	// Logs receives the log lines of all processes; nil discards them.
 	Logs io.Writer
 }
 
@@ -79,8 +80,8 @@
 	servers []*http.Server
 }
 
-// Start builds and starts a bed; its parts are separate processes in all but
-// their memory.
+// Start builds and starts a testbed. Its processes share nothing but the memory of
+// the Go process.
 func Start(o Options) (*Bed, error) {
 	if o.Logs == nil {
 		o.Logs = io.Discard
@@ -150,7 +151,7 @@
 	return nil
 }
 
-// Declarations returns what the bed declares.
+// Declarations returns the declarations that the testbed starts with.
 func (b *Bed) Declarations() declaration.Set {
 	sum := sha256.Sum256([]byte(Key))
 	set := declaration.Set{
@@ -190,7 +191,7 @@
 func (b *Bed) declare() error {
 	transaction, err := table.FirstRevision(b.Declarations())
 	if err != nil {
-		return fmt.Errorf("first revision: %w", err)
+		return fmt.Errorf("building the first revision: %w", err)
 	}
 	b.Table.Commit(transaction)
 	return nil
@@ -211,15 +212,15 @@
 	}
 	p, err := app.NewProcess(s, b.Network, b.options.Logs)
 	if err != nil {
-		return nil, fmt.Errorf("process %s: %w", name, err)
+		return nil, fmt.Errorf("building process %s: %w", name, err)
 	}
 	if err := p.Start(); err != nil {
-		return nil, fmt.Errorf("process %s: %w", name, err)
+		return nil, fmt.Errorf("starting process %s: %w", name, err)
 	}
 	return p, nil
 }
 
-// StartAgent starts an agent beside target i, in place of an earlier one.
+// StartAgent starts an agent beside target i and takes over the addresses of an earlier one.
 func (b *Bed) StartAgent(i int) (*app.Process, error) {
 	return b.startProcess(fmt.Sprintf("agent-%d", i+1), func(s *settings.Settings) {
 		a := settings.DefaultAgent()
@@ -231,7 +232,7 @@
 	})
 }
 
-// StartEntry starts entry i.
+// StartEntry starts entry i and takes over the address of an earlier one.
 func (b *Bed) StartEntry(i int) (*app.Process, error) {
 	return b.startProcess(fmt.Sprintf("entry-%d", i+1), func(s *settings.Settings) {
 		e := settings.DefaultEntry()
@@ -240,16 +241,16 @@
 	})
 }
 
-// EndTarget ends the process of a target: its answers and connections break, and nobody listens at its address any more.
+// EndTarget ends the process of target i: its answers and connections break, and its address refuses connections.
 func (b *Bed) EndTarget(i int) {
 	if i < len(b.Engines) {
 		b.Engines[i].CutAll()
 	}
-	// An error says only that it was closed before.
-	_ = b.servers[i+1].Close() // the first one is the table's
+	// Close fails only if the server is closed already.
+	_ = b.servers[i+1].Close() // servers[0] is the table's
 }
 
-// Runs returns how often the targets were given a request, all together.
+// Runs returns how often the targets together received a request.
 func (b *Bed) Runs(request string) int {
 	n := 0
 	for _, e := range b.Engines {
@@ -261,7 +262,7 @@
 	return n
 }
 
-// Close stops every part at once.
+// Close stops all processes and stand-ins without draining them.
 func (b *Bed) Close() {
 	for _, p := range b.Entries {
 		p.Close()
@@ -273,12 +274,12 @@
 		e.Close()
 	}
 	for _, s := range b.servers {
-		// An error says only that it was closed before.
+		// Close fails only if the server is closed already.
 		_ = s.Close()
 	}
 }
 
-// Drain stops a process as SIGTERM does, and returns when it has ended.
+// Drain stops a process as SIGTERM does and returns when it has ended.
 func Drain(ctx context.Context, p *app.Process) error {
 	err := p.Drain(ctx)
 	p.Close()
--- a/pkg/testbed/breaks_test.go
+++ b/pkg/testbed/breaks_test.go
@@ -18,16 +18,16 @@
 	"quaydock/pkg/testbed"
 )
 
-var breakSeeds = flag.Uint64("breaks", 20, "how many drawn series of breaks to run")
+var breakSeeds = flag.Uint64("breaks", 20, "number of random series of connection breaks to run")
 
-// TestDrawnBreaks: ways between entries, agents and targets break and are silent, targets are declared no longer and again, and agents stop as
-// planned and are replaced, all drawn from a seed; targets work all the time, and callers have time. No answer that has begun is
-// cut, and of no request the outcome is unknown.
-func TestDrawnBreaks(t *testing.T) {
+// TestRandomConnectionBreaks breaks and delays connections between entries, agents and targets, removes targets from the declarations and
+// restores them, and drains and replaces agents, all at random from a seed. The targets work throughout and deadlines are long, so
+// no answer may be truncated and no outcome may be unknown.
+func TestRandomConnectionBreaks(t *testing.T) {
 	endings := make(map[testbed.Ending]int)
 	for seed := uint64(1); seed <= *breakSeeds; seed++ {
 		synctest.Test(t, func(t *testing.T) {
-			for ending, n := range drawnBreaks(t, seed) {
+			for ending, n := range runRandomBreaks(t, seed) {
 				endings[ending] += n
 			}
 			if t.Failed() {
@@ -38,21 +38,21 @@
 	t.Logf("%d series: %v", *breakSeeds, endings)
 }
 
-func drawnBreaks(t *testing.T, seed uint64) map[testbed.Ending]int {
+func runRandomBreaks(t *testing.T, seed uint64) map[testbed.Ending]int {
 	const (
 		targets = 3
 		calls   = 40
 		length  = 15 * time.Second
 	)
-	w := newWires()
+	conns := newBreakableConns()
 	steady := engines(targets)
 	for i := range steady {
 		steady[i].StepMS = 20
 	}
-	var logs lines
-	bed := started(t, testbed.Options{Entries: 2, Engines: steady, Slots: 4, Seed: seed, Wrap: w.wrap, Logs: &logs})
-	s := &scene{t: t, bed: bed, wires: w}
-	s.doing.Go(func() { s.drawBreaks(rand.New(rand.NewPCG(seed, 5)), targets, length) })
+	var logs logBuffer
+	bed := started(t, testbed.Options{Entries: 2, Engines: steady, Slots: 4, Seed: seed, Wrap: conns.wrap, Logs: &logs})
+	s := &scenario{t: t, bed: bed, conns: conns}
+	s.actions.Go(func() { s.breakRandomly(rand.New(rand.NewPCG(seed, 5)), targets, length) })
 	random := rand.New(rand.NewPCG(seed, 6))
 	at := make([]time.Duration, calls)
 	tokens := make([]int, calls)
@@ -65,40 +65,40 @@
 		time.Sleep(at[i])
 		return callers[i%2].Chat(context.Background(), fmt.Sprint("call ", i), tokens[i], i%3 > 0, http.Header{"Quaydock-Deadline-Ms": {"100000"}})
 	})
-	s.doing.Wait()
-	endings := checkAll(t, bed, answers)
+	s.actions.Wait()
+	endings := checkAnswers(t, bed, answers)
 	for i, a := range answers {
-		// A call that was on its way to its target as the connection broke may have arrived, for all that its agent knows.
-		lostOnItsWay := a.Ending == testbed.Unknown && bed.Runs(a.Request) == 0
-		if a.Ending != testbed.Whole && a.Ending != testbed.NotRun && !lostOnItsWay {
+		// If the connection to the target broke while the call was being sent, the agent cannot know whether it arrived.
+		lostInTransit := a.Ending == testbed.Unknown && bed.Runs(a.Request) == 0
+		if a.Ending != testbed.Whole && a.Ending != testbed.NotRun && !lostInTransit {
 			t.Errorf("seed %d: call %d ended %v, %q; logs:\n%s", seed, i, a.Ending, a.Code, logs.String())
 		}
 	}
 	return endings
 }
 
-// lines are what the processes of a bed log.
-type lines struct {
+// logBuffer collects the log lines of all processes of a testbed.
+type logBuffer struct {
 	mu  sync.Mutex
 	all strings.Builder
 }
 
-// Write takes a line.
-func (l *lines) Write(p []byte) (int, error) {
+// Write appends a log line.
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.all.Write(p)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.all.String()
 }
 
-// drawBreaks does something to the ways and the declarations every now and then.
-func (s *scene) drawBreaks(random *rand.Rand, targets int, length time.Duration) {
-	const most = 3 * clock.Second
+// breakRandomly breaks or delays a connection, or changes the declarations, at random moments.
+func (s *scenario) breakRandomly(random *rand.Rand, targets int, length time.Duration) {
+	const maxHold = 3 * clock.Second
 	for until := time.Now().Add(length); time.Now().Before(until); {
 		time.Sleep(time.Duration(random.Int64N(int64(time.Second))))
 		i := random.IntN(targets)
@@ -106,14 +106,14 @@
 		address := addresses[random.IntN(len(addresses))]
 		switch random.IntN(6) {
 		case 0, 1:
-			s.wires.breakAll(address)
+			s.conns.breakAll(address)
 		case 2:
-			s.wires.hold(address, clock.Millis(random.Int64N(int64(most))))
-			s.wires.breakAll(address)
+			s.conns.hold(address, clock.Millis(random.Int64N(int64(maxHold))))
+			s.conns.breakAll(address)
 		case 3:
-			s.wires.hold(address, clock.Millis(random.Int64N(int64(most))))
+			s.conns.hold(address, clock.Millis(random.Int64N(int64(maxHold))))
 		case 4:
-			s.takeAwayForAWhile(i)
+			s.removeAndRestore(i)
 		default:
 			s.drain(i)
 			next, err := s.bed.StartAgent(i)
@@ -126,8 +126,8 @@
 	}
 }
 
-// takeAwayForAWhile has a target declared no longer, and again.
-func (s *scene) takeAwayForAWhile(i int) {
+// removeAndRestore removes a target from the declarations and declares it again 2 s later.
+func (s *scenario) removeAndRestore(i int) {
 	o := newOperator(s.t, s.bed)
 	all := s.bed.Declarations()
 	for _, without := range []bool{true, false} {
--- a/pkg/testbed/caller.go
+++ b/pkg/testbed/caller.go
@@ -16,20 +16,20 @@
 
 //go:generate stringer -type=Ending
 
-// Ending is what a caller can tell of its request's end.
+// Ending is how a request ended, as far as its caller can see.
 type Ending int
 
-// The endings.
+// The endings of a request.
 const (
-	// Whole: the answer is complete and its own.
+	// Complete: the answer is complete and is the request's own.
 	Whole Ending = iota
-	// NotRun: a refusal says that the request did not run.
+	// NotRun: the request was refused and has not run.
 	NotRun
-	// Unknown: a refusal says that it may have run.
+	// Unknown: the request was refused but may have run.
 	Unknown
-	// Cut: the answer broke off in a way that the caller can see.
+	// Truncated: the answer broke off in a way that the caller can see.
 	Cut
-	// Crossed: the answer looks whole, but is not the request's own.
+	// Misattributed: the answer looks complete but is not the request's own.
 	Crossed
 )
 
@@ -51,26 +51,26 @@
 }
 
 // NewCaller returns a caller of the entry at address.
-func NewCaller(reach network.Network, address string) *Caller {
-	return &Caller{client: &http.Client{Transport: network.NewTransport(reach, network.TransportOptions{})}, base: "http://" + address}
+func NewCaller(net network.Network, address string) *Caller {
+	return &Caller{client: &http.Client{Transport: network.NewTransport(net, network.TransportOptions{})}, base: "http://" + address}
 }
 
-// Close drops the caller's connections.
+// Close closes the caller's idle connections.
 func (c *Caller) Close() {
 	c.client.CloseIdleConnections()
 }
 
-// Chat asks for tokens tokens of answer to prompt.
+// Chat sends prompt as a chat request for an answer of the given number of tokens and checks the answer.
 func (c *Caller) Chat(ctx context.Context, prompt string, tokens int, stream bool, header http.Header) Answer {
 	body := fmt.Sprintf(`{"model":%q,"stream":%v,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, Model, stream, tokens, prompt)
 	answer := c.Do(ctx, http.MethodPost, "/v1/chat/completions", body, header)
 	if answer.Ending == Whole && answer.Status == http.StatusOK {
-		answer.judge(body, stream, tokens)
+		answer.checkContent(body, stream, tokens)
 	}
 	return answer
 }
 
-// Do makes one call. A whole body of status 200 is not judged further.
+// Do makes one call. It does not check the content of a complete body.
 func (c *Caller) Do(ctx context.Context, method, path, body string, header http.Header) Answer {
 	call, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader([]byte(body)))
 	if err != nil {
@@ -119,14 +119,14 @@
 			Code string `json:"code"`
 		} `json:"error"`
 	}
-	// A body in another form has no code.
+	// A body of another form has no code.
 	_ = json.Unmarshal(body, &envelope)
 	return envelope.Error.Code
 }
 
-// judge tells a whole answer of its own from a cut or crossed one, as an
-// OpenAI client would, by the closing event and the tokens.
-func (a *Answer) judge(sent string, stream bool, tokens int) {
+// checkContent tells a complete answer of the request's own from a truncated or misattributed one, as an
+// OpenAI client does, by the final event and the tokens.
+func (a *Answer) checkContent(sent string, stream bool, tokens int) {
 	own := standin.OwnToken([]byte(sent))
 	if !stream {
 		a.Tokens = 1 + strings.Count(a.Body, " t")
--- a/pkg/testbed/claim_test.go
+++ b/pkg/testbed/claim_test.go
@@ -13,8 +13,8 @@
 	"quaydock/pkg/testbed"
 )
 
-// keyed is the header of a call that must not be repeated.
-func keyed(more ...string) http.Header {
+// keyedHeader returns the header of a call that must not be repeated, with more headers as name and value pairs.
+func keyedHeader(more ...string) http.Header {
 	h := http.Header{"Idempotency-Key": {"correction-17"}, "Quaydock-No-Repeat": {"true"}}
 	for i := 0; i < len(more); i += 2 {
 		h[more[i]] = []string{more[i+1]}
@@ -22,9 +22,9 @@
 	return h
 }
 
-// runsInAll counts what all engines were given. In these tests every request is
+// totalRuns counts the requests that all engines received. In these tests every request is
 // an attempt of the same call.
-func runsInAll(bed *testbed.Bed) int {
+func totalRuns(bed *testbed.Bed) int {
 	n := 0
 	for _, e := range bed.Engines {
 		for _, runs := range e.AllRuns() {
@@ -44,50 +44,49 @@
 	return callers
 }
 
-// The same call comes to two entries at once: one runs it, the other says that
-// it cannot tell.
+// TestClaimAtTwoEntries: two entries receive the same call at once. One runs it; the other reports
+// the outcome as unknown.
 func TestClaimAtTwoEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bed := started(t, testbed.Options{Entries: 2, Engines: engines(2), Slots: 4})
 		callers := callersOf(t, bed)
 		answers := parallel(6, func(i int) testbed.Answer {
-			return callers[i%2].Chat(context.Background(), "correct the sounding", 20, true, keyed())
+			return callers[i%2].Chat(context.Background(), "correct the sounding", 20, true, keyedHeader())
 		})
-		endings := checkAll(t, bed, answers)
-		if runs := runsInAll(bed); runs != 1 || endings[testbed.Whole] != 1 {
-			t.Errorf("%d runs, endings %v, want 1 run and 1 whole answer", runs, endings)
+		endings := checkAnswers(t, bed, answers)
+		if runs := totalRuns(bed); runs != 1 || endings[testbed.Whole] != 1 {
+			t.Errorf("%d runs, endings %v, want 1 run and 1 complete answer", runs, endings)
 		}
 	})
 }
 
-// The entry dies with the call running; its repeat at another entry does not run
-// it again, at any moment.
-func TestClaimOutlivesItsEntry(t *testing.T) {
+// TestClaimSurvivesEntryEnd: an entry ends at some moment of a call. The repeat at another entry does not run
+// the call again.
+func TestClaimSurvivesEntryEnd(t *testing.T) {
 	for after := time.Duration(0); after < 40*time.Millisecond; after += 4 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			bed := started(t, testbed.Options{Entries: 2, Engines: engines(2), Slots: 4})
 			callers := callersOf(t, bed)
 			var first sync.WaitGroup
-			first.Go(func() { callers[0].Chat(context.Background(), "correct", 5, true, keyed()) })
+			first.Go(func() { callers[0].Chat(context.Background(), "correct", 5, true, keyedHeader()) })
 			time.Sleep(after)
 			bed.Entries[0].Close()
 			first.Wait()
-			again := callers[1].Chat(context.Background(), "correct", 5, true, keyed())
-			checkTruth(t, bed, again)
-			if runs := runsInAll(bed); runs > 1 {
-				t.Errorf("entry died after %v: the call ran %d times", after, runs)
+			again := callers[1].Chat(context.Background(), "correct", 5, true, keyedHeader())
+			checkInvariants(t, bed, again)
+			if runs := totalRuns(bed); runs > 1 {
+				t.Errorf("entry ended after %v: the call ran %d times", after, runs)
 			}
 			if again.Ending == testbed.NotRun {
-				t.Errorf("entry died after %v: the repeat was told %+v", after, again)
+				t.Errorf("entry ended after %v: the repeat got %+v", after, again)
 			}
 		})
 	}
 }
 
-// Every message to and from the table is cut, before and after it: answers to
-// writes that took effect are lost. The call runs at most once, and once if an
-// attempt was answered.
-func TestClaimWithLostAnswers(t *testing.T) {
+// TestClaimWithLostTableMessages breaks the connection to the table before and after every message, so that replies to
+// writes that took effect are lost. The call runs exactly once, and exactly one attempt gets a complete answer.
+func TestClaimWithLostTableMessages(t *testing.T) {
 	for _, direction := range []network.Direction{network.Request, network.Reply} {
 		for _, effect := range []network.Effect{network.CutBefore, network.CutAfter} {
 			for message := range 16 {
@@ -95,16 +94,16 @@
 				synctest.Test(t, func(t *testing.T) {
 					bed := started(t, testbed.Options{Entries: 2, Engines: engines(1), Slots: 4, Faults: faults})
 					callers := callersOf(t, bed)
-					whole := 0
+					complete := 0
 					for i := range 4 {
-						a := callers[i%2].Chat(context.Background(), "correct", 5, true, keyed())
-						checkTruth(t, bed, a)
+						a := callers[i%2].Chat(context.Background(), "correct", 5, true, keyedHeader())
+						checkInvariants(t, bed, a)
 						if a.Ending == testbed.Whole {
-							whole++
+							complete++
 						}
 					}
-					if runs := runsInAll(bed); runs != 1 || whole != 1 {
-						t.Errorf("%v %v message %d: %d runs, %d whole answers, want 1 and 1", direction, effect, message, runs, whole)
+					if runs := totalRuns(bed); runs != 1 || complete != 1 {
+						t.Errorf("%v %v message %d: %d runs, %d complete answers, want 1 and 1", direction, effect, message, runs, complete)
 					}
 				})
 			}
@@ -112,45 +111,45 @@
 	}
 }
 
-// An attempt that was refused as not run gives its claim back.
-func TestClaimIsFreed(t *testing.T) {
+// TestRefusedAttemptReleasesClaim: an attempt that is refused as not run releases its claim.
+func TestRefusedAttemptReleasesClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bed := started(t, testbed.Options{Entries: 2, Engines: engines(1), Slots: 1})
 		callers := callersOf(t, bed)
 		var long sync.WaitGroup
 		long.Go(func() { callers[0].Chat(context.Background(), "long", 500, true, nil) })
 		time.Sleep(10 * time.Millisecond)
-		refused := callers[0].Chat(context.Background(), "correct", 5, true, keyed("Quaydock-Deadline-Ms", "300"))
+		refused := callers[0].Chat(context.Background(), "correct", 5, true, keyedHeader("Quaydock-Deadline-Ms", "300"))
 		if refused.Ending != testbed.NotRun {
 			t.Fatalf("the first attempt ended %v: %s", refused.Ending, refused.Body)
 		}
 		long.Wait()
-		again := callers[1].Chat(context.Background(), "correct", 5, true, keyed())
+		again := callers[1].Chat(context.Background(), "correct", 5, true, keyedHeader())
 		if again.Ending != testbed.Whole {
 			t.Errorf("the repeat ended %v: %s", again.Ending, again.Body)
 		}
-		checkTruth(t, bed, again)
+		checkInvariants(t, bed, again)
 	})
 }
 
-// While the table is away, a call with a key waits and is then refused with the
-// truth; calls without one are served.
+// TestClaimWithoutTable: while the table is unreachable, a call with an idempotency key waits and is then refused
+// as not run; calls without a key are served.
 func TestClaimWithoutTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1})
 		caller := callerOf(t, bed)
 		bed.Table.SetDown(true)
-		refused := caller.Chat(context.Background(), "correct", 5, true, keyed("Quaydock-Deadline-Ms", fmt.Sprint(9000)))
-		checkTruth(t, bed, refused)
-		if refused.Ending != testbed.NotRun || runsInAll(bed) != 0 {
-			t.Errorf("ended %v with %d runs: %s", refused.Ending, runsInAll(bed), refused.Body)
+		refused := caller.Chat(context.Background(), "correct", 5, true, keyedHeader("Quaydock-Deadline-Ms", fmt.Sprint(9000)))
+		checkInvariants(t, bed, refused)
+		if refused.Ending != testbed.NotRun || totalRuns(bed) != 0 {
+			t.Errorf("ended %v with %d runs: %s", refused.Ending, totalRuns(bed), refused.Body)
 		}
 		if plain := caller.Chat(context.Background(), "plain", 5, true, nil); plain.Ending != testbed.Whole {
 			t.Errorf("a call without a key ended %v", plain.Ending)
 		}
 		bed.Table.SetDown(false)
 		time.Sleep(time.Minute)
-		if again := caller.Chat(context.Background(), "correct", 5, true, keyed()); again.Ending != testbed.Whole {
+		if again := caller.Chat(context.Background(), "correct", 5, true, keyedHeader()); again.Ending != testbed.Whole {
 			t.Errorf("after the outage the call ended %v: %s", again.Ending, again.Body)
 		}
 	})
--- a/pkg/testbed/configuration_test.go
+++ b/pkg/testbed/configuration_test.go
@@ -16,7 +16,7 @@
 	"quaydock/pkg/testbed"
 )
 
-// operator is somebody who changes the configuration.
+// operator changes the configuration.
 type operator struct {
 	t     *testing.T
 	table *table.Table
@@ -38,7 +38,7 @@
 	return state
 }
 
-// removePlacement plans the change that takes target i out of service.
+// removePlacement returns the change that removes the placements of target i.
 func removePlacement(state table.State, i int, who string) declaration.Change {
 	set := state.Set
 	var kept []declaration.Placement
@@ -53,16 +53,16 @@
 	return change
 }
 
-func (o *operator) publish(upon table.State, change declaration.Change) error {
+func (o *operator) publish(base table.State, change declaration.Change) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	_, err := o.table.Publish(ctx, upon, change)
+	_, err := o.table.Publish(ctx, base, change)
 	return err
 }
 
-// A target that is taken out of service gets no new work 3 s later, and nothing
-// that it runs is cut. Reads that lag behind do not bring it back.
-func TestTargetTakenOut(t *testing.T) {
+// TestRemovedPlacementGetsNoWork: a target without placements gets no new work from 3 s on, and its running
+// requests are completed.
+func TestRemovedPlacementGetsNoWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bed := started(t, testbed.Options{Entries: 2, Engines: engines(2), Slots: 4})
 		callers := callersOf(t, bed)
@@ -85,8 +85,8 @@
 		answers := parallel(20, func(i int) testbed.Answer {
 			return callers[i%2].Chat(context.Background(), fmt.Sprint("after ", i), 5, true, nil)
 		})
-		if endings := checkAll(t, bed, answers); endings[testbed.Whole] != len(answers) {
-			t.Errorf("endings %v, want all whole", endings)
+		if endings := checkAnswers(t, bed, answers); endings[testbed.Whole] != len(answers) {
+			t.Errorf("endings %v, want all complete", endings)
 		}
 		running.Wait()
 		if got := len(bed.Engines[0].AllRuns()); got != before {
@@ -95,9 +95,9 @@
 	})
 }
 
-// A reader that sees an old state of the table keeps the newer revision that it
-// has (the program itself checks that no revision falls).
-func TestLaggingReads(t *testing.T) {
+// TestStaleReadsKeepNewerRevision: an entry whose reads return an old state of the table keeps the newer revision that it
+// has. The program itself checks that no revision goes back.
+func TestStaleReadsKeepNewerRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bed := started(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 4})
 		caller := callerOf(t, bed)
@@ -108,7 +108,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(3 * time.Second)
-		bed.Table.ShowRemembered(true) // the head before the change
+		bed.Table.ShowRemembered(true) // reads return the head from before the change
 		time.Sleep(10 * time.Second)
 		bed.Table.SetDown(true)
 		time.Sleep(10 * time.Second)
@@ -116,19 +116,18 @@
 		answers := parallel(10, func(i int) testbed.Answer {
 			return caller.Chat(context.Background(), fmt.Sprint("after ", i), 5, true, nil)
 		})
-		if endings := checkAll(t, bed, answers); endings[testbed.Whole] != len(answers) {
-			t.Errorf("endings %v without the table, want all whole", endings)
+		if endings := checkAnswers(t, bed, answers); endings[testbed.Whole] != len(answers) {
+			t.Errorf("endings %v without the table, want all complete", endings)
 		}
 		if got := len(bed.Engines[0].AllRuns()); got != before {
-			t.Errorf("the target that was taken out got %d requests", got-before)
+			t.Errorf("the removed target got %d requests", got-before)
 		}
 	})
 }
 
-// Two operators change the same state at the same moment, with every message to
-// and from the table cut in turn: exactly one change is made, and each operator
-// is told the truth.
-func TestTwoOperators(t *testing.T) {
+// TestConcurrentOperators: two operators change the same state at the same moment, and the connection to the table breaks
+// at each message in turn. Exactly one change is made, and each operator gets the true result.
+func TestConcurrentOperators(t *testing.T) {
 	for _, direction := range []network.Direction{network.Request, network.Reply} {
 		for _, effect := range []network.Effect{network.CutBefore, network.CutAfter} {
 			for message := range 24 {
@@ -161,23 +160,23 @@
 	faults.Heal()
 	newest := operators[0].read()
 	if newest.Head.Revision != state.Head.Revision+1 {
-		t.Fatalf("revision %d after %d", newest.Head.Revision, state.Head.Revision)
+		t.Fatalf("revision %d after %d, want the next one", newest.Head.Revision, state.Head.Revision)
 	}
-	made, err := operators[0].table.Change(context.Background(), newest.Head.Revision)
+	change, err := operators[0].table.Change(context.Background(), newest.Head.Revision)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, failure := range failures {
 		var conflict *table.ConflictError
-		won := made.Who == fmt.Sprint("operator ", i)
+		won := change.Who == fmt.Sprint("operator ", i)
 		if won != (failure == nil) || (!won && !errors.As(failure, &conflict)) {
-			t.Errorf("%s made the change; operator %d was told %v", made.Who, i, failure)
+			t.Errorf("%s made the change; operator %d got error %v", change.Who, i, failure)
 		}
 	}
 }
 
-// A process that starts late reads the newest snapshot and the changes since.
-func TestManyChanges(t *testing.T) {
+// TestLateStartReadsSnapshotAndChanges: a process that starts late reads the newest snapshot and the changes since.
+func TestLateStartReadsSnapshotAndChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 4})
 		o := newOperator(t, bed)
--- a/pkg/testbed/cut_test.go
+++ b/pkg/testbed/cut_test.go
@@ -20,18 +20,19 @@
 	return list
 }
 
-// checkTruth checks what must hold whatever has failed.
-func checkTruth(t *testing.T, bed *testbed.Bed, answer testbed.Answer) {
+// checkInvariants checks what must hold whatever has failed: no request runs twice, a request that was reported as
+// not run has not run, and no request gets the answer of another.
+func checkInvariants(t *testing.T, bed *testbed.Bed, answer testbed.Answer) {
 	t.Helper()
 	runs := bed.Runs(answer.Request)
 	if answer.Request != "" && runs > 1 {
 		t.Errorf("request %s ran %d times", answer.Request, runs)
 	}
 	if answer.Ending == testbed.NotRun && runs != 0 {
-		t.Errorf("request %s was told not run and ran %d times", answer.Request, runs)
+		t.Errorf("request %s was reported as not run but ran %d times", answer.Request, runs)
 	}
 	if answer.Ending == testbed.Crossed {
-		t.Errorf("request %s got an answer that is not its own: %s", answer.Request, answer.Body)
+		t.Errorf("request %s got the answer of another request: %s", answer.Request, answer.Body)
 	}
 	for _, e := range bed.Engines {
 		for id, n := range e.AllRuns() {
@@ -42,9 +43,9 @@
 	}
 }
 
-// TestCutAtEveryMessage breaks a connection before and after every message of
-// every link, one at a time, until the fault no longer strikes.
-func TestCutAtEveryMessage(t *testing.T) {
+// TestBreakAtEveryMessage breaks a connection before and after every message of
+// every link, one at a time, until the message number exceeds the number of messages.
+func TestBreakAtEveryMessage(t *testing.T) {
 	links := []struct {
 		name    string
 		address string
@@ -58,16 +59,16 @@
 		for _, direction := range []network.Direction{network.Request, network.Reply} {
 			for _, effect := range []network.Effect{network.CutBefore, network.CutAfter} {
 				t.Run(fmt.Sprintf("%s/%v/%v", link.name, direction, effect), func(t *testing.T) {
-					sweep(t, network.Fault{Address: link.address, Direction: direction, Effect: effect})
+					breakEachMessage(t, network.Fault{Address: link.address, Direction: direction, Effect: effect})
 				})
 			}
 		}
 	}
 }
 
-// TestCutPlainService breaks the connection to a plain service at every message
-// of calls that HTTP libraries take to be repeatable. None is sent twice.
-func TestCutPlainService(t *testing.T) {
+// TestPlainServiceCallsAreNotRepeated breaks the connection to a plain service at every message
+// of GET calls, which HTTP libraries repeat by themselves. None is sent twice.
+func TestPlainServiceCallsAreNotRepeated(t *testing.T) {
 	for _, direction := range []network.Direction{network.Request, network.Reply} {
 		for _, effect := range []network.Effect{network.CutBefore, network.CutAfter} {
 			for message := range 4 {
@@ -79,9 +80,9 @@
 					caller := callerOf(t, bed)
 					for range 4 {
 						answer := caller.Do(context.Background(), "GET", "/services/depths/berths/4", "", nil)
-						checkTruth(t, bed, answer)
+						checkInvariants(t, bed, answer)
 						if answer.Ending == testbed.Whole && bed.Runs(answer.Request) != 1 {
-							t.Errorf("an answered call ran %d times", bed.Runs(answer.Request))
+							t.Errorf("an answered call ran %d times, want 1", bed.Runs(answer.Request))
 						}
 					}
 				})
@@ -92,24 +93,24 @@
 
 const maxMessages = 60
 
-func sweep(t *testing.T, fault network.Fault) {
+func breakEachMessage(t *testing.T, fault network.Fault) {
 	endings := make(map[testbed.Ending]int)
 	for fault.Message = 0; fault.Message < maxMessages; fault.Message++ {
 		faults := network.NewFaults(fault)
 		synctest.Test(t, func(t *testing.T) {
-			endings[cutOnce(t, faults, fault.Message)]++
+			endings[breakOnce(t, faults, fault.Message)]++
 		})
 		if faults.Struck() == 0 {
 			break
 		}
 	}
-	t.Logf("%d messages struck: %v", fault.Message, endings)
+	t.Logf("faults at %d messages: %v", fault.Message, endings)
 	if fault.Message == 0 {
-		t.Error("the fault never struck")
+		t.Error("the fault had no effect on any message")
 	}
 }
 
-func cutOnce(t *testing.T, faults *network.Faults, message int) testbed.Ending {
+func breakOnce(t *testing.T, faults *network.Faults, message int) testbed.Ending {
 	bed, err := testbed.Start(testbed.Options{Entries: 1, Engines: engines(1), Slots: 4, Faults: faults})
 	if err != nil {
 		t.Fatal(err)
@@ -120,17 +121,17 @@
 	defer caller.Close()
 	stream := message%2 == 0
 	before := faults.Struck()
-	struck := caller.Chat(context.Background(), "struck", 6, stream, nil)
+	broken := caller.Chat(context.Background(), "struck", 6, stream, nil)
 	time.Sleep(30 * time.Second)
-	checkTruth(t, bed, struck)
+	checkInvariants(t, bed, broken)
 	after := caller.Chat(context.Background(), "after", 3, true, nil)
-	checkTruth(t, bed, after)
-	if after.Ending != testbed.Whole && faults.Struck() > before && struck.Ending == testbed.Whole {
-		// The fault may have struck this request in place of the one before.
+	checkInvariants(t, bed, after)
+	if after.Ending != testbed.Whole && faults.Struck() > before && broken.Ending == testbed.Whole {
+		// The fault may have hit this request instead of the one before.
 		after = caller.Chat(context.Background(), "after", 3, true, nil)
 	}
 	if after.Ending != testbed.Whole {
 		t.Errorf("message %d: a later request ended %v: %+v", message, after.Ending, after)
 	}
-	return struck.Ending
+	return broken.Ending
 }
--- a/pkg/testbed/deadline_test.go
+++ b/pkg/testbed/deadline_test.go
@@ -15,35 +15,32 @@
 	"quaydock/pkg/testbed"
 )
 
-// What callers would have seen: an answer of a plain service that ended without its last chunk, cut. The order of events: an entry bounded its
-// write of the last bytes; the service ended its answer, without further ones, later than that bound; the end was written under
-// the old bound and failed at once, although the caller was there and reading.
-//
-// The cause: a bound on writes stays on its connection, and the end of such an answer was written without a new one. The evidence: a service
-// that ends its answer 40 s after its last byte; one that does so after 1 s is served. The same was looked for in a connection's next
-// call, where the bound does not stay.
+// A write deadline stays on its connection. An entry sets one for the last bytes of an answer. A plain service that ended its answer
+// later than that, without further bytes, had the final chunk written under the expired deadline: the write failed at once, and a
+// caller that was reading saw a truncated answer. It happened 40 s after the last byte but not after 1 s. The tests also check the
+// next call on a connection, on which the old deadline has no effect.
 
-const afterTheBound = 40 * time.Second
+const afterWriteDeadline = 40 * time.Second
 
-// raw is a caller's connection on which requests are written by hand.
-type raw struct {
+// rawCaller is a caller's connection on which the test writes requests itself.
+type rawCaller struct {
 	t    *testing.T
 	conn net.Conn
 	in   *bufio.Reader
 }
 
-func newRaw(t *testing.T, bed *testbed.Bed) *raw {
+func newRawCaller(t *testing.T, bed *testbed.Bed) *rawCaller {
 	t.Helper()
 	conn, err := bed.Network.Dial(context.Background(), testbed.EntryAddress(0))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	return &raw{t: t, conn: conn, in: bufio.NewReader(conn)}
+	return &rawCaller{t: t, conn: conn, in: bufio.NewReader(conn)}
 }
 
-// send writes the head of a request, and what follows it.
-func (r *raw) send(line, header, body string) {
+// send writes the head of a request and its body.
+func (r *rawCaller) send(line, header, body string) {
 	r.t.Helper()
 	_, err := fmt.Fprintf(r.conn, "%s HTTP/1.1\r\nHost: entry\r\nAuthorization: Bearer %s\r\n%s\r\n%s", line, testbed.Key, header, body)
 	if err != nil {
@@ -51,8 +48,8 @@
 	}
 }
 
-// answer reads one answer to its end.
-func (r *raw) answer() (status int, body string, err error) {
+// answer reads one complete answer.
+func (r *rawCaller) answer() (status int, body string, err error) {
 	response, err := http.ReadResponse(r.in, nil)
 	if err != nil {
 		return 0, "", err
@@ -66,21 +63,21 @@
 	return fmt.Sprintf("Content-Length: %d\r\n", len(body))
 }
 
-// TestAConnectionServesLongAfterAWrite: the second call on a connection comes long after the first one.
-func TestAConnectionServesLongAfterAWrite(t *testing.T) {
+// TestConnectionServesAfterWriteDeadline: the second call on a connection is served after the write deadline of the first answer.
+func TestConnectionServesAfterWriteDeadline(t *testing.T) {
 	const call = `{"model":"chart-small","stream":true,"max_tokens":3,"messages":[]}`
 	cases := []struct {
 		name string
-		next func(*raw)
+		next func(*rawCaller)
 	}{
-		{"another call", func(r *raw) { r.send("POST /v1/chat/completions", withBody(call), call) }},
-		{"the models", func(r *raw) { r.send("GET /v1/models", "", "") }},
-		{"a plain call", func(r *raw) { r.send("GET /services/depths/berths", "", "") }},
-		{"a call that asks for leave to send its body", func(r *raw) {
+		{"chat call", func(r *rawCaller) { r.send("POST /v1/chat/completions", withBody(call), call) }},
+		{"list of models", func(r *rawCaller) { r.send("GET /v1/models", "", "") }},
+		{"call of a plain service", func(r *rawCaller) { r.send("GET /services/depths/berths", "", "") }},
+		{"call with Expect: 100-continue", func(r *rawCaller) {
 			r.send("POST /v1/chat/completions", withBody(call)+"Expect: 100-continue\r\n", "")
 			line, err := r.in.ReadString('\n')
 			if err != nil || !strings.HasPrefix(line, "HTTP/1.1 100") {
-				r.t.Errorf("got %q, %v", line, err)
+				r.t.Errorf("got %q, error %v, want status 100", line, err)
 				return
 			}
 			if _, err := r.in.ReadString('\n'); err != nil {
@@ -93,12 +90,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Plain: true, Slots: 1})
-				r := newRaw(t, bed)
+				r := newRawCaller(t, bed)
 				r.send("POST /v1/chat/completions", withBody(call), call)
 				if status, _, err := r.answer(); status != http.StatusOK || err != nil {
 					t.Fatal(status, err)
 				}
-				time.Sleep(afterTheBound)
+				time.Sleep(afterWriteDeadline)
 				c.next(r)
 				if status, body, err := r.answer(); status != http.StatusOK || err != nil {
 					t.Errorf("status %d, body %q, %v", status, body, err)
@@ -108,18 +105,18 @@
 	}
 }
 
-// TestAnAnswerEndsLongAfterItsLastByte: a plain service ends its answer long after it has sent its last byte.
-func TestAnAnswerEndsLongAfterItsLastByte(t *testing.T) {
-	for _, silence := range []time.Duration{time.Second, afterTheBound, 2 * time.Minute} {
-		t.Run(fmt.Sprint(silence), func(t *testing.T) {
+// TestAnswerEndsAfterWriteDeadline: a plain service ends its answer after the write deadline of its last byte. The answer is complete.
+func TestAnswerEndsAfterWriteDeadline(t *testing.T) {
+	for _, pause := range []time.Duration{time.Second, afterWriteDeadline, 2 * time.Minute} {
+		t.Run(fmt.Sprint(pause), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				bed := started(t, testbed.Options{Entries: 1, Plain: true, Slots: 1})
-				replace(t, bed, func(w http.ResponseWriter, _ *http.Request) {
+				replaceTarget(t, bed, func(w http.ResponseWriter, _ *http.Request) {
 					_, _ = io.WriteString(w, "begun")
 					_ = http.NewResponseController(w).Flush()
-					time.Sleep(silence)
+					time.Sleep(pause)
 				})
-				r := newRaw(t, bed)
+				r := newRawCaller(t, bed)
 				r.send("GET /services/depths/berths", "Quaydock-Deadline-Ms: 600000\r\n", "")
 				if status, body, err := r.answer(); status != http.StatusOK || body != "begun" || err != nil {
 					t.Errorf("status %d, body %q, %v", status, body, err)
@@ -129,8 +126,8 @@
 	}
 }
 
-// replace has the first target answer in another way.
-func replace(t *testing.T, bed *testbed.Bed, answer http.HandlerFunc) {
+// replaceTarget serves the address of the first target with another handler.
+func replaceTarget(t *testing.T, bed *testbed.Bed, answer http.HandlerFunc) {
 	t.Helper()
 	listener, err := bed.Network.Listen(testbed.TargetAddress(0))
 	if err != nil {
--- a/pkg/testbed/endings_test.go
+++ b/pkg/testbed/endings_test.go
@@ -19,46 +19,44 @@
 	"quaydock/pkg/testbed"
 )
 
-// What callers would have seen: an answer ended in the middle with "answer_cut" or "outcome_unknown", although its target was sound and
-// had finished it or was about to. The order of events: a connection between entry, agent and target broke, which by itself costs
-// nothing, as answers are taken up again where they broke off; but what that needs had been given up before.
-//
-// The causes: breaks were counted over the whole length of an answer, not in a row; the time after which an answer that
-// nobody reads is given up ran on from an earlier break; the session with an agent was closed with the declaration of
-// its target while answers still depended on it; a target's finished answer was dropped while its reader was slow; an agent that
-// stops as planned did not wait for a reader that was on its way back. The evidence: of the cases below, on the code before,
-// those in which a way breaks again and again, long after an earlier break, after the target was taken away or declared
-// elsewhere, and just before the end of a stop.
+// An answer whose connection between entry, agent and target breaks is resumed where it broke off. The tests below guard against
+// answers that ended in the middle with "answer_cut" or "outcome_unknown" although their target was healthy, because what a resume
+// needs had been discarded. This happened in five ways:
+//   - breaks were counted over the length of an answer instead of as a streak (cases that break repeatedly);
+//   - the time after which an unread answer is discarded ran on from an earlier break (a break long after an earlier one);
+//   - the session with an agent was closed when its target was removed or got another address, while answers still needed it;
+//   - a target's finished answer was dropped while its reader was slow;
+//   - a draining agent did not wait for a reader that was reconnecting (a break just before the end of a drain).
 
-// scene is one answer under way, and what can be done to the deployment meanwhile.
-type scene struct {
-	t     *testing.T
-	bed   *testbed.Bed
-	wires *wires
-	doing sync.WaitGroup
+// scenario is one running answer and the actions on the deployment meanwhile.
+type scenario struct {
+	t       *testing.T
+	bed     *testbed.Bed
+	conns   *breakableConns
+	actions sync.WaitGroup
 }
 
-// at does something after a while.
-func (s *scene) at(after time.Duration, do func()) {
-	s.doing.Go(func() {
+// at runs do after a delay.
+func (s *scenario) at(after time.Duration, do func()) {
+	s.actions.Go(func() {
 		time.Sleep(after)
 		do()
 	})
 }
 
-// breakAt breaks the connections to an address at some moments.
-func (s *scene) breakAt(address string, moments ...time.Duration) {
+// breakAt breaks the connections to an address at the given times from now.
+func (s *scenario) breakAt(address string, moments ...time.Duration) {
 	for _, m := range moments {
 		s.at(m, func() {
-			if s.wires.breakAll(address) == 0 {
-				s.t.Errorf("no connection to %s after %v", address, m)
+			if s.conns.breakAll(address) == 0 {
+				s.t.Errorf("no connection to %s to break after %v", address, m)
 			}
 		})
 	}
 }
 
-// declare has the operators change what they declare, after a second.
-func (s *scene) declare(change func(*declaration.Set)) {
+// declare publishes a change of the declarations after a second.
+func (s *scenario) declare(change func(*declaration.Set)) {
 	s.at(time.Second, func() {
 		o := newOperator(s.t, s.bed)
 		state := o.read()
@@ -68,20 +66,20 @@
 		set.Placements = slices.Clone(set.Placements)
 		set.Services = slices.Clone(set.Services)
 		change(&set)
-		made := declaration.Diff(state.Set, set)
-		made.Who = "operator"
-		if err := o.publish(state, made); err != nil {
+		diff := declaration.Diff(state.Set, set)
+		diff.Who = "operator"
+		if err := o.publish(state, diff); err != nil {
 			s.t.Error(err)
 		}
 	})
 }
 
-func takeTargetAway(set *declaration.Set) {
+func removeFirstTarget(set *declaration.Set) {
 	set.Targets = set.Targets[1:]
 	set.Placements = set.Placements[1:]
 }
 
-func takePlacementAway(set *declaration.Set) {
+func removeFirstPlacement(set *declaration.Set) {
 	set.Placements = set.Placements[1:]
 }
 
@@ -93,104 +91,104 @@
 	return moments
 }
 
-// TestAnAnswerUnderWayGoesOn: whatever happens between the caller and a target that works, and however often, the caller gets a
-// whole answer.
-func TestAnAnswerUnderWayGoesOn(t *testing.T) {
+// TestRunningAnswerSurvivesFailures: whatever fails between the caller and a target that works, and however often, the caller gets a
+// complete answer.
+func TestRunningAnswerSurvivesFailures(t *testing.T) {
 	control, data, target := testbed.ControlAddress(0), testbed.DataAddress(0), testbed.TargetAddress(0)
 	cases := []struct {
-		name  string
-		meets func(*scene)
+		name string
+		act  func(*scenario)
 	}{
-		{"nothing happens", func(*scene) {}},
-		{"the target is silent for 10 s", func(s *scene) {
+		{"no failure", func(*scenario) {}},
+		{"target stalls for 10 s", func(s *scenario) {
 			s.at(time.Second, func() { s.bed.Engines[0].SlowDown(500) })
 			s.at(1100*time.Millisecond, func() { s.bed.Engines[0].SlowDown(1) })
 		}},
-		{"the way to the agent breaks", func(s *scene) { s.breakAt(data, time.Second) }},
-		{"the way to the agent breaks again and again", func(s *scene) { s.breakAt(data, every(time.Second, 18)...) }},
-		{"the way to the target breaks", func(s *scene) { s.breakAt(target, time.Second) }},
-		{"the way to the target breaks again and again", func(s *scene) { s.breakAt(target, every(2*time.Second, 9)...) }},
-		{"both ways break again and again", func(s *scene) {
+		{"data connection breaks", func(s *scenario) { s.breakAt(data, time.Second) }},
+		{"data connection breaks repeatedly", func(s *scenario) { s.breakAt(data, every(time.Second, 18)...) }},
+		{"target connection breaks", func(s *scenario) { s.breakAt(target, time.Second) }},
+		{"target connection breaks repeatedly", func(s *scenario) { s.breakAt(target, every(2*time.Second, 9)...) }},
+		{"data and target connections break repeatedly", func(s *scenario) {
 			s.breakAt(data, every(time.Second, 18)...)
 			s.breakAt(target, every(2*time.Second, 9)...)
 		}},
-		{"the way breaks just when an earlier break is long over", func(s *scene) {
+		{"data connection breaks again long after an earlier break", func(s *scenario) {
 			s.breakAt(data, time.Second, 15900*time.Millisecond)
-			s.at(15*time.Second, func() { s.wires.hold(data, 1500) })
+			s.at(15*time.Second, func() { s.conns.hold(data, 1500) })
 		}},
-		{"control breaks", func(s *scene) { s.breakAt(control, time.Second) }},
-		{"control is silent for 8 s", func(s *scene) { s.at(time.Second, func() { s.wires.hold(control, 8*clock.Second) }) }},
-		{"control is silent for 6 s, and the way breaks", func(s *scene) {
-			s.at(time.Second, func() { s.wires.hold(control, 6*clock.Second) })
+		{"control connection breaks", func(s *scenario) { s.breakAt(control, time.Second) }},
+		{"control messages are delayed for 8 s", func(s *scenario) { s.at(time.Second, func() { s.conns.hold(control, 8*clock.Second) }) }},
+		{"control messages are delayed for 6 s and data connection breaks", func(s *scenario) {
+			s.at(time.Second, func() { s.conns.hold(control, 6*clock.Second) })
 			s.breakAt(data, 2*time.Second)
 		}},
-		{"all ways break together", func(s *scene) {
+		{"all connections break at once", func(s *scenario) {
 			s.breakAt(control, time.Second)
 			s.breakAt(data, time.Second)
 			s.breakAt(target, time.Second)
 		}},
-		{"the target is taken away", func(s *scene) { s.declare(takeTargetAway) }},
-		{"the target is taken away, and the way breaks", func(s *scene) {
-			s.declare(takeTargetAway)
+		{"target is removed", func(s *scenario) { s.declare(removeFirstTarget) }},
+		{"target is removed and data connection breaks", func(s *scenario) {
+			s.declare(removeFirstTarget)
 			s.breakAt(data, 8*time.Second)
 		}},
-		{"the target is taken away, and the way to it breaks", func(s *scene) {
-			s.declare(takeTargetAway)
+		{"target is removed and target connection breaks", func(s *scenario) {
+			s.declare(removeFirstTarget)
 			s.breakAt(target, 8*time.Second)
 		}},
-		{"the target is taken away and control breaks, and then the way", func(s *scene) {
-			s.declare(takeTargetAway)
-			s.at(7*time.Second, func() { s.wires.breakAll(control) })
+		{"target is removed, control connection breaks, then data connection breaks", func(s *scenario) {
+			s.declare(removeFirstTarget)
+			s.at(7*time.Second, func() { s.conns.breakAll(control) })
 			s.breakAt(data, 8*time.Second)
 		}},
-		{"the placement is taken away, and the way breaks", func(s *scene) {
-			s.declare(takePlacementAway)
+		{"placement is removed and data connection breaks", func(s *scenario) {
+			s.declare(removeFirstPlacement)
 			s.breakAt(data, 8*time.Second)
 		}},
-		{"the service is taken away, and the way breaks", func(s *scene) {
+		{"service is removed and data connection breaks", func(s *scenario) {
 			s.declare(func(set *declaration.Set) {
-				takePlacementAway(set)
+				removeFirstPlacement(set)
 				set.Services = set.Services[1:]
 			})
 			s.breakAt(data, 8*time.Second)
 		}},
-		{"its agent is declared elsewhere, and the way breaks", func(s *scene) {
+		{"agent address changes and data connection breaks", func(s *scenario) {
 			s.declare(func(set *declaration.Set) {
 				set.Targets[0].AgentControl, set.Targets[0].AgentData = "10.0.9.1:81", "10.0.9.1:82"
 			})
 			s.breakAt(data, 8*time.Second)
 		}},
-		{"the target is declared elsewhere, and the way to it breaks", func(s *scene) {
+		{"target address changes and target connection breaks", func(s *scenario) {
 			s.declare(func(set *declaration.Set) { set.Targets[0].Address = "http://10.0.9.1:80" })
 			s.breakAt(target, 8*time.Second)
 		}},
-		{"its slots are taken away", func(s *scene) {
+		{"slots are reduced and data connection breaks", func(s *scenario) {
 			s.declare(func(set *declaration.Set) { set.Targets[0].Slots = 1 })
 			s.breakAt(data, 8*time.Second)
 		}},
-		{"the account is taken away, and the way breaks", func(s *scene) {
+		{"account is removed and data connection breaks", func(s *scenario) {
 			s.declare(func(set *declaration.Set) { set.Accounts = nil })
 			s.breakAt(data, 8*time.Second)
 		}},
-		{"the table is down, and the way breaks", func(s *scene) {
+		{"table is unreachable and data connection breaks", func(s *scenario) {
 			s.at(time.Second, func() { s.bed.Table.SetDown(true) })
 			s.breakAt(data, 8*time.Second)
 		}},
-		{"its target asks for rest", func(s *scene) {
+		{"target asks for back-off and data connection breaks", func(s *scenario) {
 			s.at(time.Second, func() { s.bed.Engines[0].TurnAway(10 * time.Second) })
 			s.breakAt(data, 8*time.Second)
 		}},
-		{"the agent stops as planned", func(s *scene) { s.at(time.Second, func() { s.drain(0) }) }},
-		{"the agent stops as planned, and the way breaks", func(s *scene) {
+		{"agent is drained", func(s *scenario) { s.at(time.Second, func() { s.drain(0) }) }},
+		{"agent is drained and data connection breaks", func(s *scenario) {
 			s.at(time.Second, func() { s.drain(0) })
 			s.breakAt(data, 8*time.Second)
 		}},
-		{"the agent stops as planned, and the way breaks just before the end", func(s *scene) {
+		{"agent is drained and data connection breaks just before the end", func(s *scenario) {
 			s.at(time.Second, func() { s.drain(0) })
 			s.breakAt(data, 19900*time.Millisecond)
-			s.at(19800*time.Millisecond, func() { s.wires.hold(data, 1000) })
+			s.at(19800*time.Millisecond, func() { s.conns.hold(data, 1000) })
 		}},
-		{"the entry stops as planned, and the way breaks", func(s *scene) {
+		{"entry is drained and data connection breaks", func(s *scenario) {
 			s.at(time.Second, func() { _ = testbed.Drain(context.Background(), s.bed.Entries[0]) })
 			s.breakAt(data, 8*time.Second)
 		}},
@@ -202,14 +200,14 @@
 		for _, c := range cases {
 			t.Run(fmt.Sprintf("%s, stream %t", c.name, stream), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					w := newWires()
-					bed := started(t, testbed.Options{Entries: 1, Engines: steady, Slots: 2, Wrap: w.wrap})
-					s := &scene{t: t, bed: bed, wires: w}
-					c.meets(s)
+					conns := newBreakableConns()
+					bed := started(t, testbed.Options{Entries: 1, Engines: steady, Slots: 2, Wrap: conns.wrap})
+					s := &scenario{t: t, bed: bed, conns: conns}
+					c.act(s)
 					long := http.Header{"Quaydock-Deadline-Ms": {"100000"}}
 					answer := callerOf(t, bed).Chat(context.Background(), "long", tokens, stream, long)
-					s.doing.Wait()
-					checkTruth(t, bed, answer)
+					s.actions.Wait()
+					checkInvariants(t, bed, answer)
 					if answer.Ending != testbed.Whole {
 						t.Errorf("ended %v with %d of %d tokens, code %q, end %q", answer.Ending, answer.Tokens, tokens, answer.Code, tail(answer.Body))
 					}
@@ -219,9 +217,9 @@
 	}
 }
 
-// TestASlowCallerGetsItsAnswer: a caller reads slowly, so that its answer waits at the agent long after the target has
-// finished it. The way breaks meanwhile.
-func TestASlowCallerGetsItsAnswer(t *testing.T) {
+// TestSlowCallerGetsCompleteAnswer: a caller reads slowly, so that its answer waits at the agent long after the target has
+// finished it. The data connection breaks meanwhile, and the caller still gets the complete answer.
+func TestSlowCallerGetsCompleteAnswer(t *testing.T) {
 	const (
 		tokens = 1000 // 4 s, 190 kB
 		piece  = 4 << 10
@@ -230,13 +228,13 @@
 	for _, after := range []time.Duration{2 * time.Second, 10 * time.Second, 22 * time.Second, 60 * time.Second, 80 * time.Second} {
 		t.Run(fmt.Sprint(after), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWires()
-				bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2, Wrap: w.wrap})
-				s := &scene{t: t, bed: bed, wires: w}
+				conns := newBreakableConns()
+				bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2, Wrap: conns.wrap})
+				s := &scenario{t: t, bed: bed, conns: conns}
 				s.breakAt(testbed.DataAddress(0), after)
 				began := time.Now()
 				body := s.readSlowly(tokens, piece, pause)
-				s.doing.Wait()
+				s.actions.Wait()
 				if !strings.HasSuffix(body, "data: [DONE]\n\n") || strings.Count(body, `"delta"`) != tokens {
 					t.Errorf("%d of %d tokens after %v, end %q", strings.Count(body, `"delta"`), tokens, time.Since(began), tail(body))
 				}
@@ -245,16 +243,16 @@
 	}
 }
 
-// readSlowly asks for a stream and returns what comes of it.
-func (s *scene) readSlowly(tokens, piece int, pause time.Duration) string {
+// readSlowly requests a stream, reads it piece by piece with a pause after each, and returns the body.
+func (s *scenario) readSlowly(tokens, piece int, pause time.Duration) string {
 	s.t.Helper()
 	conn, err := s.bed.Network.Dial(context.Background(), testbed.EntryAddress(0))
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	asked := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[]}`, testbed.Model, tokens)
-	call, err := http.NewRequest(http.MethodPost, "http://entry/v1/chat/completions", strings.NewReader(asked))
+	request := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d,"messages":[]}`, testbed.Model, tokens)
+	call, err := http.NewRequest(http.MethodPost, "http://entry/v1/chat/completions", strings.NewReader(request))
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -283,27 +281,27 @@
 	return last[:min(len(last), 300)]
 }
 
-// drain stops the agent of a target as planned.
-func (s *scene) drain(i int) {
+// drain drains the agent of target i.
+func (s *scenario) drain(i int) {
 	if err := testbed.Drain(context.Background(), s.bed.Agents[i]); err != nil {
 		s.t.Error(err)
 	}
 }
 
-// TestAnAnswerThatIsWaitedForIsKept: an entry loses its way in the middle of an answer; the target finishes it, and many others
-// are finished and taken before the entry is back. Its answer is still there.
-func TestAnAnswerThatIsWaitedForIsKept(t *testing.T) {
+// TestUnreadAnswerIsKept: an entry loses its connection in the middle of an answer. The target finishes the answer, and
+// many other answers are finished and read before the entry reconnects. Its answer must still be kept.
+func TestUnreadAnswerIsKept(t *testing.T) {
 	const (
 		others = 90 // of 256 KiB each in the agent's memory
 		tokens = 1500
-		few    = 600 // as many as fit in it unread
+		few    = 600 // tokens of an answer that fits in that memory unread
 	)
 	synctest.Test(t, func(t *testing.T) {
 		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: others + 1})
-		l := newLink(t, bed.Network)
+		agent := newAgentClient(t, bed.Network)
 		const id ids.Request = "waits"
-		grant := l.place(id).Grant
-		begun := l.begin(id, grant, few)
+		grant := agent.requestGrant(id).Grant
+		begun := agent.begin(id, grant, few)
 		taken, err := io.CopyN(io.Discard, begun.Body, 10_000)
 		if err != nil {
 			t.Fatal(err)
@@ -316,7 +314,7 @@
 				t.Errorf("ended %v: %s", a.Ending, a.Code)
 			}
 		}
-		rest := l.resume(id, grant, taken)
+		rest := agent.resume(id, grant, taken)
 		defer func() { _ = rest.Body.Close() }()
 		body, err := io.ReadAll(rest.Body)
 		if rest.StatusCode != http.StatusOK || err != nil || !strings.HasSuffix(string(body), "data: [DONE]\n\n") {
--- a/pkg/testbed/failure_test.go
+++ b/pkg/testbed/failure_test.go
@@ -18,11 +18,11 @@
 	"quaydock/pkg/testbed"
 )
 
-// started starts a bed in the test's bubble and waits until it is connected.
+// started starts a testbed in the test's synctest bubble and waits until its processes are connected.
 func started(t *testing.T, o testbed.Options) *testbed.Bed {
 	t.Helper()
-	// Virtual time goes on for ever while something hangs.
-	guard := time.AfterFunc(time.Hour, func() { panic("the test hangs") })
+	// Virtual time advances for ever while a test hangs.
+	guard := time.AfterFunc(time.Hour, func() { panic("the test has run for an hour of virtual time: it hangs") })
 	t.Cleanup(func() { guard.Stop() })
 	bed, err := testbed.Start(o)
 	if err != nil {
@@ -51,19 +51,19 @@
 	return answers
 }
 
-func checkAll(t *testing.T, bed *testbed.Bed, answers []testbed.Answer) map[testbed.Ending]int {
+func checkAnswers(t *testing.T, bed *testbed.Bed, answers []testbed.Answer) map[testbed.Ending]int {
 	t.Helper()
 	endings := make(map[testbed.Ending]int)
 	for _, a := range answers {
-		checkTruth(t, bed, a)
+		checkInvariants(t, bed, a)
 		endings[a.Ending]++
 	}
 	return endings
 }
 
-// An agent dies while tickets wait at it, grants are out and answers are under
-// way. What waited goes to the other target; what ran is not run again.
-func TestAgentDies(t *testing.T) {
+// TestAgentEnds: an agent ends with waiting tickets, unused grants and running
+// answers. Waiting requests go to the other target; running ones are not run again.
+func TestAgentEnds(t *testing.T) {
 	for _, after := range []time.Duration{0, time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond, 60 * time.Millisecond} {
 		t.Run(fmt.Sprint(after), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -73,19 +73,19 @@
 				answers := parallel(12, func(i int) testbed.Answer {
 					return caller.Chat(context.Background(), fmt.Sprint("request ", i), 8, i%2 == 0, nil)
 				})
-				endings := checkAll(t, bed, answers)
+				endings := checkAnswers(t, bed, answers)
 				if lost := endings[testbed.Unknown] + endings[testbed.Cut]; lost > 2 {
-					t.Errorf("%d requests lost, though only 2 can have run at the agent that died: %v", lost, endings)
+					t.Errorf("%d requests lost, but at most 2 can have run at the agent that ended: %v", lost, endings)
 				}
 				if endings[testbed.NotRun] > 0 {
-					t.Errorf("%d requests refused, though the other target could take them", endings[testbed.NotRun])
+					t.Errorf("%d requests refused, but the other target could take them", endings[testbed.NotRun])
 				}
 			})
 		})
 	}
 }
 
-// An agent is replaced while it works; the next one takes over its addresses.
+// TestAgentReplaced: an agent is replaced while it works; the next one takes over its addresses.
 func TestAgentReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2})
@@ -105,16 +105,16 @@
 			return caller.Chat(context.Background(), fmt.Sprint("request ", i), 8, true, nil)
 		})
 		replacing.Wait()
-		endings := checkAll(t, bed, answers)
+		endings := checkAnswers(t, bed, answers)
 		if endings[testbed.Whole] < 6 {
-			t.Errorf("endings %v, want at least the 6 that waited to be whole", endings)
+			t.Errorf("endings %v, want at least the 6 that waited to be complete", endings)
 		}
 	})
 }
 
-// An entry dies with requests that wait and requests under way. Nothing that
-// waited runs afterwards.
-func TestEntryDies(t *testing.T) {
+// TestEntryEnds: an entry ends with waiting and running requests. None of the waiting
+// ones runs afterwards.
+func TestEntryEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2})
 		caller := callerOf(t, bed)
@@ -122,17 +122,17 @@
 		answers := parallel(8, func(i int) testbed.Answer {
 			return caller.Chat(context.Background(), fmt.Sprint("request ", i), 50, true, nil)
 		})
-		checkAll(t, bed, answers)
+		checkAnswers(t, bed, answers)
 		time.Sleep(time.Minute)
 		runs := bed.Engines[0].AllRuns()
 		if len(runs) > 2 {
-			t.Errorf("%d requests ran, want only the 2 that had room before the entry died", len(runs))
+			t.Errorf("%d requests ran, want at most the 2 that had slots before the entry ended", len(runs))
 		}
 	})
 }
 
-// An engine breaks its streams for good. No answer looks whole.
-func TestEngineCutsStreams(t *testing.T) {
+// TestEngineBreaksStreams: an engine breaks its streams and cannot resume them. No answer looks complete.
+func TestEngineBreaksStreams(t *testing.T) {
 	for _, stream := range []bool{true, false} {
 		t.Run(fmt.Sprint("stream ", stream), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -140,7 +140,7 @@
 				caller := callerOf(t, bed)
 				time.AfterFunc(20*time.Millisecond, bed.Engines[0].CutAll)
 				answer := caller.Chat(context.Background(), "cut", 50, stream, nil)
-				checkTruth(t, bed, answer)
+				checkInvariants(t, bed, answer)
 				if answer.Ending != testbed.Cut && answer.Ending != testbed.Unknown {
 					t.Errorf("the answer ended %v: %s", answer.Ending, answer.Body)
 				}
@@ -152,13 +152,11 @@
 	}
 }
 
-// What callers could have seen: a call of theirs that must not be repeated ran twice. The order of events: an engine got the call and
-// ended while it worked, with its process; its agent tried to take the answer up again and found nobody at the
-// engine's address; it told the entry that the call had never been dispatched, and the entry had another engine run it.
+// TestEngineEndsDuringCall: an engine's process ends while it runs a call. The call must not run again at the other engine.
 //
-// The cause: the failure to make a connection for taking an answer up was the same as that for sending the call. The evidence: two engines, of
-// which the one that has a call ends: two runs of one request.
-func TestEngineEndsUnderACall(t *testing.T) {
+// An agent did not distinguish a failed dial for resuming an answer from one for sending the call. It reported
+// the call as never dispatched, and the entry had another engine run it: two runs of one request.
+func TestEngineEndsDuringCall(t *testing.T) {
 	for _, plain := range []bool{false, true} {
 		for _, stream := range []bool{true, false} {
 			for _, after := range []time.Duration{0, 2 * time.Millisecond, 20 * time.Millisecond, 100 * time.Millisecond} {
@@ -173,7 +171,7 @@
 						answers := parallel(4, func(i int) testbed.Answer {
 							return callerOf(t, bed).Chat(context.Background(), fmt.Sprint("call ", i), 100, stream, nil)
 						})
-						checkAll(t, bed, answers)
+						checkAnswers(t, bed, answers)
 					})
 				})
 			}
@@ -181,45 +179,45 @@
 	}
 }
 
-// A target that answers no attempt to connect: its agent has turned the grant into a dispatch and still tries when its way to the
-// entry breaks. It says "dispatched" first, and "never dispatched" once it has given up: the entry goes back to waiting, and another
-// target serves the call.
-func TestWayBreaksWhileATargetIsTried(t *testing.T) {
+// TestConnectionBreaksDuringDial: a target leaves connection attempts unanswered, and the connection between its agent and the
+// entry breaks while the agent, which has dispatched the request, still dials. The agent reports "dispatched" first, and "never
+// dispatched" once it has given up: the entry waits again, and another target serves the call.
+func TestConnectionBreaksDuringDial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWires()
-		bed := started(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 2, Wrap: w.wrap})
-		silence(t, bed.Network, testbed.TargetAddress(0))
+		conns := newBreakableConns()
+		bed := started(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 2, Wrap: conns.wrap})
+		leaveUnanswered(t, bed.Network, testbed.TargetAddress(0))
 		for _, after := range []time.Duration{100, 300, 600, 900} {
-			time.AfterFunc(after*time.Millisecond, func() { w.breakAll(testbed.DataAddress(0)) })
+			time.AfterFunc(after*time.Millisecond, func() { conns.breakAll(testbed.DataAddress(0)) })
 		}
 		answers := parallel(4, func(i int) testbed.Answer {
 			return callerOf(t, bed).Chat(context.Background(), fmt.Sprint("call ", i), 100, i%2 == 0, nil)
 		})
-		if endings := checkAll(t, bed, answers); endings[testbed.Whole] != len(answers) {
-			t.Errorf("endings %v, want all whole: %+v", endings, answers)
+		if endings := checkAnswers(t, bed, answers); endings[testbed.Whole] != len(answers) {
+			t.Errorf("endings %v, want all complete: %+v", endings, answers)
 		}
 	})
 }
 
-// silence has attempts to connect to an address go unanswered.
-func silence(t *testing.T, reach *network.Memory, address string) {
+// leaveUnanswered makes attempts to connect to an address hang.
+func leaveUnanswered(t *testing.T, memory *network.Memory, address string) {
 	t.Helper()
-	if _, err := reach.Listen(address); err != nil {
+	if _, err := memory.Listen(address); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
 	for {
-		// Its backlog is filled.
-		if _, err := reach.Dial(ctx, address); err != nil {
+		// Each dial takes a place in the backlog, until it is full.
+		if _, err := memory.Dial(ctx, address); err != nil {
 			return
 		}
 	}
 }
 
-// An engine ends its streams in good order, but early, as one that is stopped
-// may do. The answer is not taken for whole.
-func TestEngineEndsEarly(t *testing.T) {
+// TestEngineEndsStreamEarly: an engine ends a stream without an error but too early, as an engine that is stopped
+// may do. The answer does not count as complete.
+func TestEngineEndsStreamEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1})
 		listener, err := bed.Network.Listen(testbed.TargetAddress(0))
@@ -233,16 +231,16 @@
 		t.Cleanup(func() { _ = server.Close() })
 		go func() { _ = server.Serve(listener) }()
 		answer := callerOf(t, bed).Chat(context.Background(), "early", 1, true, nil)
-		seen := answer.Ending == testbed.Cut || answer.Ending == testbed.Unknown
-		if !seen || !strings.Contains(answer.Body, `"code":"answer_cut"`) {
+		truncated := answer.Ending == testbed.Cut || answer.Ending == testbed.Unknown
+		if !truncated || !strings.Contains(answer.Body, `"code":"answer_cut"`) {
 			t.Errorf("ended %v: %q", answer.Ending, answer.Body)
 		}
 	})
 }
 
-// A caller leaves at each step of its request. What has not been dispatched
-// never runs, and the room is free for the next.
-func TestCallerLeaves(t *testing.T) {
+// TestCallerCancels: a caller cancels its request at some moment. A request that has not been dispatched
+// never runs, and its slot is free for the next.
+func TestCallerCancels(t *testing.T) {
 	for after := time.Duration(0); after < 60*time.Millisecond; after += 3 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
 			bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1})
@@ -250,28 +248,28 @@
 			var first testbed.Answer
 			var running sync.WaitGroup
 			running.Go(func() { first = caller.Chat(context.Background(), "stays", 5, true, nil) })
-			ctx, leave := context.WithTimeout(context.Background(), after)
-			defer leave()
+			ctx, cancel := context.WithTimeout(context.Background(), after)
+			defer cancel()
 			gone := caller.Chat(ctx, "leaves", 5, true, nil)
 			running.Wait()
-			checkTruth(t, bed, first)
-			checkTruth(t, bed, gone)
+			checkInvariants(t, bed, first)
+			checkInvariants(t, bed, gone)
 			next := caller.Chat(context.Background(), "next", 5, true, nil)
-			checkTruth(t, bed, next)
+			checkInvariants(t, bed, next)
 			if next.Ending != testbed.Whole {
-				t.Errorf("left after %v: the next request ended %v: %s", after, next.Ending, next.Body)
+				t.Errorf("cancelled after %v: the next request ended %v: %s", after, next.Ending, next.Body)
 			}
 		})
 	}
 }
 
-// A caller that leaves has its work cancelled at the engine.
+// TestCancelReachesEngine: when a caller cancels, the engine's work is cancelled too.
 func TestCancelReachesEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1})
 		caller := callerOf(t, bed)
-		ctx, leave := context.WithTimeout(context.Background(), 50*time.Millisecond)
-		defer leave()
+		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
+		defer cancel()
 		caller.Chat(ctx, "leaves", 100_000, true, nil)
 		time.Sleep(time.Second)
 		next := caller.Chat(context.Background(), "next", 5, true, http.Header{"Quaydock-Deadline-Ms": {"1000"}})
@@ -281,8 +279,8 @@
 	})
 }
 
-// A deadline passes before and after the dispatch; only the first may be
-// called not run.
+// TestDeadline: a deadline passes before or after the dispatch. Only in the first case may the request be
+// reported as not run.
 func TestDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1})
@@ -291,7 +289,7 @@
 			time.Sleep(time.Duration(i) * 10 * time.Millisecond)
 			return caller.Chat(context.Background(), "long", 1000, false, http.Header{"Quaydock-Deadline-Ms": {fmt.Sprint(500 - 200*i)}})
 		})
-		checkAll(t, bed, answers)
+		checkAnswers(t, bed, answers)
 		if answers[0].Ending != testbed.Unknown || answers[0].Status != http.StatusGatewayTimeout {
 			t.Errorf("the running request ended %v with %d, want unknown with 504", answers[0].Ending, answers[0].Status)
 		}
@@ -301,9 +299,9 @@
 	})
 }
 
-// Every process is stopped as planned, one after the other, under load.
-// Nothing in flight is cut and nothing is refused.
-func TestPlannedStops(t *testing.T) {
+// TestDrainUnderLoad: processes are drained one after the other under load.
+// No answer is truncated and no request is refused.
+func TestDrainUnderLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bed := started(t, testbed.Options{Entries: 2, Engines: engines(2), Slots: 4})
 		caller := callerOf(t, bed)
@@ -332,13 +330,13 @@
 			return caller.Chat(context.Background(), fmt.Sprint("request ", i), 20, i%2 == 0, nil)
 		})
 		drains.Wait()
-		if endings := checkAll(t, bed, answers); endings[testbed.Whole] != len(answers) {
-			t.Errorf("endings %v, want all whole", endings)
+		if endings := checkAnswers(t, bed, answers); endings[testbed.Whole] != len(answers) {
+			t.Errorf("endings %v, want all complete", endings)
 		}
 	})
 }
 
-// A caller who reads slowly holds little memory, and is dropped after a time.
+// TestSlowReader: a caller that does not read is disconnected after the write time-out and frees its target.
 func TestSlowReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1, Adjust: func(s *settings.Settings) {
@@ -359,12 +357,12 @@
 		time.Sleep(20 * time.Second)
 		next := callerOf(t, bed).Chat(context.Background(), "next", 5, true, http.Header{"Quaydock-Deadline-Ms": {"5000"}})
 		if next.Ending != testbed.Whole {
-			t.Errorf("the slow reader still holds the target: %v %s", next.Ending, next.Body)
+			t.Errorf("a request after the slow reader was disconnected ended %v: %s", next.Ending, next.Body)
 		}
 	})
 }
 
-// A caller who sends slowly is refused in time.
+// TestSlowSender: a caller that does not send its body is refused within a minute.
 func TestSlowSender(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1})
@@ -383,22 +381,22 @@
 		reply := make([]byte, 4096)
 		n, err := conn.Read(reply)
 		if err != nil || !strings.HasPrefix(string(reply[:n]), "HTTP/1.1 408") {
-			t.Errorf("reply %q, %v", reply[:n], err)
+			t.Errorf("reply %q, error %v, want status 408", reply[:n], err)
 		}
 	})
 }
 
-// Tokens that come close together are sent together, but none is held back once
-// its time has passed, and the first goes at once.
+// TestCoalescedStream: tokens that come close together are sent together, but none is delayed by more than the
+// coalescing time, and the first is sent at once.
 func TestCoalescedStream(t *testing.T) {
 	const step = 4 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1, CoalesceMS: 20})
 		client := openAIClient(t, bed, testbed.Key)
-		asked := question(testbed.Model)
-		asked.MaxTokens = openai.Int(30)
+		request := chatRequest(testbed.Model)
+		request.MaxTokens = openai.Int(30)
 		begun := time.Now()
-		stream := client.Chat.Completions.NewStreaming(context.Background(), asked)
+		stream := client.Chat.Completions.NewStreaming(context.Background(), request)
 		var moments []time.Duration
 		for stream.Next() {
 			moments = append(moments, time.Since(begun))
@@ -407,7 +405,7 @@
 			t.Fatal(err, stream.Err())
 		}
 		if len(moments) != 30 {
-			t.Fatalf("%d tokens", len(moments))
+			t.Fatalf("%d tokens, want 30", len(moments))
 		}
 		for i, m := range moments {
 			made := time.Duration(i+1) * step
--- a/pkg/testbed/gone_test.go
+++ b/pkg/testbed/gone_test.go
@@ -11,21 +11,21 @@
 	"quaydock/pkg/testbed"
 )
 
-// TestWhatIsGoneIsToldInTime: what holds on to answers whose targets go on may not keep callers waiting whose target or agent is
-// gone for good.
-func TestWhatIsGoneIsToldInTime(t *testing.T) {
+// TestLossIsReportedInTime: if the target or the agent of an answer is lost for good, the caller learns it in time: the
+// retries that keep answers alive over broken connections may not delay it.
+func TestLossIsReportedInTime(t *testing.T) {
 	cases := []struct {
 		name  string
-		meets func(*scene)
-		most  time.Duration // from then on
+		act   func(*scenario)
+		limit time.Duration // from the failure to the end of the answer
 	}{
-		{"the target ends", func(s *scene) { s.bed.EndTarget(0) }, 1600 * time.Millisecond},
-		{"the target forgets its answers", func(s *scene) { s.bed.Engines[0].CutAll() }, 1600 * time.Millisecond},
-		{"the agent ends", func(s *scene) { s.bed.Agents[0].Close() }, 12 * time.Second},
-		{"the agent's VM is silent", func(s *scene) {
+		{"target ends", func(s *scenario) { s.bed.EndTarget(0) }, 1600 * time.Millisecond},
+		{"target loses its answers", func(s *scenario) { s.bed.Engines[0].CutAll() }, 1600 * time.Millisecond},
+		{"agent ends", func(s *scenario) { s.bed.Agents[0].Close() }, 12 * time.Second},
+		{"agent's VM is partitioned", func(s *scenario) {
 			for _, address := range []string{testbed.ControlAddress(0), testbed.DataAddress(0)} {
-				s.wires.hold(address, clock.Minute)
-				s.wires.breakAll(address)
+				s.conns.hold(address, clock.Minute)
+				s.conns.breakAll(address)
 			}
 		}, 12 * time.Second},
 	}
@@ -33,18 +33,18 @@
 		for _, stream := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, stream %t", c.name, stream), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					w := newWires()
-					bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1, Wrap: w.wrap})
-					s := &scene{t: t, bed: bed, wires: w}
+					conns := newBreakableConns()
+					bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1, Wrap: conns.wrap})
+					s := &scenario{t: t, bed: bed, conns: conns}
 					const after = time.Second
-					s.at(after, func() { c.meets(s) })
+					s.at(after, func() { c.act(s) })
 					began := time.Now()
 					answer := callerOf(t, bed).Chat(context.Background(), "long", 5000, stream, nil)
 					took := time.Since(began) - after
-					s.doing.Wait()
-					checkTruth(t, bed, answer)
-					if answer.Ending == testbed.Whole || took > c.most {
-						t.Errorf("ended %v after %v", answer.Ending, took)
+					s.actions.Wait()
+					checkInvariants(t, bed, answer)
+					if answer.Ending == testbed.Whole || took > c.limit {
+						t.Errorf("answer ended %v, %v after the failure", answer.Ending, took)
 					}
 					t.Log(answer.Ending, took)
 				})
--- a/pkg/testbed/grant_test.go
+++ b/pkg/testbed/grant_test.go
@@ -17,97 +17,97 @@
 	"quaydock/pkg/testbed"
 )
 
-// link speaks to an agent as an entry does.
-type link struct {
+// agentClient calls the agent of the first target as an entry does.
+type agentClient struct {
 	t       *testing.T
 	control *control.Client
 	data    *http.Client
 }
 
-func newLink(t *testing.T, reach network.Network) *link {
+func newAgentClient(t *testing.T, net network.Network) *agentClient {
 	t.Helper()
-	conn, err := reach.Dial(context.Background(), testbed.ControlAddress(0))
+	conn, err := net.Dial(context.Background(), testbed.ControlAddress(0))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := &link{t: t, control: control.NewClient(conn), data: &http.Client{Transport: network.NewTransport(reach, network.TransportOptions{})}}
+	c := &agentClient{t: t, control: control.NewClient(conn), data: &http.Client{Transport: network.NewTransport(net, network.TransportOptions{})}}
 	t.Cleanup(func() {
-		l.control.Close()
-		l.data.CloseIdleConnections()
+		c.control.Close()
+		c.data.CloseIdleConnections()
 	})
-	return l
+	return c
 }
 
-func (l *link) place(id ids.Request) control.Verdict {
-	l.t.Helper()
+func (c *agentClient) requestGrant(id ids.Request) control.Verdict {
+	c.t.Helper()
 	ticket := control.Ticket{Request: id, Service: testbed.Model, Remaining: 10_000, Decode: 10}
-	reply, err := l.control.Place(context.Background(), &control.PlaceArgs{Tickets: []control.Ticket{ticket}})
+	reply, err := c.control.Place(context.Background(), &control.PlaceArgs{Tickets: []control.Ticket{ticket}})
 	if err != nil {
-		l.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	return reply.Verdicts[0]
 }
 
-// dispatch sends a body against a grant; it returns the status and the fate
-// that the agent told.
-func (l *link) dispatch(id ids.Request, grant ids.Grant) (status int, fate string) {
-	l.t.Helper()
-	response := l.begin(id, grant, 3)
+// dispatch sends a request body under a grant and returns the status and the grant outcome
+// that the agent reports.
+func (c *agentClient) dispatch(id ids.Request, grant ids.Grant) (status int, fate string) {
+	c.t.Helper()
+	response := c.begin(id, grant, 3)
 	defer func() { _ = response.Body.Close() }()
 	if _, err := io.Copy(io.Discard, response.Body); err != nil {
-		l.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	return response.StatusCode, response.Header.Get(control.HeaderFate)
 }
 
-// begin sends a body against a grant.
-func (l *link) begin(id ids.Request, grant ids.Grant, tokens int) *http.Response {
-	l.t.Helper()
+// begin sends a request body under a grant and returns the open response.
+func (c *agentClient) begin(id ids.Request, grant ids.Grant, tokens int) *http.Response {
+	c.t.Helper()
 	body := fmt.Sprintf(`{"model":"chart-small","stream":%t,"max_tokens":%d}`, tokens > 3, tokens)
-	return l.ask(http.MethodPost, control.PathDispatch, id, grant, body, http.Header{
+	return c.send(http.MethodPost, control.PathDispatch, id, grant, body, http.Header{
 		control.HeaderMethod: {http.MethodPost}, control.HeaderPath: {"/v1/chat/completions"},
 	})
 }
 
-// resume asks for an answer from an offset on.
-func (l *link) resume(id ids.Request, grant ids.Grant, offset int64) *http.Response {
-	l.t.Helper()
-	return l.ask(http.MethodGet, control.PathAnswer, id, grant, "", http.Header{control.HeaderOffset: {fmt.Sprint(offset)}})
+// resume requests an answer from an offset on.
+func (c *agentClient) resume(id ids.Request, grant ids.Grant, offset int64) *http.Response {
+	c.t.Helper()
+	return c.send(http.MethodGet, control.PathAnswer, id, grant, "", http.Header{control.HeaderOffset: {fmt.Sprint(offset)}})
 }
 
-func (l *link) ask(method, path string, id ids.Request, grant ids.Grant, body string, header http.Header) *http.Response {
-	l.t.Helper()
+func (c *agentClient) send(method, path string, id ids.Request, grant ids.Grant, body string, header http.Header) *http.Response {
+	c.t.Helper()
 	call, err := http.NewRequest(method, "http://"+testbed.DataAddress(0)+path, strings.NewReader(body))
 	if err != nil {
-		l.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	call.Header = header
 	call.Header.Set(control.HeaderRequest, string(id))
 	call.Header.Set(control.HeaderGrant, grant.String())
-	response, err := l.data.Do(call)
+	response, err := c.data.Do(call)
 	if err != nil {
-		l.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	return response
 }
 
-func (l *link) fate(id ids.Request, grant ids.Grant) control.Fate {
-	l.t.Helper()
-	reply, err := l.control.Outcome(context.Background(), &control.OutcomeArgs{Request: id, Grant: grant})
+func (c *agentClient) fate(id ids.Request, grant ids.Grant) control.Fate {
+	c.t.Helper()
+	reply, err := c.control.Outcome(context.Background(), &control.OutcomeArgs{Request: id, Grant: grant})
 	if err != nil {
-		l.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	return reply.Fate
 }
 
-// Grants are used twice, late, for another request, after a question for the
+// TestGrants uses grants twice, late, for another request, after a query for their
 // outcome, and after their agent was replaced.
 func TestGrants(t *testing.T) {
 	const id, other ids.Request = "request-1", "request-2"
 	scenarios := []struct {
 		name string
-		// between happens between the grant and the dispatch that is checked.
-		between func(t *testing.T, l *link, bed *testbed.Bed, grant ids.Grant)
+		// between runs between the grant and the dispatch that is checked.
+		between func(t *testing.T, c *agentClient, bed *testbed.Bed, grant ids.Grant)
 		as      ids.Request
 		status  int
 		fate    string
@@ -115,27 +115,27 @@
 	}{
 		{name: "used once", as: id, status: http.StatusOK, runs: 1},
 		{name: "used twice", as: id, status: http.StatusConflict, runs: 1,
-			between: func(t *testing.T, l *link, _ *testbed.Bed, grant ids.Grant) {
-				if status, _ := l.dispatch(id, grant); status != http.StatusOK {
-					t.Errorf("the first use has status %d", status)
+			between: func(t *testing.T, c *agentClient, _ *testbed.Bed, grant ids.Grant) {
+				if status, _ := c.dispatch(id, grant); status != http.StatusOK {
+					t.Errorf("the first use has status %d, want 200", status)
 				}
 			}},
-		{name: "replayed after a minute", as: id, status: http.StatusConflict, runs: 1,
-			between: func(_ *testing.T, l *link, _ *testbed.Bed, grant ids.Grant) {
-				l.dispatch(id, grant)
+		{name: "used again after a minute", as: id, status: http.StatusConflict, runs: 1,
+			between: func(_ *testing.T, c *agentClient, _ *testbed.Bed, grant ids.Grant) {
+				c.dispatch(id, grant)
 				time.Sleep(time.Minute)
 			}},
 		{name: "expired", as: id, status: http.StatusConflict, fate: control.FateNeverDispatched,
-			between: func(*testing.T, *link, *testbed.Bed, ids.Grant) { time.Sleep(3 * time.Second) }},
+			between: func(*testing.T, *agentClient, *testbed.Bed, ids.Grant) { time.Sleep(3 * time.Second) }},
 		{name: "for another request", as: other, status: http.StatusConflict},
-		{name: "after its outcome was asked", as: id, status: http.StatusConflict, fate: control.FateNeverDispatched,
-			between: func(t *testing.T, l *link, _ *testbed.Bed, grant ids.Grant) {
-				if fate := l.fate(id, grant); fate != control.FateNever {
+		{name: "used after a query for its outcome", as: id, status: http.StatusConflict, fate: control.FateNeverDispatched,
+			between: func(t *testing.T, c *agentClient, _ *testbed.Bed, grant ids.Grant) {
+				if fate := c.fate(id, grant); fate != control.FateNever {
 					t.Errorf("fate %v, want never", fate)
 				}
 			}},
-		{name: "of an agent that was replaced", as: id, status: http.StatusConflict, fate: control.FateNeverDispatched,
-			between: func(t *testing.T, _ *link, bed *testbed.Bed, _ ids.Grant) {
+		{name: "granted by an agent that was replaced", as: id, status: http.StatusConflict, fate: control.FateNeverDispatched,
+			between: func(t *testing.T, _ *agentClient, bed *testbed.Bed, _ ids.Grant) {
 				bed.Agents[0].Close()
 				next, err := bed.StartAgent(0)
 				if err != nil {
@@ -149,15 +149,15 @@
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				bed := started(t, testbed.Options{Engines: engines(1), Slots: 1})
-				l := newLink(t, bed.Network)
-				verdict := l.place(id)
+				c := newAgentClient(t, bed.Network)
+				verdict := c.requestGrant(id)
 				if verdict.Kind != control.Granted {
-					t.Fatalf("verdict %v", verdict)
+					t.Fatalf("verdict %v, want granted", verdict)
 				}
 				if s.between != nil {
-					s.between(t, l, bed, verdict.Grant)
+					s.between(t, c, bed, verdict.Grant)
 				}
-				status, fate := l.dispatch(s.as, verdict.Grant)
+				status, fate := c.dispatch(s.as, verdict.Grant)
 				if status != s.status || fate != s.fate {
 					t.Errorf("status %d, fate %q, want %d, %q", status, fate, s.status, s.fate)
 				}
@@ -169,27 +169,27 @@
 	}
 }
 
-// A dispatched grant is never called unused, whoever asks and however often.
+// TestOutcomeOfDispatched: a dispatched grant is never reported as unused, whatever request is named and however often.
 func TestOutcomeOfDispatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bed := started(t, testbed.Options{Engines: engines(1), Slots: 1})
-		l := newLink(t, bed.Network)
-		grant := l.place("request-1").Grant
-		l.dispatch("request-1", grant)
+		c := newAgentClient(t, bed.Network)
+		grant := c.requestGrant("request-1").Grant
+		c.dispatch("request-1", grant)
 		for range 3 {
-			if fate := l.fate("request-1", grant); fate != control.FateDispatched {
+			if fate := c.fate("request-1", grant); fate != control.FateDispatched {
 				t.Errorf("fate %v, want dispatched", fate)
 			}
 		}
-		if fate := l.fate("request-2", grant); fate != control.FateUnknown {
+		if fate := c.fate("request-2", grant); fate != control.FateUnknown {
 			t.Errorf("fate for another request %v, want unknown", fate)
 		}
 	})
 }
 
-// A message is held back at each step for longer than every bound; its answer
-// comes late, and is still whole, own and single, or refused with the truth.
-func TestLateMessages(t *testing.T) {
+// TestDelayedMessages delays each message in turn for longer than every time-out. Each request still
+// gets its own complete answer and runs once, or is refused with a true outcome.
+func TestDelayedMessages(t *testing.T) {
 	for _, address := range []string{testbed.ControlAddress(0), testbed.DataAddress(0), testbed.TargetAddress(0)} {
 		for _, direction := range []network.Direction{network.Request, network.Reply} {
 			for message := range 16 {
@@ -203,20 +203,20 @@
 						return caller.Chat(context.Background(), fmt.Sprint("request ", i), 5, i == 0, nil)
 					})
 					time.Sleep(time.Minute)
-					checkAll(t, bed, answers)
+					checkAnswers(t, bed, answers)
 				})
 			}
 		}
 	}
 }
 
-// An agent that answers with another request's answer is found out.
-func TestCrossedAnswer(t *testing.T) {
+// TestAnswerOfAnotherRequestIsDetected: an entry detects that an agent sends the answer of another request.
+func TestAnswerOfAnotherRequestIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2, Adjust: func(s *settings.Settings) {
 			s.StrictInvariants = false // the violation is what is tested
 		}})
-		crossing, err := bed.Network.Listen(testbed.DataAddress(0))
+		listener, err := bed.Network.Listen(testbed.DataAddress(0))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -227,13 +227,13 @@
 			_, _ = w.Write([]byte("somebody else's answer"))
 		})}
 		t.Cleanup(func() { _ = server.Close() })
-		go func() { _ = server.Serve(crossing) }()
+		go func() { _ = server.Serve(listener) }()
 		answer := callerOf(t, bed).Chat(context.Background(), "mine", 5, true, nil)
 		if answer.Ending == testbed.Whole || answer.Ending == testbed.Crossed {
 			t.Errorf("ended %v with %q", answer.Ending, answer.Body)
 		}
 		if n := bed.Entries[0].Metrics.Violations.Get("OwnAnswer"); n == nil {
-			t.Error("the violation was not counted")
+			t.Error("no violation of OwnAnswer was counted")
 		}
 	})
 }
--- a/pkg/testbed/large_event_test.go
+++ b/pkg/testbed/large_event_test.go
@@ -11,22 +11,21 @@
 	"quaydock/pkg/testbed"
 )
 
-// What callers would have seen: a stream that broke off in front of an event above 1 MiB, although its engine went on, and the call logged as
-// one whose caller had left. The cause: events are passed on whole, so that a cut answer can end with an event that says so, and one beyond
-// the bound of what is held for that ended the answer. The evidence: an engine that sends an event of 3 MiB between small ones.
-
-// TestLargeEvents: an event is passed on whatever its length; an answer that breaks off in the middle of one is seen to be cut.
+// TestLargeEvents: an event is forwarded whatever its length, and a caller can see that an answer broke off in the middle of one.
+//
+// Events are forwarded only when complete, so that a truncated answer can end with an error event. An event above the buffer limit
+// of 1 MiB for that used to end the stream, although its engine went on, and the call was logged as cancelled by its caller.
 func TestLargeEvents(t *testing.T) {
 	cases := []struct {
 		name   string
 		length int // of the event in the middle
-		cut    int // this many bytes of it are sent, or all
+		cut    int // number of its bytes that are sent before the answer breaks off; 0 for a complete answer
 	}{
 		{"small", 1 << 10, 0},
 		{"large", 3 << 20, 0},
-		{"small, cut", 1 << 10, 100},
-		{"large, cut early", 3 << 20, 1 << 19},
-		{"large, cut late", 3 << 20, 2 << 20},
+		{"small, truncated", 1 << 10, 100},
+		{"large, truncated early", 3 << 20, 1 << 19},
+		{"large, truncated late", 3 << 20, 2 << 20},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -34,29 +33,29 @@
 				bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1})
 				middle := fmt.Sprintf("data: {\"delta\":%q}\n\n", strings.Repeat("x", c.length))
 				const small = "data: {\"delta\":1}\n\n"
-				whole := small + middle + small + "data: [DONE]\n\n"
-				replace(t, bed, func(w http.ResponseWriter, r *http.Request) {
+				complete := small + middle + small + "data: [DONE]\n\n"
+				replaceTarget(t, bed, func(w http.ResponseWriter, r *http.Request) {
 					if r.Method != http.MethodPost {
 						http.NotFound(w, r)
 						return
 					}
 					w.Header().Set("Content-Type", "text/event-stream")
 					if c.cut > 0 {
-						_, _ = w.Write([]byte(whole[:len(small)+c.cut]))
+						_, _ = w.Write([]byte(complete[:len(small)+c.cut]))
 						_ = http.NewResponseController(w).Flush()
 						panic(http.ErrAbortHandler)
 					}
-					_, _ = w.Write([]byte(whole))
+					_, _ = w.Write([]byte(complete))
 				})
 				body := `{"model":"chart-small","stream":true,"messages":[]}`
 				answer := callerOf(t, bed).Do(context.Background(), http.MethodPost, "/v1/chat/completions", body, nil)
 				switch {
-				case c.cut == 0 && (answer.Ending != testbed.Whole || answer.Body != whole):
-					t.Errorf("ended %v with %d of %d bytes", answer.Ending, len(answer.Body), len(whole))
+				case c.cut == 0 && (answer.Ending != testbed.Whole || answer.Body != complete):
+					t.Errorf("ended %v with %d of %d bytes", answer.Ending, len(answer.Body), len(complete))
 				case c.cut > 0 && strings.Contains(answer.Body, "[DONE]"):
-					t.Error("a cut answer looks whole")
+					t.Error("a truncated answer looks complete")
 				case c.cut > 0 && answer.Ending != testbed.Cut && !strings.Contains(answer.Body, `"code":"answer_cut"`):
-					t.Errorf("ended %v, end %q", answer.Ending, tail(answer.Body))
+					t.Errorf("truncated answer ended %v with %q", answer.Ending, tail(answer.Body))
 				}
 			})
 		})
--- a/pkg/testbed/malformed_test.go
+++ b/pkg/testbed/malformed_test.go
@@ -13,8 +13,8 @@
 	"quaydock/pkg/testbed"
 )
 
-// Callers send what cannot be served. Each gets its status, a stable code in
-// the OpenAI form, a request id and a true "not run".
+// TestMalformed: each request that cannot be served gets its status, a stable error code in
+// the OpenAI format, a request id and a true "not run".
 func TestMalformed(t *testing.T) {
 	const chat = "/v1/chat/completions"
 	const good = `{"model":"chart-small","messages":[]}`
@@ -27,7 +27,7 @@
 		status int
 		code   refusal.Code
 	}{
-		{"no JSON", "POST", chat, `{`, nil, 400, refusal.CodeMalformed},
+		{"invalid JSON", "POST", chat, `{`, nil, 400, refusal.CodeMalformed},
 		{"an array", "POST", chat, `[]`, nil, 400, refusal.CodeMalformed},
 		{"empty", "POST", chat, ``, nil, 400, refusal.CodeMalformed},
 		{"no model", "POST", chat, `{"messages":[]}`, nil, 400, refusal.CodeMalformed},
@@ -42,13 +42,13 @@
 		{"wrong method", "GET", chat, ``, nil, 404, refusal.CodeNotFound},
 		{"too large", "POST", chat, good + strings.Repeat(" ", 2000), nil, 413, refusal.CodeBodyTooLarge},
 		{"no key", "POST", chat, good, http.Header{"Authorization": {""}}, 401, refusal.CodeNoKey},
-		{"another scheme", "POST", chat, good, http.Header{"Authorization": {"Basic x"}}, 401, refusal.CodeNoKey},
+		{"other authorization scheme", "POST", chat, good, http.Header{"Authorization": {"Basic x"}}, 401, refusal.CodeNoKey},
 		{"unknown key", "POST", chat, good, http.Header{"Authorization": {"Bearer x"}}, 401, refusal.CodeBadKey},
 		{"unknown tier", "POST", chat, good, http.Header{"Quaydock-Tier": {"none"}}, 400, refusal.CodeMalformed},
 		{"tier above the account's", "POST", chat, good, http.Header{"Quaydock-Tier": {"pilot"}}, 403, refusal.CodeTierNotAllowed},
-		{"deadline in words", "POST", chat, good, http.Header{"Quaydock-Deadline-Ms": {"soon"}}, 400, refusal.CodeMalformed},
+		{"deadline not a number", "POST", chat, good, http.Header{"Quaydock-Deadline-Ms": {"soon"}}, 400, refusal.CodeMalformed},
 		{"deadline below 1", "POST", chat, good, http.Header{"Quaydock-Deadline-Ms": {"0"}}, 400, refusal.CodeMalformed},
-		{"no-repeat in words", "POST", chat, good, http.Header{"Quaydock-No-Repeat": {"perhaps"}}, 400, refusal.CodeMalformed},
+		{"no-repeat not a boolean", "POST", chat, good, http.Header{"Quaydock-No-Repeat": {"perhaps"}}, 400, refusal.CodeMalformed},
 		{"long idempotency key", "POST", chat, good, http.Header{"Idempotency-Key": {strings.Repeat("k", 300)}}, 400, refusal.CodeMalformed},
 	}
 	synctest.Test(t, func(t *testing.T) {
@@ -76,8 +76,8 @@
 	})
 }
 
-// A plain service gets method, path, query, body and headers as they were
-// sent, without the account's key; its own answer comes back unchanged.
+// TestPlainService: a plain service gets method, path, query and body as they were
+// sent, and its answer is returned unchanged.
 func TestPlainService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bed := started(t, testbed.Options{Entries: 1, Plain: true, Slots: 1})
@@ -88,13 +88,13 @@
 			t.Errorf("status %d, body %s", answer.Status, answer.Body)
 		}
 		if runs := bed.Runs(answer.Request); runs != 1 {
-			t.Errorf("%d runs", runs)
+			t.Errorf("%d runs, want 1", runs)
 		}
 	})
 }
 
-// When all targets of a service are full of higher tiers, lower ones are shed
-// at once with a time to come back, and higher ones are all served.
+// TestShedding: when all targets of a service are full with higher tiers, lower tiers are shed
+// with a Retry-After header, and the higher ones are all served.
 func TestShedding(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bed := started(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 2, Adjust: func(s *settings.Settings) {
@@ -112,13 +112,13 @@
 			}
 			return caller.Chat(context.Background(), "x", 20, true, http.Header{"Quaydock-Tier": {tier}})
 		})
-		endings := checkAll(t, bed, answers)
+		endings := checkAnswers(t, bed, answers)
 		if endings[testbed.NotRun] == 0 {
 			t.Error("nothing was shed")
 		}
 		for i, a := range answers {
 			if i < 14 && i%2 == 0 && a.Ending != testbed.Whole {
-				t.Errorf("a pilot's request ended %v: %s", a.Ending, a.Body)
+				t.Errorf("a request of tier pilot ended %v: %s", a.Ending, a.Body)
 			}
 			if a.Ending == testbed.NotRun && (a.Code != "overloaded" || a.Retry == "") {
 				t.Errorf("refused with code %q, Retry-After %q", a.Code, a.Retry)
--- a/pkg/testbed/openai_client_test.go
+++ b/pkg/testbed/openai_client_test.go
@@ -15,7 +15,7 @@
 	"quaydock/pkg/testbed"
 )
 
-// openAIClient is an ordinary OpenAI client that knows nothing of quaydock.
+// openAIClient returns an unmodified OpenAI client for the first entry.
 func openAIClient(t *testing.T, bed *testbed.Bed, key string) openai.Client {
 	t.Helper()
 	transport := network.NewTransport(bed.Network, network.TransportOptions{})
@@ -28,7 +28,7 @@
 	)
 }
 
-func question(model string) openai.ChatCompletionNewParams {
+func chatRequest(model string) openai.ChatCompletionNewParams {
 	return openai.ChatCompletionNewParams{
 		Model:     model,
 		MaxTokens: openai.Int(5),
@@ -36,8 +36,8 @@
 	}
 }
 
-// An ordinary OpenAI client lists models, asks for whole and streamed answers,
-// and understands refusals.
+// TestOpenAIClient: an unmodified OpenAI client lists models and gets
+// unstreamed and streamed answers.
 func TestOpenAIClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2})
@@ -46,21 +46,21 @@
 
 		models, err := client.Models.List(ctx)
 		if err != nil || len(models.Data) != 1 || models.Data[0].ID != testbed.Model {
-			t.Errorf("models %+v, %v", models, err)
+			t.Errorf("models %+v, error %v", models, err)
 		}
 
-		whole, err := client.Chat.Completions.New(ctx, question(testbed.Model))
-		if err != nil || len(whole.Choices) != 1 || whole.Choices[0].Message.Content == "" || whole.Usage.CompletionTokens != 5 {
-			t.Errorf("whole answer %+v, %v", whole, err)
+		completion, err := client.Chat.Completions.New(ctx, chatRequest(testbed.Model))
+		if err != nil || len(completion.Choices) != 1 || completion.Choices[0].Message.Content == "" || completion.Usage.CompletionTokens != 5 {
+			t.Errorf("unstreamed answer %+v, error %v", completion, err)
 		}
 
-		stream := client.Chat.Completions.NewStreaming(ctx, question(testbed.Model))
+		stream := client.Chat.Completions.NewStreaming(ctx, chatRequest(testbed.Model))
 		tokens := 0
 		for stream.Next() {
 			tokens += len(stream.Current().Choices)
 		}
 		if err := stream.Err(); err != nil || tokens != 5 {
-			t.Errorf("%d streamed tokens, %v", tokens, err)
+			t.Errorf("%d streamed tokens, want 5; error %v", tokens, err)
 		}
 		if err := stream.Close(); err != nil {
 			t.Error(err)
@@ -68,7 +68,7 @@
 	})
 }
 
-// Refusals reach the client as the errors that it knows, with our codes.
+// TestOpenAIClientRefusals: refusals reach the client as its own error type, with the expected status and code.
 func TestOpenAIClientRefusals(t *testing.T) {
 	scenarios := []struct {
 		name, key, model string
@@ -82,30 +82,30 @@
 		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2})
 		for _, s := range scenarios {
 			client := openAIClient(t, bed, s.key)
-			_, err := client.Chat.Completions.New(context.Background(), question(s.model))
-			var refused *openai.Error
-			if !errors.As(err, &refused) || refused.StatusCode != s.status || refused.Code != s.code {
+			_, err := client.Chat.Completions.New(context.Background(), chatRequest(s.model))
+			var apiError *openai.Error
+			if !errors.As(err, &apiError) || apiError.StatusCode != s.status || apiError.Code != s.code {
 				t.Errorf("%s: %v", s.name, err)
 			}
 		}
 	})
 }
 
-// A stream that its engine breaks for good ends in an error of the client.
-func TestOpenAIClientSeesCutStream(t *testing.T) {
+// TestOpenAIClientSeesBrokenStream: a stream that its engine breaks and cannot resume ends with an error of the client.
+func TestOpenAIClientSeesBrokenStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2})
 		client := openAIClient(t, bed, testbed.Key)
-		asked := question(testbed.Model)
-		asked.MaxTokens = openai.Int(100)
-		stream := client.Chat.Completions.NewStreaming(context.Background(), asked)
+		request := chatRequest(testbed.Model)
+		request.MaxTokens = openai.Int(100)
+		stream := client.Chat.Completions.NewStreaming(context.Background(), request)
 		for tokens := 0; stream.Next(); tokens++ {
 			if tokens == 3 {
 				bed.Engines[0].CutAll()
 			}
 		}
 		if stream.Err() == nil {
-			t.Error("the client took a cut stream for a whole one")
+			t.Error("the client accepted a truncated stream as complete")
 		}
 		if err := stream.Close(); err != nil {
 			t.Error(err)
@@ -113,15 +113,15 @@
 	})
 }
 
-// A streamed answer that is whole says so in its last chunk, and tells what it
-// used if it was asked.
-func TestOpenAIClientSeesTheEndOfAStream(t *testing.T) {
+// TestOpenAIClientSeesStreamEnd: a complete stream gives the finish reason in its last chunk and
+// the usage if the request asked for it.
+func TestOpenAIClientSeesStreamEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2})
 		client := openAIClient(t, bed, testbed.Key)
-		asked := question(testbed.Model)
-		asked.StreamOptions.IncludeUsage = openai.Bool(true)
-		stream := client.Chat.Completions.NewStreaming(context.Background(), asked)
+		request := chatRequest(testbed.Model)
+		request.StreamOptions.IncludeUsage = openai.Bool(true)
+		stream := client.Chat.Completions.NewStreaming(context.Background(), request)
 		var reasons []string
 		var used int64
 		for stream.Next() {
@@ -135,7 +135,7 @@
 			t.Fatal(err)
 		}
 		if want := []string{"", "", "", "", "length"}; !slices.Equal(reasons, want) || used != 5 {
-			t.Errorf("reasons %q, %d tokens used", reasons, used)
+			t.Errorf("finish reasons %q, %d completion tokens, want 5", reasons, used)
 		}
 		if err := stream.Close(); err != nil {
 			t.Error(err)
--- a/pkg/testbed/random_test.go
+++ b/pkg/testbed/random_test.go
@@ -17,12 +17,12 @@
 	"quaydock/pkg/testbed"
 )
 
-var seeds = flag.Uint64("seeds", 25, "how many random histories to run")
+var seeds = flag.Uint64("seeds", 25, "number of random histories to run")
 
-// TestRandomHistories runs bursts of requests while messages are cut and held
-// back, engines slow down and break their streams, and agents die and are
-// replaced, all drawn from a seed. Whatever comes of a request, what it is told
-// is true, and afterwards the system serves again.
+// TestRandomHistories sends requests while connections break, messages are delayed,
+// engines slow down and break their streams, and agents end and are
+// replaced, all at random from a seed. Each request must get a true outcome,
+// and afterwards the system must serve again.
 func TestRandomHistories(t *testing.T) {
 	endings := make(map[testbed.Ending]int)
 	for seed := uint64(1); seed <= *seeds; seed++ {
@@ -64,22 +64,22 @@
 			}
 		},
 	})
-	var strikes sync.WaitGroup
-	strikes.Go(h.strike)
+	var failures sync.WaitGroup
+	failures.Go(h.injectFailures)
 	answers := h.burst(60)
-	strikes.Wait()
+	failures.Wait()
 	faults.Heal()
 	time.Sleep(time.Minute)
-	endings := checkAll(h.t, h.bed, answers)
+	endings := checkAnswers(h.t, h.bed, answers)
 	after := callerOf(h.t, h.bed).Chat(context.Background(), "after", 3, true, nil)
-	checkTruth(h.t, h.bed, after)
+	checkInvariants(h.t, h.bed, after)
 	if after.Ending != testbed.Whole {
 		h.t.Errorf("seed %d: a later request ended %v: %s", h.seed, after.Ending, after.Body)
 	}
 	return endings
 }
 
-// faults draws messages to cut or hold back, on any link.
+// faults draws messages, on any link, at which the connection breaks or which are delayed.
 func (h *randomHistory) faults() []network.Fault {
 	var addresses []string
 	for i := range randomEngines {
@@ -98,8 +98,8 @@
 	return faults
 }
 
-// strike breaks engines and replaces agents while requests run.
-func (h *randomHistory) strike() {
+// injectFailures breaks streams, slows down engines and replaces agents while requests run.
+func (h *randomHistory) injectFailures() {
 	random := rand.New(rand.NewPCG(h.seed, 3))
 	for range 5 {
 		time.Sleep(time.Duration(random.Int64N(int64(historyLength / 5))))
@@ -124,7 +124,7 @@
 	}
 }
 
-// burst sends requests of all tiers, some of whose callers leave.
+// burst sends n requests of all tiers, some of which are cancelled by their callers.
 func (h *randomHistory) burst(n int) []testbed.Answer {
 	tiers := []string{"pilot", "notice", "summary", "tag"}
 	callers := make([]*testbed.Caller, randomEntries)
@@ -133,23 +133,23 @@
 		h.t.Cleanup(callers[i].Close)
 	}
 	type draw struct {
-		at, patience time.Duration
-		tier         string
-		tokens       int
+		at, timeout time.Duration
+		tier        string
+		tokens      int
 	}
 	draws := make([]draw, n)
 	for i := range draws {
 		draws[i] = draw{
-			at:       time.Duration(h.random.Int64N(int64(historyLength))),
-			patience: time.Duration(h.random.Int64N(int64(2 * historyLength))),
-			tier:     tiers[h.random.IntN(len(tiers))],
-			tokens:   1 + h.random.IntN(300),
+			at:      time.Duration(h.random.Int64N(int64(historyLength))),
+			timeout: time.Duration(h.random.Int64N(int64(2 * historyLength))),
+			tier:    tiers[h.random.IntN(len(tiers))],
+			tokens:  1 + h.random.IntN(300),
 		}
 	}
 	return parallel(n, func(i int) testbed.Answer {
 		time.Sleep(draws[i].at)
-		ctx, leave := context.WithTimeout(context.Background(), draws[i].patience)
-		defer leave()
+		ctx, cancel := context.WithTimeout(context.Background(), draws[i].timeout)
+		defer cancel()
 		header := http.Header{"Quaydock-Tier": {draws[i].tier}}
 		return callers[i%randomEntries].Chat(ctx, fmt.Sprint("request ", i), draws[i].tokens, i%3 == 0, header)
 	})
