--- a/pkg/testbed/rest_test.go
+++ b/pkg/testbed/rest_test.go
@@ -12,19 +12,19 @@
 	"quaydock/pkg/testbed"
 )
 
-// TestAnEngineBehindAnAgentAsksForRest: an engine turned all calls away and said for how long it wanted none. Its
-// agent passed that on to the callers and went on granting places, which were free at once, so that the engine looked
-// like the quickest of all and got most of the calls.
-func TestAnEngineBehindAnAgentAsksForRest(t *testing.T) {
+// TestEngineBehindAgentBacksOff: an engine rejects all calls and asks for a back-off. An agent that only passed that on
+// to the callers and went on granting slots, which were free again at once, made the engine look
+// like the fastest one, and it got most of the calls.
+func TestEngineBehindAgentBacksOff(t *testing.T) {
 	const (
-		rest  = 3 * time.Second
-		calls = 300
-		each  = 20 * time.Millisecond
+		backoff = 3 * time.Second
+		calls   = 300
+		each    = 20 * time.Millisecond
 	)
 	synctest.Test(t, func(t *testing.T) {
 		bed := started(t, testbed.Options{Entries: 2, Engines: engines(3), Slots: 2, Seed: 1})
 		callers := callersOf(t, bed)
-		bed.Engines[0].TurnAway(rest)
+		bed.Engines[0].TurnAway(backoff)
 		answers := parallel(calls, func(i int) testbed.Answer {
 			time.Sleep(time.Duration(i) * each)
 			return callers[i%len(callers)].Chat(context.Background(), fmt.Sprint("call ", i), 10, false, nil)
@@ -35,11 +35,11 @@
 				served++
 			}
 		}
-		turned := bed.Engines[0].TurnedAway()
-		t.Logf("%d calls turned away, %d of %d served", turned, served, calls)
-		// Two calls may be under way when the engine asks for rest, in each of three rests.
-		if turned > 3*2 {
-			t.Errorf("%d calls reached an engine that rests", turned)
+		rejected := bed.Engines[0].TurnedAway()
+		t.Logf("%d calls rejected, %d of %d served", rejected, served, calls)
+		// Up to two calls may be running when the engine asks for a back-off, and there are three of these.
+		if rejected > 3*2 {
+			t.Errorf("%d calls reached an engine that had asked for a back-off, want at most 6", rejected)
 		}
 		if served < calls*90/100 {
 			t.Errorf("%d of %d calls were served", served, calls)
@@ -47,15 +47,15 @@
 	})
 }
 
-// TestAllEnginesBehindAgentsRest: callers are told to come back when the first engine works again; what can
-// wait until then does. After the rest all is served.
-func TestAllEnginesBehindAgentsRest(t *testing.T) {
-	const rest = 4 * time.Second
+// TestAllEnginesBehindAgentsBackOff: while all engines are backed off, a request that cannot wait is refused at once with a
+// Retry-After of the remaining back-off; one that can wait is served after it.
+func TestAllEnginesBehindAgentsBackOff(t *testing.T) {
+	const backoff = 4 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		bed := started(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 1, Seed: 1})
 		caller := callerOf(t, bed)
 		for _, e := range bed.Engines {
-			e.TurnAway(rest)
+			e.TurnAway(backoff)
 		}
 		parallel(4, func(i int) testbed.Answer {
 			return caller.Chat(context.Background(), fmt.Sprint("first ", i), 10, false, http.Header{"Quaydock-Deadline-Ms": {"1000"}})
@@ -66,13 +66,13 @@
 		}
 		began := time.Now()
 		short := caller.Chat(context.Background(), "short", 10, false, http.Header{"Quaydock-Deadline-Ms": {"1000"}})
-		back, err := strconv.Atoi(short.Retry)
-		if short.Ending != testbed.NotRun || err != nil || back < 2 || back > 4 || time.Since(began) > 300*time.Millisecond {
-			t.Errorf("a call that can't wait: %+v after %v", short, time.Since(began))
+		retryAfter, err := strconv.Atoi(short.Retry)
+		if short.Ending != testbed.NotRun || err != nil || retryAfter < 2 || retryAfter > 4 || time.Since(began) > 300*time.Millisecond {
+			t.Errorf("a call that cannot wait got %+v after %v", short, time.Since(began))
 		}
 		long := caller.Chat(context.Background(), "long", 10, false, http.Header{"Quaydock-Deadline-Ms": {"20000"}})
-		if took := time.Since(began); long.Status != http.StatusOK || took < 2*time.Second || took > rest {
-			t.Errorf("a call that can wait: %+v after %v", long, took)
+		if took := time.Since(began); long.Status != http.StatusOK || took < 2*time.Second || took > backoff {
+			t.Errorf("a call that can wait got %+v after %v", long, took)
 		}
 	})
 }
--- a/pkg/testbed/shedding_test.go
+++ b/pkg/testbed/shedding_test.go
@@ -13,18 +13,17 @@
 	"quaydock/pkg/testbed"
 )
 
-// served is one request as seen from outside: when it was answered or refused,
-// and when its engine made its first token.
+// served is one request: its answer, the time of its end, and when its engine generated its first token.
 type served struct {
 	answer testbed.Answer
 	tier   int
-	first  time.Time // zero if never
+	first  time.Time // zero if there is none
 	end    time.Time
 }
 
-// Several entries and engines are overloaded with all tiers at once. At the
+// TestNoRequestIsShedBeforeLowerTier overloads several entries and engines with all tiers at once. At the
 // moment at which a request is shed, no engine serves a lower tier.
-func TestNoTierIsShedAboveServedWork(t *testing.T) {
+func TestNoRequestIsShedBeforeLowerTier(t *testing.T) {
 	tiers := []string{"pilot", "notice", "summary", "tag"}
 	shed := 0
 	for seed := uint64(1); seed <= 6; seed++ {
@@ -57,27 +56,27 @@
 		})
 	}
 	if shed == 0 {
-		t.Error("nothing above the lowest tier was shed")
+		t.Error("no request above the lowest tier was shed: the test checks nothing")
 	}
 	t.Logf("%d requests above the lowest tier were shed", shed)
 }
 
 func firstToken(bed *testbed.Bed, request string) time.Time {
 	for _, e := range bed.Engines {
-		if at, made := e.FirstToken(request); made {
+		if at, found := e.FirstToken(request); found {
 			return at
 		}
 	}
 	return time.Time{}
 }
 
-// checkShedding compares each shed request with all that were served at that
-// moment. It returns how many above the lowest tier were shed.
+// checkShedding compares each shed request with all that were being served at that
+// moment. It returns the number of shed requests above the lowest tier.
 func checkShedding(t *testing.T, bed *testbed.Bed, all []served) int {
 	t.Helper()
 	shed := 0
 	for _, refused := range all {
-		checkTruth(t, bed, refused.answer)
+		checkInvariants(t, bed, refused.answer)
 		if refused.answer.Code != "overloaded" {
 			continue
 		}
--- a/pkg/testbed/trace_test.go
+++ b/pkg/testbed/trace_test.go
@@ -13,7 +13,7 @@
 	"quaydock/pkg/testbed"
 )
 
-// A sampled request has one trace with a span for each hop, carried through
+// TestTrace: a sampled request has one trace with a span for each hop; the trace context is passed on through
 // net/rpc and HTTP.
 func TestTrace(t *testing.T) {
 	folder := t.TempDir()
@@ -38,7 +38,7 @@
 	}
 }
 
-// spans returns the trace of each span by its name.
+// spans returns the trace id of each span, by span name.
 func spans(t *testing.T, file string) map[string]string {
 	t.Helper()
 	document, err := os.ReadFile(file)
--- a/pkg/testbed/wires_test.go
+++ b/pkg/testbed/wires_test.go
@@ -8,84 +8,84 @@
 	"quaydock/pkg/clock"
 )
 
-// wires are the connections of a bed. They can be broken at any moment, and new ones made to take their time.
-type wires struct {
-	mu    sync.Mutex
-	conns map[string][]net.Conn
-	slow  map[string]time.Time // until when what is written by the side that dialled is held back
+// breakableConns tracks the connections of a testbed. The test can break them, and delay what is written on them.
+type breakableConns struct {
+	mu        sync.Mutex
+	conns     map[string][]net.Conn
+	heldUntil map[string]time.Time // per address, until when writes of the dialling side are delayed
 }
 
-func newWires() *wires {
-	return &wires{conns: make(map[string][]net.Conn), slow: make(map[string]time.Time)}
+func newBreakableConns() *breakableConns {
+	return &breakableConns{conns: make(map[string][]net.Conn), heldUntil: make(map[string]time.Time)}
 }
 
-// wrap goes to the options of a bed.
-func (w *wires) wrap(address string, conn net.Conn) net.Conn {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.conns[address] = append(w.conns[address], conn)
-	return &wire{Conn: conn, wires: w, address: address, turn: make(chan struct{}, 1)}
+// wrap is for Options.Wrap.
+func (b *breakableConns) wrap(address string, conn net.Conn) net.Conn {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.conns[address] = append(b.conns[address], conn)
+	return &breakableConn{Conn: conn, all: b, address: address, sem: make(chan struct{}, 1)}
 }
 
-// breakAll breaks the connections to an address and returns how many there were.
-func (w *wires) breakAll(address string) int {
-	w.mu.Lock()
-	broken := w.conns[address]
-	w.conns[address] = nil
-	w.mu.Unlock()
+// breakAll closes the connections to an address and returns their number.
+func (b *breakableConns) breakAll(address string) int {
+	b.mu.Lock()
+	broken := b.conns[address]
+	b.conns[address] = nil
+	b.mu.Unlock()
 	for _, c := range broken {
 		_ = c.Close()
 	}
 	return len(broken)
 }
 
-// hold holds back what is sent to an address for a while.
-func (w *wires) hold(address string, length clock.Millis) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.slow[address] = time.Now().Add(length.Duration())
+// hold delays everything that is sent to an address, until length has passed.
+func (b *breakableConns) hold(address string, length clock.Millis) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.heldUntil[address] = time.Now().Add(length.Duration())
 }
 
-func (w *wires) heldFor(address string) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return time.Until(w.slow[address])
+func (b *breakableConns) holdTime(address string) time.Duration {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return time.Until(b.heldUntil[address])
 }
 
-// wire is the side of a connection that dialled.
-type wire struct {
+// breakableConn is the dialling side of a connection.
+type breakableConn struct {
 	net.Conn
-	wires   *wires
+	all     *breakableConns
 	address string
-	// turn is held by who uses what follows. It is a channel, since virtual
-	// time stands still while a goroutine waits for a mutex.
-	turn    chan struct{}
-	held    []byte
+	// sem guards the fields below. It is a channel because virtual
+	// time does not advance while a goroutine waits for a mutex.
+	sem     chan struct{}
+	pending []byte
 	holding bool
 }
 
-// Write sends at once, or has it held back, as in a kernel's buffers.
-func (c *wire) Write(p []byte) (int, error) {
-	left := c.wires.heldFor(c.address)
-	c.turn <- struct{}{}
-	defer func() { <-c.turn }()
-	if left > 0 && !c.holding {
+// Write sends p, or buffers it while writes are delayed, as a kernel does.
+func (c *breakableConn) Write(p []byte) (int, error) {
+	delay := c.all.holdTime(c.address)
+	c.sem <- struct{}{}
+	defer func() { <-c.sem }()
+	if delay > 0 && !c.holding {
 		c.holding = true
-		time.AfterFunc(left, c.release)
+		time.AfterFunc(delay, c.release)
 	}
 	if c.holding {
-		c.held = append(c.held, p...)
+		c.pending = append(c.pending, p...)
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
-// release sends what was held back.
-func (c *wire) release() {
-	c.turn <- struct{}{}
-	defer func() { <-c.turn }()
+// release sends the buffered bytes.
+func (c *breakableConn) release() {
+	c.sem <- struct{}{}
+	defer func() { <-c.sem }()
 	c.holding = false
-	// The connection may be closed by now; its users have been told.
-	_, _ = c.Conn.Write(c.held)
-	c.held = nil
+	// The connection may be closed by now; its users have got an error then.
+	_, _ = c.Conn.Write(c.pending)
+	c.pending = nil
 }
