--- a/pkg/load/generator.go
+++ b/pkg/load/generator.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	maxLatency  = time.Minute
-	significant = 3
-	maxRequests = 5_000_000
+	maxLatency        = time.Minute
+	significantDigits = 3
+	maxRequests       = 5_000_000
 )
 
 // Plan describes the requests to send.
@@ -71,21 +71,21 @@
 	if err := p.Check(); err != nil {
 		return nil, fmt.Errorf("checking the plan: %w", err)
 	}
-	g := &generator{plan: p, body: p.body(), left: int64(p.Requests)}
+	g := &generator{plan: p, body: p.body(), remaining: int64(p.Requests)}
 	g.client = &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: p.Concurrency,
 		DisableCompression:  true,
 	}}
 	defer g.client.CloseIdleConnections()
 	callers := make([]*caller, p.Concurrency)
-	begun := time.Now()
+	start := time.Now()
 	var running sync.WaitGroup
 	for i := range callers {
 		callers[i] = newCaller(g)
 		running.Go(func() { callers[i].run(ctx) })
 	}
 	running.Wait()
-	return g.merge(callers, time.Since(begun)), nil
+	return g.merge(callers, time.Since(start)), nil
 }
 
 func (p *Plan) body() []byte {
@@ -95,10 +95,10 @@
 }
 
 type generator struct {
-	plan   Plan
-	body   []byte
-	left   int64
-	client *http.Client
+	plan      Plan
+	body      []byte
+	remaining int64
+	client    *http.Client
 }
 
 func (g *generator) merge(callers []*caller, elapsed time.Duration) *Result {
@@ -128,11 +128,11 @@
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, maxLatency.Microseconds(), significant)
+	return hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits)
 }
 
 func (c *caller) run(ctx context.Context) {
-	for atomic.AddInt64(&c.left, -1) >= 0 && ctx.Err() == nil {
+	for atomic.AddInt64(&c.remaining, -1) >= 0 && ctx.Err() == nil {
 		c.sent++
 		if err := c.call(ctx); err != nil {
 			c.failed++
@@ -147,7 +147,7 @@
 	}
 	request.Header.Set("Authorization", "Bearer "+c.plan.Key)
 	request.Header.Set("Content-Type", "application/json")
-	begun := time.Now()
+	start := time.Now()
 	response, err := c.client.Do(request)
 	if err != nil {
 		return fmt.Errorf("sending the request: %w", err)
@@ -158,7 +158,7 @@
 		n, err := response.Body.Read(c.buffer)
 		if first && n > 0 {
 			first = false
-			record(c.firstByte, time.Since(begun))
+			record(c.firstByte, time.Since(start))
 		}
 		if err == io.EOF {
 			break
@@ -170,7 +170,7 @@
 	if response.StatusCode != http.StatusOK {
 		return fmt.Errorf("status %d", response.StatusCode)
 	}
-	record(c.latency, time.Since(begun))
+	record(c.latency, time.Since(start))
 	return nil
 }
 
--- a/pkg/loadmodel/caller.go
+++ b/pkg/loadmodel/caller.go
@@ -12,7 +12,7 @@
 type status int
 
 const (
-	underWay status = iota
+	unfinished status = iota
 	inTime
 	late
 	refused
@@ -30,12 +30,12 @@
 	tries      int
 	status     status
 
-	triedAt   clock.Millis // time of its latest try
-	id        planner.JobID
-	grantedAt clock.Millis
-	begunAt   clock.Millis
-	target    *target
-	heldFor   clock.Millis // total waiting time of tries that were not granted
+	triedAt      clock.Millis // time of its latest try
+	id           planner.JobID
+	grantedAt    clock.Millis
+	firstEventAt clock.Millis
+	target       *target
+	heldFor      clock.Millis // total waiting time of tries that were not granted
 }
 
 func (c *caller) job() planner.Job {
--- a/pkg/loadmodel/play.go
+++ b/pkg/loadmodel/play.go
@@ -20,7 +20,7 @@
 	// Granted is called when a try is granted, with its waiting time.
 	Granted func(now clock.Millis, id planner.JobID, tier ids.TierRank, waited clock.Millis)
 	// Refused is called when a try is refused, with its waiting time.
-	Refused func(now clock.Millis, id planner.JobID, tier ids.TierRank, held clock.Millis)
+	Refused func(now clock.Millis, id planner.JobID, tier ids.TierRank, waited clock.Millis)
 	// PlannerStarted is called with each new planner.
 	Began func(p *planner.Planner)
 }
@@ -129,14 +129,14 @@
 	id := c.id
 	leave := func(now clock.Millis) { s.leave(now, c, id) }
 	s.at(c.deadline(), leave)
-	if patience := now + c.kind.Patience; patience > now && patience < c.deadline() {
-		s.at(patience, leave)
+	if patienceEnd := now + c.kind.Patience; patienceEnd > now && patienceEnd < c.deadline() {
+		s.at(patienceEnd, leave)
 	}
 }
 
 // leave ends a try that has seen no event yet, or any try at the deadline.
 func (s *simulation) leave(now clock.Millis, c *caller, id planner.JobID) {
-	if c.id != id || c.status != underWay || c.begunAt > 0 && now < c.deadline() {
+	if c.id != id || c.status != unfinished || c.firstEventAt > 0 && now < c.deadline() {
 		return
 	}
 	if _, waits := s.waiting[id]; !waits && s.running[id] == nil {
@@ -203,7 +203,7 @@
 	s.startPlanner(now)
 	for _, id := range sortedTries(s.running) {
 		c := s.running[id]
-		s.planner.Restore(now, c.job(), c.target.Life(), c.begunAt > 0)
+		s.planner.Restore(now, c.job(), c.target.Life(), c.firstEventAt > 0)
 	}
 	for _, id := range sortedTries(s.waiting) {
 		s.planner.Submit(now, s.waiting[id].job())
--- a/pkg/loadmodel/targets.go
+++ b/pkg/loadmodel/targets.go
@@ -37,7 +37,7 @@
 	if s.observer.Granted != nil {
 		s.observer.Granted(now, c.id, c.kind.Tier, now-c.triedAt)
 	}
-	c.grantedAt, c.begunAt, c.target = now, 0, t
+	c.grantedAt, c.firstEventAt, c.target = now, 0, t
 	s.running[c.id] = c
 	t.running[c.id] = c
 	t.prefilling += c.prompt
@@ -52,7 +52,7 @@
 		return
 	}
 	c.target.prefilling -= c.prompt
-	c.begunAt = now
+	c.firstEventAt = now
 	s.planner.Begin(now, id, nil)
 	s.applyDecisions(now)
 	decode := c.target.factor * s.load.Speed.Event * float64(c.events)
@@ -64,7 +64,7 @@
 		return
 	}
 	c.status = late
-	if c.begunAt <= c.firstTryAt+c.kind.Objective {
+	if c.firstEventAt <= c.firstTryAt+c.kind.Objective {
 		c.status = inTime
 	}
 	s.release(c)
@@ -74,7 +74,7 @@
 
 // release frees the slot of a try.
 func (s *simulation) release(c *caller) {
-	if c.begunAt == 0 {
+	if c.firstEventAt == 0 {
 		c.target.prefilling -= c.prompt
 	}
 	delete(c.target.running, c.id)
--- a/pkg/standin/sequence.go
+++ b/pkg/standin/sequence.go
@@ -9,15 +9,15 @@
 
 // sequence is one request in the engine.
 type sequence struct {
-	prefill int
-	blocks  []uint64 // of the prompt
-	left    int
-	made    int
-	stream  bool
-	usage   bool // whether a stream ends with its token usage
-	prompt  int  // tokens of the prompt
-	id      string
-	text    string // the first token, which identifies the request
+	prefill   int
+	blocks    []uint64 // of the prompt
+	remaining int
+	generated int
+	stream    bool
+	usage     bool // whether a stream ends with its token usage
+	prompt    int  // tokens of the prompt
+	id        string
+	text      string // the first token, which identifies the request
 
 	mu      sync.Mutex
 	changed sync.Cond
@@ -40,12 +40,12 @@
 		return
 	}
 	token := s.text
-	if s.made > 0 {
-		token = " t" + strconv.Itoa(s.made)
+	if s.generated > 0 {
+		token = " t" + strconv.Itoa(s.generated)
 	}
-	s.made++
-	s.left--
-	s.done = s.left == 0
+	s.generated++
+	s.remaining--
+	s.done = s.remaining == 0
 	s.write(token)
 	s.changed.Broadcast()
 }
@@ -55,12 +55,12 @@
 		s.writeChunk(token)
 		return
 	}
-	if s.made == 1 {
+	if s.generated == 1 {
 		s.out = fmt.Appendf(s.out, `{"id":%q,"object":"chat.completion","choices":[{"index":0,"finish_reason":"length","message":{"role":"assistant","content":"`, s.id)
 	}
 	s.out = append(s.out, token...)
 	if s.done {
-		s.out = fmt.Appendf(s.out, `"}}],"usage":{"completion_tokens":%d}}`, s.made)
+		s.out = fmt.Appendf(s.out, `"}}],"usage":{"completion_tokens":%d}}`, s.generated)
 	}
 }
 
@@ -76,7 +76,7 @@
 		return
 	}
 	if s.usage {
-		s.out = fmt.Appendf(s.out, `data: {"id":%q,"object":"chat.completion.chunk","choices":[],"usage":{"prompt_tokens":%d,"completion_tokens":%d,"total_tokens":%d}}`+"\n\n", s.id, s.prompt, s.made, s.prompt+s.made)
+		s.out = fmt.Appendf(s.out, `data: {"id":%q,"object":"chat.completion.chunk","choices":[],"usage":{"prompt_tokens":%d,"completion_tokens":%d,"total_tokens":%d}}`+"\n\n", s.id, s.prompt, s.generated, s.prompt+s.generated)
 	}
 	s.out = append(s.out, "data: [DONE]\n\n"...)
 }
--- a/pkg/testbed/breaks_test.go
+++ b/pkg/testbed/breaks_test.go
@@ -50,7 +50,7 @@
 		steady[i].StepMS = 20
 	}
 	var logs logBuffer
-	bed := started(t, testbed.Options{Entries: 2, Engines: steady, Slots: 4, Seed: seed, Wrap: conns.wrap, Logs: &logs})
+	bed := startTestbed(t, testbed.Options{Entries: 2, Engines: steady, Slots: 4, Seed: seed, Wrap: conns.wrap, Logs: &logs})
 	s := &scenario{t: t, bed: bed, conns: conns}
 	s.actions.Go(func() { s.breakRandomly(rand.New(rand.NewPCG(seed, 5)), targets, length) })
 	random := rand.New(rand.NewPCG(seed, 6))
@@ -60,7 +60,7 @@
 		at[i] = time.Duration(random.Int64N(int64(length)))
 		tokens[i] = 1 + random.IntN(300)
 	}
-	callers := callersOf(t, bed)
+	callers := newCallers(t, bed)
 	answers := parallel(calls, func(i int) testbed.Answer {
 		time.Sleep(at[i])
 		return callers[i%2].Chat(context.Background(), fmt.Sprint("call ", i), tokens[i], i%3 > 0, http.Header{"Quaydock-Deadline-Ms": {"100000"}})
--- a/pkg/testbed/claim_test.go
+++ b/pkg/testbed/claim_test.go
@@ -34,7 +34,7 @@
 	return n
 }
 
-func callersOf(t *testing.T, bed *testbed.Bed) []*testbed.Caller {
+func newCallers(t *testing.T, bed *testbed.Bed) []*testbed.Caller {
 	t.Helper()
 	callers := make([]*testbed.Caller, len(bed.Entries))
 	for i := range callers {
@@ -48,8 +48,8 @@
 // the outcome as unknown.
 func TestClaimAtTwoEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 2, Engines: engines(2), Slots: 4})
-		callers := callersOf(t, bed)
+		bed := startTestbed(t, testbed.Options{Entries: 2, Engines: engines(2), Slots: 4})
+		callers := newCallers(t, bed)
 		answers := parallel(6, func(i int) testbed.Answer {
 			return callers[i%2].Chat(context.Background(), "correct the sounding", 20, true, keyedHeader())
 		})
@@ -65,8 +65,8 @@
 func TestClaimSurvivesEntryEnd(t *testing.T) {
 	for after := time.Duration(0); after < 40*time.Millisecond; after += 4 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
-			bed := started(t, testbed.Options{Entries: 2, Engines: engines(2), Slots: 4})
-			callers := callersOf(t, bed)
+			bed := startTestbed(t, testbed.Options{Entries: 2, Engines: engines(2), Slots: 4})
+			callers := newCallers(t, bed)
 			var first sync.WaitGroup
 			first.Go(func() { callers[0].Chat(context.Background(), "correct", 5, true, keyedHeader()) })
 			time.Sleep(after)
@@ -92,8 +92,8 @@
 			for message := range 16 {
 				faults := network.NewFaults(network.Fault{Address: testbed.TableAddress, Direction: direction, Effect: effect, Message: message})
 				synctest.Test(t, func(t *testing.T) {
-					bed := started(t, testbed.Options{Entries: 2, Engines: engines(1), Slots: 4, Faults: faults})
-					callers := callersOf(t, bed)
+					bed := startTestbed(t, testbed.Options{Entries: 2, Engines: engines(1), Slots: 4, Faults: faults})
+					callers := newCallers(t, bed)
 					complete := 0
 					for i := range 4 {
 						a := callers[i%2].Chat(context.Background(), "correct", 5, true, keyedHeader())
@@ -114,8 +114,8 @@
 // TestRefusedAttemptReleasesClaim: an attempt that is refused as not run releases its claim.
 func TestRefusedAttemptReleasesClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 2, Engines: engines(1), Slots: 1})
-		callers := callersOf(t, bed)
+		bed := startTestbed(t, testbed.Options{Entries: 2, Engines: engines(1), Slots: 1})
+		callers := newCallers(t, bed)
 		var long sync.WaitGroup
 		long.Go(func() { callers[0].Chat(context.Background(), "long", 500, true, nil) })
 		time.Sleep(10 * time.Millisecond)
@@ -136,8 +136,8 @@
 // as not run; calls without a key are served.
 func TestClaimWithoutTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1})
-		caller := callerOf(t, bed)
+		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1})
+		caller := newCaller(t, bed)
 		bed.Table.SetDown(true)
 		refused := caller.Chat(context.Background(), "correct", 5, true, keyedHeader("Quaydock-Deadline-Ms", fmt.Sprint(9000)))
 		checkInvariants(t, bed, refused)
--- a/pkg/testbed/configuration_test.go
+++ b/pkg/testbed/configuration_test.go
@@ -64,8 +64,8 @@
 // requests are completed.
 func TestRemovedPlacementGetsNoWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 2, Engines: engines(2), Slots: 4})
-		callers := callersOf(t, bed)
+		bed := startTestbed(t, testbed.Options{Entries: 2, Engines: engines(2), Slots: 4})
+		callers := newCallers(t, bed)
 		var running sync.WaitGroup
 		running.Go(func() {
 			for _, a := range parallel(8, func(i int) testbed.Answer {
@@ -99,8 +99,8 @@
 // has. The program itself checks that no revision goes back.
 func TestStaleReadsKeepNewerRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 4})
-		caller := callerOf(t, bed)
+		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 4})
+		caller := newCaller(t, bed)
 		o := newOperator(t, bed)
 		state := o.read()
 		bed.Table.Remember()
@@ -139,7 +139,7 @@
 }
 
 func raceOperators(t *testing.T, faults *network.Faults) {
-	bed := started(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 4, Faults: faults})
+	bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 4, Faults: faults})
 	operators := []*operator{newOperator(t, bed), newOperator(t, bed)}
 	var state table.State
 	for tries := 0; ; tries++ {
@@ -178,7 +178,7 @@
 // TestLateStartReadsSnapshotAndChanges: a process that starts late reads the newest snapshot and the changes since.
 func TestLateStartReadsSnapshotAndChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 4})
+		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 4})
 		o := newOperator(t, bed)
 		for n := range 120 {
 			state := o.read()
@@ -201,7 +201,7 @@
 		}
 		bed.Entries[0] = next
 		time.Sleep(time.Second)
-		if answer := callerOf(t, bed).Chat(context.Background(), "late", 3, true, nil); answer.Ending != testbed.Whole {
+		if answer := newCaller(t, bed).Chat(context.Background(), "late", 3, true, nil); answer.Ending != testbed.Whole {
 			t.Errorf("ended %v: %s", answer.Ending, answer.Body)
 		}
 	})
--- a/pkg/testbed/cut_test.go
+++ b/pkg/testbed/cut_test.go
@@ -76,8 +76,8 @@
 					Address: testbed.TargetAddress(0), Direction: direction, Effect: effect, Message: message,
 				})
 				synctest.Test(t, func(t *testing.T) {
-					bed := started(t, testbed.Options{Entries: 1, Plain: true, Slots: 1, Faults: faults})
-					caller := callerOf(t, bed)
+					bed := startTestbed(t, testbed.Options{Entries: 1, Plain: true, Slots: 1, Faults: faults})
+					caller := newCaller(t, bed)
 					for range 4 {
 						answer := caller.Do(context.Background(), "GET", "/services/depths/berths/4", "", nil)
 						checkInvariants(t, bed, answer)
--- a/pkg/testbed/deadline_test.go
+++ b/pkg/testbed/deadline_test.go
@@ -89,7 +89,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Plain: true, Slots: 1})
+				bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Plain: true, Slots: 1})
 				r := newRawCaller(t, bed)
 				r.send("POST /v1/chat/completions", withBody(call), call)
 				if status, _, err := r.answer(); status != http.StatusOK || err != nil {
@@ -110,7 +110,7 @@
 	for _, pause := range []time.Duration{time.Second, afterWriteDeadline, 2 * time.Minute} {
 		t.Run(fmt.Sprint(pause), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				bed := started(t, testbed.Options{Entries: 1, Plain: true, Slots: 1})
+				bed := startTestbed(t, testbed.Options{Entries: 1, Plain: true, Slots: 1})
 				replaceTarget(t, bed, func(w http.ResponseWriter, _ *http.Request) {
 					_, _ = io.WriteString(w, "begun")
 					_ = http.NewResponseController(w).Flush()
--- a/pkg/testbed/elsewhere_test.go
+++ b/pkg/testbed/elsewhere_test.go
@@ -58,8 +58,8 @@
 }
 
 func checkUnusableGrant(t *testing.T, fail func(*testing.T, *testbed.Bed), busy bool) {
-	bed := started(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 1})
-	caller := callerOf(t, bed)
+	bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 1})
+	caller := newCaller(t, bed)
 	var running sync.WaitGroup
 	if busy {
 		for i := range 2 {
@@ -68,12 +68,12 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	fail(t, bed)
-	began := time.Now()
+	start := time.Now()
 	const calls = 6
 	answers := parallel(calls, func(i int) testbed.Answer {
 		return caller.Chat(context.Background(), fmt.Sprint("call ", i), 50, true, nil)
 	})
-	took := time.Since(began)
+	took := time.Since(start)
 	running.Wait()
 	if endings := checkAnswers(t, bed, answers); endings[testbed.Whole] != calls || took > 6*time.Second {
 		t.Errorf("endings %v after %v, codes %q", endings, took, codes(answers))
@@ -85,13 +85,13 @@
 // and the oldest request is refused because of a full queue in which it had a position before.
 func TestRequestKeepsQueuePosition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 1, Adjust: func(s *settings.Settings) {
+		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 1, Adjust: func(s *settings.Settings) {
 			for i := range s.Agents {
 				s.Agents[i].QueueMinTokens = 120
 				s.Agents[i].QueueTimeMS = 1
 			}
 		}})
-		caller := callerOf(t, bed)
+		caller := newCaller(t, bed)
 		leaveUnanswered(t, bed.Network, testbed.TargetAddress(0))
 		var running sync.WaitGroup
 		running.Go(func() { caller.Chat(context.Background(), "busy", 1000, true, nil) }) // takes 4 s at the target that works
--- a/pkg/testbed/endings_test.go
+++ b/pkg/testbed/endings_test.go
@@ -201,11 +201,11 @@
 			t.Run(fmt.Sprintf("%s, stream %t", c.name, stream), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					conns := newBreakableConns()
-					bed := started(t, testbed.Options{Entries: 1, Engines: steady, Slots: 2, Wrap: conns.wrap})
+					bed := startTestbed(t, testbed.Options{Entries: 1, Engines: steady, Slots: 2, Wrap: conns.wrap})
 					s := &scenario{t: t, bed: bed, conns: conns}
 					c.act(s)
 					long := http.Header{"Quaydock-Deadline-Ms": {"100000"}}
-					answer := callerOf(t, bed).Chat(context.Background(), "long", tokens, stream, long)
+					answer := newCaller(t, bed).Chat(context.Background(), "long", tokens, stream, long)
 					s.actions.Wait()
 					checkInvariants(t, bed, answer)
 					if answer.Ending != testbed.Whole {
@@ -229,14 +229,14 @@
 		t.Run(fmt.Sprint(after), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				conns := newBreakableConns()
-				bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2, Wrap: conns.wrap})
+				bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2, Wrap: conns.wrap})
 				s := &scenario{t: t, bed: bed, conns: conns}
 				s.breakAt(testbed.DataAddress(0), after)
-				began := time.Now()
+				start := time.Now()
 				body := s.readSlowly(tokens, piece, pause)
 				s.actions.Wait()
 				if !strings.HasSuffix(body, "data: [DONE]\n\n") || strings.Count(body, `"delta"`) != tokens {
-					t.Errorf("%d of %d tokens after %v, end %q", strings.Count(body, `"delta"`), tokens, time.Since(began), tail(body))
+					t.Errorf("%d of %d tokens after %v, end %q", strings.Count(body, `"delta"`), tokens, time.Since(start), tail(body))
 				}
 			})
 		})
@@ -297,28 +297,28 @@
 		few    = 600 // tokens of an answer that fits in that memory unread
 	)
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: others + 1})
+		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: others + 1})
 		agent := newAgentClient(t, bed.Network)
 		const id ids.Request = "waits"
 		grant := agent.requestGrant(id).Grant
-		begun := agent.begin(id, grant, few)
-		taken, err := io.CopyN(io.Discard, begun.Body, 10_000)
+		partial := agent.begin(id, grant, few)
+		taken, err := io.CopyN(io.Discard, partial.Body, 10_000)
 		if err != nil {
 			t.Fatal(err)
 		}
-		_ = begun.Body.Close()
+		_ = partial.Body.Close()
 		for _, a := range parallel(others, func(i int) testbed.Answer {
-			return callerOf(t, bed).Chat(context.Background(), fmt.Sprint("other ", i), tokens, true, nil)
+			return newCaller(t, bed).Chat(context.Background(), fmt.Sprint("other ", i), tokens, true, nil)
 		}) {
 			if a.Ending != testbed.Whole {
 				t.Errorf("ended %v: %s", a.Ending, a.Code)
 			}
 		}
-		rest := agent.resume(id, grant, taken)
-		defer func() { _ = rest.Body.Close() }()
-		body, err := io.ReadAll(rest.Body)
-		if rest.StatusCode != http.StatusOK || err != nil || !strings.HasSuffix(string(body), "data: [DONE]\n\n") {
-			t.Errorf("status %d, %d bytes, %v", rest.StatusCode, len(body), err)
+		resumed := agent.resume(id, grant, taken)
+		defer func() { _ = resumed.Body.Close() }()
+		body, err := io.ReadAll(resumed.Body)
+		if resumed.StatusCode != http.StatusOK || err != nil || !strings.HasSuffix(string(body), "data: [DONE]\n\n") {
+			t.Errorf("status %d, %d bytes, %v", resumed.StatusCode, len(body), err)
 		}
 	})
 }
--- a/pkg/testbed/failure_test.go
+++ b/pkg/testbed/failure_test.go
@@ -18,8 +18,8 @@
 	"quaydock/pkg/testbed"
 )
 
-// started starts a testbed in the test's synctest bubble and waits until its processes are connected.
-func started(t *testing.T, o testbed.Options) *testbed.Bed {
+// startTestbed starts a testbed in the test's synctest bubble and waits until its processes are connected.
+func startTestbed(t *testing.T, o testbed.Options) *testbed.Bed {
 	t.Helper()
 	// Virtual time advances for ever while a test hangs.
 	guard := time.AfterFunc(time.Hour, func() { panic("the test has run for an hour of virtual time: it hangs") })
@@ -33,7 +33,7 @@
 	return bed
 }
 
-func callerOf(t *testing.T, bed *testbed.Bed) *testbed.Caller {
+func newCaller(t *testing.T, bed *testbed.Bed) *testbed.Caller {
 	t.Helper()
 	caller := testbed.NewCaller(bed.Network, testbed.EntryAddress(0))
 	t.Cleanup(caller.Close)
@@ -67,8 +67,8 @@
 	for _, after := range []time.Duration{0, time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond, 60 * time.Millisecond} {
 		t.Run(fmt.Sprint(after), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				bed := started(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 2})
-				caller := callerOf(t, bed)
+				bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 2})
+				caller := newCaller(t, bed)
 				time.AfterFunc(after, bed.Agents[0].Close)
 				answers := parallel(12, func(i int) testbed.Answer {
 					return caller.Chat(context.Background(), fmt.Sprint("request ", i), 8, i%2 == 0, nil)
@@ -88,8 +88,8 @@
 // TestAgentReplaced: an agent is replaced while it works; the next one takes over its addresses.
 func TestAgentReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2})
-		caller := callerOf(t, bed)
+		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2})
+		caller := newCaller(t, bed)
 		var replacing sync.WaitGroup
 		replacing.Go(func() {
 			time.Sleep(20 * time.Millisecond)
@@ -116,8 +116,8 @@
 // ones runs afterwards.
 func TestEntryEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2})
-		caller := callerOf(t, bed)
+		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2})
+		caller := newCaller(t, bed)
 		time.AfterFunc(20*time.Millisecond, bed.Entries[0].Close)
 		answers := parallel(8, func(i int) testbed.Answer {
 			return caller.Chat(context.Background(), fmt.Sprint("request ", i), 50, true, nil)
@@ -136,8 +136,8 @@
 	for _, stream := range []bool{true, false} {
 		t.Run(fmt.Sprint("stream ", stream), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 4})
-				caller := callerOf(t, bed)
+				bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 4})
+				caller := newCaller(t, bed)
 				time.AfterFunc(20*time.Millisecond, bed.Engines[0].CutAll)
 				answer := caller.Chat(context.Background(), "cut", 50, stream, nil)
 				checkInvariants(t, bed, answer)
@@ -162,14 +162,14 @@
 			for _, after := range []time.Duration{0, 2 * time.Millisecond, 20 * time.Millisecond, 100 * time.Millisecond} {
 				t.Run(fmt.Sprintf("resumes %t, stream %t, %v", !plain, stream, after), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
-						bed := started(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 2, Declare: func(set *declaration.Set) {
+						bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 2, Declare: func(set *declaration.Set) {
 							for i := range set.Targets {
 								set.Targets[i].Resumes = !plain
 							}
 						}})
 						time.AfterFunc(after, func() { bed.EndTarget(0) })
 						answers := parallel(4, func(i int) testbed.Answer {
-							return callerOf(t, bed).Chat(context.Background(), fmt.Sprint("call ", i), 100, stream, nil)
+							return newCaller(t, bed).Chat(context.Background(), fmt.Sprint("call ", i), 100, stream, nil)
 						})
 						checkAnswers(t, bed, answers)
 					})
@@ -185,13 +185,13 @@
 func TestConnectionBreaksDuringDial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		conns := newBreakableConns()
-		bed := started(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 2, Wrap: conns.wrap})
+		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 2, Wrap: conns.wrap})
 		leaveUnanswered(t, bed.Network, testbed.TargetAddress(0))
 		for _, after := range []time.Duration{100, 300, 600, 900} {
 			time.AfterFunc(after*time.Millisecond, func() { conns.breakAll(testbed.DataAddress(0)) })
 		}
 		answers := parallel(4, func(i int) testbed.Answer {
-			return callerOf(t, bed).Chat(context.Background(), fmt.Sprint("call ", i), 100, i%2 == 0, nil)
+			return newCaller(t, bed).Chat(context.Background(), fmt.Sprint("call ", i), 100, i%2 == 0, nil)
 		})
 		if endings := checkAnswers(t, bed, answers); endings[testbed.Whole] != len(answers) {
 			t.Errorf("endings %v, want all complete: %+v", endings, answers)
@@ -219,7 +219,7 @@
 // may do. The answer does not count as complete.
 func TestEngineEndsStreamEarly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1})
+		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1})
 		listener, err := bed.Network.Listen(testbed.TargetAddress(0))
 		if err != nil {
 			t.Fatal(err)
@@ -230,7 +230,7 @@
 		})}
 		t.Cleanup(func() { _ = server.Close() })
 		go func() { _ = server.Serve(listener) }()
-		answer := callerOf(t, bed).Chat(context.Background(), "early", 1, true, nil)
+		answer := newCaller(t, bed).Chat(context.Background(), "early", 1, true, nil)
 		truncated := answer.Ending == testbed.Cut || answer.Ending == testbed.Unknown
 		if !truncated || !strings.Contains(answer.Body, `"code":"answer_cut"`) {
 			t.Errorf("ended %v: %q", answer.Ending, answer.Body)
@@ -243,8 +243,8 @@
 func TestCallerCancels(t *testing.T) {
 	for after := time.Duration(0); after < 60*time.Millisecond; after += 3 * time.Millisecond {
 		synctest.Test(t, func(t *testing.T) {
-			bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1})
-			caller := callerOf(t, bed)
+			bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1})
+			caller := newCaller(t, bed)
 			var first testbed.Answer
 			var running sync.WaitGroup
 			running.Go(func() { first = caller.Chat(context.Background(), "stays", 5, true, nil) })
@@ -266,8 +266,8 @@
 // TestCancelReachesEngine: when a caller cancels, the engine's work is cancelled too.
 func TestCancelReachesEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1})
-		caller := callerOf(t, bed)
+		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1})
+		caller := newCaller(t, bed)
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
 		caller.Chat(ctx, "leaves", 100_000, true, nil)
@@ -283,8 +283,8 @@
 // reported as not run.
 func TestDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1})
-		caller := callerOf(t, bed)
+		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1})
+		caller := newCaller(t, bed)
 		answers := parallel(2, func(i int) testbed.Answer {
 			time.Sleep(time.Duration(i) * 10 * time.Millisecond)
 			return caller.Chat(context.Background(), "long", 1000, false, http.Header{"Quaydock-Deadline-Ms": {fmt.Sprint(500 - 200*i)}})
@@ -303,8 +303,8 @@
 // No answer is truncated and no request is refused.
 func TestDrainUnderLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 2, Engines: engines(2), Slots: 4})
-		caller := callerOf(t, bed)
+		bed := startTestbed(t, testbed.Options{Entries: 2, Engines: engines(2), Slots: 4})
+		caller := newCaller(t, bed)
 		var drains sync.WaitGroup
 		drains.Go(func() {
 			time.Sleep(50 * time.Millisecond)
@@ -339,7 +339,7 @@
 // TestSlowReader: a caller that does not read is disconnected after the write time-out and frees its target.
 func TestSlowReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1, Adjust: func(s *settings.Settings) {
+		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1, Adjust: func(s *settings.Settings) {
 			if s.Entry != nil {
 				s.Entry.Limits.WriteTimeoutMS = 2000
 			}
@@ -355,7 +355,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(20 * time.Second)
-		next := callerOf(t, bed).Chat(context.Background(), "next", 5, true, http.Header{"Quaydock-Deadline-Ms": {"5000"}})
+		next := newCaller(t, bed).Chat(context.Background(), "next", 5, true, http.Header{"Quaydock-Deadline-Ms": {"5000"}})
 		if next.Ending != testbed.Whole {
 			t.Errorf("a request after the slow reader was disconnected ended %v: %s", next.Ending, next.Body)
 		}
@@ -365,7 +365,7 @@
 // TestSlowSender: a caller that does not send its body is refused within a minute.
 func TestSlowSender(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1})
+		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1})
 		conn, err := bed.Network.Dial(context.Background(), testbed.EntryAddress(0))
 		if err != nil {
 			t.Fatal(err)
@@ -391,15 +391,15 @@
 func TestCoalescedStream(t *testing.T) {
 	const step = 4 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1, CoalesceMS: 20})
+		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1, CoalesceMS: 20})
 		client := openAIClient(t, bed, testbed.Key)
 		request := chatRequest(testbed.Model)
 		request.MaxTokens = openai.Int(30)
-		begun := time.Now()
+		start := time.Now()
 		stream := client.Chat.Completions.NewStreaming(context.Background(), request)
 		var moments []time.Duration
 		for stream.Next() {
-			moments = append(moments, time.Since(begun))
+			moments = append(moments, time.Since(start))
 		}
 		if err := stream.Close(); err != nil || stream.Err() != nil {
 			t.Fatal(err, stream.Err())
--- a/pkg/testbed/gone_test.go
+++ b/pkg/testbed/gone_test.go
@@ -34,13 +34,13 @@
 			t.Run(fmt.Sprintf("%s, stream %t", c.name, stream), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					conns := newBreakableConns()
-					bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1, Wrap: conns.wrap})
+					bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1, Wrap: conns.wrap})
 					s := &scenario{t: t, bed: bed, conns: conns}
 					const after = time.Second
 					s.at(after, func() { c.act(s) })
-					began := time.Now()
-					answer := callerOf(t, bed).Chat(context.Background(), "long", 5000, stream, nil)
-					took := time.Since(began) - after
+					start := time.Now()
+					answer := newCaller(t, bed).Chat(context.Background(), "long", 5000, stream, nil)
+					took := time.Since(start) - after
 					s.actions.Wait()
 					checkInvariants(t, bed, answer)
 					if answer.Ending == testbed.Whole || took > c.limit {
--- a/pkg/testbed/grant_test.go
+++ b/pkg/testbed/grant_test.go
@@ -148,7 +148,7 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				bed := started(t, testbed.Options{Engines: engines(1), Slots: 1})
+				bed := startTestbed(t, testbed.Options{Engines: engines(1), Slots: 1})
 				c := newAgentClient(t, bed.Network)
 				verdict := c.requestGrant(id)
 				if verdict.Kind != control.Granted {
@@ -172,7 +172,7 @@
 // TestOutcomeOfDispatched: a dispatched grant is never reported as unused, whatever request is named and however often.
 func TestOutcomeOfDispatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Engines: engines(1), Slots: 1})
+		bed := startTestbed(t, testbed.Options{Engines: engines(1), Slots: 1})
 		c := newAgentClient(t, bed.Network)
 		grant := c.requestGrant("request-1").Grant
 		c.dispatch("request-1", grant)
@@ -197,8 +197,8 @@
 					Address: address, Direction: direction, Message: message, Effect: network.Delay, Length: 25_000,
 				})
 				synctest.Test(t, func(t *testing.T) {
-					bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2, Faults: faults})
-					caller := callerOf(t, bed)
+					bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2, Faults: faults})
+					caller := newCaller(t, bed)
 					answers := parallel(3, func(i int) testbed.Answer {
 						return caller.Chat(context.Background(), fmt.Sprint("request ", i), 5, i == 0, nil)
 					})
@@ -213,7 +213,7 @@
 // TestAnswerOfAnotherRequestIsDetected: an entry detects that an agent sends the answer of another request.
 func TestAnswerOfAnotherRequestIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2, Adjust: func(s *settings.Settings) {
+		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2, Adjust: func(s *settings.Settings) {
 			s.StrictInvariants = false // the violation is what is tested
 		}})
 		listener, err := bed.Network.Listen(testbed.DataAddress(0))
@@ -228,7 +228,7 @@
 		})}
 		t.Cleanup(func() { _ = server.Close() })
 		go func() { _ = server.Serve(listener) }()
-		answer := callerOf(t, bed).Chat(context.Background(), "mine", 5, true, nil)
+		answer := newCaller(t, bed).Chat(context.Background(), "mine", 5, true, nil)
 		if answer.Ending == testbed.Whole || answer.Ending == testbed.Crossed {
 			t.Errorf("ended %v with %q", answer.Ending, answer.Body)
 		}
--- a/pkg/testbed/large_event_test.go
+++ b/pkg/testbed/large_event_test.go
@@ -17,9 +17,9 @@
 // of 1 MiB for that used to end the stream, although its engine went on, and the call was logged as cancelled by its caller.
 func TestLargeEvents(t *testing.T) {
 	cases := []struct {
-		name   string
-		length int // of the event in the middle
-		cut    int // number of its bytes that are sent before the answer breaks off; 0 for a complete answer
+		name       string
+		length     int // of the event in the middle
+		truncateAt int // number of its bytes that are sent before the answer breaks off; 0 for a complete answer
 	}{
 		{"small", 1 << 10, 0},
 		{"large", 3 << 20, 0},
@@ -30,7 +30,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1})
+				bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1})
 				middle := fmt.Sprintf("data: {\"delta\":%q}\n\n", strings.Repeat("x", c.length))
 				const small = "data: {\"delta\":1}\n\n"
 				complete := small + middle + small + "data: [DONE]\n\n"
@@ -40,21 +40,21 @@
 						return
 					}
 					w.Header().Set("Content-Type", "text/event-stream")
-					if c.cut > 0 {
-						_, _ = w.Write([]byte(complete[:len(small)+c.cut]))
+					if c.truncateAt > 0 {
+						_, _ = w.Write([]byte(complete[:len(small)+c.truncateAt]))
 						_ = http.NewResponseController(w).Flush()
 						panic(http.ErrAbortHandler)
 					}
 					_, _ = w.Write([]byte(complete))
 				})
 				body := `{"model":"chart-small","stream":true,"messages":[]}`
-				answer := callerOf(t, bed).Do(context.Background(), http.MethodPost, "/v1/chat/completions", body, nil)
+				answer := newCaller(t, bed).Do(context.Background(), http.MethodPost, "/v1/chat/completions", body, nil)
 				switch {
-				case c.cut == 0 && (answer.Ending != testbed.Whole || answer.Body != complete):
+				case c.truncateAt == 0 && (answer.Ending != testbed.Whole || answer.Body != complete):
 					t.Errorf("ended %v with %d of %d bytes", answer.Ending, len(answer.Body), len(complete))
-				case c.cut > 0 && strings.Contains(answer.Body, "[DONE]"):
+				case c.truncateAt > 0 && strings.Contains(answer.Body, "[DONE]"):
 					t.Error("a truncated answer looks complete")
-				case c.cut > 0 && answer.Ending != testbed.Cut && !strings.Contains(answer.Body, `"code":"answer_cut"`):
+				case c.truncateAt > 0 && answer.Ending != testbed.Cut && !strings.Contains(answer.Body, `"code":"answer_cut"`):
 					t.Errorf("truncated answer ended %v with %q", answer.Ending, tail(answer.Body))
 				}
 			})
--- a/pkg/testbed/malformed_test.go
+++ b/pkg/testbed/malformed_test.go
@@ -52,7 +52,7 @@
 		{"long idempotency key", "POST", chat, good, http.Header{"Idempotency-Key": {strings.Repeat("k", 300)}}, 400, refusal.CodeMalformed},
 	}
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Plain: true, Slots: 1,
+		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Plain: true, Slots: 1,
 			Adjust: func(s *settings.Settings) {
 				if s.Entry != nil {
 					s.Entry.Limits.BodyBytes = 1000
@@ -60,7 +60,7 @@
 			},
 			Declare: func(set *declaration.Set) { set.Accounts[0].HighestTier = "notice" },
 		})
-		caller := callerOf(t, bed)
+		caller := newCaller(t, bed)
 		for _, s := range scenarios {
 			answer := caller.Do(context.Background(), s.method, s.path, s.body, s.header)
 			if answer.Status != s.status || answer.Code != string(s.code) {
@@ -80,8 +80,8 @@
 // sent, and its answer is returned unchanged.
 func TestPlainService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 1, Plain: true, Slots: 1})
-		caller := callerOf(t, bed)
+		bed := startTestbed(t, testbed.Options{Entries: 1, Plain: true, Slots: 1})
+		caller := newCaller(t, bed)
 		answer := caller.Do(context.Background(), "PUT", "/services/depths/berths/a%2Fb?x=1&y=2", "body", nil)
 		const want = `{"method":"PUT","path":"/berths/a/b","query":"x=1\u0026y=2","body":"body"}` + "\n"
 		if answer.Status != http.StatusOK || answer.Body != want {
@@ -97,13 +97,13 @@
 // with a Retry-After header, and the higher ones are all served.
 func TestShedding(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 2, Adjust: func(s *settings.Settings) {
+		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 2, Adjust: func(s *settings.Settings) {
 			for i := range s.Agents {
 				s.Agents[i].QueueMinTokens = 100
 				s.Agents[i].QueueTimeMS = 1
 			}
 		}})
-		caller := callerOf(t, bed)
+		caller := newCaller(t, bed)
 		tiers := []string{"pilot", "tag"}
 		answers := parallel(40, func(i int) testbed.Answer {
 			tier := tiers[i%2]
--- a/pkg/testbed/openai_client_test.go
+++ b/pkg/testbed/openai_client_test.go
@@ -40,7 +40,7 @@
 // unstreamed and streamed answers.
 func TestOpenAIClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2})
+		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2})
 		client := openAIClient(t, bed, testbed.Key)
 		ctx := context.Background()
 
@@ -79,7 +79,7 @@
 		{"unknown model", testbed.Key, "none", http.StatusNotFound, "model_not_found"},
 	}
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2})
+		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2})
 		for _, s := range scenarios {
 			client := openAIClient(t, bed, s.key)
 			_, err := client.Chat.Completions.New(context.Background(), chatRequest(s.model))
@@ -94,7 +94,7 @@
 // TestOpenAIClientSeesBrokenStream: a stream that its engine breaks and cannot resume ends with an error of the client.
 func TestOpenAIClientSeesBrokenStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2})
+		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2})
 		client := openAIClient(t, bed, testbed.Key)
 		request := chatRequest(testbed.Model)
 		request.MaxTokens = openai.Int(100)
@@ -117,7 +117,7 @@
 // the usage if the request asked for it.
 func TestOpenAIClientSeesStreamEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2})
+		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 2})
 		client := openAIClient(t, bed, testbed.Key)
 		request := chatRequest(testbed.Model)
 		request.StreamOptions.IncludeUsage = openai.Bool(true)
--- a/pkg/testbed/random_test.go
+++ b/pkg/testbed/random_test.go
@@ -54,7 +54,7 @@
 
 func (h *randomHistory) run() map[testbed.Ending]int {
 	faults := network.NewFaults(h.faults()...)
-	h.bed = started(h.t, testbed.Options{
+	h.bed = startTestbed(h.t, testbed.Options{
 		Entries: randomEntries, Engines: engines(randomEngines), Slots: 2, Seed: h.seed,
 		Faults: faults,
 		Adjust: func(s *settings.Settings) {
@@ -71,7 +71,7 @@
 	faults.Heal()
 	time.Sleep(time.Minute)
 	endings := checkAnswers(h.t, h.bed, answers)
-	after := callerOf(h.t, h.bed).Chat(context.Background(), "after", 3, true, nil)
+	after := newCaller(h.t, h.bed).Chat(context.Background(), "after", 3, true, nil)
 	checkInvariants(h.t, h.bed, after)
 	if after.Ending != testbed.Whole {
 		h.t.Errorf("seed %d: a later request ended %v: %s", h.seed, after.Ending, after.Body)
--- a/pkg/testbed/rest_test.go
+++ b/pkg/testbed/rest_test.go
@@ -22,8 +22,8 @@
 		each    = 20 * time.Millisecond
 	)
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 2, Engines: engines(3), Slots: 2, Seed: 1})
-		callers := callersOf(t, bed)
+		bed := startTestbed(t, testbed.Options{Entries: 2, Engines: engines(3), Slots: 2, Seed: 1})
+		callers := newCallers(t, bed)
 		bed.Engines[0].TurnAway(backoff)
 		answers := parallel(calls, func(i int) testbed.Answer {
 			time.Sleep(time.Duration(i) * each)
@@ -52,8 +52,8 @@
 func TestAllEnginesBehindAgentsBackOff(t *testing.T) {
 	const backoff = 4 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 1, Seed: 1})
-		caller := callerOf(t, bed)
+		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 1, Seed: 1})
+		caller := newCaller(t, bed)
 		for _, e := range bed.Engines {
 			e.TurnAway(backoff)
 		}
@@ -64,14 +64,14 @@
 		for _, e := range bed.Engines {
 			e.TurnAway(0)
 		}
-		began := time.Now()
+		start := time.Now()
 		short := caller.Chat(context.Background(), "short", 10, false, http.Header{"Quaydock-Deadline-Ms": {"1000"}})
 		retryAfter, err := strconv.Atoi(short.Retry)
-		if short.Ending != testbed.NotRun || err != nil || retryAfter < 2 || retryAfter > 4 || time.Since(began) > 300*time.Millisecond {
-			t.Errorf("a call that cannot wait got %+v after %v", short, time.Since(began))
+		if short.Ending != testbed.NotRun || err != nil || retryAfter < 2 || retryAfter > 4 || time.Since(start) > 300*time.Millisecond {
+			t.Errorf("a call that cannot wait got %+v after %v", short, time.Since(start))
 		}
 		long := caller.Chat(context.Background(), "long", 10, false, http.Header{"Quaydock-Deadline-Ms": {"20000"}})
-		if took := time.Since(began); long.Status != http.StatusOK || took < 2*time.Second || took > backoff {
+		if took := time.Since(start); long.Status != http.StatusOK || took < 2*time.Second || took > backoff {
 			t.Errorf("a call that can wait got %+v after %v", long, took)
 		}
 	})
--- a/pkg/testbed/shedding_test.go
+++ b/pkg/testbed/shedding_test.go
@@ -28,13 +28,13 @@
 	shed := 0
 	for seed := uint64(1); seed <= 6; seed++ {
 		synctest.Test(t, func(t *testing.T) {
-			bed := started(t, testbed.Options{Entries: 3, Engines: engines(3), Slots: 2, Seed: seed, Adjust: func(s *settings.Settings) {
+			bed := startTestbed(t, testbed.Options{Entries: 3, Engines: engines(3), Slots: 2, Seed: seed, Adjust: func(s *settings.Settings) {
 				for i := range s.Agents {
 					s.Agents[i].QueueMinTokens = 150
 					s.Agents[i].QueueTimeMS = 100
 				}
 			}})
-			callers := callersOf(t, bed)
+			callers := newCallers(t, bed)
 			random := rand.New(rand.NewPCG(seed, 4))
 			all := make([]served, 240)
 			delays := make([]time.Duration, len(all))
--- a/pkg/testbed/trace_test.go
+++ b/pkg/testbed/trace_test.go
@@ -18,10 +18,10 @@
 func TestTrace(t *testing.T) {
 	folder := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1, Adjust: func(s *settings.Settings) {
+		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1, Adjust: func(s *settings.Settings) {
 			s.Trace = settings.Trace{Exporter: "file", File: filepath.Join(folder, string(s.Process)), Ratio: 1}
 		}})
-		if answer := callerOf(t, bed).Chat(context.Background(), "traced", 3, true, nil); answer.Ending != testbed.Whole {
+		if answer := newCaller(t, bed).Chat(context.Background(), "traced", 3, true, nil); answer.Ending != testbed.Whole {
 			t.Fatalf("ended %v", answer.Ending)
 		}
 	})
