--- a/pkg/standin/sequence.go
+++ b/pkg/standin/sequence.go
@@ -9,21 +9,21 @@
 
 // sequence is one request in the engine.
 type sequence struct {
-	prefill int
-	blocks  []uint64 // of the prompt
-	left    int
-	made    int
-	stream  bool
-	usage   bool // a stream ends with what it used
-	prompt  int  // tokens of the prompt
-	id      string
-	text    string // the first token: tells whose answer it is
+	prefill   int
+	blocks    []uint64 // of the prompt
+	remaining int
+	generated int
+	stream    bool
+	usage     bool // whether a stream ends with its token usage
+	prompt    int  // tokens of the prompt
+	id        string
+	text      string // the first token, which identifies the request
 
 	mu      sync.Mutex
 	changed sync.Cond
 	out     []byte
 	done    bool
-	cut     bool
+	aborted bool
 }
 
 func (s *sequence) ended() bool {
@@ -32,7 +32,7 @@
 	return s.done
 }
 
-// emit makes the next token.
+// emit generates the next token.
 func (s *sequence) emit() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,12 +40,12 @@
 		return
 	}
 	token := s.text
-	if s.made > 0 {
-		token = " t" + strconv.Itoa(s.made)
+	if s.generated > 0 {
+		token = " t" + strconv.Itoa(s.generated)
 	}
-	s.made++
-	s.left--
-	s.done = s.left == 0
+	s.generated++
+	s.remaining--
+	s.done = s.remaining == 0
 	s.write(token)
 	s.changed.Broadcast()
 }
@@ -55,17 +55,17 @@
 		s.writeChunk(token)
 		return
 	}
-	if s.made == 1 {
+	if s.generated == 1 {
 		s.out = fmt.Appendf(s.out, `{"id":%q,"object":"chat.completion","choices":[{"index":0,"finish_reason":"length","message":{"role":"assistant","content":"`, s.id)
 	}
 	s.out = append(s.out, token...)
 	if s.done {
-		s.out = fmt.Appendf(s.out, `"}}],"usage":{"completion_tokens":%d}}`, s.made)
+		s.out = fmt.Appendf(s.out, `"}}],"usage":{"completion_tokens":%d}}`, s.generated)
 	}
 }
 
-// writeChunk writes a token of a stream. The last one says why the answer ends,
-// by which a client tells a whole answer from one that was cut.
+// writeChunk writes a token of a stream. The last chunk has a finish reason,
+// by which a client tells a complete answer from a truncated one.
 func (s *sequence) writeChunk(token string) {
 	reason := "null"
 	if s.done {
@@ -76,7 +76,7 @@
 		return
 	}
 	if s.usage {
-		s.out = fmt.Appendf(s.out, `data: {"id":%q,"object":"chat.completion.chunk","choices":[],"usage":{"prompt_tokens":%d,"completion_tokens":%d,"total_tokens":%d}}`+"\n\n", s.id, s.prompt, s.made, s.prompt+s.made)
+		s.out = fmt.Appendf(s.out, `data: {"id":%q,"object":"chat.completion.chunk","choices":[],"usage":{"prompt_tokens":%d,"completion_tokens":%d,"total_tokens":%d}}`+"\n\n", s.id, s.prompt, s.generated, s.prompt+s.generated)
 	}
 	s.out = append(s.out, "data: [DONE]\n\n"...)
 }
@@ -96,7 +96,7 @@
 	}
 	w.WriteHeader(status)
 	for {
-		p, end := s.from(offset)
+		p, end := s.waitFrom(offset)
 		offset += len(p)
 		if _, err := w.Write(p); err != nil {
 			return
@@ -110,14 +110,14 @@
 	}
 }
 
-// from waits for bytes from offset on; end reports that they are the last.
-func (s *sequence) from(offset int) (p []byte, end bool) {
+// waitFrom waits for bytes from offset on; end reports whether they are the last.
+func (s *sequence) waitFrom(offset int) (p []byte, end bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for offset == len(s.out) && !s.done {
 		s.changed.Wait()
 	}
-	if s.cut {
+	if s.aborted {
 		panic(http.ErrAbortHandler)
 	}
 	return s.out[offset:], s.done
@@ -126,7 +126,7 @@
 func (s *sequence) abort() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cut = !s.done
+	s.aborted = !s.done
 	s.done = true
 	s.changed.Broadcast()
 }
--- a/pkg/testbed/trace_test.go
+++ b/pkg/testbed/trace_test.go
@@ -13,15 +13,15 @@
 	"quaydock/pkg/testbed"
 )
 
-// A sampled request has one trace with a span for each hop, carried through
+// TestTrace: a sampled request has one trace with a span for each hop; the trace context is passed on through
 // net/rpc and HTTP.
 func TestTrace(t *testing.T) {
 	folder := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		bed := started(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1, Adjust: func(s *settings.Settings) {
+		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1, Adjust: func(s *settings.Settings) {
 			s.Trace = settings.Trace{Exporter: "file", File: filepath.Join(folder, string(s.Process)), Ratio: 1}
 		}})
-		if answer := callerOf(t, bed).Chat(context.Background(), "traced", 3, true, nil); answer.Ending != testbed.Whole {
+		if answer := newCaller(t, bed).Chat(context.Background(), "traced", 3, true, nil); answer.Ending != testbed.Whole {
 			t.Fatalf("ended %v", answer.Ending)
 		}
 	})
@@ -38,7 +38,7 @@
 	}
 }
 
-// spans returns the trace of each span by its name.
+// spans returns the trace id of each span, by span name.
 func spans(t *testing.T, file string) map[string]string {
 	t.Helper()
 	document, err := os.ReadFile(file)
