--- a/pkg/ctl/apply.go
+++ b/pkg/ctl/apply.go
@@ -16,17 +16,17 @@
 
 const (
 	commandTimeout = 30 * time.Second
-	tableTimeout   = 5 * clock.Second // one call
+	tableTimeout   = 5 * clock.Second // for one call
 )
 
-// apply publishes a declarations file as the next revision.
+// apply publishes a declarations file as the next revision of the configuration.
 func apply(ctx context.Context, args []string, out, errs io.Writer) error {
 	flags := flag.NewFlagSet("quayctl apply", flag.ContinueOnError)
 	base := flags.String("table", "", "the base `URL` of the platform's table; required")
 	file := flags.String("file", "", "the declarations `file`; required")
-	who := flags.String("who", os.Getenv("USER"), "who makes the change")
-	why := flags.String("why", "", "why it is made; required")
-	plan := flags.Bool("plan", false, "show what would change, and change nothing")
+	who := flags.String("who", os.Getenv("USER"), "the operator who makes the change")
+	why := flags.String("why", "", "the reason for the change; required unless -plan is given")
+	plan := flags.Bool("plan", false, "show the changes without publishing them")
 	if err := parse(flags, args, errs); err != nil {
 		return err
 	}
@@ -39,7 +39,7 @@
 	}
 	return withConfiguration(ctx, *base, func(ctx context.Context, table *table.Table, state table.State) error {
 		change := declaration.Diff(state.Set, set)
-		describe(out, state.Head.Revision, &change)
+		describeChange(out, state.Head.Revision, &change)
 		if *plan || change.Empty() {
 			return nil
 		}
@@ -53,8 +53,8 @@
 	})
 }
 
-// withConfiguration calls use with the table at base and the configuration that
-// stands in it, within the time of one command.
+// withConfiguration reads the configuration from the table at base and passes both to use. The whole
+// takes at most commandTimeout.
 func withConfiguration(ctx context.Context, base string, use func(context.Context, *table.Table, table.State) error) error {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
@@ -67,8 +67,8 @@
 	return use(ctx, table, state)
 }
 
-// describe shows a change to the operator.
-func describe(out io.Writer, upon declaration.Revision, c *declaration.Change) {
+// describeChange prints the difference between a change and the revision upon.
+func describeChange(out io.Writer, upon declaration.Revision, c *declaration.Change) {
 	if c.Empty() {
 		report(out, fmt.Sprintf("no change upon revision %d", upon))
 		return
@@ -77,13 +77,13 @@
 	if len(c.Set.Tiers) > 0 {
 		report(out, fmt.Sprintf("  tiers: %d, the whole order", len(c.Set.Tiers)))
 	}
-	show(out, "account", c.Set.Accounts, func(a declaration.Account) any { return a.Name }, c.Removed.Accounts)
-	show(out, "service", c.Set.Services, func(s declaration.Service) any { return s.Name }, c.Removed.Services)
-	show(out, "target", c.Set.Targets, func(t declaration.Target) any { return t.Name }, c.Removed.Targets)
-	show(out, "placement", c.Set.Placements, func(p declaration.Placement) any { return fmt.Sprintf("%s on %s", p.Service, p.Target) }, c.Removed.Placements)
+	describeItems(out, "account", c.Set.Accounts, func(a declaration.Account) any { return a.Name }, c.Removed.Accounts)
+	describeItems(out, "service", c.Set.Services, func(s declaration.Service) any { return s.Name }, c.Removed.Services)
+	describeItems(out, "target", c.Set.Targets, func(t declaration.Target) any { return t.Name }, c.Removed.Targets)
+	describeItems(out, "placement", c.Set.Placements, func(p declaration.Placement) any { return fmt.Sprintf("%s on %s", p.Service, p.Target) }, c.Removed.Placements)
 }
 
-func show[T, K any](out io.Writer, kind string, changed []T, name func(T) any, removed []K) {
+func describeItems[T, K any](out io.Writer, kind string, changed []T, name func(T) any, removed []K) {
 	for _, item := range changed {
 		report(out, fmt.Sprintf("  + %s %v", kind, name(item)))
 	}
--- a/pkg/ctl/bound.go
+++ b/pkg/ctl/bound.go
@@ -11,12 +11,12 @@
 	"quaydock/pkg/loadmodel"
 )
 
-// tellBound plays a described load against a planner and prints, by kind, what callers
-// get and what a scheduler could earn at the most.
-func tellBound(_ context.Context, args []string, out, errs io.Writer) error {
+// printBound simulates a described load against a planner and prints, by kind of request, the outcomes
+// and an upper bound of what any scheduler could earn.
+func printBound(_ context.Context, args []string, out, errs io.Writer) error {
 	flags := flag.NewFlagSet("quayctl bound", flag.ContinueOnError)
-	times := flags.Float64("times", 1, "how many `times` as much callers ask as the file says")
-	seed := flags.Uint64("seed", 0, "the `seed` of the draws instead of the file's")
+	times := flags.Float64("times", 1, "multiply the request rates of the file by so many `times`")
+	seed := flags.Uint64("seed", 0, "the `seed` of the random draws, instead of the one in the file")
 	if err := parse(flags, args, errs); err != nil {
 		return err
 	}
@@ -27,7 +27,7 @@
 	if err != nil {
 		return fmt.Errorf("reading the load: %w", err)
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // opened for reading only
 	load, err := loadmodel.Read(file)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errInvalid, err)
@@ -44,11 +44,11 @@
 func writeBound(out io.Writer, played, bound loadmodel.Result) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "kind\tasked\tin time\tlate\trefused\trefused again\tlost\tearned\tbound\tnet\t")
-	limits := append(bound.Outcomes, bound.All())
+	upperBounds := append(bound.Outcomes, bound.All())
 	for i, o := range append(played.Outcomes, played.All()) {
 		_, _ = fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%.3f\t%.3f\t%.3f\t\n", o.Kind, o.Asked,
 			percent(o.InTime, o.Asked), percent(o.Late, o.Asked), percent(o.Refused, o.Asked), percent(o.RefusedAgain, o.Asked), percent(o.Lost, o.Asked),
-			o.Share(), limits[i].Share(), o.Net())
+			o.Share(), upperBounds[i].Share(), o.Net())
 	}
 	if err := w.Flush(); err != nil {
 		return fmt.Errorf("printing: %w", err)
--- a/pkg/ctl/check.go
+++ b/pkg/ctl/check.go
@@ -9,7 +9,7 @@
 	"quaydock/pkg/declaration"
 )
 
-// check checks a declarations file.
+// check validates a declarations file and prints how many items of each kind it declares.
 func check(_ context.Context, args []string, out, _ io.Writer) error {
 	if len(args) != 1 {
 		return fmt.Errorf("%w: check takes one file", errUsage)
@@ -23,7 +23,7 @@
 	return nil
 }
 
-// loadDeclarations reads and checks a declarations file.
+// loadDeclarations reads and validates a declarations file. The error wraps errInvalid if the contents are invalid.
 func loadDeclarations(path string) (declaration.Set, error) {
 	document, err := os.ReadFile(path)
 	if err != nil {
--- a/pkg/ctl/ctl.go
+++ b/pkg/ctl/ctl.go
@@ -1,4 +1,4 @@
-// Package ctl is the operator's command-line tool.
+// Package ctl implements quayctl, the operators' command-line tool.
 package ctl
 
 import (
@@ -11,7 +11,7 @@
 	"os/signal"
 )
 
-// Exit codes of the tool.
+// Exit codes of quayctl.
 const (
 	ExitOK      = 0
 	ExitFailed  = 1
@@ -19,13 +19,13 @@
 	ExitInvalid = 3
 )
 
-// errUsage marks a command line that cannot be read.
+// errUsage marks an invalid command line.
 var errUsage = errors.New("command line")
 
-// errInvalid marks a document that does not pass its checks.
+// errInvalid marks a document that failed validation.
 var errInvalid = errors.New("not valid")
 
-// command is one command of the tool.
+// command is one subcommand.
 type command struct {
 	name    string
 	summary string
@@ -42,8 +42,8 @@
 		{"history", "show the newest changes: quayctl history -table URL", history},
 		{"capacity", "measure slopes and rewrite the tables of docs/CAPACITY.md (see scripts/capacity)", measureCapacity},
 		{"explain", "tell one request's story from logs: quayctl explain ID FILE...", explain},
-		{"losses", "tell which requests were lost or late, when and why, from logs: quayctl losses [-window TIME] [-plot FILE] FILE...", tellLosses},
-		{"bound", "play a described load against a planner and tell what callers get, and what they could get at the most: quayctl bound [-times X] [-seed N] FILE", tellBound},
+		{"losses", "tell which requests were lost or late, when and why, from logs: quayctl losses [-window TIME] [-plot FILE] FILE...", printLosses},
+		{"bound", "play a described load against a planner and tell what callers get, and what they could get at the most: quayctl bound [-times X] [-seed N] FILE", printBound},
 		{"load", "send bounded load to a loopback address and measure it", sendLoad},
 	}
 }
@@ -68,9 +68,9 @@
 	}
 }
 
-// report writes a line to the operator; there is nobody to tell if that fails.
-func report(to io.Writer, what any) {
-	_, _ = fmt.Fprintln(to, what)
+// report prints a line. A failed write is ignored: there is no other channel to report it on.
+func report(to io.Writer, line any) {
+	_, _ = fmt.Fprintln(to, line)
 }
 
 func dispatch(ctx context.Context, args []string, out, errs io.Writer) error {
@@ -87,7 +87,7 @@
 	return fmt.Errorf("%w: one of these commands is required", errUsage)
 }
 
-// parse reads a command's flags.
+// parse parses a command's flags. A wrong flag gives an error that wraps errUsage; -help gives flag.ErrHelp.
 func parse(flags *flag.FlagSet, args []string, errs io.Writer) error {
 	flags.SetOutput(errs)
 	err := flags.Parse(args)
--- a/pkg/ctl/explain.go
+++ b/pkg/ctl/explain.go
@@ -9,27 +9,27 @@
 	"quaydock/pkg/story"
 )
 
-// explain prints what the logs of several processes say of one request.
+// explain prints the timeline of one request from the logs of several processes.
 func explain(_ context.Context, args []string, out, _ io.Writer) error {
-	const least = 2
-	if len(args) < least {
+	const minArgs = 2
+	if len(args) < minArgs {
 		return fmt.Errorf("%w: explain takes a request's id and log files", errUsage)
 	}
 	lines, err := readLogs(args[1:])
 	if err != nil {
 		return err
 	}
-	told := story.Of(args[0], lines)
-	if len(told) == 0 {
-		return fmt.Errorf("no line of request %s: it was answered in time and is not in the sample, or another process had it", args[0])
+	timeline := story.Of(args[0], lines)
+	if len(timeline) == 0 {
+		return fmt.Errorf("no line of request %s: it was answered in time and not sampled, or the log of its entry is missing", args[0])
 	}
-	for _, l := range told {
+	for _, l := range timeline {
 		report(out, l)
 	}
 	return nil
 }
 
-// readLogs reads log files one after the other.
+// readLogs reads the log files in the given order.
 func readLogs(paths []string) ([]story.Line, error) {
 	var lines []story.Line
 	for _, path := range paths {
@@ -45,12 +45,12 @@
 func readLog(path string) ([]story.Line, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return nil, fmt.Errorf("log: %w", err)
+		return nil, fmt.Errorf("opening the log: %w", err)
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // opened for reading only
 	lines, err := story.Read(file)
 	if err != nil {
-		return nil, fmt.Errorf("log %s: %w", path, err)
+		return nil, fmt.Errorf("reading log %s: %w", path, err)
 	}
 	return lines, nil
 }
--- a/pkg/ctl/history.go
+++ b/pkg/ctl/history.go
@@ -12,7 +12,7 @@
 
 const historyShown = 20
 
-// history shows the newest changes, the newest first.
+// history prints the latest configuration changes, the newest first.
 func history(ctx context.Context, args []string, out, errs io.Writer) error {
 	flags := flag.NewFlagSet("quayctl history", flag.ContinueOnError)
 	base := flags.String("table", "", "the base `URL` of the platform's table; required")
@@ -32,7 +32,7 @@
 	for r := state.Head.Revision; r > max(1, state.Head.Revision-historyShown); r-- {
 		c, err := table.Change(ctx, r)
 		if err != nil {
-			return fmt.Errorf("history: %w", err)
+			return fmt.Errorf("reading a change: %w", err)
 		}
 		report(out, fmt.Sprintf("%d  %s  %s: %s", r, time.UnixMilli(int64(c.At)).UTC().Format(time.RFC3339), c.Who, c.Why))
 	}
--- a/pkg/ctl/losses.go
+++ b/pkg/ctl/losses.go
@@ -10,15 +10,15 @@
 	"quaydock/pkg/losses"
 )
 
-// lossWindow is the length of the windows in which losses are counted.
+// lossWindow is the default length of the time windows by which losses are counted.
 const lossWindow = 2 * time.Second
 
-// tellLosses prints what the logs of several processes say of requests that were
-// lost or late.
-func tellLosses(_ context.Context, args []string, out, errs io.Writer) error {
+// printLosses prints tables of the lost and late requests found in the logs of several processes, and
+// plots them if asked to.
+func printLosses(_ context.Context, args []string, out, errs io.Writer) error {
 	flags := flag.NewFlagSet("quayctl losses", flag.ContinueOnError)
-	window := flags.Duration("window", lossWindow, "the `time` over which losses are counted together")
-	plot := flags.String("plot", "", "a `file` into which a plot is drawn; its ending says whether as svg, png or pdf")
+	window := flags.Duration("window", lossWindow, "the length of `time` of the windows by which losses are counted")
+	plot := flags.String("plot", "", "the `file` that a plot is written to, as svg, png or pdf by its extension")
 	if err := parse(flags, args, errs); err != nil {
 		return err
 	}
@@ -36,7 +36,7 @@
 	}
 	table, err := losses.Tabulate(list, *window)
 	if err != nil {
-		return fmt.Errorf("counting: %w", err)
+		return fmt.Errorf("counting losses: %w", err)
 	}
 	if err := losses.Write(out, list, table); err != nil {
 		return err
--- a/pkg/ctl/quarantine.go
+++ b/pkg/ctl/quarantine.go
@@ -14,20 +14,20 @@
 	"quaydock/pkg/quarantine"
 )
 
-// showQuarantine shows the requests that an entry holds back, or has it let one go.
+// showQuarantine lists the requests that an entry has in quarantine, or has it release one of them.
 func showQuarantine(ctx context.Context, args []string, out, errs io.Writer) error {
 	flags := flag.NewFlagSet("quayctl quarantine", flag.ContinueOnError)
 	at := flags.String("at", "127.0.0.1:9464", "the `address` of an entry's metrics")
-	release := flags.String("release", "", "the `digest` of a request that is let go")
+	release := flags.String("release", "", "the `digest` of a request to release from quarantine")
 	if err := parse(flags, args, errs); err != nil {
 		return err
 	}
 	if *release != "" {
 		return releaseRequest(ctx, *at, *release, out)
 	}
-	reports, err := list[quarantine.Report](ctx, *at, operators.PathQuarantine)
+	reports, err := fetchList[quarantine.Report](ctx, *at, operators.PathQuarantine)
 	if err != nil {
-		return fmt.Errorf("requests held back: %w", err)
+		return fmt.Errorf("reading the quarantined requests: %w", err)
 	}
 	if len(reports) == 0 {
 		report(out, "no request is held back")
@@ -36,23 +36,23 @@
 	return writeQuarantine(out, reports)
 }
 
-// releaseRequest has an entry let a request go, which tells the others.
+// releaseRequest has an entry release a request from quarantine. That entry notifies the others.
 func releaseRequest(ctx context.Context, at, digest string, out io.Writer) error {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	address := "http://" + at + operators.PathQuarantine + "?" + url.Values{"digest": {digest}}.Encode()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, address, nil)
 	if err != nil {
-		return fmt.Errorf("letting go: %w", err)
+		return fmt.Errorf("releasing a request: %w", err)
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return fmt.Errorf("letting go: %w", err)
+		return fmt.Errorf("releasing a request: %w", err)
 	}
-	defer func() { _ = response.Body.Close() }() // what matters has been read
+	defer func() { _ = response.Body.Close() }() // the body has been read as far as it is used
 	if response.StatusCode != http.StatusNoContent {
-		text, _ := io.ReadAll(response.Body) // without it the status has to do
-		return fmt.Errorf("letting go: status %d: %s", response.StatusCode, strings.TrimSpace(string(text)))
+		text, _ := io.ReadAll(response.Body) // without a body the error has only the status
+		return fmt.Errorf("releasing a request: status %d: %s", response.StatusCode, strings.TrimSpace(string(text)))
 	}
 	report(out, "let go at all entries: "+digest)
 	return nil
@@ -60,7 +60,7 @@
 
 func writeQuarantine(out io.Writer, reports []quarantine.Report) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintln(w, "digest\taccount\troute\tfor\tmay run in\tended targets") // Flush tells of errors
+	_, _ = fmt.Fprintln(w, "digest\taccount\troute\tfor\tmay run in\tended targets") // Flush returns write errors
 	for i := range reports {
 		r := &reports[i]
 		var targets []string
--- a/pkg/ctl/quarantine_test.go
+++ b/pkg/ctl/quarantine_test.go
@@ -13,7 +13,7 @@
 	"quaydock/pkg/quarantine"
 )
 
-func TestRequestsHeldBackAreShownAndLetGo(t *testing.T) {
+func TestQuarantineListsAndReleasesRequests(t *testing.T) {
 	digest := quarantine.Identify("acme", "/chat/q", []byte("question"))
 	held := []quarantine.Report{{
 		Record: quarantine.Record{Digest: digest, Account: "acme", Route: "chat", Ends: []quarantine.End{{Life: ids.Life{Target: "t1"}}, {Life: ids.Life{Target: "t2"}, Again: true}}},
@@ -28,8 +28,8 @@
 	}{
 		{"none", nil, nil, ctl.ExitOK, []string{"no request is held back"}},
 		{"one", held, nil, ctl.ExitOK, []string{digest.String(), "acme", "chat", "61 s", "4 s", "t1 t2"}},
-		{"let go", held, []string{"-release", digest.String()}, ctl.ExitOK, []string{"let go"}},
-		{"another one", held, []string{"-release", "abc"}, ctl.ExitFailed, []string{"status 404"}},
+		{"release", held, []string{"-release", digest.String()}, ctl.ExitOK, []string{"let go"}},
+		{"release of another request", held, []string{"-release", "abc"}, ctl.ExitFailed, []string{"status 404"}},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -51,7 +51,7 @@
 			}
 			for _, text := range s.want {
 				if !strings.Contains(out.String()+errs.String(), text) {
-					t.Errorf("%q is missing in\n%s%s", text, out.String(), errs.String())
+					t.Errorf("output lacks %q:\n%s%s", text, out.String(), errs.String())
 				}
 			}
 		})
--- a/pkg/ctl/rollout.go
+++ b/pkg/ctl/rollout.go
@@ -12,7 +12,7 @@
 	"quaydock/pkg/rollout"
 )
 
-// showRollouts shows state, evidence and what is still missing of each roll-out that an entry
+// showRollouts prints the state, the evidence and what is still missing of each roll-out that an entry
 // knows of.
 func showRollouts(ctx context.Context, args []string, out, errs io.Writer) error {
 	flags := flag.NewFlagSet("quayctl rollout", flag.ContinueOnError)
@@ -20,9 +20,9 @@
 	if err := parse(flags, args, errs); err != nil {
 		return err
 	}
-	reports, err := list[rollout.Report](ctx, *at, operators.PathRollouts)
+	reports, err := fetchList[rollout.Report](ctx, *at, operators.PathRollouts)
 	if err != nil {
-		return fmt.Errorf("roll-outs: %w", err)
+		return fmt.Errorf("reading the roll-outs: %w", err)
 	}
 	if len(reports) == 0 {
 		report(out, "no roll-out is known")
@@ -35,12 +35,11 @@
 	return nil
 }
 
-// writeRollout writes one roll-out.
 func writeRollout(out io.Writer, r *rollout.Report) error {
 	report(out, fmt.Sprintf("%s to %s: %s", r.Service, r.Version, r.State))
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	line := func(name, format string, values ...any) {
-		_, _ = fmt.Fprintf(w, "  %s\t%s\n", name, fmt.Sprintf(format, values...)) // Flush tells of errors
+		_, _ = fmt.Fprintf(w, "  %s\t%s\n", name, fmt.Sprintf(format, values...)) // Flush returns write errors
 	}
 	if r.Why != "" {
 		line("because", "%s", r.Why)
--- a/pkg/ctl/rollout_test.go
+++ b/pkg/ctl/rollout_test.go
@@ -12,14 +12,14 @@
 	"quaydock/pkg/rollout"
 )
 
-func TestRolloutsAreShown(t *testing.T) {
+func TestRolloutPrintsReports(t *testing.T) {
 	scenarios := []struct {
 		name    string
 		reports []rollout.Report
 		want    []string
 	}{
 		{"none", nil, []string{"no roll-out is known"}},
-		{"at the entry that judges", []rollout.Report{{
+		{"at the entry that evaluates it", []rollout.Report{{
 			Service: "s", Version: "v2", State: "running", EndsIn: 4500, Judges: true, Share: 0.0585, Missing: []string{"3 answers under load"},
 			Evidence: rollout.Summary{Requests: 40, Bad: 2, Targets: 5, Suspect: 1, Routes: []rollout.RouteSummary{{Route: "r", Requests: 40, Bad: 2, Old: 600, OldBad: 6}}},
 		}}, []string{"s to v2: running", "4.5 s", "40, 2 bad; 5 targets, 1 suspect", "route r", "5.9%", "3 answers under load"}},
@@ -37,7 +37,7 @@
 			}
 			for _, text := range s.want {
 				if !strings.Contains(out.String(), text) {
-					t.Errorf("%q is missing in\n%s", text, out.String())
+					t.Errorf("output lacks %q:\n%s", text, out.String())
 				}
 			}
 		})
--- a/pkg/ctl/status.go
+++ b/pkg/ctl/status.go
@@ -20,10 +20,11 @@
 
 const statusTimeout = 5 * time.Second
 
-// status shows readiness and metrics of one process, and of an entry on the platform what its targets have told it.
+// status prints readiness and metrics of one process, and for an entry on the platform also the advice of its targets
+// and the state of failure domains.
 func status(ctx context.Context, args []string, out, errs io.Writer) error {
 	flags := flag.NewFlagSet("quayctl status", flag.ContinueOnError)
-	wait := flags.Duration("wait", 0, "how long to wait for the process to be ready")
+	wait := flags.Duration("wait", 0, "how long to wait for the process to become ready")
 	at := flags.String("at", "127.0.0.1:7401", "the operators' `address` of the process")
 	if err := parse(flags, args, errs); err != nil {
 		return err
@@ -33,30 +34,30 @@
 	awaitReady(ctx, *at, *wait)
 	ready, _, err := get(ctx, *at, operators.PathReady)
 	if err != nil {
-		return fmt.Errorf("readiness: %w", err)
+		return fmt.Errorf("reading readiness: %w", err)
 	}
 	_, metrics, err := get(ctx, *at, operators.PathMetrics)
 	if err != nil {
-		return fmt.Errorf("metrics: %w", err)
+		return fmt.Errorf("reading metrics: %w", err)
 	}
-	word := "ready"
+	readiness := "ready"
 	if ready != http.StatusNoContent {
-		word = "not ready"
+		readiness = "not ready"
 	}
-	report(out, fmt.Sprintf("%s %s\n%s", *at, word, metrics))
+	report(out, fmt.Sprintf("%s %s\n%s", *at, readiness, metrics))
 	if err := showAdvice(ctx, *at, out); err != nil {
 		return err
 	}
 	return showDomains(ctx, *at, out)
 }
 
-// showDomains shows the failure domains that are drained or have cold targets; only entries on the platform know that.
+// showDomains prints the failure domains that are drained or have cold targets. Only entries on the platform report them.
 func showDomains(ctx context.Context, at string, out io.Writer) error {
-	all, _, err := toldByEntry[domains.Report](ctx, at, operators.PathDomains)
+	reports, _, err := fetchFromEntry[domains.Report](ctx, at, operators.PathDomains)
 	if err != nil {
-		return fmt.Errorf("failure domains: %w", err)
+		return fmt.Errorf("reading the failure domains: %w", err)
 	}
-	for _, r := range all {
+	for _, r := range reports {
 		if r.Drained {
 			report(out, fmt.Sprintf("failure domain %s is drained: its %d targets get no new requests", r.Domain, r.Targets))
 		}
@@ -67,11 +68,12 @@
 	return nil
 }
 
-// showAdvice shows the targets that leave, rest or are limited by their own word; only entries on the platform know that.
+// showAdvice prints the targets that are leaving, backed off or limited by their own report. Only entries on the platform
+// report them.
 func showAdvice(ctx context.Context, at string, out io.Writer) error {
-	targets, known, err := toldByEntry[advisory.Report](ctx, at, operators.PathAdvice)
+	targets, known, err := fetchFromEntry[advisory.Report](ctx, at, operators.PathAdvice)
 	if err != nil {
-		return fmt.Errorf("what targets say: %w", err)
+		return fmt.Errorf("reading the advice of targets: %w", err)
 	}
 	if !known {
 		return nil
@@ -81,9 +83,9 @@
 		return nil
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	_, _ = fmt.Fprintln(w, "target\tservice\tin the list\tby its own word") // Flush tells of errors
+	_, _ = fmt.Fprintln(w, "target\tservice\tin the list\tby its own word") // Flush returns write errors
 	for _, t := range targets {
-		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", t.Target, t.Service, t.Listed, ownWord(t))
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", t.Target, t.Service, t.Listed, describeAdvice(t))
 	}
 	if err := w.Flush(); err != nil {
 		return fmt.Errorf("printing: %w", err)
@@ -91,19 +93,20 @@
 	return nil
 }
 
-// toldByEntry returns a list that only entries on the platform tell; known is false for other processes.
-func toldByEntry[T any](ctx context.Context, at, path string) (told []T, known bool, err error) {
+// fetchFromEntry fetches a list that only entries on the platform serve. known is false for other processes.
+func fetchFromEntry[T any](ctx context.Context, at, path string) (reports []T, known bool, err error) {
 	code, document, err := get(ctx, at, path)
 	if err != nil || code != http.StatusOK {
 		return nil, false, err
 	}
-	if err := json.Unmarshal(document, &told); err != nil {
-		return nil, false, fmt.Errorf("reading the answer: %w", err)
+	if err := json.Unmarshal(document, &reports); err != nil {
+		return nil, false, fmt.Errorf("parsing the answer: %w", err)
 	}
-	return told, true, nil
+	return reports, true, nil
 }
 
-func ownWord(t advisory.Report) string {
+// describeAdvice puts the advice of one target into words.
+func describeAdvice(t advisory.Report) string {
 	var words []string
 	if t.Leaving {
 		words = append(words, "leaves")
@@ -117,10 +120,10 @@
 	return strings.Join(words, ", ")
 }
 
-// awaitReady returns when the process is ready or the time is over.
+// awaitReady returns once the process is ready, or after wait.
 func awaitReady(ctx context.Context, at string, wait time.Duration) {
-	const look = 50 * time.Millisecond
-	for until := time.Now().Add(wait); time.Now().Before(until); time.Sleep(look) {
+	const pollInterval = 50 * time.Millisecond
+	for until := time.Now().Add(wait); time.Now().Before(until); time.Sleep(pollInterval) {
 		if code, _, err := get(ctx, at, operators.PathReady); err == nil && code == http.StatusNoContent {
 			return
 		}
@@ -130,7 +133,7 @@
 func get(ctx context.Context, at, path string) (code int, body []byte, err error) {
 	request, err := sling.New().Base("http://" + at).Get(path).Request()
 	if err != nil {
-		return 0, nil, fmt.Errorf("building the call: %w", err)
+		return 0, nil, fmt.Errorf("building the request: %w", err)
 	}
 	response, err := http.DefaultClient.Do(request.WithContext(ctx))
 	if err != nil {
@@ -144,17 +147,17 @@
 	return response.StatusCode, body, nil
 }
 
-// list returns the entries of a list that a process tells operators.
-func list[T any](ctx context.Context, at, path string) ([]T, error) {
+// fetchList fetches a JSON list from a process's operators' address.
+func fetchList[T any](ctx context.Context, at, path string) ([]T, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	_, document, err := get(ctx, at, path)
 	if err != nil {
 		return nil, err
 	}
-	var entries []T
-	if err := json.Unmarshal(document, &entries); err != nil {
-		return nil, fmt.Errorf("reading the list of %s: %w", at, err)
+	var items []T
+	if err := json.Unmarshal(document, &items); err != nil {
+		return nil, fmt.Errorf("parsing the list of %s: %w", at, err)
 	}
-	return entries, nil
+	return items, nil
 }
--- a/pkg/ctl/status_test.go
+++ b/pkg/ctl/status_test.go
@@ -14,16 +14,16 @@
 	"quaydock/pkg/operators"
 )
 
-func TestStatusShowsWhatTargetsSay(t *testing.T) {
+func TestStatusShowsTargetAdvice(t *testing.T) {
 	scenarios := []struct {
 		name    string
-		told    []advisory.Report // nil where the process knows nothing of that
+		reports []advisory.Report // nil if the process does not serve the path
 		want    []string
 		without string
 	}{
 		{"a process without targets", nil, []string{" ready", `{"links":{}}`}, "own word"},
-		{"nothing said", []advisory.Report{}, []string{"no target leaves or rests"}, "in the list"},
-		{"some", []advisory.Report{
+		{"no advice", []advisory.Report{}, []string{"no target leaves or rests"}, "in the list"},
+		{"leaving and backed off", []advisory.Report{
 			{Target: "t1", Service: "s", Listed: "ready", Leaving: true}, {Target: "t2", Service: "s", Listed: "leaving", Leaving: true, Rest: 2500},
 		}, []string{"t1      s        ready        leaves", "t2      s        leaving      leaves, rests for 2.5 s"}, "no target"},
 	}
@@ -35,8 +35,8 @@
 					w.WriteHeader(http.StatusNoContent)
 				case r.URL.Path == operators.PathMetrics:
 					_, _ = w.Write([]byte(`{"links":{}}`))
-				case s.told != nil && r.URL.Path == operators.PathAdvice:
-					_ = json.NewEncoder(w).Encode(s.told)
+				case s.reports != nil && r.URL.Path == operators.PathAdvice:
+					_ = json.NewEncoder(w).Encode(s.reports)
 				default:
 					w.WriteHeader(http.StatusNotFound)
 				}
@@ -45,11 +45,11 @@
 			out := statusOf(t, server)
 			for _, text := range s.want {
 				if !strings.Contains(out, text) {
-					t.Errorf("%q is missing in\n%s", text, out)
+					t.Errorf("output lacks %q:\n%s", text, out)
 				}
 			}
 			if strings.Contains(out, s.without) {
-				t.Errorf("%q stands in\n%s", s.without, out)
+				t.Errorf("unexpected %q in output:\n%s", s.without, out)
 			}
 		})
 	}
@@ -58,13 +58,13 @@
 func TestStatusShowsFailureDomains(t *testing.T) {
 	scenarios := []struct {
 		name    string
-		told    []domains.Report
+		reports []domains.Report
 		want    string
 		without string
 	}{
 		{"drained", []domains.Report{{Domain: "d1", Drained: true, Targets: 17}}, "failure domain d1 is drained: its 17 targets", "cold"},
 		{"cold", []domains.Report{{Domain: "d2", Targets: 5, Cold: 3}}, "failure domain d2: 3 of 5 targets are cold", "drained"},
-		{"nothing", []domains.Report{{Domain: "d3", Targets: 4}}, "ready", "d3"},
+		{"neither drained nor cold", []domains.Report{{Domain: "d3", Targets: 4}}, "ready", "d3"},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -73,7 +73,7 @@
 				case operators.PathReady:
 					w.WriteHeader(http.StatusNoContent)
 				case operators.PathDomains:
-					_ = json.NewEncoder(w).Encode(s.told)
+					_ = json.NewEncoder(w).Encode(s.reports)
 				default:
 					w.WriteHeader(http.StatusNotFound)
 				}
@@ -81,13 +81,13 @@
 			defer server.Close()
 			out := statusOf(t, server)
 			if !strings.Contains(out, s.want) || strings.Contains(out, s.without) {
-				t.Errorf("%q is missing, or %q stands in\n%s", s.want, s.without, out)
+				t.Errorf("output lacks %q, or has unexpected %q:\n%s", s.want, s.without, out)
 			}
 		})
 	}
 }
 
-// statusOf is what quayctl shows of the status of a process.
+// statusOf returns the output of quayctl status for the process at server.
 func statusOf(t *testing.T, server *httptest.Server) string {
 	t.Helper()
 	var out, errs bytes.Buffer
