--- a/pkg/losses/losses.go
+++ b/pkg/losses/losses.go
@@ -1,5 +1,5 @@
-// Package losses adds up, from the logs of several processes, which requests were
-// lost or late, when and for what reason. It does no I/O.
+// Package losses extracts from the logs of several processes which requests were lost or answered late,
+// when and why, and counts them. Logs are passed in as parsed lines: only Plot writes a file.
 package losses
 
 import (
@@ -11,7 +11,7 @@
 	"quaydock/pkg/story"
 )
 
-// Messages and fields of the log lines that are read.
+// Messages and fields of the log lines that are evaluated.
 const (
 	messageRefused  = "request not answered"
 	messageAnswered = "request answered"
@@ -28,20 +28,20 @@
 	fieldBefore  = "before_ms"
 )
 
-// unknown stands for what a line does not tell.
+// unknown replaces a value that a line does not have.
 const unknown = "?"
 
-// latePrefix marks the causes of answers that came late.
+// latePrefix begins the causes of late answers.
 const latePrefix = "late: "
 
-// answeredKinds are the kinds of lines about answered requests: that some of them
-// were left out says nothing of losses.
-const answeredKinds = "answered"
+// answeredPrefix begins the kinds of log lines about answered requests. Suppressed lines of these kinds are
+// no losses, except those about late answers.
+const answeredPrefix = "answered"
 
-// Loss is one request that was lost or late, or several of which only the number
-// is known.
+// Loss is one lost or late request, or several of which only the number is known since their log lines were
+// suppressed.
 type Loss struct {
-	// At is when the request came to its entry.
+	// At is when the request arrived at its entry, or for suppressed lines when their summary was logged.
 	At      time.Time
 	Cause   string
 	Tier    string
@@ -49,19 +49,19 @@
 	Entry   ids.Process
 	Domain  ids.FailureDomain
 	Prompt  ids.Tokens
-	// CameBack says that it had been refused before.
+	// RefusedBefore tells whether the caller repeated a request that had been refused before.
 	CameBack bool
-	// Count is 1, or more if the lines were left out.
+	// Count is 1, or the number of suppressed lines.
 	Count int
 }
 
-// Find returns the losses that lines tell of, in the lines' order.
+// Find returns the losses found in lines, in the order of the lines.
 func Find(lines []story.Line) []Loss {
-	domains := domains(lines)
+	domains := processDomains(lines)
 	var list []Loss
 	for _, l := range lines {
 		entry := ids.Process(l.Text(story.FieldProcess))
-		for _, loss := range of(l) {
+		for _, loss := range lossesOf(l) {
 			loss.Entry = entry
 			loss.Domain = domains[entry]
 			if loss.Domain == "" {
@@ -73,8 +73,8 @@
 	return list
 }
 
-// domains are the failure domains of the processes, as they tell at their start.
-func domains(lines []story.Line) map[ids.Process]ids.FailureDomain {
+// processDomains returns the failure domain of each process, as logged at its start.
+func processDomains(lines []story.Line) map[ids.Process]ids.FailureDomain {
 	found := make(map[ids.Process]ids.FailureDomain)
 	for _, l := range lines {
 		if l.Text(story.FieldMessage) == messageStarted {
@@ -84,22 +84,22 @@
 	return found
 }
 
-func of(l story.Line) []Loss {
+func lossesOf(l story.Line) []Loss {
 	switch l.Text(story.FieldMessage) {
 	case messageRefused:
-		return []Loss{request(l, l.Text(fieldCause))}
+		return []Loss{requestLoss(l, l.Text(fieldCause))}
 	case messageAnswered:
 		if late := l.Text(fieldLate); late != "" {
-			return []Loss{request(l, latePrefix+late)}
+			return []Loss{requestLoss(l, latePrefix+late)}
 		}
 	case messageLeftOut:
-		return leftOut(l)
+		return suppressedLosses(l)
 	}
 	return nil
 }
 
-// request is the loss that the line of one request tells of.
-func request(l story.Line, cause string) Loss {
+// requestLoss returns the loss described by the log line of one request.
+func requestLoss(l story.Line, cause string) Loss {
 	held, _ := l.Number(fieldHeld)
 	prompt, _ := l.Number(fieldPrompt)
 	before, _ := l.Number(fieldBefore)
@@ -107,7 +107,7 @@
 		At: l.Time().Add(-time.Duration(held) * time.Millisecond), Cause: cause, Count: 1,
 		Account: l.Text(fieldAccount), Tier: unknown, Prompt: ids.Tokens(prompt), CameBack: before > 0,
 	}
-	if tier, told := l.Number(fieldTier); told {
+	if tier, present := l.Number(fieldTier); present {
 		loss.Tier = strconv.Itoa(int(tier))
 	}
 	if loss.Account == "" {
@@ -116,16 +116,16 @@
 	return loss
 }
 
-// leftOut are the losses whose lines were left out, by cause.
-func leftOut(l story.Line) []Loss {
+// suppressedLosses returns the losses whose log lines were suppressed, one for each cause.
+func suppressedLosses(l story.Line) []Loss {
 	var list []Loss
 	for _, name := range l.Names() {
-		n, told := l.Number(name)
-		if !told || strings.HasPrefix(name, answeredKinds) && !strings.HasSuffix(name, "late") {
+		n, present := l.Number(name)
+		if !present || strings.HasPrefix(name, answeredPrefix) && !strings.HasSuffix(name, "late") {
 			continue
 		}
 		cause := name
-		if strings.HasPrefix(name, answeredKinds) {
+		if strings.HasPrefix(name, answeredPrefix) {
 			cause = latePrefix + "not told"
 		}
 		list = append(list, Loss{At: l.Time(), Cause: cause, Tier: unknown, Account: unknown, Count: int(n)})
--- a/pkg/losses/losses_test.go
+++ b/pkg/losses/losses_test.go
@@ -36,7 +36,7 @@
 	return time.Date(2026, 5, 10, 10, 0, 0, ms*int(time.Millisecond), time.UTC)
 }
 
-func TestWhatIsLostAndWhy(t *testing.T) {
+func TestFindLosses(t *testing.T) {
 	want := []losses.Loss{
 		{At: at(2000), Cause: "Overloaded", Tier: "1", Account: "acme", Entry: "a", Domain: "north", Prompt: 100, Count: 1},
 		{At: at(2196), Cause: "Overloaded", Tier: "2", Account: "acme", Entry: "a", Domain: "north", Prompt: 50, CameBack: true, Count: 1},
@@ -45,7 +45,7 @@
 		{At: at(6000), Cause: "late: not told", Tier: "?", Account: "?", Entry: "b", Domain: "?", Count: 3},
 	}
 	if got := find(t); !reflect.DeepEqual(got, want) {
-		t.Errorf("found %+v\nwant  %+v", got, want)
+		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
 }
 
@@ -59,17 +59,17 @@
 		Counts: [][]int{{2, 0, 1}, {0, 0, 0}, {12, 3, 0}},
 	}
 	if !reflect.DeepEqual(table, want) {
-		t.Errorf("%+v\nwant %+v", table, want)
+		t.Errorf("got  %+v\nwant %+v", table, want)
 	}
 	if _, err := losses.Tabulate(find(t), time.Microsecond); err == nil {
-		t.Error("more windows than anyone can read")
+		t.Error("no error for more windows than the limit")
 	}
 	if empty, err := losses.Tabulate(nil, time.Second); err != nil || len(empty.Counts) != 0 {
-		t.Errorf("%+v, %v", empty, err)
+		t.Errorf("table of no losses: got %+v, error %v", empty, err)
 	}
 }
 
-func TestAPlotIsDrawn(t *testing.T) {
+func TestPlotNamesCausesAndTimes(t *testing.T) {
 	table, err := losses.Tabulate(find(t), 2*time.Second)
 	if err != nil {
 		t.Fatal(err)
@@ -84,11 +84,11 @@
 	}
 	for _, text := range append(table.Causes, "10:00:02") {
 		if !strings.Contains(string(drawn), text) {
-			t.Errorf("%q is not in the plot", text)
+			t.Errorf("plot lacks %q", text)
 		}
 	}
 	if err := losses.Plot(table, filepath.Join(t.TempDir(), "losses.doc")); err == nil {
-		t.Error("a plot of an unknown kind was drawn")
+		t.Error("no error for an unknown file extension")
 	}
 }
 
--- a/pkg/losses/plot.go
+++ b/pkg/losses/plot.go
@@ -10,26 +10,26 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of a plot.
+// Dimensions of a plot.
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 12 * vg.Centimeter
-	// barPart is the part of a window's width that its bar takes.
-	barPart = 0.8
-	// mostLabels is how many windows have a label below their bars.
-	mostLabels = 12
-	// mostColours is how many causes have colours of their own.
-	mostColours = 12
+	// barFraction is the fraction of a window's width that its bar takes.
+	barFraction = 0.8
+	// maxLabels is the maximum number of time labels on the x axis.
+	maxLabels = 12
+	// paletteSize is the number of colours; with more causes the colours repeat.
+	paletteSize = 12
 )
 
-// Plot draws a table as stacked bars, a colour a cause, into a file; the ending of
-// its name says whether as svg, png or pdf.
+// Plot draws a table as stacked bars, one colour for each cause, into the file at path. The extension selects
+// the format: svg, png or pdf.
 func Plot(t *Table, path string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("requests lost or late, by %v in which they came", t.Window)
 	p.Y.Label.Text = "requests"
 	p.Legend.Top = true
-	if err := stack(p, t); err != nil {
+	if err := addBars(p, t); err != nil {
 		return err
 	}
 	p.X.Tick.Marker = plot.ConstantTicks(t.ticks())
@@ -39,15 +39,15 @@
 	return nil
 }
 
-// stack adds the bars of each cause upon those of the one before.
-func stack(p *plot.Plot, t *Table) error {
-	palette, err := brewer.GetPalette(brewer.TypeQualitative, "Paired", mostColours)
+// addBars adds the bars of each cause, stacked on those of the cause before.
+func addBars(p *plot.Plot, t *Table) error {
+	palette, err := brewer.GetPalette(brewer.TypeQualitative, "Paired", paletteSize)
 	if err != nil {
-		return fmt.Errorf("colours: %w", err)
+		return fmt.Errorf("loading the colour palette: %w", err)
 	}
 	colours := palette.Colors()
-	width := barPart * plotWidth / vg.Length(len(t.Counts)+1)
-	var below *plotter.BarChart
+	width := barFraction * plotWidth / vg.Length(len(t.Counts)+1)
+	var previous *plotter.BarChart
 	for c, cause := range t.Causes {
 		values := make(plotter.Values, len(t.Counts))
 		for i, row := range t.Counts {
@@ -55,14 +55,14 @@
 		}
 		bars, err := plotter.NewBarChart(values, width)
 		if err != nil {
-			return fmt.Errorf("bars of %q: %w", cause, err)
+			return fmt.Errorf("drawing the bars of %q: %w", cause, err)
 		}
 		bars.Color = colours[c%len(colours)]
 		bars.LineStyle.Width = 0
-		if below != nil {
-			bars.StackOn(below)
+		if previous != nil {
+			bars.StackOn(previous)
 		}
-		below = bars
+		previous = bars
 		p.Add(bars)
 		p.Legend.Add(cause, bars)
 	}
@@ -70,7 +70,7 @@
 }
 
 func (t *Table) ticks() []plot.Tick {
-	step := len(t.Counts)/mostLabels + 1
+	step := len(t.Counts)/maxLabels + 1
 	var ticks []plot.Tick
 	for i := 0; i < len(t.Counts); i += step {
 		at := t.Began.Add(time.Duration(i) * t.Window)
--- a/pkg/losses/table.go
+++ b/pkg/losses/table.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// Table counts losses by window of time and cause.
+// Table holds the number of losses for each time window and cause.
 type Table struct {
 	Began  time.Time
 	Window time.Duration
 	Causes []string // the most frequent first
-	// Counts has a row for each window, and in it a number for each cause.
+	// Counts is indexed by window, then by cause as in Causes.
 	Counts [][]int
 }
 
-// mostWindows bounds a table: lines whose clocks are far apart make no sense
-// beside one another.
-const mostWindows = 10_000
+// maxWindows limits the size of a table: logs whose clocks differ by that much can't usefully be shown in
+// one table.
+const maxWindows = 10_000
 
-// Tabulate counts losses by window.
+// Tabulate counts losses by time window and cause. It fails if they span more than 10,000 windows.
 func Tabulate(list []Loss, window time.Duration) (*Table, error) {
 	t := &Table{Window: window}
 	if len(list) == 0 {
@@ -39,10 +39,10 @@
 	}
 	t.Began = t.Began.Truncate(window)
 	n := int(last.Sub(t.Began)/window) + 1
-	if n > mostWindows {
-		return nil, fmt.Errorf("the losses lie %v apart, which is more than %d windows of %v", last.Sub(t.Began), mostWindows, window)
+	if n > maxWindows {
+		return nil, fmt.Errorf("the losses span %v, more than %d windows of %v", last.Sub(t.Began), maxWindows, window)
 	}
-	t.Causes = frequent(list, func(l Loss) string { return l.Cause })
+	t.Causes = byFrequency(list, func(l Loss) string { return l.Cause })
 	t.Counts = make([][]int, n)
 	for i := range t.Counts {
 		t.Counts[i] = make([]int, len(t.Causes))
@@ -53,32 +53,32 @@
 	return t, nil
 }
 
-// sum is the losses of one kind.
-type sum struct {
-	count, back int
-	prompt      int64
+// subtotal adds up the losses that share one value of a grouping.
+type subtotal struct {
+	count, refusedBefore int
+	promptTokens         int64
 }
 
-func sums(list []Loss, kind func(Loss) string) map[string]*sum {
-	found := make(map[string]*sum)
+func subtotals(list []Loss, key func(Loss) string) map[string]*subtotal {
+	found := make(map[string]*subtotal)
 	for _, l := range list {
-		s := found[kind(l)]
+		s := found[key(l)]
 		if s == nil {
-			s = &sum{}
-			found[kind(l)] = s
+			s = &subtotal{}
+			found[key(l)] = s
 		}
 		s.count += l.Count
-		s.prompt += int64(l.Prompt)
+		s.promptTokens += int64(l.Prompt)
 		if l.CameBack {
-			s.back++
+			s.refusedBefore++
 		}
 	}
 	return found
 }
 
-// frequent lists the kinds of losses, the most frequent first.
-func frequent(list []Loss, kind func(Loss) string) []string {
-	found := sums(list, kind)
+// byFrequency returns the distinct keys of losses, the most frequent first.
+func byFrequency(list []Loss, key func(Loss) string) []string {
+	found := subtotals(list, key)
 	var names []string
 	for name := range found {
 		names = append(names, name)
@@ -92,10 +92,10 @@
 	return names
 }
 
-// views are the ways in which losses are added up.
-var views = []struct {
+// groupings are the properties by which Write adds losses up.
+var groupings = []struct {
 	title string
-	kind  func(Loss) string
+	key   func(Loss) string
 }{
 	{"cause", func(l Loss) string { return l.Cause }},
 	{"tier", func(l Loss) string { return l.Tier }},
@@ -104,16 +104,16 @@
 	{"failure domain", func(l Loss) string { return string(l.Domain) }},
 }
 
-// Write writes the losses as text: added up by cause, tier, account, entry and
-// failure domain, then by window and cause.
+// Write writes the losses as text tables: the totals by cause, tier, account, entry and failure domain, then
+// the counts by window and cause.
 func Write(to io.Writer, list []Loss, table *Table) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
-	for _, v := range views {
-		_, _ = fmt.Fprintf(w, "%s\trequests\tcame back\tprompt tokens\n", v.title) // Flush tells of errors
-		found := sums(list, v.kind)
-		for _, name := range frequent(list, v.kind) {
+	for _, g := range groupings {
+		_, _ = fmt.Fprintf(w, "%s\trequests\tcame back\tprompt tokens\n", g.title) // Flush returns write errors
+		found := subtotals(list, g.key)
+		for _, name := range byFrequency(list, g.key) {
 			s := found[name]
-			_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%d\n", name, s.count, s.back, s.prompt)
+			_, _ = fmt.Fprintf(w, "%s\t%d\t%d\t%d\n", name, s.count, s.refusedBefore, s.promptTokens)
 		}
 		_, _ = fmt.Fprintln(w)
 	}
