--- a/pkg/story/story.go
+++ b/pkg/story/story.go
@@ -1,5 +1,5 @@
-// Package story puts together, from the logs of several processes, what became
-// of one request. It does no I/O.
+// Package story assembles the timeline of one request from the logs of several processes. It opens no files:
+// logs are read from an io.Reader.
 package story
 
 import (
@@ -13,16 +13,16 @@
 	"time"
 )
 
-// Line is one log line.
+// Line is one parsed log line.
 type Line struct {
-	// Prefix is what stands before the JSON, as a collector's time and name.
+	// Prefix is the text before the JSON, such as the time and process name that a log collector adds.
 	Prefix string
 	Fields map[string]any
 	time   time.Time
-	order  int
+	index  int
 }
 
-// Fields of all lines: the process that wrote it, and what it says.
+// Fields that all lines have: the process that wrote the line, and its message.
 const (
 	FieldProcess = "process"
 	FieldMessage = "msg"
@@ -35,30 +35,30 @@
 	fieldTime    = "time"
 )
 
-// Time is when the line was written; zero if it does not tell.
+// Time returns when the line was written, or the zero time if the line has none.
 func (l *Line) Time() time.Time { return l.time }
 
-// Text is a field's text; empty if it has none.
+// Text returns a field's string value, or "" if there is none.
 func (l *Line) Text(field string) string {
 	text, _ := l.Fields[field].(string)
 	return text
 }
 
-// Number is a field's number, if it has one.
+// Number returns a field's numeric value and whether there is one.
 func (l *Line) Number(field string) (float64, bool) {
 	n, ok := l.Fields[field].(float64)
 	return n, ok
 }
 
-// Names lists the fields in order.
+// Names returns the names of the fields, sorted.
 func (l *Line) Names() []string {
 	return slices.Sorted(maps.Keys(l.Fields))
 }
 
-// maxLine bounds one log line.
+// maxLine is the maximum length of a log line in bytes. Read fails on a longer one.
 const maxLine = 1 << 20
 
-// Read reads log lines; what is no log line is passed over.
+// Read parses log lines and skips lines without a JSON object or a message.
 func Read(from io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(from)
@@ -72,9 +72,9 @@
 		if json.Unmarshal([]byte("{"+object), &fields) != nil || fields[FieldMessage] == nil {
 			continue
 		}
-		line := Line{Prefix: strings.TrimSpace(prefix), Fields: fields, order: len(lines)}
+		line := Line{Prefix: strings.TrimSpace(prefix), Fields: fields, index: len(lines)}
 		if text, ok := fields[fieldTime].(string); ok {
-			// A line without a time keeps its place in its file.
+			// A line whose time can't be parsed has the zero time. Lines with equal times stay in the order of the file.
 			line.time, _ = time.Parse(time.RFC3339, text)
 		}
 		lines = append(lines, line)
@@ -85,13 +85,12 @@
 	return lines, nil
 }
 
-// around is how long before and after a request's own lines others may explain
-// it.
-const around = 5 * time.Second
+// contextWindow is how far, in time, a line may be from a request's own lines to be included as context.
+const contextWindow = 5 * time.Second
 
-// Of returns the lines of a request and those that may explain it, in order:
-// what its process came to believe around that time, and what any process wrote
-// of the targets that it was sent to.
+// ForRequest returns the log lines of a request and those that may explain its outcome, sorted by time. The
+// latter belong to no request and were written within 5 s of its own lines: by any process about a target that it was sent
+// to, or by one of its own processes without naming a target.
 func Of(request string, lines []Line) []Line {
 	var own []Line
 	targets := make(map[string]bool)
@@ -102,29 +101,29 @@
 		}
 		own = append(own, l)
 		processes[l.Fields[FieldProcess]] = true
-		for _, t := range list(l.Fields[fieldTargets]) {
+		for _, t := range textList(l.Fields[fieldTargets]) {
 			targets[t] = true
 		}
 	}
 	if len(own) == 0 {
 		return nil
 	}
-	chosen := own
+	selected := own
 	for _, l := range lines {
-		if l.Fields[fieldRequest] == nil && near(l, own) && explains(l, targets, processes) {
-			chosen = append(chosen, l)
+		if l.Fields[fieldRequest] == nil && withinWindow(l, own) && mayExplain(l, targets, processes) {
+			selected = append(selected, l)
 		}
 	}
-	slices.SortStableFunc(chosen, func(a, b Line) int {
+	slices.SortStableFunc(selected, func(a, b Line) int {
 		if c := a.time.Compare(b.time); c != 0 {
 			return c
 		}
-		return a.order - b.order
+		return a.index - b.index
 	})
-	return chosen
+	return selected
 }
 
-func list(field any) []string {
+func textList(field any) []string {
 	var texts []string
 	values, _ := field.([]any)
 	for _, v := range values {
@@ -135,23 +134,23 @@
 	return texts
 }
 
-func near(l Line, own []Line) bool {
+func withinWindow(l Line, own []Line) bool {
 	for _, o := range own {
-		if l.time.Sub(o.time).Abs() <= around {
+		if l.time.Sub(o.time).Abs() <= contextWindow {
 			return true
 		}
 	}
 	return false
 }
 
-func explains(l Line, targets map[string]bool, processes map[any]bool) bool {
+func mayExplain(l Line, targets map[string]bool, processes map[any]bool) bool {
 	if target, ok := l.Fields[fieldTarget].(string); ok {
 		return targets[target]
 	}
 	return processes[l.Fields[FieldProcess]]
 }
 
-// String writes a line for reading: time, process, message, then the fields.
+// String formats a line for people: prefix, time, process and message, then each other field on a line of its own.
 func (l Line) String() string {
 	var b strings.Builder
 	if l.Prefix != "" {
--- a/pkg/story/story_test.go
+++ b/pkg/story/story_test.go
@@ -18,7 +18,7 @@
   9.0 front-a {"msg":"configuration in force","process":"front-a","revision":8,"time":"2026-05-10T10:01:00Z"}
 `
 
-func TestTheStoryOfARequest(t *testing.T) {
+func TestRequestTimeline(t *testing.T) {
 	lines, err := story.Read(strings.NewReader(logs))
 	if err != nil {
 		t.Fatal(err)
@@ -32,12 +32,13 @@
 		t.Errorf("got %q", strings.Join(got, ", "))
 	}
 	if len(story.Of("r3", lines)) != 0 {
-		t.Error("a story of an unknown request")
+		t.Error("got lines for an unknown request")
 	}
 }
 
-// TestTheStoryOfACutAnswer: from a request's id to who ended its answer, and to what became of the search for another target.
-func TestTheStoryOfACutAnswer(t *testing.T) {
+// TestTimelineOfBrokenOffAnswer checks that a request's id is enough to find who ended its answer and how the search
+// for another target ended, without lines of other requests.
+func TestTimelineOfBrokenOffAnswer(t *testing.T) {
 	const text = `{"msg":"target listed","process":"front-b","target":"t1","time":"2026-05-10T10:00:00Z"}
 {"msg":"another target was looked for, as one was silent","outcome":"Failed","process":"front-a","request":"r1","silence_ms":1000,"target":"t1","time":"2026-05-10T10:00:02Z"}
 {"msg":"request not answered","begun":true,"cause":"Lost","process":"front-a","request":"r1","targets":["t1","t2"],"time":"2026-05-10T10:00:03Z"}
