--- a/pkg/capacity/page.go
+++ b/pkg/capacity/page.go
@@ -8,18 +8,17 @@
 	"github.com/juju/errors"
 )
 
-// PathCosts are the costs of the request path, measured with separate
-// processes by scripts/capacity.
+// PathCosts are the costs of the request path, as measured by scripts/capacity with separate processes.
 type PathCosts struct {
-	// EntryRequest and AgentRequest are microseconds of processor time a
-	// request; EntryToken and AgentToken a streamed token.
+	// EntryRequest and AgentRequest are CPU time per request, EntryToken and AgentToken per streamed token,
+	// all in microseconds.
 	EntryRequest, AgentRequest float64
 	EntryToken, AgentToken     float64
-	// EntryWaiting is the bytes of a waiting request at its entry.
+	// EntryWaiting is the memory of a waiting request at its entry, in bytes.
 	EntryWaiting float64
 }
 
-// Measured is all that the page is made of.
+// Measured holds all measurements that the tables of the page are made from.
 type Measured struct {
 	Path     PathCosts
 	Choose   Slope
@@ -29,20 +28,20 @@
 	Book     Slope
 	BookSent Slope
 	BookTime Slope
-	Change   float64 // bytes
+	Change   float64 // bytes of the change of one target as sent
 	Sessions sessionCosts
 }
 
-// Measure takes all slopes. It takes about a minute.
+// Measure measures all slopes. It takes about a minute.
 func Measure(path PathCosts) (Measured, error) {
 	sessions, err := measureSessions()
 	if err != nil {
-		return Measured{}, fmt.Errorf("sessions: %w", err)
+		return Measured{}, fmt.Errorf("measuring sessions: %w", err)
 	}
 	return Measured{
 		Path: path, Sessions: sessions,
 		Choose: chooseSlope(), Decide: decideSlope(), Tickets: ticketSlope(), Fates: fateSlope(),
-		Book: bookMemorySlope(), BookSent: bookBytesSlope(), BookTime: bookTimeSlope(), Change: changeBytes(),
+		Book: indexMemorySlope(), BookSent: indexBytesSlope(), BookTime: indexTimeSlope(), Change: changeBytes(),
 	}, nil
 }
 
@@ -51,7 +50,7 @@
 	endMark   = "<!-- measured: end -->"
 )
 
-// Rewrite puts the tables of m between the marks of the page at path.
+// Rewrite replaces the text between the begin and end marks of the page at path by the tables of m.
 func Rewrite(path string, m Measured) error {
 	page, err := os.ReadFile(path)
 	if err != nil {
@@ -72,7 +71,7 @@
 	return nil
 }
 
-// tables are the measured part of the page.
+// tables returns the measured part of the page as Markdown.
 func (m Measured) tables(size TargetSize) string {
 	return m.fleetTable(size) + "\n" + m.roleTables(size) + "\n" + m.slopeTable()
 }
--- a/pkg/capacity/roles.go
+++ b/pkg/capacity/roles.go
@@ -6,31 +6,31 @@
 )
 
 const (
-	kilobyte      = 1000.0
-	megabyte      = 1e6
-	noticeSeconds = 30.0 // entry.noticeWait
-	pollSeconds   = 2.0  // settings platform.poll_ms
-	tableReads    = 2000.0
-	// frameBytes are the TCP and IP headers of one packet, which a message and
-	// its reply each take; acknowledgements ride along.
-	frameBytes = 2 * 40
-	percent    = 100
-	nanosecond = 1e-9
-	microsec   = 1e-6
-	ticketsOut = 2 // settings entry.tickets_per_request
+	kilobyte            = 1000.0
+	megabyte            = 1e6
+	noticeWaitSeconds   = 30.0   // entry.noticeWait
+	pollIntervalSeconds = 2.0    // settings platform.poll_ms
+	maxTableReads       = 2000.0 // per second, for all uses
+	// headerBytes are the TCP and IP headers of a message and of its reply, one packet each. Acknowledgements are
+	// sent with them.
+	headerBytes       = 2 * 40
+	percent           = 100
+	nanosecond        = 1e-9
+	microsecond       = 1e-6
+	ticketsPerRequest = 2 // settings entry.tickets_per_request
 )
 
-// idleSession is the bytes a second of a session on which nothing waits.
+// idleSession returns the traffic of a session without waiting tickets, in bytes per second.
 func (m Measured) idleSession() float64 {
-	return (m.Sessions.Notices + frameBytes) / noticeSeconds
+	return (m.Sessions.Notices + headerBytes) / noticeWaitSeconds
 }
 
-// fleetTable lists what grows with the whole fleet in a single node.
+// fleetTable lists the costs of a single VM that grow with the size of the whole deployment.
 func (m Measured) fleetTable(t TargetSize) string {
 	engines := float64(t.Engines)
 	processes := engines + float64(t.Nodes)
 	perSession := m.Sessions.Memory.Each / 2
-	reads := processes * (1/pollSeconds + t.ChangesPerSecond())
+	reads := processes * (1/pollIntervalSeconds + t.ChangesPerSecond())
 	var b strings.Builder
 	b.WriteString("## What grows with the whole fleet in a single node\n\n")
 	b.WriteString("| what | at the users' size | budget | breaks at | what replaces it |\n| --- | --- | --- | --- | --- |\n")
@@ -44,21 +44,21 @@
 	row("| each change goes to each process (a row a change) | %.2f KB/s | %.0f KB/s | not with the fleet: at %.0f changes a day | none needed |\n",
 		m.Change*t.ChangesPerSecond()/kilobyte, t.ControlBytes/kilobyte, t.ControlBytes/m.Change*secondsPerDay)
 	row("| polls of the head by each process | %.2f KB/s | %.0f KB/s | not with the fleet | push along the sessions |\n",
-		(m.Sessions.Poll+frameBytes)/pollSeconds/kilobyte, t.ControlBytes/kilobyte)
+		(m.Sessions.Poll+headerBytes)/pollIntervalSeconds/kilobyte, t.ControlBytes/kilobyte)
 	row("| the snapshot that a new process reads | %.1f MB | | | a process holds what it serves |\n", m.BookSent.At(engines)/megabyte)
 	row("| reading a change | %.2f %% of a core | %.1f %% | %.0f targets | the same |\n",
 		m.BookTime.At(engines)*nanosecond*t.ChangesPerSecond()*percent, t.ControlCore*percent, t.ControlCore/(m.BookTime.Each*nanosecond*t.ChangesPerSecond()))
 	row("| every process polls the table | %.0f reads/s | about %.0f for all uses | %.0f processes | one poller for each failure domain, the rest by push |\n",
-		reads, tableReads, tableReads/(1/pollSeconds+t.ChangesPerSecond()))
+		reads, maxTableReads, maxTableReads/(1/pollIntervalSeconds+t.ChangesPerSecond()))
 	row("| the configuration itself, memory | %.1f MB | %.0f MB | not within the size | none needed |\n",
 		m.Book.At(engines)/megabyte, t.ControlMB)
 	perModel := engines / float64(t.Models)
 	row("| ordering the targets of a service for one request | %.0f µs for %.0f, %.0f µs for all %d | | | only a sample is drawn from the subset |\n",
-		m.Choose.At(perModel)*nanosecond/microsec, perModel, m.Choose.At(engines)*nanosecond/microsec, t.Engines)
+		m.Choose.At(perModel)*nanosecond/microsecond, perModel, m.Choose.At(engines)*nanosecond/microsecond, t.Engines)
 	return b.String()
 }
 
-// roleTables give state, messages, processor time and memory of each role.
+// roleTables returns the tables of messages, CPU time and memory of each role.
 func (m Measured) roleTables(t TargetSize) string {
 	return m.entryTable(t) + "\n" + m.agentTable(t) + "\n" + m.platformTable(t)
 }
@@ -67,33 +67,33 @@
 
 func (m Measured) entryTable(t TargetSize) string {
 	requests, tokens := t.EntryRequests(), t.EntryTokens()
-	ticketBytes := m.Sessions.Tickets.Each * ticketsOut
+	ticketBytes := m.Sessions.Tickets.Each * ticketsPerRequest
 	var b strings.Builder
 	fmt.Fprintf(&b, "## An entry: %.0f requests/s, %.0f tokens/s\n\n%s", requests, tokens, roleHead)
 	row := func(what, mechanism, format string, args ...any) {
 		fmt.Fprintf(&b, "| %s | %s | %s |\n", what, fmt.Sprintf(format, args...), mechanism)
 	}
-	row("processor, requests", "admission, tickets, one exchange a request", "%.1f %% of a core (%.0f µs each)", requests*m.Path.EntryRequest*microsec*percent, m.Path.EntryRequest)
-	row("processor, tokens", "relay of whole events", "%.1f %% of a core (%.1f µs each)", tokens*m.Path.EntryToken*microsec*percent, m.Path.EntryToken)
-	row("messages, tickets", "batched Place calls; part of the request path, not of the control budget", "%.1f KB/s (%.0f bytes a request with %d tickets)", requests*ticketBytes/kilobyte, ticketBytes, ticketsOut)
+	row("processor, requests", "admission, tickets, one exchange a request", "%.1f %% of a core (%.0f µs each)", requests*m.Path.EntryRequest*microsecond*percent, m.Path.EntryRequest)
+	row("processor, tokens", "relay of whole events", "%.1f %% of a core (%.1f µs each)", tokens*m.Path.EntryToken*microsecond*percent, m.Path.EntryToken)
+	row("messages, tickets", "batched Place calls; part of the request path, not of the control budget", "%.1f KB/s (%.0f bytes a request with %d tickets)", requests*ticketBytes/kilobyte, ticketBytes, ticketsPerRequest)
 	row("memory, waiting requests", "one goroutine and one connection each", "%.0f KB each; 256 MB hold %.0f", m.Path.EntryWaiting/kilobyte, t.ControlMB*megabyte/max(m.Path.EntryWaiting, 1))
 	row("memory, sessions", "one net/rpc connection a target", "%.1f KB each", m.Sessions.Memory.Each/2/kilobyte)
 	return b.String()
 }
 
 func (m Measured) agentTable(t TargetSize) string {
-	const rememberSeconds = 30
+	const fateRetentionSeconds = 30
 	requests, tokens := t.AgentRequests(), t.AgentTokens()
 	var b strings.Builder
 	fmt.Fprintf(&b, "## An agent: %.0f requests/s, %.0f tokens/s\n\n%s", requests, tokens, roleHead)
 	row := func(what, mechanism, format string, args ...any) {
 		fmt.Fprintf(&b, "| %s | %s | %s |\n", what, fmt.Sprintf(format, args...), mechanism)
 	}
-	row("processor, requests", "gate, one exchange with the target", "%.2f %% of a core (%.0f µs each)", requests*m.Path.AgentRequest*microsec*percent, m.Path.AgentRequest)
-	row("processor, tokens", "bounded answer log", "%.1f %% of a core (%.1f µs each)", tokens*m.Path.AgentToken*microsec*percent, m.Path.AgentToken)
-	row("decision on a ticket", "heaps by tier, account, deadline", "%.1f µs with 1,000 waiting", m.Decide.At(1000)*nanosecond/microsec)
+	row("processor, requests", "gate, one exchange with the target", "%.2f %% of a core (%.0f µs each)", requests*m.Path.AgentRequest*microsecond*percent, m.Path.AgentRequest)
+	row("processor, tokens", "bounded answer log", "%.1f %% of a core (%.1f µs each)", tokens*m.Path.AgentToken*microsecond*percent, m.Path.AgentToken)
+	row("decision on a ticket", "heaps by tier, account, deadline", "%.1f µs with 1,000 waiting", m.Decide.At(1000)*nanosecond/microsecond)
 	row("memory, tickets", "no goroutine a ticket", "%.0f bytes each", m.Tickets.Each)
-	row("memory, fates of grants", "kept for 30 s", "%.2f MB (%.0f bytes each)", requests*rememberSeconds*m.Fates.Each/megabyte, m.Fates.Each)
+	row("memory, fates of grants", "kept for 30 s", "%.2f MB (%.0f bytes each)", requests*fateRetentionSeconds*m.Fates.Each/megabyte, m.Fates.Each)
 	row("memory, answers kept for a resume", "bounded by bytes", "16 MB at most, and 256 KB for each answer under way")
 	return b.String()
 }
@@ -102,7 +102,7 @@
 	processes := float64(t.Engines + t.Nodes)
 	var b strings.Builder
 	b.WriteString("## The platform's table\n\n" + roleHead)
-	fmt.Fprintf(&b, "| reads | %.0f/s for polls, %.0f/s for changes | every process polls the head every 2 s |\n", processes/pollSeconds, processes*t.ChangesPerSecond())
+	fmt.Fprintf(&b, "| reads | %.0f/s for polls, %.0f/s for changes | every process polls the head every 2 s |\n", processes/pollIntervalSeconds, processes*t.ChangesPerSecond())
 	fmt.Fprintf(&b, "| writes | %.2f/s for changes | one transaction a change, conditional on the head |\n", t.ChangesPerSecond())
 	return b.String()
 }
--- a/pkg/capacity/sessions.go
+++ b/pkg/capacity/sessions.go
@@ -16,7 +16,7 @@
 	"quaydock/pkg/testbed"
 )
 
-// countingConn counts the bytes of a connection, both ways.
+// countingConn counts the bytes of a connection in both directions.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -34,28 +34,28 @@
 	return n, err
 }
 
-// sessionCosts are what sessions between entries and an agent cost.
+// sessionCosts are the costs of sessions between entries and an agent.
 type sessionCosts struct {
-	// Notices is the bytes of one empty Notices call and its reply.
+	// Notices is the size of an empty Notices call with its reply, in bytes.
 	Notices float64
-	// Tickets is the bytes of a Place call and its reply, by tickets.
+	// Tickets is the size of a Place call with its reply, in bytes by number of tickets.
 	Tickets Slope
-	// Memory is heap and stacks of both sides, by sessions.
+	// Memory is the heap and stacks of both sides together, in bytes by number of sessions.
 	Memory Slope
-	// Poll is the bytes of a look at the head row and its answer.
+	// Poll is the size of a read of the head row with its answer, in bytes.
 	Poll float64
 }
 
-// measureSessions runs a real agent on an in-memory network.
+// measureSessions measures the sessions of a real agent on an in-memory network.
 func measureSessions() (sessionCosts, error) {
 	bed, err := testbed.Start(testbed.Options{
 		Engines: []settings.EngineStandIn{{Model: testbed.Model}}, Slots: 1,
 	})
 	if err != nil {
-		return sessionCosts{}, fmt.Errorf("starting the bed: %w", err)
+		return sessionCosts{}, fmt.Errorf("starting the test bed: %w", err)
 	}
 	defer bed.Close()
-	time.Sleep(time.Second) // the agent takes its configuration
+	time.Sleep(time.Second) // until the agent has its configuration
 	var costs sessionCosts
 	if costs.Notices, costs.Tickets, err = measureMessages(bed.Network); err != nil {
 		return sessionCosts{}, err
@@ -67,13 +67,13 @@
 	return costs, err
 }
 
-// countingNetwork counts the bytes of the connections that it makes.
+// countingNetwork counts the bytes of the connections that it dials.
 type countingNetwork struct {
 	network.Network
 	bytes *atomic.Int64
 }
 
-// Dial connects to address and counts.
+// Dial connects to address and counts the bytes of the connection.
 func (n countingNetwork) Dial(ctx context.Context, address string) (net.Conn, error) {
 	conn, err := n.Network.Dial(ctx, address)
 	if err != nil {
@@ -82,31 +82,31 @@
 	return countingConn{Conn: conn, bytes: n.bytes}, nil
 }
 
-func measurePoll(reach network.Network) (float64, error) {
+func measurePoll(inner network.Network) (float64, error) {
 	var count atomic.Int64
 	const timeout = 5 * clock.Second
-	rows := table.NewTable(countingNetwork{reach, &count}, "http://"+testbed.TableAddress, timeout)
+	rows := table.NewTable(countingNetwork{inner, &count}, "http://"+testbed.TableAddress, timeout)
 	defer rows.Close()
 	const polls = 20
 	for range polls {
 		if _, err := rows.Read(context.Background(), table.KeyHead); err != nil {
-			return 0, fmt.Errorf("polling: %w", err)
+			return 0, fmt.Errorf("polling the head row: %w", err)
 		}
 	}
 	return float64(count.Load()) / polls, nil
 }
 
-func dial(reach network.Network, count *atomic.Int64) (*control.Client, error) {
-	conn, err := reach.Dial(context.Background(), testbed.ControlAddress(0))
+func dial(inner network.Network, count *atomic.Int64) (*control.Client, error) {
+	conn, err := inner.Dial(context.Background(), testbed.ControlAddress(0))
 	if err != nil {
 		return nil, fmt.Errorf("dialling the agent: %w", err)
 	}
 	return control.NewClient(countingConn{Conn: conn, bytes: count}), nil
 }
 
-func measureMessages(reach network.Network) (notices float64, tickets Slope, err error) {
+func measureMessages(inner network.Network) (notices float64, tickets Slope, err error) {
 	var count atomic.Int64
-	client, err := dial(reach, &count)
+	client, err := dial(inner, &count)
 	if err != nil {
 		return 0, Slope{}, err
 	}
@@ -127,7 +127,7 @@
 	}
 	costOf := func(call func(int) error, n int) float64 {
 		if err == nil {
-			err = call(n) // the first call also sends the types
+			err = call(n) // the first call also sends gob type descriptions and isn't counted
 		}
 		before := count.Load()
 		const calls = 20
@@ -145,10 +145,10 @@
 	return notices, tickets, err
 }
 
-func measureSessionMemory(reach network.Network) (Slope, error) {
+func measureSessionMemory(inner network.Network) (Slope, error) {
 	var failure error
 	slope := sweep("memory of sessions, both sides together", "bytes", []int{50, 200, 800}, func(n int) float64 {
-		cost, err := sessionMemory(reach, n)
+		cost, err := sessionMemory(inner, n)
 		if err != nil {
 			failure = err
 		}
@@ -157,35 +157,35 @@
 	return slope, failure
 }
 
-func sessionMemory(reach network.Network, n int) (float64, error) {
-	before := inUse()
+func sessionMemory(inner network.Network, n int) (float64, error) {
+	before := memoryInUse()
 	var count atomic.Int64
 	var clients []*control.Client
 	defer func() {
 		for _, c := range clients {
 			c.Close()
 		}
-		time.Sleep(200 * time.Millisecond) // the agent drops the sessions
+		time.Sleep(200 * time.Millisecond) // until the agent has dropped the sessions
 	}()
 	for range n {
-		client, err := dial(reach, &count)
+		client, err := dial(inner, &count)
 		if err != nil {
 			return 0, err
 		}
 		clients = append(clients, client)
 		if _, err := client.Place(context.Background(), &control.PlaceArgs{}); err != nil {
-			return 0, fmt.Errorf("greeting the agent: %w", err)
+			return 0, fmt.Errorf("calling Place on the agent: %w", err)
 		}
 		go func() {
-			// Ends with the connection.
+			// Returns when the connection is closed.
 			_, _ = client.Notices(context.Background(), &control.NoticeArgs{Wait: 30_000})
 		}()
 	}
-	time.Sleep(200 * time.Millisecond) // the calls are under way
-	return inUse() - before, nil
+	time.Sleep(200 * time.Millisecond) // until all calls are running
+	return memoryInUse() - before, nil
 }
 
-func inUse() float64 {
+func memoryInUse() float64 {
 	var stats runtime.MemStats
 	runtime.GC()
 	runtime.GC()
--- a/pkg/capacity/slopes.go
+++ b/pkg/capacity/slopes.go
@@ -21,25 +21,25 @@
 	"quaydock/pkg/invariant"
 )
 
-// Point is one measurement: a cost at a size.
+// Point is one measurement: the cost at one size.
 type Point struct {
 	Size float64
 	Cost float64
 }
 
-// Slope is a straight line through points, by least squares.
+// Slope is a straight line fitted to points by least squares.
 type Slope struct {
 	Name   string
 	Unit   string
 	Points []Point
-	// Base and Each give cost = Base + Each × size; Fit is R².
+	// The line is cost = Base + PerUnit × size. RSquared is its coefficient of determination.
 	Base, Each, Fit float64
 }
 
-// At returns the cost at a size, by the line.
+// At returns the cost at a size according to the line.
 func (s Slope) At(size float64) float64 { return s.Base + s.Each*size }
 
-func fit(name, unit string, points []Point) Slope {
+func fitLine(name, unit string, points []Point) Slope {
 	var sizes, costs []float64
 	for _, p := range points {
 		sizes = append(sizes, p.Size)
@@ -52,16 +52,16 @@
 	}
 }
 
-// sweep measures cost at each size.
+// sweep measures the cost at each size and fits a line.
 func sweep(name, unit string, sizes []int, cost func(size int) float64) Slope {
 	var points []Point
 	for _, n := range sizes {
 		points = append(points, Point{Size: float64(n), Cost: cost(n)})
 	}
-	return fit(name, unit, points)
+	return fitLine(name, unit, points)
 }
 
-// nanoseconds times one operation.
+// nanoseconds returns the mean time of one operation.
 func nanoseconds(operation func()) float64 {
 	r := testing.Benchmark(func(b *testing.B) {
 		for b.Loop() {
@@ -71,22 +71,22 @@
 	return float64(r.T.Nanoseconds()) / float64(r.N)
 }
 
-// liveBytes measures the live heap that build adds. What it builds stays live
-// until the measurement is over.
+// liveBytes returns by how many bytes build grows the live heap. The result of build stays reachable until the
+// measurement is over.
 func liveBytes(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	kept := build()
+	built := build()
 	runtime.GC()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(built)
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// chooseSlope is the time to put candidate targets in order.
+// chooseSlope measures the time to order candidate targets, by their number.
 func chooseSlope() Slope {
 	random := rand.New(rand.NewPCG(1, 1))
 	return sweep("ordering candidate targets (`balance.Order`)", "ns", []int{1, 10, 100, 1000, 4000}, func(n int) float64 {
@@ -122,7 +122,7 @@
 	}
 }
 
-// decideSlope is the time to place a ticket and take it back while others wait.
+// decideSlope measures the time to place and withdraw a ticket, by the number of tickets that wait meanwhile.
 func decideSlope() Slope {
 	return sweep("deciding on a ticket (`gate.Place`, `Withdraw`) while tickets wait", "ns", []int{1, 100, 1000, 10_000}, func(n int) float64 {
 		g := newGate()
@@ -135,7 +135,7 @@
 	})
 }
 
-// ticketSlope is the memory of waiting tickets at an agent.
+// ticketSlope measures the memory of waiting tickets at an agent.
 func ticketSlope() Slope {
 	return sweep("memory of tickets waiting at an agent", "bytes", []int{1000, 4000, 16_000}, func(n int) float64 {
 		return liveBytes(func() any {
@@ -146,7 +146,7 @@
 	})
 }
 
-// fateSlope is the memory of remembered fates at an agent.
+// fateSlope measures the memory of retained grant outcomes at an agent.
 func fateSlope() Slope {
 	return sweep("memory of fates of grants at an agent", "bytes", []int{1000, 4000, 16_000}, func(n int) float64 {
 		return liveBytes(func() any {
@@ -162,9 +162,9 @@
 	})
 }
 
-// setOf returns declarations with n targets, and accounts and models in the
-// proportions of the users' size.
-func setOf(n int) declaration.Set {
+// declarationSet returns declarations with n targets, and with accounts and models in the proportions of
+// RequiredSize.
+func declarationSet(n int) declaration.Set {
 	set := declaration.Set{}
 	for i := range 4 {
 		set.Tiers = append(set.Tiers, declaration.Tier{Name: ids.Tier(fmt.Sprint("tier-", i)), DeadlineMS: clock.Minute})
@@ -192,60 +192,60 @@
 	return set
 }
 
-var bookSizes = []int{100, 400, 1600}
+var indexSizes = []int{100, 400, 1600}
 
-func mustBook(set declaration.Set) *declaration.Book {
-	book, err := declaration.NewBook(1, set)
+func mustIndex(set declaration.Set) *declaration.Book {
+	index, err := declaration.NewBook(1, set)
 	if err != nil {
-		panic(err) // the set is made above
+		panic(err) // sets made by declarationSet are valid
 	}
-	return book
+	return index
 }
 
-// bookMemorySlope is the memory of a configuration, by targets.
-func bookMemorySlope() Slope {
-	return sweep("memory of a configuration, by targets", "bytes", bookSizes, func(n int) float64 {
-		return liveBytes(func() any { return mustBook(setOf(n)) })
+// indexMemorySlope measures the memory of an indexed configuration, by targets.
+func indexMemorySlope() Slope {
+	return sweep("memory of a configuration, by targets", "bytes", indexSizes, func(n int) float64 {
+		return liveBytes(func() any { return mustIndex(declarationSet(n)) })
 	})
 }
 
-// bookBytesSlope is the size of a configuration as it is sent.
-func bookBytesSlope() Slope {
-	return sweep("bytes of a whole configuration as sent, by targets", "bytes", bookSizes, func(n int) float64 {
-		document, err := json.Marshal(setOf(n))
+// indexBytesSlope measures the size of a configuration as sent, by targets.
+func indexBytesSlope() Slope {
+	return sweep("bytes of a whole configuration as sent, by targets", "bytes", indexSizes, func(n int) float64 {
+		document, err := json.Marshal(declarationSet(n))
 		if err != nil {
-			panic(err) // plain structs always marshal
+			panic(err) // plain structs can always be marshalled
 		}
 		return float64(len(document))
 	})
 }
 
-// changeBytes is the size of the change of one target, as it is sent.
+// changeBytes returns the size of the change of one target as sent.
 func changeBytes() float64 {
-	from, to := setOf(100), setOf(100)
+	from, to := declarationSet(100), declarationSet(100)
 	to.Targets[7].Slots++
 	change := declaration.Diff(from, to)
 	change.ID, change.Who, change.Why = string(ids.NewRequest()), "operator", "a reason in a few words"
 	document, err := json.Marshal(change)
 	if err != nil {
-		panic(err) // plain structs always marshal
+		panic(err) // plain structs can always be marshalled
 	}
 	return float64(len(document))
 }
 
-// bookTimeSlope is the time to read, check and index a configuration.
-func bookTimeSlope() Slope {
-	return sweep("reading, checking and indexing a configuration, by targets", "ns", bookSizes, func(n int) float64 {
-		document, err := json.Marshal(setOf(n))
+// indexTimeSlope measures the time to parse, validate and index a configuration, by targets.
+func indexTimeSlope() Slope {
+	return sweep("reading, checking and indexing a configuration, by targets", "ns", indexSizes, func(n int) float64 {
+		document, err := json.Marshal(declarationSet(n))
 		if err != nil {
-			panic(err) // plain structs always marshal
+			panic(err) // plain structs can always be marshalled
 		}
 		return nanoseconds(func() {
 			var set declaration.Set
 			if err := json.Unmarshal(document, &set); err != nil {
-				panic(err) // the document was made above
+				panic(err) // the document has just been marshalled
 			}
-			mustBook(set)
+			mustIndex(set)
 		})
 	})
 }
--- a/pkg/capacity/target_size.go
+++ b/pkg/capacity/target_size.go
@@ -1,9 +1,8 @@
-// Package capacity works out what each role needs at the users' size, from
-// slopes that it measures, and writes the tables of docs/CAPACITY.md.
+// Package capacity computes what each role needs at the required deployment size, extrapolating from costs that it
+// measures at smaller sizes, and writes the tables of docs/CAPACITY.md.
 package capacity
 
-// TargetSize is the size that the users have to carry in about two years.
-// Source: their first letter.
+// DeploymentSize is the size of a deployment with its load, and the budget for control traffic and state.
 type TargetSize struct {
 	Nodes             int
 	Engines           int
@@ -13,13 +12,13 @@
 	Accounts          int
 	Models            int
 	ChangesPerDay     float64
-	// The budget of one node for control.
-	ControlCore  float64 // share of a core
-	ControlBytes float64 // bytes a second
+	// The budget of one VM for control, as opposed to the request path.
+	ControlCore  float64 // fraction of a core
+	ControlBytes float64 // bytes per second
 	ControlMB    float64
 }
 
-// Users is the size of the letter.
+// RequiredSize is the size that the users expect to reach in about two years, according to their first letter.
 func Users() TargetSize {
 	return TargetSize{
 		Nodes: 350, Engines: 3600, RequestsPerSecond: 68_000, TokensPerSecond: 17e6,
@@ -30,17 +29,17 @@
 
 const secondsPerDay = 86_400
 
-// EntryRequests is the rate of requests at one entry.
+// EntryRequests returns the mean number of requests per second at one entry.
 func (t TargetSize) EntryRequests() float64 { return t.RequestsPerSecond / float64(t.Nodes) }
 
-// AgentRequests is the rate of requests at one agent.
+// AgentRequests returns the mean number of requests per second at one agent.
 func (t TargetSize) AgentRequests() float64 { return t.RequestsPerSecond / float64(t.Engines) }
 
-// EntryTokens is the rate of tokens through one entry.
+// EntryTokens returns the mean number of tokens per second through one entry.
 func (t TargetSize) EntryTokens() float64 { return t.TokensPerSecond / float64(t.Nodes) }
 
-// AgentTokens is the rate of tokens through one agent.
+// AgentTokens returns the mean number of tokens per second through one agent.
 func (t TargetSize) AgentTokens() float64 { return t.TokensPerSecond / float64(t.Engines) }
 
-// ChangesPerSecond is the mean rate of configuration changes.
+// ChangesPerSecond returns the mean number of configuration changes per second.
 func (t TargetSize) ChangesPerSecond() float64 { return t.ChangesPerDay / secondsPerDay }
