--- a/pkg/experiment/experiment_test.go
+++ b/pkg/experiment/experiment_test.go
@@ -11,20 +11,19 @@
 )
 
 var (
-	scenarioName = flag.String("scenario", "short", "the scenario, by its file in examples/experiments; or all")
-	seed         = flag.Uint64("seed", 1, "repeats a run")
-	policy       = flag.String("policy", "", "only this policy")
+	scenarioName = flag.String("scenario", "short", "the scenario: a file name in examples/experiments without extension, or all")
+	seed         = flag.Uint64("seed", 1, "random seed; the same seed repeats a run")
+	policy       = flag.String("policy", "", "run only this policy; all if empty")
 )
 
-const folder = "../../examples/experiments/"
+const scenariosDir = "../../examples/experiments/"
 
-// TestExperiment prints the table of a scenario. Its checks are the invariants,
-// never a figure.
+// TestExperiment prints the table of results of a scenario. It checks only invariants, never a measured value.
 func TestExperiment(t *testing.T) {
-	names := []string{folder + *scenarioName + ".json"}
+	names := []string{scenariosDir + *scenarioName + ".json"}
 	if *scenarioName == "all" {
 		var err error
-		if names, err = filepath.Glob(folder + "*.json"); err != nil {
+		if names, err = filepath.Glob(scenariosDir + "*.json"); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -54,7 +53,7 @@
 		}
 	})
 	if result.Violations > 0 {
-		t.Errorf("%s under %s: %d violations", s.Name, policy, result.Violations)
+		t.Errorf("scenario %s, policy %s: %d violations of invariants", s.Name, policy, result.Violations)
 	}
 	return result
 }
--- a/pkg/experiment/result.go
+++ b/pkg/experiment/result.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	maxFirstMS  = 600_000
-	significant = 3
-	percent     = 100
+	maxFirstTokenMS = 600_000
+	significant     = 3
+	percent         = 100
 )
 
-// Result is what came of a scenario under one policy.
+// Result is the outcome of a scenario under one policy.
 type Result struct {
-	Scenario string
-	Policy   string
-	order    []ids.Tier
-	Tiers    map[ids.Tier]*TierResult
-	Refusals map[string]int
-	// Prompt tokens that engines computed, and those that the whole answers
-	// needed with every shared text computed once.
+	Scenario  string
+	Policy    string
+	tierOrder []ids.Tier
+	Tiers     map[ids.Tier]*TierResult
+	Refusals  map[string]int
+	// ComputedPrompt is the number of prompt tokens that engines computed, NeededPrompt the number that the complete
+	// answers needed if every shared text were computed once.
 	ComputedPrompt, NeededPrompt int
 	Violations                   int
 }
 
-// TierResult is the part of one tier.
+// TierResult is the outcome for the requests of one tier.
 type TierResult struct {
 	Offered, Good             int
 	OfferedTokens, GoodTokens int
-	// First is the time to the first token at the engine, in milliseconds.
+	// FirstTokenMS is the time until the engine made the first token, in milliseconds.
 	First *hdrhistogram.Histogram
 }
 
@@ -41,19 +41,19 @@
 	r := &Result{Scenario: s.Name, Policy: policy, Tiers: make(map[ids.Tier]*TierResult), Refusals: make(map[string]int)}
 	for _, c := range s.Classes {
 		if r.Tiers[c.Tier] == nil {
-			r.order = append(r.order, c.Tier)
-			r.Tiers[c.Tier] = &TierResult{First: hdrhistogram.New(1, maxFirstMS, significant)}
+			r.tierOrder = append(r.tierOrder, c.Tier)
+			r.Tiers[c.Tier] = &TierResult{First: hdrhistogram.New(1, maxFirstTokenMS, significant)}
 		}
 	}
 	return r
 }
 
-// Goodput is the share of a tier's requests answered in time.
+// Goodput returns the percentage of the tier's requests that were answered in time.
 func (t *TierResult) Goodput() float64 {
 	return percent * float64(t.Good) / float64(max(1, t.Offered))
 }
 
-// TokenGoodput is the share of all offered answer tokens that were answered in
+// TokenGoodput returns the percentage of requested answer tokens, over all tiers, whose answers were complete in
 // time.
 func (r *Result) TokenGoodput() float64 {
 	var good, offered int
@@ -64,21 +64,20 @@
 	return percent * float64(good) / float64(max(1, offered))
 }
 
-// Wasted is the share of computed prompt tokens that was thrown away or
-// computed again.
+// Wasted returns the percentage of computed prompt tokens that were discarded or computed again.
 func (r *Result) Wasted() float64 {
 	return percent * max(0, 1-float64(r.NeededPrompt)/float64(max(1, r.ComputedPrompt)))
 }
 
-// Table shows results of one scenario, a row for each policy.
+// Table formats results of one scenario as a Markdown table with a row for each policy.
 func Table(results []*Result) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "### %s\n\n| policy |", results[0].Scenario)
-	for _, tier := range results[0].order {
+	for _, tier := range results[0].tierOrder {
 		fmt.Fprintf(&b, " %s %% (p95 first, ms) |", tier)
 	}
 	b.WriteString(" tokens in time % | wasted prompt % | refusals | violations |\n|")
-	b.WriteString(strings.Repeat(" --- |", len(results[0].order)+5) + "\n")
+	b.WriteString(strings.Repeat(" --- |", len(results[0].tierOrder)+5) + "\n")
 	for _, r := range results {
 		b.WriteString(r.row())
 	}
@@ -88,7 +87,7 @@
 func (r *Result) row() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "| %s |", r.Policy)
-	for _, tier := range r.order {
+	for _, tier := range r.tierOrder {
 		t := r.Tiers[tier]
 		fmt.Fprintf(&b, " %.1f (%d) |", t.Goodput(), t.First.ValueAtQuantile(95))
 	}
--- a/pkg/experiment/run.go
+++ b/pkg/experiment/run.go
@@ -14,32 +14,32 @@
 	"quaydock/pkg/testbed"
 )
 
-// Policies are what an experiment compares: ours, and the baselines.
+// Policies lists the policies that an experiment compares: late binding first, then the baselines.
 func Policies() []string {
 	return []string{"late-binding", "round-robin", "least-load", "power-of-two"}
 }
 
 const (
-	ours = "late-binding"
-	// unbounded is the room of a baseline's agent: its engine queues by itself.
-	unbounded = 1 << 20
-	settle    = 5 * clock.Second
+	lateBinding = "late-binding"
+	// unlimitedSlots is the slot count of targets under a baseline policy: there the engine queues requests itself.
+	unlimitedSlots = 1 << 20
+	settleTime     = 5 * clock.Second
 )
 
-// run is one scenario under one policy.
+// run is the execution of one scenario under one policy.
 type run struct {
-	scenario Scenario
-	policy   string
-	bed      *testbed.Bed
-	callers  []*testbed.Caller
-	result   *Result
-	mu       sync.Mutex
-	shared   map[sharedText]bool
+	scenario     Scenario
+	policy       string
+	bed          *testbed.Bed
+	callers      []*testbed.Caller
+	result       *Result
+	mu           sync.Mutex
+	countedTexts map[sharedText]bool
 }
 
-// Run runs a scenario under a policy. It is to be called in virtual time.
+// Run runs a scenario under a policy. It sleeps for the duration of the scenario: call it in virtual time.
 func Run(s Scenario, policy string, seed uint64) (*Result, error) {
-	r := &run{scenario: s, policy: policy, result: newResult(&s, policy), shared: make(map[sharedText]bool)}
+	r := &run{scenario: s, policy: policy, result: newResult(&s, policy), countedTexts: make(map[sharedText]bool)}
 	if err := r.start(seed); err != nil {
 		return nil, err
 	}
@@ -49,8 +49,8 @@
 		defer caller.Close()
 		r.callers = append(r.callers, caller)
 	}
-	time.Sleep(settle.Duration())
-	r.offer(arrivals(&s, seed))
+	time.Sleep(settleTime.Duration())
+	r.sendAll(arrivals(&s, seed))
 	r.finish()
 	return r.result, nil
 }
@@ -64,49 +64,49 @@
 		Adjust: func(s *settings.Settings) {
 			if s.Entry != nil {
 				s.Entry.Policy = r.policy
-				if r.policy != ours {
+				if r.policy != lateBinding {
 					s.Entry.TicketsPerRequest = 1
 				}
 			}
 		},
-		Declare: func(set *declaration.Set) { r.declare(set, engines) },
+		Declare: func(set *declaration.Set) { r.setSlots(set, engines) },
 	})
 	if err != nil {
-		return fmt.Errorf("starting the bed: %w", err)
+		return fmt.Errorf("starting the test bed: %w", err)
 	}
 	r.bed = bed
 	return nil
 }
 
-func (r *run) declare(set *declaration.Set, engines []settings.EngineStandIn) {
+func (r *run) setSlots(set *declaration.Set, engines []settings.EngineStandIn) {
 	for i := range set.Targets {
-		set.Targets[i].Slots = unbounded
-		if r.policy == ours {
+		set.Targets[i].Slots = unlimitedSlots
+		if r.policy == lateBinding {
 			set.Targets[i].Slots = engines[i].MaxBatch
 		}
 	}
 }
 
-// offer sends every request at its time, whatever became of those before.
-func (r *run) offer(list []arrival) {
-	begun := time.Now()
+// sendAll sends every request at its arrival time, without waiting for earlier ones to end, and applies the events.
+func (r *run) sendAll(list []arrival) {
+	start := time.Now()
 	var running sync.WaitGroup
 	for _, e := range r.scenario.Events {
 		running.Go(func() {
-			time.Sleep(time.Until(begun.Add(e.AtMS.Duration())))
-			r.strike(e)
+			time.Sleep(time.Until(start.Add(e.AtMS.Duration())))
+			r.applyEvent(e)
 		})
 	}
 	for i, a := range list {
-		if wait := time.Until(begun.Add(a.at.Duration())); wait > 0 {
+		if wait := time.Until(start.Add(a.at.Duration())); wait > 0 {
 			time.Sleep(wait)
 		}
-		running.Go(func() { r.call(i, a) })
+		running.Go(func() { r.send(i, a) })
 	}
 	running.Wait()
 }
 
-func (r *run) strike(e Event) {
+func (r *run) applyEvent(e Event) {
 	for i := e.First; i < e.Last; i++ {
 		if e.SlowDown > 0 {
 			r.bed.Engines[i].SlowDown(e.SlowDown)
@@ -117,19 +117,19 @@
 	}
 }
 
-func (r *run) call(i int, a arrival) {
+func (r *run) send(i int, a arrival) {
 	class := &r.scenario.Classes[a.class]
 	header := http.Header{
 		"Quaydock-Tier":        {string(class.Tier)},
 		"Quaydock-Deadline-Ms": {fmt.Sprint(int64(class.DeadlineMS))},
 	}
 	prompt := a.prompt(i, class)
-	begun := time.Now()
+	start := time.Now()
 	answer := r.callers[a.entry].Chat(context.Background(), prompt, a.tokens, false, header)
-	r.note(a, answer, begun, time.Since(begun))
+	r.record(a, answer, start, time.Since(start))
 }
 
-func (r *run) note(a arrival, answer testbed.Answer, begun time.Time, took time.Duration) {
+func (r *run) record(a arrival, answer testbed.Answer, start time.Time, took time.Duration) {
 	class := &r.scenario.Classes[a.class]
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -153,40 +153,40 @@
 		r.result.Refusals[answer.Code+" ("+answer.Ending.String()+")"]++
 	}
 	if answer.Ending == testbed.Whole {
-		r.noteNeeded(a, class)
+		r.recordNeededPrompt(a, class)
 	}
-	r.noteFirst(t, answer.Request, begun)
+	r.recordFirstToken(t, answer.Request, start)
 }
 
-// noteNeeded counts the prompt work that a whole answer needed: its own part of
-// the prompt, and the shared part once for each text.
-func (r *run) noteNeeded(a arrival, class *Class) {
-	needed := formBytes + class.PromptBytes - class.SharedBytes
-	key := sharedText{class.Tier, a.family}
-	if a.family >= 0 && !r.shared[key] {
-		r.shared[key] = true
+// recordNeededPrompt counts the prompt tokens that a complete answer needed: the part of the prompt that is its
+// own, and the shared text if no earlier answer has counted it.
+func (r *run) recordNeededPrompt(a arrival, class *Class) {
+	needed := chatOverheadBytes + class.PromptBytes - class.SharedBytes
+	key := sharedText{class.Tier, a.textIndex}
+	if a.textIndex >= 0 && !r.countedTexts[key] {
+		r.countedTexts[key] = true
 		needed += class.SharedBytes
 	}
 	r.result.NeededPrompt += needed / bytesPerToken
 }
 
-// sharedText names one text that prompts begin with.
+// sharedText identifies one of the texts that prompts of a tier begin with.
 type sharedText struct {
-	tier   ids.Tier
-	family int
+	tier  ids.Tier
+	index int
 }
 
 const (
 	bytesPerToken = 4
-	// formBytes is what the form of a chat adds to a prompt.
-	formBytes = len(`[{"role":"user","content":" request 1000 "}]`)
+	// chatOverheadBytes is by how much the chat format lengthens a prompt.
+	chatOverheadBytes = len(`[{"role":"user","content":" request 1000 "}]`)
 )
 
-func (r *run) noteFirst(t *TierResult, request string, begun time.Time) {
+func (r *run) recordFirstToken(t *TierResult, request string, start time.Time) {
 	for _, e := range r.bed.Engines {
-		if at, made := e.FirstToken(request); made {
-			// A time beyond the histogram's bound counts as the bound.
-			_ = t.First.RecordValue(min(at.Sub(begun).Milliseconds(), maxFirstMS))
+		if at, found := e.FirstToken(request); found {
+			// Times above the histogram's limit count as the limit.
+			_ = t.First.RecordValue(min(at.Sub(start).Milliseconds(), maxFirstTokenMS))
 			return
 		}
 	}
--- a/pkg/experiment/scenario.go
+++ b/pkg/experiment/scenario.go
@@ -1,5 +1,5 @@
-// Package experiment runs a workload on a test bed in virtual time, under one
-// policy after the other, and reports goodput by tier and wasted prefill.
+// Package experiment runs a workload on a test bed in virtual time under different scheduling policies, and reports
+// goodput by tier and wasted prefill.
 package experiment
 
 import (
@@ -14,19 +14,19 @@
 	"quaydock/pkg/testbed"
 )
 
-// Scenario is one experiment, as kept in examples/experiments.
+// Scenario describes one experiment. The files in examples/experiments have its JSON form.
 type Scenario struct {
 	Name       string       `json:"name"`
 	Entries    int          `json:"entries"`
 	DurationMS clock.Millis `json:"duration_ms"`
-	// Load is the offered work over what all engines can do.
+	// Load is the offered work as a fraction of the capacity of all engines.
 	Load    float64       `json:"load"`
 	Engines []EngineGroup `json:"engines"`
 	Classes []Class       `json:"classes"`
 	Events  []Event       `json:"events,omitempty"`
 }
 
-// EngineGroup is a number of equal engines.
+// EngineGroup is a number of identical engines.
 type EngineGroup struct {
 	Count          int          `json:"count"`
 	StepMS         clock.Millis `json:"step_ms"`
@@ -35,17 +35,17 @@
 	CacheTokens    int          `json:"cache_tokens,omitempty"`
 }
 
-// Class is one kind of request.
+// Class is a class of requests.
 type Class struct {
 	Tier    ids.Tier    `json:"tier"`
 	Account ids.Account `json:"account"`
-	// Share is the part of all requests.
+	// Fraction is the weight of the class among all requests; the sum need not be 1.
 	Share       float64 `json:"share"`
 	PromptBytes int     `json:"prompt_bytes"`
-	// SharedBytes at the beginning of a prompt are one of Families texts.
+	// The first SharedBytes of a prompt are one of SharedTexts different texts.
 	SharedBytes int `json:"shared_bytes,omitempty"`
 	Families    int `json:"families,omitempty"`
-	// Tokens is the mean length of an answer; lengths are exponential.
+	// Tokens is the mean length of an answer; lengths are distributed exponentially.
 	Tokens     float64      `json:"tokens"`
 	DeadlineMS clock.Millis `json:"deadline_ms"`
 }
@@ -53,30 +53,30 @@
 // Event changes the deployment while the workload runs.
 type Event struct {
 	AtMS clock.Millis `json:"at_ms"`
-	// Engines are the first engine and the one after the last.
+	// The event affects the engines from index FirstEngine up to but excluding EndEngine.
 	First int `json:"first"`
 	Last  int `json:"last"`
-	// SlowDown makes their steps take so many times as long; 0 kills them and
-	// their agents.
+	// SlowDown is the factor by which the steps of these engines take longer. 0 closes their agents and aborts all
+	// running answers.
 	SlowDown int `json:"slow_down"`
 }
 
-// Load reads the scenario at path.
+// Load reads the scenario file at path. Unknown fields are an error.
 func Load(path string) (Scenario, error) {
 	document, err := os.ReadFile(path)
 	if err != nil {
-		return Scenario{}, fmt.Errorf("scenario: %w", err)
+		return Scenario{}, fmt.Errorf("reading the scenario: %w", err)
 	}
 	d := json.NewDecoder(bytes.NewReader(document))
 	d.DisallowUnknownFields()
 	var s Scenario
 	if err := d.Decode(&s); err != nil {
-		return Scenario{}, fmt.Errorf("scenario %s: %w", path, err)
+		return Scenario{}, fmt.Errorf("parsing scenario %s: %w", path, err)
 	}
 	return s, nil
 }
 
-// engines lists the engines of all groups.
+// engines returns the settings of the engines of all groups.
 func (s *Scenario) engines() []settings.EngineStandIn {
 	var list []settings.EngineStandIn
 	for _, g := range s.Engines {
@@ -89,16 +89,16 @@
 	return list
 }
 
-// arrivalsPerSecond is the rate at which the offered work is Load times what
-// the engines can do: each step gives each place of the batch one token.
+// arrivalsPerSecond returns the request rate at which the offered work is Load times the capacity of the engines.
+// An engine makes one token for each slot of its batch in each step.
 func (s *Scenario) arrivalsPerSecond() float64 {
-	var tokens, each, shares float64
+	var tokens, perRequest, fractions float64
 	for _, g := range s.Engines {
 		tokens += float64(g.Count) * float64(g.MaxBatch) * float64(clock.Second) / float64(g.StepMS)
 	}
 	for _, c := range s.Classes {
-		each += c.Share * (c.Tokens + 1) // and a step for the prompt
-		shares += c.Share
+		perRequest += c.Share * (c.Tokens + 1) // one more step for the prompt
+		fractions += c.Share
 	}
-	return s.Load * tokens / (each / shares)
+	return s.Load * tokens / (perRequest / fractions)
 }
