--- a/pkg/ctl/apply.go
+++ b/pkg/ctl/apply.go
@@ -53,7 +53,7 @@
 	})
 }
 
-// withConfiguration reads the configuration from the table at base and passes both to use. The whole
+// withConfiguration reads the configuration from the table at base and passes both to use. Together this
 // takes at most commandTimeout.
 func withConfiguration(ctx context.Context, base string, use func(context.Context, *table.Table, table.State) error) error {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
