--- a/pkg/capacity/target_size.go
+++ b/pkg/capacity/target_size.go
@@ -1,9 +1,8 @@
-// Package capacity works out what each role needs at the users' size, from
-// slopes that it measures, and writes the tables of docs/CAPACITY.md.
+// Package capacity computes what each role needs at the required deployment size, extrapolating from costs that it
+// measures at smaller sizes, and writes the tables of docs/CAPACITY.md.
 package capacity
 
-// DeploymentSize is the size that the users have to carry in about two years.
-// Source: their first letter.
+// DeploymentSize is the size of a deployment with its load, and the budget for control traffic and state.
 type DeploymentSize struct {
 	VMs               int
 	Engines           int
@@ -13,13 +12,13 @@
 	Accounts          int
 	Models            int
 	ChangesPerDay     float64
-	// The budget of one node for control.
-	ControlCore  float64 // share of a core
-	ControlBytes float64 // bytes a second
+	// The budget of one VM for control, as opposed to the request path.
+	ControlCore  float64 // fraction of a core
+	ControlBytes float64 // bytes per second
 	ControlMB    float64
 }
 
-// RequiredSize is the size of the letter.
+// RequiredSize is the size that the users expect to reach in about two years, according to their first letter.
 func RequiredSize() DeploymentSize {
 	return DeploymentSize{
 		VMs: 350, Engines: 3600, RequestsPerSecond: 68_000, TokensPerSecond: 17e6,
@@ -30,17 +29,17 @@
 
 const secondsPerDay = 86_400
 
-// EntryRequests is the rate of requests at one entry.
+// EntryRequests returns the mean number of requests per second at one entry.
 func (t DeploymentSize) EntryRequests() float64 { return t.RequestsPerSecond / float64(t.VMs) }
 
-// AgentRequests is the rate of requests at one agent.
+// AgentRequests returns the mean number of requests per second at one agent.
 func (t DeploymentSize) AgentRequests() float64 { return t.RequestsPerSecond / float64(t.Engines) }
 
-// EntryTokens is the rate of tokens through one entry.
+// EntryTokens returns the mean number of tokens per second through one entry.
 func (t DeploymentSize) EntryTokens() float64 { return t.TokensPerSecond / float64(t.VMs) }
 
-// AgentTokens is the rate of tokens through one agent.
+// AgentTokens returns the mean number of tokens per second through one agent.
 func (t DeploymentSize) AgentTokens() float64 { return t.TokensPerSecond / float64(t.Engines) }
 
-// ChangesPerSecond is the mean rate of configuration changes.
+// ChangesPerSecond returns the mean number of configuration changes per second.
 func (t DeploymentSize) ChangesPerSecond() float64 { return t.ChangesPerDay / secondsPerDay }
