--- a/pkg/app/advice_bed_test.go
+++ b/pkg/app/advice_bed_test.go
@@ -75,7 +75,7 @@
 		sent: make(map[string]sentCall), told: make(map[pair]time.Duration), rests: make(map[pair][]*rest), pairs: make(map[pair]bool),
 		arrivals: make(map[string]int), lastArrival: make(map[string]time.Duration),
 	}
-	b.answers = b.answer
+	b.intercept = b.answer
 	return b
 }
 
@@ -175,7 +175,7 @@
 func (b *adviceBed) collect(perSecond float64, until time.Duration, call func(entry int) adviceAnswer) []adviceAnswer {
 	var mu sync.Mutex
 	var answers []adviceAnswer
-	b.every(perSecond, b.now(), until, func() {
+	b.callAtRate(perSecond, b.now(), until, func() {
 		a := call(b.draw(len(b.entries)))
 		mu.Lock()
 		defer mu.Unlock()
@@ -208,7 +208,7 @@
 	b.said.Lock()
 	b.sent[id] = sentCall{entry, at}
 	b.said.Unlock()
-	status, head, _ := b.send(entry, id, path, "key-a", b.unlike())
+	status, head, _ := b.send(entry, id, path, "key-a", b.uniqueBody())
 	a := adviceAnswer{at: at, took: b.now() - at, status: status}
 	if seconds, err := strconv.ParseFloat(head.Get("Retry-After"), 64); err == nil {
 		a.back = time.Duration(seconds * float64(time.Second))
--- a/pkg/app/advice_lives_test.go
+++ b/pkg/app/advice_lives_test.go
@@ -30,7 +30,7 @@
 
 // runOn has the first target's answers carry the time of a VM's clock, or none.
 func (b *adviceBed) runOn(c vmClock) {
-	b.answers = func(e *crashEngine, w http.ResponseWriter, r *http.Request) bool {
+	b.intercept = func(e *crashEngine, w http.ResponseWriter, r *http.Request) bool {
 		if e.n == 0 {
 			w.Header()["Date"] = nil
 		}
@@ -46,7 +46,7 @@
 // tells that it has started again.
 func (b *adviceBed) endQuietly() {
 	b.callers(time.Second)
-	b.silenceStore(true)
+	b.setStoreDown(true)
 	time.Sleep(6 * time.Second) // until no connection is kept
 	b.engines[0].end()
 	time.Sleep(50 * time.Millisecond)
@@ -100,7 +100,7 @@
 				b.said.Lock()
 				told := len(b.told)
 				b.said.Unlock()
-				b.silenceStore(false)
+				b.setStoreDown(false)
 				// It writes that it leaves with its next beat, at the latest.
 				time.Sleep(2 * time.Second)
 				b.row(wiretest.Draining)
@@ -136,7 +136,7 @@
 				b.said.Lock()
 				before := b.declined
 				b.said.Unlock()
-				b.silenceStore(false)
+				b.setStoreDown(false)
 				time.Sleep(4 * time.Second)
 				b.said.Lock()
 				t.Logf("%d requests turned away, %d before its row was read; %d too many", b.declined, before, b.withinRest)
--- a/pkg/app/advice_size_test.go
+++ b/pkg/app/advice_size_test.go
@@ -74,7 +74,7 @@
 	time.Sleep(serveOn - late)
 	e.end()
 	b.store.Remove(platform.TableTargets, e.id)
-	time.Sleep(crashBack)
+	time.Sleep(restartDelay)
 	b.said.Lock()
 	delete(b.leaving, n)
 	b.said.Unlock()
--- a/pkg/app/advice_test.go
+++ b/pkg/app/advice_test.go
@@ -24,10 +24,10 @@
 	}{
 		{"some", 4, nil},
 		{"all but one", 11, nil},
-		{"the store is silent", 4, func(b *adviceBed) { b.silenceStore(true) }},
+		{"the store is silent", 4, func(b *adviceBed) { b.setStoreDown(true) }},
 		{"entries that hear nothing of one another", 4, func(b *adviceBed) {
 			for i := range b.entries {
-				b.cutOff(i, true)
+				b.partition(i, true)
 			}
 		}},
 		{"the home of the service moves", 4, func(b *adviceBed) {
@@ -78,10 +78,10 @@
 		hurt func(b *adviceBed)
 	}{
 		{"", nil},
-		{", the store is silent", func(b *adviceBed) { b.silenceStore(true) }},
+		{", the store is silent", func(b *adviceBed) { b.setStoreDown(true) }},
 		{", entries that hear nothing of one another", func(b *adviceBed) {
 			for i := range b.entries {
-				b.cutOff(i, true)
+				b.partition(i, true)
 			}
 		}},
 	}
@@ -197,7 +197,7 @@
 					b.leave(1)
 					go b.callers(9 * time.Second)
 					time.Sleep(time.Second)
-					b.silenceStore(silent)
+					b.setStoreDown(silent)
 					time.Sleep(2 * time.Second)
 					b.said.Lock()
 					delete(b.leaving, 0)
@@ -210,7 +210,7 @@
 					}
 					time.Sleep(500 * time.Millisecond)
 					b.startEngineAs(0, next)
-					b.silenceStore(false)
+					b.setStoreDown(false)
 					b.said.Lock()
 					b.told = make(map[pair]time.Duration) // of the former life
 					before := b.arrivals[next]
--- a/pkg/app/cold_test.go
+++ b/pkg/app/cold_test.go
@@ -33,10 +33,10 @@
 
 func newColdBed(t *testing.T, seed uint64) *coldBed {
 	b := &coldBed{domainsBed: newDomainsBed(t, seed, coldTargets), coldUntil: make(map[string]time.Duration), arrived: make(map[string][]time.Duration)}
-	b.answers = b.countCold
+	b.intercept = b.countCold
 	b.mu.Lock()
 	b.bounds.ColdOver, b.bounds.ColdSlack = coldOver, coldSlack
-	b.cold, b.coldPer, b.long = coldTime, coldPerSecond, false
+	b.cold, b.coldRate, b.longRuns = coldTime, coldPerSecond, false
 	b.mu.Unlock()
 	b.configure(2)
 	// The entries read their bounds when they start.
@@ -111,7 +111,7 @@
 		{"a failure domain comes back", func(b *coldBed) { b.crashDomain(1) }, 0.97},
 		{"and the entries are killed one after the other", func(b *coldBed) {
 			b.crashDomain(1)
-			time.Sleep(crashBack)
+			time.Sleep(restartDelay)
 			for i := range b.entries {
 				time.Sleep(300 * time.Millisecond)
 				b.killEntry(i)
@@ -120,23 +120,23 @@
 		}, 0.6},
 		{"and all entries are killed", func(b *coldBed) {
 			b.crashDomain(1)
-			time.Sleep(crashBack + 500*time.Millisecond)
+			time.Sleep(restartDelay + 500*time.Millisecond)
 			b.restartAll()
 		}, 0.7},
 		{"and entries are cut off from the others, and come back", func(b *coldBed) {
 			b.crashDomain(1)
-			time.Sleep(crashBack + 300*time.Millisecond)
+			time.Sleep(restartDelay + 300*time.Millisecond)
 			for i := range 2 {
-				b.cutOff(i, true)
+				b.partition(i, true)
 			}
 			time.Sleep(time.Second)
 			for i := range 2 {
-				b.cutOff(i, false)
+				b.partition(i, false)
 			}
 		}, 0.9},
 		{"and entries hear nothing of one another", func(b *coldBed) {
 			for i := range b.entries {
-				b.cutOff(i, true)
+				b.partition(i, true)
 			}
 			time.Sleep(2 * time.Second)
 			b.crashDomain(1)
@@ -171,8 +171,8 @@
 					time.Sleep(time.Second)
 					s.hurt(b)
 				}()
-				b.usualCallers(coldLoad, length, b.unlike)
-				share := b.servedShare(0, length)
+				b.backgroundCallers(coldLoad, length, b.uniqueBody)
+				share := b.servedFraction(0, length)
 				t.Logf("at most %d requests reached a cold target within a second; served %.3f", b.most, share)
 				if b.most > coldMost {
 					t.Errorf("%d requests reached a cold target within a second, allowed are %.0f", b.most, float64(coldMost))
--- a/pkg/app/crash_bed_test.go
+++ b/pkg/app/crash_bed_test.go
@@ -37,16 +37,16 @@
 	random           *rand.Rand
 	engines          []*crashEngine
 	started          int
-	long             bool                       // some requests run longer by longWork
+	longRuns         bool                       // some requests run longer by longWork
 	domains          int                        // number of the targets' failure domains; 0 puts them into the entries' own
 	entryDomains     int                        // number of the entries' failure domains; 0 is one for all
 	cold             time.Duration              // slow start of targets that start from now on
-	coldPer          float64                    // requests a second that a cold target can take; 0 is no limit
+	coldRate         float64                    // requests a second that a cold target can take; 0 is no limit
 	sameIDs          bool                       // targets that ended start again under their former ids
-	breaks           float64                    // fraction of the answers that targets break off
+	breakFraction    float64                    // fraction of the answers that targets break off
 	closed           bool                       // the test is over: no target starts any more
 	partitioned      map[netip.AddrPort]bool    // entries partitioned from the other entries
-	lost             float64                    // fraction of the datagrams that are lost
+	lossRate         float64                    // fraction of the datagrams that are lost
 	unreachable      map[int]bool               // entries for which the store is unreachable
 	unreachableCalls int                        // store calls of these entries
 	ends             map[string][]time.Duration // by body: when each target ended under it
@@ -60,7 +60,7 @@
 	version ids.Version
 	// intercept, if set, is called for each request that reaches its intended target, and reports whether it has
 	// answered the request. It has to be set before the first request.
-	answers func(e *crashEngine, w http.ResponseWriter, r *http.Request) bool
+	intercept func(e *crashEngine, w http.ResponseWriter, r *http.Request) bool
 }
 
 // backgroundCall is a request of the background load and its result.
@@ -79,16 +79,16 @@
 }
 
 const (
-	crashBack    = 1500 * time.Millisecond // from the end of a target to its next start
-	rowExpiry    = 1300 * time.Millisecond // from the end of a target to the expiry of its row
-	fatalWork    = 20 * time.Millisecond   // from the start of a fatal request to the target end
-	crashWork    = 15 * time.Millisecond   // run time of an ordinary request
-	longWork     = 250 * time.Millisecond  // additional run time of one request in longOneIn
-	longOneIn    = 5
-	crashTargets = 12
-	coldTime     = 3 * time.Second // length of the slow start in the service's configuration
-	crashSlots   = 8
-	contactTime  = 3 * time.Second // within which all entries must know of a target end
+	restartDelay    = 1500 * time.Millisecond // from the end of a target to its next start
+	rowExpiry       = 1300 * time.Millisecond // from the end of a target to the expiry of its row
+	fatalWork       = 20 * time.Millisecond   // from the start of a fatal request to the target end
+	crashWork       = 15 * time.Millisecond   // run time of an ordinary request
+	longWork        = 250 * time.Millisecond  // additional run time of one request in longOneIn
+	longOneIn       = 5
+	crashTargets    = 12
+	coldTime        = 3 * time.Second // length of the slow start in the service's configuration
+	crashSlots      = 8
+	propagationTime = 3 * time.Second // within which all entries must know of a target end
 )
 
 // fatalPrefix begins the bodies of requests under which targets end.
@@ -121,7 +121,7 @@
 	b.datagrams.Lose(func(from, to netip.AddrPort, _ packets.Kind) bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		return b.partitioned[from] || b.partitioned[to] || b.lost > 0 && b.random.Float64() < b.lost
+		return b.partitioned[from] || b.partitioned[to] || b.lossRate > 0 && b.random.Float64() < b.lossRate
 	})
 	b.configure(1)
 	for i := range entries {
@@ -148,7 +148,7 @@
 		return wiretest.Route{Name: name, Host: "h", Prefix: "/" + name + "/", Kind: name, Timeout: 3000, Objective: 500, Attempts: attempts, Service: "s"}
 	}
 	configuration := wiretest.Configuration{
-		Version: version, Routes: []wiretest.Route{route("safe", 2), route("unsafe", 1)}, Services: []wiretest.Service{{Name: "s", Connections: 200, ColdSeconds: coldTime.Seconds(), ColdRate: b.coldPer}},
+		Version: version, Routes: []wiretest.Route{route("safe", 2), route("unsafe", 1)}, Services: []wiretest.Service{{Name: "s", Connections: 200, ColdSeconds: coldTime.Seconds(), ColdRate: b.coldRate}},
 		Limits:   wiretest.Limits{BodyBytes: 100_000},
 		Accounts: []wiretest.Account{{Name: "acme", Keys: []string{"key-a"}}, {Name: "other", Keys: []string{"key-o"}}},
 	}
@@ -271,14 +271,14 @@
 func (b *crashBed) now() time.Duration { return time.Since(b.began) }
 
 // setStoreDown makes the store unreachable for all entries, or reachable again.
-func (b *crashBed) silenceStore(down bool) {
+func (b *crashBed) setStoreDown(down bool) {
 	for i := range b.entries {
-		b.awayFromStore(i, down)
+		b.setStoreUnreachable(i, down)
 	}
 }
 
 // setStoreUnreachable makes the store unreachable for one entry, or reachable again.
-func (b *crashBed) awayFromStore(i int, unreachable bool) {
+func (b *crashBed) setStoreUnreachable(i int, unreachable bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.unreachable[i] = unreachable
--- a/pkg/app/crash_callers_test.go
+++ b/pkg/app/crash_callers_test.go
@@ -63,7 +63,7 @@
 
 // callAtRate calls do at a mean rate from one time to another, at exponential intervals, and waits for all calls to
 // return.
-func (b *crashBed) every(perSecond float64, from, until time.Duration, do func()) {
+func (b *crashBed) callAtRate(perSecond float64, from, until time.Duration, do func()) {
 	time.Sleep(from - b.now())
 	var all sync.WaitGroup
 	for b.now() < until {
@@ -78,8 +78,8 @@
 
 // backgroundCallers sends ordinary requests of one client account, with the bodies that body returns, and records their
 // results.
-func (b *crashBed) usualCallers(perSecond float64, until time.Duration, body func() string) {
-	b.every(perSecond, 0, until, func() {
+func (b *crashBed) backgroundCallers(perSecond float64, until time.Duration, body func() string) {
+	b.callAtRate(perSecond, 0, until, func() {
 		at, text := b.now(), body()
 		status, answer := b.call(b.draw(len(b.entries)), "/safe/q", "key-a", text)
 		b.mu.Lock()
@@ -89,15 +89,15 @@
 }
 
 // uniqueBody returns a new body on each call.
-func (b *crashBed) unlike() string { return fmt.Sprintf("usual-%d", b.draw(1<<40)) }
+func (b *crashBed) uniqueBody() string { return fmt.Sprintf("usual-%d", b.draw(1<<40)) }
 
 // sendRepeatedly sends the same body at a given rate.
 func (b *crashBed) sendRepeatedly(path, body string, perSecond float64, from, until time.Duration) {
-	b.every(perSecond, from, until, func() { b.call(b.draw(len(b.entries)), path, "key-a", body) })
+	b.callAtRate(perSecond, from, until, func() { b.call(b.draw(len(b.entries)), path, "key-a", body) })
 }
 
 // servedFraction is the fraction of the background requests of a time span that were served.
-func (b *crashBed) servedShare(from, until time.Duration) float64 {
+func (b *crashBed) servedFraction(from, until time.Duration) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	served, all := 0, 0
@@ -123,7 +123,7 @@
 		return len(ends), 0
 	}
 	for _, at := range b.reached[body] {
-		if at > ends[2]+contactTime {
+		if at > ends[2]+propagationTime {
 			late++
 		}
 	}
--- a/pkg/app/crash_engines_test.go
+++ b/pkg/app/crash_engines_test.go
@@ -74,13 +74,13 @@
 		_ = e.server.Close()
 		go func() {
 			if e.bed.reusesIDs() {
-				time.Sleep(crashBack)
+				time.Sleep(restartDelay)
 				e.bed.startEngineAs(e.n, e.id)
 				return
 			}
 			time.Sleep(rowExpiry)
 			e.bed.store.Remove(platform.TableTargets, e.id)
-			time.Sleep(crashBack - rowExpiry)
+			time.Sleep(restartDelay - rowExpiry)
 			e.bed.startEngine(e.n)
 		}()
 	})
@@ -97,7 +97,7 @@
 		return
 	}
 	body := string(text)
-	if e.bed.answers != nil && e.bed.answers(e, w, r) {
+	if e.bed.intercept != nil && e.bed.intercept(e, w, r) {
 		return
 	}
 	if strings.HasPrefix(body, fatalPrefix) {
@@ -107,7 +107,7 @@
 		e.crash()
 		panic(http.ErrAbortHandler)
 	}
-	if e.bed.long && e.bed.draw(longOneIn) == 0 {
+	if e.bed.longRuns && e.bed.draw(longOneIn) == 0 {
 		time.Sleep(longWork)
 	}
 	time.Sleep(crashWork)
@@ -122,7 +122,7 @@
 func (b *crashBed) drawBreak() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.random.Float64() < b.breaks
+	return b.random.Float64() < b.breakFraction
 }
 
 // recordTime appends the present time to the times of a body.
--- a/pkg/app/crash_innocents_test.go
+++ b/pkg/app/crash_innocents_test.go
@@ -46,7 +46,7 @@
 		{"all targets lost twice", func(b *crashBed) {
 			time.Sleep(time.Second)
 			b.endEvery(0, 1)
-			time.Sleep(crashBack + time.Duration(b.draw(200))*time.Millisecond)
+			time.Sleep(restartDelay + time.Duration(b.draw(200))*time.Millisecond)
 			b.endEvery(0, 1)
 		}},
 		{"answers are broken off", func(b *crashBed) {
@@ -60,18 +60,18 @@
 			for seed := range *crashSeeds {
 				synctest.Test(t, func(t *testing.T) {
 					b := newCrashBed(t, 1+seed, 3)
-					b.long = true
+					b.longRuns = true
 					go s.fault(b)
-					b.usualCallers(200, length, func() string {
+					b.backgroundCallers(200, length, func() string {
 						if b.draw(popularOneIn) == 0 {
 							return popular
 						}
-						return b.unlike()
+						return b.uniqueBody()
 					})
 					quarantined, longest := b.quarantined()
-					served := b.servedShare(length-3*time.Second, length)
+					served := b.servedFraction(length-3*time.Second, length)
 					t.Logf("%d of %d requests rejected as quarantined, the same body for up to %v; served %.3f, in the last 3 s %.3f",
-						quarantined, len(b.backgroundCalls), longest, b.servedShare(0, length), served)
+						quarantined, len(b.backgroundCalls), longest, b.servedFraction(0, length), served)
 					if longest > maxQuarantined {
 						t.Errorf("an unrelated request was quarantined for %v", longest)
 					}
@@ -121,5 +121,5 @@
 func (b *crashBed) setBreaks(fraction float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.breaks = fraction
+	b.breakFraction = fraction
 }
--- a/pkg/app/crash_test.go
+++ b/pkg/app/crash_test.go
@@ -41,20 +41,20 @@
 			b.startEntry(2)
 		}, 3, 9 * time.Second},
 		{"an entry is partitioned from the others", "/unsafe/q", func(b *crashBed) {
-			b.cutOff(1, true)
+			b.partition(1, true)
 			time.Sleep(5 * time.Second)
-			b.cutOff(1, false)
+			b.partition(1, false)
 		}, 0, 10 * time.Second},
 		{"the store is unreachable", "/unsafe/q", func(b *crashBed) {
-			b.silenceStore(true)
+			b.setStoreDown(true)
 			time.Sleep(8 * time.Second)
-			b.silenceStore(false)
+			b.setStoreDown(false)
 		}, 3, 5 * time.Second},
 		{"the store is unreachable, and targets start again under their ids", "/unsafe/q", func(b *crashBed) {
 			b.reuseIDs()
-			b.silenceStore(true)
+			b.setStoreDown(true)
 			time.Sleep(10 * time.Second)
-			b.silenceStore(false)
+			b.setStoreDown(false)
 		}, 3, 5 * time.Second},
 		{"the store trims its history", "/unsafe/q", func(b *crashBed) {
 			for range 12 {
@@ -71,13 +71,13 @@
 					go s.fault(b)
 				}
 				go b.sendRepeatedly(s.path, fatalPrefix, rate, begins, length)
-				b.usualCallers(200, length, b.unlike)
+				b.backgroundCallers(200, length, b.uniqueBody)
 				ended, late := b.ended(fatalPrefix)
-				served := b.servedShare(s.settled, length)
+				served := b.servedFraction(s.settled, length)
 				t.Logf("%d targets ended, %d attempts later than %v after the third; background requests served: %.3f, from %v on %.3f",
-					ended, late, contactTime, b.servedShare(0, length), s.settled, served)
+					ended, late, propagationTime, b.servedFraction(0, length), s.settled, served)
 				if late > 3 || s.maxEnded > 0 && ended > max(s.maxEnded, b.runsBeforeFirstEnd(fatalPrefix)+2) {
-					t.Errorf("%d targets ended, and %d attempts reached a target later than %v after the third end", ended, late, contactTime)
+					t.Errorf("%d targets ended, and %d attempts reached a target later than %v after the third end", ended, late, propagationTime)
 				}
 				if served < 0.97 {
 					t.Errorf("background requests served from %v on: %.3f", s.settled, served)
@@ -116,10 +116,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newCrashBed(t, 1, 40)
 		go b.sendRepeatedly("/unsafe/q", fatalPrefix, 12, time.Second, length)
-		b.usualCallers(200, length, b.unlike)
+		b.backgroundCallers(200, length, b.uniqueBody)
 		ended, late := b.ended(fatalPrefix)
-		served := b.servedShare(5*time.Second, length)
-		t.Logf("%d targets ended, %d attempts came late; background requests served: %.3f, from 5 s on %.3f", ended, late, b.servedShare(0, length), served)
+		served := b.servedFraction(5*time.Second, length)
+		t.Logf("%d targets ended, %d attempts came late; background requests served: %.3f, from 5 s on %.3f", ended, late, b.servedFraction(0, length), served)
 		if ended > max(3, b.runsBeforeFirstEnd(fatalPrefix)+2) || late > 1 || served < 0.97 {
 			t.Errorf("%d targets ended, %d attempts came late, served %.3f", ended, late, served)
 		}
@@ -144,7 +144,7 @@
 				time.Sleep(time.Second / sources)
 			}
 		}()
-		b.every(40, 0, length, func() {
+		b.callAtRate(40, 0, length, func() {
 			at := b.now()
 			status, text := b.call(b.draw(len(b.entries)), "/safe/q", "key-o", "others")
 			b.mu.Lock()
@@ -160,7 +160,7 @@
 				t.Errorf("body %d: %d attempts came late", n, late)
 			}
 		}
-		t.Logf("%d targets ended under %d bodies, at most %d under one; served of another account: %.3f", ends, bodies, highest, b.servedShare(0, length))
+		t.Logf("%d targets ended under %d bodies, at most %d under one; served of another account: %.3f", ends, bodies, highest, b.servedFraction(0, length))
 		if ends > 2*bodies {
 			t.Errorf("%d targets ended under %d bodies", ends, bodies)
 		}
@@ -176,7 +176,7 @@
 }
 
 // partition partitions an entry from the others, or ends the partition.
-func (b *crashBed) cutOff(i int, partitioned bool) {
+func (b *crashBed) partition(i int, partitioned bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.partitioned[b.address(i)] = partitioned
@@ -217,8 +217,8 @@
 				var own sync.WaitGroup
 				ownServed, ownAll := 0, 0
 				own.Go(func() {
-					b.every(10, 0, length, func() {
-						status, _ := b.call(b.draw(len(b.entries)), "/safe/q", "key-a", b.unlike())
+					b.callAtRate(10, 0, length, func() {
+						status, _ := b.call(b.draw(len(b.entries)), "/safe/q", "key-a", b.uniqueBody())
 						b.mu.Lock()
 						defer b.mu.Unlock()
 						ownAll++
@@ -227,8 +227,8 @@
 						}
 					})
 				})
-				b.every(40, 0, length, func() {
-					at, body := b.now(), b.unlike()
+				b.callAtRate(40, 0, length, func() {
+					at, body := b.now(), b.uniqueBody()
 					status, text := b.call(b.draw(len(b.entries)), "/safe/q", "key-o", body)
 					b.mu.Lock()
 					defer b.mu.Unlock()
@@ -244,9 +244,9 @@
 				if s.fault != nil {
 					settled = 10 * time.Second
 				}
-				served := b.servedShare(settled, length)
+				served := b.servedFraction(settled, length)
 				t.Logf("%d targets ended under %d bodies; served of another account: %.3f, from %v on %.3f; of the account's own other requests: %d of %d",
-					ends, s.bodies, b.servedShare(0, length), settled, served, ownServed, ownAll)
+					ends, s.bodies, b.servedFraction(0, length), settled, served, ownServed, ownAll)
 				if served < 0.97 {
 					t.Errorf("served of another account: %.3f from %v on", served, settled)
 				}
--- a/pkg/app/domains_test.go
+++ b/pkg/app/domains_test.go
@@ -30,8 +30,8 @@
 		crashBed: newCrashBedIn(t, seed, 4, targets, 3), drained: make(map[ids.FailureDomain]time.Duration),
 		late: make(map[ids.FailureDomain]int), arrivals: make(map[ids.FailureDomain]int),
 	}
-	b.long = true
-	b.answers = b.count
+	b.longRuns = true
+	b.intercept = b.count
 	return b
 }
 
@@ -84,7 +84,7 @@
 		{"targets break answers off", func(b *domainsBed) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
-			b.breaks = 0.1
+			b.breakFraction = 0.1
 		}, 0.85},
 		{"entries are killed one after the other", func(b *domainsBed) {
 			for i := range b.entries {
@@ -98,20 +98,20 @@
 			time.Sleep(6 * time.Second)
 			b.restartAll()
 		}, 0.85},
-		{"one entry is turned away by the store", func(b *domainsBed) { b.awayFromStore(1, true) }, 0.99},
+		{"one entry is turned away by the store", func(b *domainsBed) { b.setStoreUnreachable(1, true) }, 0.99},
 		{"one entry starts while the store turns it away", func(b *domainsBed) {
 			time.Sleep(4 * time.Second)
 			b.killEntry(2)
-			b.awayFromStore(2, true)
+			b.setStoreUnreachable(2, true)
 			b.startEntry(2)
 			time.Sleep(6 * time.Second)
-			b.awayFromStore(2, false)
+			b.setStoreUnreachable(2, false)
 		}, 0.9},
 		{"the store is silent once it has taken the order", func(b *domainsBed) {
 			time.Sleep(drainAt + 300*time.Millisecond)
-			b.silenceStore(true)
+			b.setStoreDown(true)
 			time.Sleep(8 * time.Second)
-			b.silenceStore(false)
+			b.setStoreDown(false)
 		}, 0.99},
 		{"the store forgets its history", func(b *domainsBed) {
 			for range 12 {
@@ -121,7 +121,7 @@
 		}, 0.99},
 		{"entries that hear nothing of one another", func(b *domainsBed) {
 			for i := range b.entries {
-				b.cutOff(i, true)
+				b.partition(i, true)
 			}
 		}, 0.95},
 	}
@@ -139,10 +139,10 @@
 					time.Sleep(backAt - drainAt)
 					b.takeBack("d1")
 				}()
-				b.usualCallers(200, length, b.unlike)
+				b.backgroundCallers(200, length, b.uniqueBody)
 				b.ordered.Lock()
 				defer b.ordered.Unlock()
-				share := b.servedShare(0, length)
+				share := b.servedFraction(0, length)
 				t.Logf("%d requests reached drained targets too late; served %.3f; %d reached those taken back", b.late["d1"], share, b.arrivals["d1"])
 				if b.late["d1"] > 0 {
 					t.Errorf("%d requests reached targets later than %v after their failure domain was drained", b.late["d1"], drainedTime)
@@ -174,8 +174,8 @@
 				b.takeBack(domain)
 			}
 		}()
-		b.usualCallers(150, length, b.unlike)
-		if share := b.servedShare(0, length); share < 0.99 {
+		b.backgroundCallers(150, length, b.uniqueBody)
+		if share := b.servedFraction(0, length); share < 0.99 {
 			t.Errorf("served %.3f", share)
 		}
 		for domain, n := range b.late {
--- a/pkg/app/endings_test.go
+++ b/pkg/app/endings_test.go
@@ -55,7 +55,7 @@
 func newEndingsBed(t *testing.T, seed uint64) *endingsBed {
 	b := &endingsBed{arrived: make(map[string]int), onTrial: make(map[string]int), failing: make(map[ids.Version]bool)}
 	b.crashBed = newCrashBedOf(t, seed, endingsEntries, crashTargets)
-	b.answers = b.answer
+	b.intercept = b.answer
 	route := func(name, kind string, attempts int) wiretest.Route {
 		return wiretest.Route{Name: name, Host: "h", Prefix: "/" + name + "/", Kind: kind, Timeout: 8000, Objective: 500, Attempts: attempts, Resumable: name == "resume", Service: "s"}
 	}
@@ -177,7 +177,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), endingsWait)
 	defer cancel()
 	defer func() { c.end = b.now() }()
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://h"+path, strings.NewReader(b.unlike()))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://h"+path, strings.NewReader(b.uniqueBody()))
 	if err != nil {
 		b.t.Error(err)
 		return c
@@ -199,7 +199,7 @@
 	var calls []endingsCall
 	from := b.now()
 	time.AfterFunc(length/3, func() { change(b) })
-	b.every(endingsLoad, from, from+length, func() {
+	b.callAtRate(endingsLoad, from, from+length, func() {
 		c := b.callOnce(b.draw(endingsEntries), "/"+endingsKinds[b.draw(len(endingsKinds))]+"/q")
 		mu.Lock()
 		defer mu.Unlock()
@@ -307,18 +307,18 @@
 			b.row(n, func(r *wiretest.Engine) { r.Service = "o" })
 		}
 	}},
-	{"the store is unreachable", func(b *endingsBed) { b.silenceStore(true) }},
+	{"the store is unreachable", func(b *endingsBed) { b.setStoreDown(true) }},
 	{"the store trims its history", func(b *endingsBed) { b.store.TrimHistory() }},
 	{"all entries are partitioned from one another", func(b *endingsBed) {
 		for i := range endingsEntries {
-			b.cutOff(i, true)
+			b.partition(i, true)
 		}
 	}},
 	{"entries are partitioned in turn, for 0.4 s each", func(b *endingsBed) {
 		for n := range 6 {
-			b.cutOff(n%endingsEntries, true)
+			b.partition(n%endingsEntries, true)
 			time.Sleep(400 * time.Millisecond)
-			b.cutOff(n%endingsEntries, false)
+			b.partition(n%endingsEntries, false)
 		}
 	}},
 }
--- a/pkg/app/limit_bed_test.go
+++ b/pkg/app/limit_bed_test.go
@@ -63,7 +63,7 @@
 		adviceBed: newAdviceBedOf(t, seed, entries, crashTargets), limits: make(map[int][]namedLimit), told: make(map[pair]time.Duration),
 		counted: make(map[string][]time.Duration), arrived: make(map[int][]time.Duration), first: make(map[string]time.Duration), over: make(map[int]bool),
 	}
-	b.answers = b.answerLimited
+	b.intercept = b.answerLimited
 	return b
 }
 
@@ -102,7 +102,7 @@
 		wiretest.SetLimit(w.Header(), named[len(named)-1].text)
 		noteFirst(b.first, e.id, now)
 	}
-	if told, known := b.told[pair{entry, e.id}]; known && now >= told+limitToldFor && now >= b.first[e.id]+contactTime {
+	if told, known := b.told[pair{entry, e.id}]; known && now >= told+limitToldFor && now >= b.first[e.id]+propagationTime {
 		b.count(e, now)
 	}
 	return false
@@ -152,7 +152,7 @@
 func (b *limitBed) loseDatagrams(part float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.lost = part
+	b.lossRate = part
 }
 
 // restartEntry kills an entry and starts it again a while later. It knows nothing of what it was told.
--- a/pkg/app/limit_test.go
+++ b/pkg/app/limit_test.go
@@ -80,23 +80,23 @@
 		{"entries are cut off from the others and come back", func(b *limitBed) {
 			for range 3 {
 				for i := range 2 {
-					b.cutOff(i, true)
+					b.partition(i, true)
 				}
 				time.Sleep(time.Second)
 				for i := range 2 {
-					b.cutOff(i, false)
+					b.partition(i, false)
 				}
 				time.Sleep(500 * time.Millisecond)
 			}
 		}, 0.9},
 		{"entries hear nothing of one another", func(b *limitBed) {
 			for i := range b.entries {
-				b.cutOff(i, true)
+				b.partition(i, true)
 			}
 		}, 0.9},
 		{"a twentieth of all datagrams is lost", func(b *limitBed) { b.loseDatagrams(0.05) }, 0.9},
 		{"a fifth of all datagrams is lost", func(b *limitBed) { b.loseDatagrams(0.2) }, 0.9},
-		{"the store is silent", func(b *limitBed) { b.silenceStore(true) }, 0.97},
+		{"the store is silent", func(b *limitBed) { b.setStoreDown(true) }, 0.97},
 		{"targets start again under their ids", func(b *limitBed) {
 			for n := range 6 {
 				b.startAgain(n)
@@ -106,14 +106,14 @@
 		{"all at once", func(b *limitBed) {
 			b.loseDatagrams(0.1)
 			for i := range min(5, len(b.entries)) {
-				b.cutOff(i, true)
+				b.partition(i, true)
 				b.startAgain(i)
 				time.Sleep(600 * time.Millisecond)
-				b.cutOff(i, false)
+				b.partition(i, false)
 				b.restartEntry((i+1)%len(b.entries), 200*time.Millisecond)
-				b.awayFromStore(i, true)
+				b.setStoreUnreachable(i, true)
 			}
-			b.silenceStore(false)
+			b.setStoreDown(false)
 		}, 0.5},
 	}
 	for _, entries := range []int{3, 16, 60} {
--- a/pkg/app/loss_spread_test.go
+++ b/pkg/app/loss_spread_test.go
@@ -31,7 +31,7 @@
 			for seed := range uint64(series) {
 				synctest.Test(t, func(t *testing.T) {
 					b := newCrashBed(t, 1+seed, 3)
-					b.long = true
+					b.longRuns = true
 					go func() {
 						time.Sleep(time.Second)
 						for n := 0; n < len(b.engines); n += 2 {
@@ -39,14 +39,14 @@
 							time.Sleep(s.between)
 						}
 					}()
-					b.usualCallers(240, length, func() string {
+					b.backgroundCallers(240, length, func() string {
 						if b.draw(2) == 0 {
 							return popular
 						}
-						return b.unlike()
+						return b.uniqueBody()
 					})
 					quarantined, _ := b.quarantined()
-					t.Logf("%d of %d requests rejected as quarantined; served %.3f", quarantined, len(b.backgroundCalls), b.servedShare(0, length))
+					t.Logf("%d of %d requests rejected as quarantined; served %.3f", quarantined, len(b.backgroundCalls), b.servedFraction(0, length))
 					if quarantined > 0 {
 						t.Errorf("seed %d: the popular request was quarantined", 1+seed)
 					}
--- a/pkg/bulletin/peers_test.go
+++ b/pkg/bulletin/peers_test.go
@@ -33,11 +33,11 @@
 		{"the store does not answer one entry", func(b *cluster, reader int) { b.leaveUnanswered((reader + 1) % entryCount) }, 500 * time.Millisecond},
 		{"one is rejected, and the feed reader's stream breaks midway", func(b *cluster, reader int) {
 			b.reject((reader + 1) % entryCount)
-			b.faults.Strike(network.Fault{Address: address(reader).String(), Direction: network.Reply, Message: 1, Effect: network.CutBefore})
+			b.faults.Add(network.Fault{Address: address(reader).String(), Direction: network.Reply, Message: 1, Effect: network.BreakBefore})
 		}, 800 * time.Millisecond},
 		{"one is rejected, and the feed reader's stream is delayed", func(b *cluster, reader int) {
 			b.reject((reader + 1) % entryCount)
-			b.faults.Strike(network.Fault{Address: address(reader).String(), Direction: network.Reply, Message: 0, Effect: network.Delay, Length: 5000})
+			b.faults.Add(network.Fault{Address: address(reader).String(), Direction: network.Reply, Message: 0, Effect: network.Delay, Length: 5000})
 		}, 1200 * time.Millisecond},
 		{"one is rejected, and a third of all datagrams are lost", func(b *cluster, reader int) {
 			b.reject((reader + 1) % entryCount)
--- a/pkg/capacity/page.go
+++ b/pkg/capacity/page.go
@@ -89,7 +89,7 @@
 		for _, p := range s.Points {
 			points = append(points, fmt.Sprintf("%.0f: %.0f", p.Size, p.Cost))
 		}
-		fmt.Fprintf(&b, "| %s | %s | %s | %.0f | %.1f | %.3f |\n", s.Name, s.Unit, strings.Join(points, ", "), s.Base, s.Each, s.Fit)
+		fmt.Fprintf(&b, "| %s | %s | %s | %.0f | %.1f | %.3f |\n", s.Name, s.Unit, strings.Join(points, ", "), s.Base, s.PerUnit, s.RSquared)
 	}
 	fmt.Fprintf(&b, "\nAn empty Notices call and its reply: %.0f bytes. A change of one target as sent: %.0f bytes.\n", m.Sessions.Notices, m.Change)
 	return b.String()
--- a/pkg/capacity/roles.go
+++ b/pkg/capacity/roles.go
@@ -29,7 +29,7 @@
 func (m Measured) fleetTable(t DeploymentSize) string {
 	engines := float64(t.Engines)
 	processes := engines + float64(t.VMs)
-	perSession := m.Sessions.Memory.Each / 2
+	perSession := m.Sessions.Memory.PerUnit / 2
 	reads := processes * (1/pollIntervalSeconds + t.ChangesPerSecond())
 	var b strings.Builder
 	b.WriteString("## What grows with the whole fleet in a single node\n\n")
@@ -47,7 +47,7 @@
 		(m.Sessions.Poll+headerBytes)/pollIntervalSeconds/kilobyte, t.ControlBytes/kilobyte)
 	row("| the snapshot that a new process reads | %.1f MB | | | a process holds what it serves |\n", m.IndexBytes.At(engines)/megabyte)
 	row("| reading a change | %.2f %% of a core | %.1f %% | %.0f targets | the same |\n",
-		m.IndexTime.At(engines)*nanosecond*t.ChangesPerSecond()*percent, t.ControlCore*percent, t.ControlCore/(m.IndexTime.Each*nanosecond*t.ChangesPerSecond()))
+		m.IndexTime.At(engines)*nanosecond*t.ChangesPerSecond()*percent, t.ControlCore*percent, t.ControlCore/(m.IndexTime.PerUnit*nanosecond*t.ChangesPerSecond()))
 	row("| every process polls the table | %.0f reads/s | about %.0f for all uses | %.0f processes | one poller for each failure domain, the rest by push |\n",
 		reads, maxTableReads, maxTableReads/(1/pollIntervalSeconds+t.ChangesPerSecond()))
 	row("| the configuration itself, memory | %.1f MB | %.0f MB | not within the size | none needed |\n",
@@ -67,7 +67,7 @@
 
 func (m Measured) entryTable(t DeploymentSize) string {
 	requests, tokens := t.EntryRequests(), t.EntryTokens()
-	ticketBytes := m.Sessions.Tickets.Each * ticketsPerRequest
+	ticketBytes := m.Sessions.Tickets.PerUnit * ticketsPerRequest
 	var b strings.Builder
 	fmt.Fprintf(&b, "## An entry: %.0f requests/s, %.0f tokens/s\n\n%s", requests, tokens, roleHead)
 	row := func(what, mechanism, format string, args ...any) {
@@ -77,7 +77,7 @@
 	row("processor, tokens", "relay of whole events", "%.1f %% of a core (%.1f µs each)", tokens*m.Path.EntryToken*microsecond*percent, m.Path.EntryToken)
 	row("messages, tickets", "batched Place calls; part of the request path, not of the control budget", "%.1f KB/s (%.0f bytes a request with %d tickets)", requests*ticketBytes/kilobyte, ticketBytes, ticketsPerRequest)
 	row("memory, waiting requests", "one goroutine and one connection each", "%.0f KB each; 256 MB hold %.0f", m.Path.EntryWaiting/kilobyte, t.ControlMB*megabyte/max(m.Path.EntryWaiting, 1))
-	row("memory, sessions", "one net/rpc connection a target", "%.1f KB each", m.Sessions.Memory.Each/2/kilobyte)
+	row("memory, sessions", "one net/rpc connection a target", "%.1f KB each", m.Sessions.Memory.PerUnit/2/kilobyte)
 	return b.String()
 }
 
@@ -92,8 +92,8 @@
 	row("processor, requests", "gate, one exchange with the target", "%.2f %% of a core (%.0f µs each)", requests*m.Path.AgentRequest*microsecond*percent, m.Path.AgentRequest)
 	row("processor, tokens", "bounded answer log", "%.1f %% of a core (%.1f µs each)", tokens*m.Path.AgentToken*microsecond*percent, m.Path.AgentToken)
 	row("decision on a ticket", "heaps by tier, account, deadline", "%.1f µs with 1,000 waiting", m.Decide.At(1000)*nanosecond/microsecond)
-	row("memory, tickets", "no goroutine a ticket", "%.0f bytes each", m.Tickets.Each)
-	row("memory, fates of grants", "kept for 30 s", "%.2f MB (%.0f bytes each)", requests*fateRetentionSeconds*m.Fates.Each/megabyte, m.Fates.Each)
+	row("memory, tickets", "no goroutine a ticket", "%.0f bytes each", m.Tickets.PerUnit)
+	row("memory, fates of grants", "kept for 30 s", "%.2f MB (%.0f bytes each)", requests*fateRetentionSeconds*m.Fates.PerUnit/megabyte, m.Fates.PerUnit)
 	row("memory, answers kept for a resume", "bounded by bytes", "16 MB at most, and 256 KB for each answer under way")
 	return b.String()
 }
--- a/pkg/capacity/slopes.go
+++ b/pkg/capacity/slopes.go
@@ -33,11 +33,11 @@
 	Unit   string
 	Points []Point
 	// The line is cost = Base + PerUnit × size. RSquared is its coefficient of determination.
-	Base, Each, Fit float64
+	Base, PerUnit, RSquared float64
 }
 
 // At returns the cost at a size according to the line.
-func (s Slope) At(size float64) float64 { return s.Base + s.Each*size }
+func (s Slope) At(size float64) float64 { return s.Base + s.PerUnit*size }
 
 func fitLine(name, unit string, points []Point) Slope {
 	var sizes, costs []float64
@@ -47,8 +47,8 @@
 	}
 	base, each := stat.LinearRegression(sizes, costs, nil, false)
 	return Slope{
-		Name: name, Unit: unit, Points: points, Base: base, Each: each,
-		Fit: stat.RSquared(sizes, costs, nil, base, each),
+		Name: name, Unit: unit, Points: points, Base: base, PerUnit: each,
+		RSquared: stat.RSquared(sizes, costs, nil, base, each),
 	}
 }
 
--- a/pkg/ctl/bound.go
+++ b/pkg/ctl/bound.go
@@ -38,7 +38,7 @@
 	if *seed != 0 {
 		load.Seed = *seed
 	}
-	return writeBound(out, loadmodel.Play(load, loadmodel.Observer{}), loadmodel.UpperBound(load))
+	return writeBound(out, loadmodel.Simulate(load, loadmodel.Observer{}), loadmodel.UpperBound(load))
 }
 
 func writeBound(out io.Writer, played, bound loadmodel.Result) error {
@@ -46,9 +46,9 @@
 	_, _ = fmt.Fprintln(w, "kind\tasked\tin time\tlate\trefused\trefused again\tlost\tearned\tbound\tnet\t")
 	upperBounds := append(bound.Outcomes, bound.All())
 	for i, o := range append(played.Outcomes, played.All()) {
-		_, _ = fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%.3f\t%.3f\t%.3f\t\n", o.Kind, o.Asked,
-			percent(o.InTime, o.Asked), percent(o.Late, o.Asked), percent(o.Refused, o.Asked), percent(o.RefusedAgain, o.Asked), percent(o.Lost, o.Asked),
-			o.Share(), upperBounds[i].Share(), o.Net())
+		_, _ = fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%.3f\t%.3f\t%.3f\t\n", o.Kind, o.Callers,
+			percent(o.InTime, o.Callers), percent(o.Late, o.Callers), percent(o.Refused, o.Callers), percent(o.RefusedAgain, o.Callers), percent(o.Lost, o.Callers),
+			o.EarnedFraction(), upperBounds[i].EarnedFraction(), o.NetFraction())
 	}
 	if err := w.Flush(); err != nil {
 		return fmt.Errorf("printing: %w", err)
--- a/pkg/experiment/result.go
+++ b/pkg/experiment/result.go
@@ -31,10 +31,10 @@
 
 // TierResult is the outcome for the requests of one tier.
 type TierResult struct {
-	Offered, Good             int
-	OfferedTokens, GoodTokens int
+	Offered, InTime             int
+	OfferedTokens, InTimeTokens int
 	// FirstTokenMS is the time until the engine made the first token, in milliseconds.
-	First *hdrhistogram.Histogram
+	FirstTokenMS *hdrhistogram.Histogram
 }
 
 func newResult(s *Scenario, policy string) *Result {
@@ -42,7 +42,7 @@
 	for _, c := range s.Classes {
 		if r.Tiers[c.Tier] == nil {
 			r.tierOrder = append(r.tierOrder, c.Tier)
-			r.Tiers[c.Tier] = &TierResult{First: hdrhistogram.New(1, maxFirstTokenMS, significant)}
+			r.Tiers[c.Tier] = &TierResult{FirstTokenMS: hdrhistogram.New(1, maxFirstTokenMS, significant)}
 		}
 	}
 	return r
@@ -50,7 +50,7 @@
 
 // Goodput returns the percentage of the tier's requests that were answered in time.
 func (t *TierResult) Goodput() float64 {
-	return percent * float64(t.Good) / float64(max(1, t.Offered))
+	return percent * float64(t.InTime) / float64(max(1, t.Offered))
 }
 
 // TokenGoodput returns the percentage of requested answer tokens, over all tiers, whose answers were complete in
@@ -58,7 +58,7 @@
 func (r *Result) TokenGoodput() float64 {
 	var good, offered int
 	for _, t := range r.Tiers {
-		good += t.GoodTokens
+		good += t.InTimeTokens
 		offered += t.OfferedTokens
 	}
 	return percent * float64(good) / float64(max(1, offered))
@@ -89,7 +89,7 @@
 	fmt.Fprintf(&b, "| %s |", r.Policy)
 	for _, tier := range r.tierOrder {
 		t := r.Tiers[tier]
-		fmt.Fprintf(&b, " %.1f (%d) |", t.Goodput(), t.First.ValueAtQuantile(95))
+		fmt.Fprintf(&b, " %.1f (%d) |", t.Goodput(), t.FirstTokenMS.ValueAtQuantile(95))
 	}
 	var refusals []string
 	for code, n := range r.Refusals {
--- a/pkg/experiment/run.go
+++ b/pkg/experiment/run.go
@@ -107,13 +107,13 @@
 }
 
 func (r *run) applyEvent(e Event) {
-	for i := e.First; i < e.Last; i++ {
+	for i := e.FirstEngine; i < e.EndEngine; i++ {
 		if e.SlowDown > 0 {
 			r.bed.Engines[i].SlowDown(e.SlowDown)
 			continue
 		}
 		r.bed.Agents[i].Close()
-		r.bed.Engines[i].CutAll()
+		r.bed.Engines[i].AbortAll()
 	}
 }
 
@@ -142,17 +142,17 @@
 		r.result.Violations++
 	case answer.Ending == testbed.NotRun && runs > 0:
 		r.result.Violations++
-	case answer.Ending == testbed.Crossed:
+	case answer.Ending == testbed.Misattributed:
 		r.result.Violations++
 	}
-	if answer.Ending == testbed.Whole && took <= class.DeadlineMS.Duration() {
-		t.Good++
-		t.GoodTokens += a.tokens
+	if answer.Ending == testbed.Complete && took <= class.DeadlineMS.Duration() {
+		t.InTime++
+		t.InTimeTokens += a.tokens
 	}
 	if answer.Code != "" {
 		r.result.Refusals[answer.Code+" ("+answer.Ending.String()+")"]++
 	}
-	if answer.Ending == testbed.Whole {
+	if answer.Ending == testbed.Complete {
 		r.recordNeededPrompt(a, class)
 	}
 	r.recordFirstToken(t, answer.Request, start)
@@ -186,7 +186,7 @@
 	for _, e := range r.bed.Engines {
 		if at, found := e.FirstToken(request); found {
 			// Times above the histogram's limit count as the limit.
-			_ = t.First.RecordValue(min(at.Sub(start).Milliseconds(), maxFirstTokenMS))
+			_ = t.FirstTokenMS.RecordValue(min(at.Sub(start).Milliseconds(), maxFirstTokenMS))
 			return
 		}
 	}
--- a/pkg/experiment/scenario.go
+++ b/pkg/experiment/scenario.go
@@ -40,11 +40,11 @@
 	Tier    ids.Tier    `json:"tier"`
 	Account ids.Account `json:"account"`
 	// Fraction is the weight of the class among all requests; the sum need not be 1.
-	Share       float64 `json:"share"`
+	Fraction    float64 `json:"share"`
 	PromptBytes int     `json:"prompt_bytes"`
 	// The first SharedBytes of a prompt are one of SharedTexts different texts.
 	SharedBytes int `json:"shared_bytes,omitempty"`
-	Families    int `json:"families,omitempty"`
+	SharedTexts int `json:"families,omitempty"`
 	// Tokens is the mean length of an answer; lengths are distributed exponentially.
 	Tokens     float64      `json:"tokens"`
 	DeadlineMS clock.Millis `json:"deadline_ms"`
@@ -54,8 +54,8 @@
 type Event struct {
 	AtMS clock.Millis `json:"at_ms"`
 	// The event affects the engines from index FirstEngine up to but excluding EndEngine.
-	First int `json:"first"`
-	Last  int `json:"last"`
+	FirstEngine int `json:"first"`
+	EndEngine   int `json:"last"`
 	// SlowDown is the factor by which the steps of these engines take longer. 0 closes their agents and aborts all
 	// running answers.
 	SlowDown int `json:"slow_down"`
@@ -97,8 +97,8 @@
 		tokens += float64(g.Count) * float64(g.MaxBatch) * float64(clock.Second) / float64(g.StepMS)
 	}
 	for _, c := range s.Classes {
-		perRequest += c.Share * (c.Tokens + 1) // one more step for the prompt
-		fractions += c.Share
+		perRequest += c.Fraction * (c.Tokens + 1) // one more step for the prompt
+		fractions += c.Fraction
 	}
 	return s.Load * tokens / (perRequest / fractions)
 }
--- a/pkg/experiment/workload.go
+++ b/pkg/experiment/workload.go
@@ -34,10 +34,10 @@
 
 // drawSharedText draws which of the shared texts of its class a prompt begins with.
 func drawSharedText(random *rand.Rand, c *Class) int {
-	if c.Families == 0 {
+	if c.SharedTexts == 0 {
 		return -1
 	}
-	return random.IntN(c.Families)
+	return random.IntN(c.SharedTexts)
 }
 
 // prompt returns the prompt of the i-th request.
@@ -53,11 +53,11 @@
 func drawClass(random *rand.Rand, classes []Class) int {
 	total := 0.0
 	for _, c := range classes {
-		total += c.Share
+		total += c.Fraction
 	}
 	remaining := random.Float64() * total
 	for i, c := range classes {
-		remaining -= c.Share
+		remaining -= c.Fraction
 		if remaining < 0 {
 			return i
 		}
--- a/pkg/loadmodel/arrivals.go
+++ b/pkg/loadmodel/arrivals.go
@@ -19,7 +19,7 @@
 func (s *simulation) draw(k *Kind) {
 	maxRate := k.PerSecond
 	for _, b := range s.load.Bursts {
-		maxRate *= max(1, b.Times)
+		maxRate *= max(1, b.Factor)
 	}
 	if maxRate <= 0 {
 		return
--- a/pkg/loadmodel/bound.go
+++ b/pkg/loadmodel/bound.go
@@ -60,7 +60,7 @@
 func (s *simulation) runTime(c *caller) float64 {
 	speed := s.load.Speed
 	const thousand = 1000
-	return speed.First + speed.ThousandToken*float64(c.prompt)/thousand + speed.Event*float64(c.events)
+	return speed.FirstEvent + speed.PerThousandTokens*float64(c.prompt)/thousand + speed.Event*float64(c.events)
 }
 
 // slots returns the number of slots, in slots of targets of speed factor 1, in the window that begins at from;
@@ -73,7 +73,7 @@
 	down := 0.0
 	for _, o := range l.Outages {
 		overlap := min(from+window, o.At+o.For) - max(from, o.At)
-		down += o.Share * math.Max(0, float64(overlap)) / float64(window)
+		down += o.Fraction * math.Max(0, float64(overlap)) / float64(window)
 	}
 	return all * math.Max(0, 1-down)
 }
--- a/pkg/loadmodel/caller.go
+++ b/pkg/loadmodel/caller.go
@@ -62,7 +62,7 @@
 	case inTime:
 		return c.kind.Worth * c.weight()
 	case late:
-		return c.kind.Late * c.weight()
+		return c.kind.LateWorth * c.weight()
 	default:
 		return 0
 	}
--- a/pkg/loadmodel/load.go
+++ b/pkg/loadmodel/load.go
@@ -32,10 +32,10 @@
 	// Patience is how long a caller waits for the first event of a try; 0 means until the deadline.
 	Patience clock.Millis `json:"patience_ms"`
 	// MaxReturns is how often a caller tries again.
-	Returns int `json:"returns"`
+	MaxReturns int `json:"returns"`
 	// Worth is the value of an answer within the objective, LateWorth that of a later one.
-	Worth float64 `json:"worth"`
-	Late  float64 `json:"late_worth"`
+	Worth     float64 `json:"worth"`
+	LateWorth float64 `json:"late_worth"`
 }
 
 // TargetGroup is a number of equal targets.
@@ -48,24 +48,24 @@
 
 // Speed gives the times of a target of speed factor 1.
 type Speed struct {
-	First         float64 `json:"first_ms"`
-	ThousandToken float64 `json:"first_per_1000_tokens_ms"`
-	Event         float64 `json:"event_ms"`
+	FirstEvent        float64 `json:"first_ms"`
+	PerThousandTokens float64 `json:"first_per_1000_tokens_ms"`
+	Event             float64 `json:"event_ms"`
 }
 
 // Burst multiplies the rate of callers of a kind, or of all kinds, for a time.
 type Burst struct {
-	At    clock.Millis `json:"at_ms"`
-	For   clock.Millis `json:"for_ms"`
-	Times float64      `json:"times"`
-	Kind  string       `json:"kind,omitempty"`
+	At     clock.Millis `json:"at_ms"`
+	For    clock.Millis `json:"for_ms"`
+	Factor float64      `json:"times"`
+	Kind   string       `json:"kind,omitempty"`
 }
 
 // Outage stops a fraction of the targets for a time; the requests that run there are lost.
 type Outage struct {
-	At    clock.Millis `json:"at_ms"`
-	For   clock.Millis `json:"for_ms"`
-	Share float64      `json:"share"`
+	At       clock.Millis `json:"at_ms"`
+	For      clock.Millis `json:"for_ms"`
+	Fraction float64      `json:"share"`
 }
 
 // Load is the description of a load.
@@ -108,7 +108,7 @@
 		require(t.Count > 0 && t.Slots > 0 && t.Factor > 0, "targets need count, slots and factor above 0")
 	}
 	for _, o := range l.Outages {
-		require(o.Share > 0 && o.Share <= 1, "an outage needs a share above 0 and at most 1")
+		require(o.Fraction > 0 && o.Fraction <= 1, "an outage needs a share above 0 and at most 1")
 	}
 	return errors.Join(faults...)
 }
@@ -118,7 +118,7 @@
 	x := 1.0
 	for _, b := range l.Bursts {
 		if (b.Kind == "" || b.Kind == kind) && at >= b.At && at < b.At+b.For {
-			x *= b.Times
+			x *= b.Factor
 		}
 	}
 	return x
--- a/pkg/loadmodel/load_test.go
+++ b/pkg/loadmodel/load_test.go
@@ -38,24 +38,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, again := loadmodel.Play(load, loadmodel.Observer{}), loadmodel.Play(load, loadmodel.Observer{})
+	first, again := loadmodel.Simulate(load, loadmodel.Observer{}), loadmodel.Simulate(load, loadmodel.Observer{})
 	if first.All() != again.All() {
 		t.Error("two simulations with the same seed differ")
 	}
-	if all := first.All(); all.Asked != all.InTime+all.Late+all.Refused+all.RefusedAgain+all.Lost {
-		t.Errorf("%d callers, but their results do not add up to that: %+v", all.Asked, all)
+	if all := first.All(); all.Callers != all.InTime+all.Late+all.Refused+all.RefusedAgain+all.Lost {
+		t.Errorf("%d callers, but their results do not add up to that: %+v", all.Callers, all)
 	}
 }
 
 func ExampleUpperBound() {
 	load := loadmodel.Load{
 		Length:  4 * clock.Second,
-		Kinds:   []loadmodel.Kind{{Name: "tag", PerSecond: 20, Prompt: 1000, Events: 5, Objective: 500, Deadline: 2000, Worth: 1, Late: 0.3}},
+		Kinds:   []loadmodel.Kind{{Name: "tag", PerSecond: 20, Prompt: 1000, Events: 5, Objective: 500, Deadline: 2000, Worth: 1, LateWorth: 0.3}},
 		Targets: []loadmodel.TargetGroup{{Count: 1, Slots: 2, Factor: 1}}, // two slots, half of what the callers need
-		Speed:   loadmodel.Speed{First: 50, ThousandToken: 50, Event: 20},
+		Speed:   loadmodel.Speed{FirstEvent: 50, PerThousandTokens: 50, Event: 20},
 		Seed:    1,
 	}
-	earned := loadmodel.UpperBound(load).All().Share()
+	earned := loadmodel.UpperBound(load).All().EarnedFraction()
 	fmt.Println(earned > 0.4 && earned < 0.65)
 	// Output: true
 }
--- a/pkg/loadmodel/play.go
+++ b/pkg/loadmodel/play.go
@@ -16,13 +16,13 @@
 // Observer has callbacks for events of a simulation, for tests. Each may be nil.
 type Observer struct {
 	// Submitted is called after a caller's try was submitted.
-	Asked func(now clock.Millis, p *planner.Planner, id planner.JobID)
+	Submitted func(now clock.Millis, p *planner.Planner, id planner.JobID)
 	// Granted is called when a try is granted, with its waiting time.
 	Granted func(now clock.Millis, id planner.JobID, tier ids.TierRank, waited clock.Millis)
 	// Refused is called when a try is refused, with its waiting time.
 	Refused func(now clock.Millis, id planner.JobID, tier ids.TierRank, waited clock.Millis)
 	// PlannerStarted is called with each new planner.
-	Began func(p *planner.Planner)
+	PlannerStarted func(p *planner.Planner)
 }
 
 const (
@@ -54,7 +54,7 @@
 const startTime = 1000 * clock.Second
 
 // Simulate simulates a load and returns what the callers got.
-func Play(load Load, observer Observer) Result {
+func Simulate(load Load, observer Observer) Result {
 	s := newSimulation(&load, observer)
 	s.buildTargets()
 	s.startPlanner(startTime)
@@ -76,8 +76,8 @@
 // startPlanner replaces the planner by a new one that knows only the targets.
 func (s *simulation) startPlanner(now clock.Millis) {
 	s.planner = planner.New(rand.New(rand.NewPCG(s.load.Seed, 2)))
-	if s.observer.Began != nil {
-		s.observer.Began(s.planner)
+	if s.observer.PlannerStarted != nil {
+		s.observer.PlannerStarted(s.planner)
 	}
 	s.setTargets(now)
 }
@@ -122,8 +122,8 @@
 	c.id = planner.JobID{Entry: entry, Number: s.tries}
 	s.waiting[c.id] = c
 	s.planner.Submit(now, c.job())
-	if s.observer.Asked != nil {
-		s.observer.Asked(now, s.planner, c.id)
+	if s.observer.Submitted != nil {
+		s.observer.Submitted(now, s.planner, c.id)
 	}
 	s.applyDecisions(now)
 	id := c.id
@@ -177,7 +177,7 @@
 	if s.observer.Refused != nil {
 		s.observer.Refused(now, c.id, c.kind.Tier, now-c.triedAt)
 	}
-	if c.tries > c.kind.Returns {
+	if c.tries > c.kind.MaxReturns {
 		c.status = refused
 		if c.tries > 1 {
 			c.status = refusedAgain
--- a/pkg/loadmodel/result.go
+++ b/pkg/loadmodel/result.go
@@ -8,14 +8,14 @@
 
 // Outcome is what the callers of a kind got.
 type Outcome struct {
-	Kind  string
-	Tier  ids.TierRank
-	Asked int
+	Kind    string
+	Tier    ids.TierRank
+	Callers int
 	// InTime and Late count callers that were answered within the objective and after it, RefusedAgain those that were
 	// refused after they had used all their returns, Refused other refused callers, and Lost the rest.
 	InTime, Late, Refused, RefusedAgain, Lost int
 	// Worth is the value of the answers, MaxWorth what it would be if all were in time.
-	Worth, Owed float64
+	Worth, MaxWorth float64
 	// Cost is the cost to callers that got no answer: a constant for returning in vain, and an amount that grows
 	// with the time that they waited.
 	Cost float64
@@ -25,11 +25,11 @@
 }
 
 // EarnedFraction returns Worth as a fraction of MaxWorth.
-func (o Outcome) Share() float64 {
-	if o.Owed == 0 {
+func (o Outcome) EarnedFraction() float64 {
+	if o.MaxWorth == 0 {
 		return 0
 	}
-	return o.Worth / o.Owed
+	return o.Worth / o.MaxWorth
 }
 
 // Result holds the outcome of each kind, in the order of the load.
@@ -38,7 +38,7 @@
 }
 
 // ForKind returns the outcome of a kind. It panics if the load has no such kind.
-func (r Result) Of(kind string) *Outcome {
+func (r Result) ForKind(kind string) *Outcome {
 	i := slices.IndexFunc(r.Outcomes, func(o Outcome) bool { return o.Kind == kind })
 	return &r.Outcomes[i]
 }
@@ -47,14 +47,14 @@
 func (r Result) All() Outcome {
 	all := Outcome{Kind: "all"}
 	for _, o := range r.Outcomes {
-		all.Asked += o.Asked
+		all.Callers += o.Callers
 		all.InTime += o.InTime
 		all.Late += o.Late
 		all.Refused += o.Refused
 		all.RefusedAgain += o.RefusedAgain
 		all.Lost += o.Lost
 		all.Worth += o.Worth
-		all.Owed += o.Owed
+		all.MaxWorth += o.MaxWorth
 		all.Cost += o.Cost
 	}
 	return all
@@ -86,8 +86,8 @@
 }
 
 func (o *Outcome) count(c *caller) {
-	o.Asked++
-	o.Owed += c.kind.Worth * c.weight()
+	o.Callers++
+	o.MaxWorth += c.kind.Worth * c.weight()
 	o.Worth += c.worth()
 	switch c.status {
 	case inTime:
@@ -105,11 +105,11 @@
 }
 
 // NetFraction returns Worth less Cost as a fraction of MaxWorth.
-func (o Outcome) Net() float64 {
-	if o.Owed == 0 {
+func (o Outcome) NetFraction() float64 {
+	if o.MaxWorth == 0 {
 		return 0
 	}
-	return (o.Worth - o.Cost) / o.Owed
+	return (o.Worth - o.Cost) / o.MaxWorth
 }
 
 const (
--- a/pkg/loadmodel/targets.go
+++ b/pkg/loadmodel/targets.go
@@ -42,7 +42,7 @@
 	t.running[c.id] = c
 	t.prefilling += c.prompt
 	const thousand = 1000
-	first := t.factor * (s.load.Speed.First + s.load.Speed.ThousandToken*float64(t.prefilling)/thousand)
+	first := t.factor * (s.load.Speed.FirstEvent + s.load.Speed.PerThousandTokens*float64(t.prefilling)/thousand)
 	id := c.id
 	s.at(now+clock.Millis(first), func(now clock.Millis) { s.firstEvent(now, c, id) })
 }
@@ -84,7 +84,7 @@
 
 // startOutage stops random targets and schedules the end of the outage.
 func (s *simulation) startOutage(now clock.Millis, o Outage) {
-	n := int(math.Ceil(o.Share * float64(len(s.targets))))
+	n := int(math.Ceil(o.Fraction * float64(len(s.targets))))
 	stopped := slices.Clone(s.targets)
 	s.random.Shuffle(len(stopped), func(i, j int) { stopped[i], stopped[j] = stopped[j], stopped[i] })
 	stopped = stopped[:n]
--- a/pkg/losses/losses.go
+++ b/pkg/losses/losses.go
@@ -42,15 +42,15 @@
 // suppressed.
 type Loss struct {
 	// At is when the request arrived at its entry, or for suppressed lines when their summary was logged.
-	At      time.Time
-	Cause   string
-	Tier    string
-	Account string
-	Entry   ids.Process
-	Domain  ids.FailureDomain
-	Prompt  ids.Tokens
+	At           time.Time
+	Cause        string
+	Tier         string
+	Account      string
+	Entry        ids.Process
+	Domain       ids.FailureDomain
+	PromptTokens ids.Tokens
 	// RefusedBefore tells whether the caller repeated a request that had been refused before.
-	CameBack bool
+	RefusedBefore bool
 	// Count is 1, or the number of suppressed lines.
 	Count int
 }
@@ -105,7 +105,7 @@
 	before, _ := l.Number(fieldBefore)
 	loss := Loss{
 		At: l.Time().Add(-time.Duration(held) * time.Millisecond), Cause: cause, Count: 1,
-		Account: l.Text(fieldAccount), Tier: unknown, Prompt: ids.Tokens(prompt), CameBack: before > 0,
+		Account: l.Text(fieldAccount), Tier: unknown, PromptTokens: ids.Tokens(prompt), RefusedBefore: before > 0,
 	}
 	if tier, present := l.Number(fieldTier); present {
 		loss.Tier = strconv.Itoa(int(tier))
--- a/pkg/losses/losses_test.go
+++ b/pkg/losses/losses_test.go
@@ -38,9 +38,9 @@
 
 func TestFindLosses(t *testing.T) {
 	want := []losses.Loss{
-		{At: at(2000), Cause: "Overloaded", Tier: "1", Account: "acme", Entry: "a", Domain: "north", Prompt: 100, Count: 1},
-		{At: at(2196), Cause: "Overloaded", Tier: "2", Account: "acme", Entry: "a", Domain: "north", Prompt: 50, CameBack: true, Count: 1},
-		{At: at(3500), Cause: "late: Pause", Tier: "0", Account: "zeta", Entry: "b", Domain: "?", Prompt: 7, Count: 1},
+		{At: at(2000), Cause: "Overloaded", Tier: "1", Account: "acme", Entry: "a", Domain: "north", PromptTokens: 100, Count: 1},
+		{At: at(2196), Cause: "Overloaded", Tier: "2", Account: "acme", Entry: "a", Domain: "north", PromptTokens: 50, RefusedBefore: true, Count: 1},
+		{At: at(3500), Cause: "late: Pause", Tier: "0", Account: "zeta", Entry: "b", Domain: "?", PromptTokens: 7, Count: 1},
 		{At: at(6000), Cause: "Overloaded", Tier: "?", Account: "?", Entry: "b", Domain: "?", Count: 12},
 		{At: at(6000), Cause: "late: not told", Tier: "?", Account: "?", Entry: "b", Domain: "?", Count: 3},
 	}
@@ -55,7 +55,7 @@
 		t.Fatal(err)
 	}
 	want := &losses.Table{
-		Began: at(2000), Window: 2 * time.Second, Causes: []string{"Overloaded", "late: not told", "late: Pause"},
+		Start: at(2000), Window: 2 * time.Second, Causes: []string{"Overloaded", "late: not told", "late: Pause"},
 		Counts: [][]int{{2, 0, 1}, {0, 0, 0}, {12, 3, 0}},
 	}
 	if !reflect.DeepEqual(table, want) {
--- a/pkg/losses/plot.go
+++ b/pkg/losses/plot.go
@@ -73,7 +73,7 @@
 	step := len(t.Counts)/maxLabels + 1
 	var ticks []plot.Tick
 	for i := 0; i < len(t.Counts); i += step {
-		at := t.Began.Add(time.Duration(i) * t.Window)
+		at := t.Start.Add(time.Duration(i) * t.Window)
 		ticks = append(ticks, plot.Tick{Value: float64(i), Label: at.Format(time.TimeOnly)})
 	}
 	return ticks
--- a/pkg/losses/table.go
+++ b/pkg/losses/table.go
@@ -11,7 +11,7 @@
 
 // Table holds the number of losses for each time window and cause.
 type Table struct {
-	Began  time.Time
+	Start  time.Time
 	Window time.Duration
 	Causes []string // the most frequent first
 	// Counts is indexed by window, then by cause as in Causes.
@@ -30,17 +30,17 @@
 	}
 	var last time.Time
 	for _, l := range list {
-		if t.Began.IsZero() || l.At.Before(t.Began) {
-			t.Began = l.At
+		if t.Start.IsZero() || l.At.Before(t.Start) {
+			t.Start = l.At
 		}
 		if l.At.After(last) {
 			last = l.At
 		}
 	}
-	t.Began = t.Began.Truncate(window)
-	n := int(last.Sub(t.Began)/window) + 1
+	t.Start = t.Start.Truncate(window)
+	n := int(last.Sub(t.Start)/window) + 1
 	if n > maxWindows {
-		return nil, fmt.Errorf("the losses span %v, more than %d windows of %v", last.Sub(t.Began), maxWindows, window)
+		return nil, fmt.Errorf("the losses span %v, more than %d windows of %v", last.Sub(t.Start), maxWindows, window)
 	}
 	t.Causes = byFrequency(list, func(l Loss) string { return l.Cause })
 	t.Counts = make([][]int, n)
@@ -48,7 +48,7 @@
 		t.Counts[i] = make([]int, len(t.Causes))
 	}
 	for _, l := range list {
-		t.Counts[int(l.At.Sub(t.Began)/window)][slices.Index(t.Causes, l.Cause)] += l.Count
+		t.Counts[int(l.At.Sub(t.Start)/window)][slices.Index(t.Causes, l.Cause)] += l.Count
 	}
 	return t, nil
 }
@@ -68,8 +68,8 @@
 			found[key(l)] = s
 		}
 		s.count += l.Count
-		s.promptTokens += int64(l.Prompt)
-		if l.CameBack {
+		s.promptTokens += int64(l.PromptTokens)
+		if l.RefusedBefore {
 			s.refusedBefore++
 		}
 	}
@@ -119,7 +119,7 @@
 	}
 	_, _ = fmt.Fprintf(w, "from\t%s\n", strings.Join(table.Causes, "\t"))
 	for i, row := range table.Counts {
-		at := table.Began.Add(time.Duration(i) * table.Window)
+		at := table.Start.Add(time.Duration(i) * table.Window)
 		_, _ = fmt.Fprintf(w, "%s\t%s\n", at.Format(time.TimeOnly), strings.Trim(strings.ReplaceAll(fmt.Sprint(row), " ", "\t"), "[]"))
 	}
 	if err := w.Flush(); err != nil {
--- a/pkg/network/faults.go
+++ b/pkg/network/faults.go
@@ -29,9 +29,9 @@
 // The effects of faults.
 const (
 	// BreakBefore breaks the connection; the message does not arrive.
-	CutBefore Effect = iota
+	BreakBefore Effect = iota
 	// BreakAfter breaks the connection once the message has arrived.
-	CutAfter
+	BreakAfter
 	// Delay delays the message, and all that follow it on the connection.
 	Delay
 )
@@ -70,21 +70,21 @@
 }
 
 // Add adds a fault.
-func (f *Faults) Strike(fault Fault) {
+func (f *Faults) Add(fault Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults = append(f.faults, fault)
 }
 
 // Triggered returns how many faults have taken effect.
-func (f *Faults) Struck() int {
+func (f *Faults) Triggered() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.triggered
 }
 
 // Clear removes all faults.
-func (f *Faults) Heal() {
+func (f *Faults) Clear() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults = nil
@@ -138,9 +138,9 @@
 		return c.Conn.Write(p)
 	}
 	switch fault.Effect {
-	case CutBefore:
+	case BreakBefore:
 		return 0, c.breakOff()
-	case CutAfter:
+	case BreakAfter:
 		n, err := c.Conn.Write(p)
 		if err != nil {
 			return n, err
@@ -176,9 +176,9 @@
 		return n, nil
 	}
 	switch fault.Effect {
-	case CutBefore:
+	case BreakBefore:
 		return 0, c.breakOff()
-	case CutAfter:
+	case BreakAfter:
 		_ = c.breakOff()
 		return n, nil
 	default:
--- a/pkg/network/faults_string.go
+++ b/pkg/network/faults_string.go
@@ -27,14 +27,14 @@
 	// An "invalid array index" compiler error signifies that the constant values have changed.
 	// Re-run the stringer command to generate them again.
 	var x [1]struct{}
-	_ = x[CutBefore-0]
-	_ = x[CutAfter-1]
+	_ = x[BreakBefore-0]
+	_ = x[BreakAfter-1]
 	_ = x[Delay-2]
 }
 
-const _Effect_name = "CutBeforeCutAfterDelay"
+const _Effect_name = "BreakBeforeBreakAfterDelay"
 
-var _Effect_index = [...]uint8{0, 9, 17, 22}
+var _Effect_index = [...]uint8{0, 11, 21, 26}
 
 func (i Effect) String() string {
 	idx := int(i) - 0
--- a/pkg/planner/limit_test.go
+++ b/pkg/planner/limit_test.go
@@ -145,9 +145,9 @@
 			l := heavy(s.load, 1)
 			limited := make(map[*planner.Planner]bool)
 			granted := 0
-			r := loadmodel.Play(l, loadmodel.Observer{
+			r := loadmodel.Simulate(l, loadmodel.Observer{
 				Granted: func(clock.Millis, planner.JobID, ids.TierRank, clock.Millis) { granted++ },
-				Asked: func(now clock.Millis, p *planner.Planner, _ planner.JobID) {
+				Submitted: func(now clock.Millis, p *planner.Planner, _ planner.JobID) {
 					if limited[p] {
 						return
 					}
--- a/pkg/planner/load_test.go
+++ b/pkg/planner/load_test.go
@@ -21,20 +21,20 @@
 	return loadmodel.Load{
 		Length: 16 * clock.Second, Seed: seed,
 		Kinds: []loadmodel.Kind{
-			{Name: "draft", Tier: 0, PerSecond: 17 * x, Prompt: 6600, Events: 64, Spread: 0.5, Objective: 800, Deadline: 15000, Patience: 3200, Returns: 1, Worth: 8.5, Late: 2.5},
-			{Name: "summary", Tier: 1, PerSecond: 21 * x, Prompt: 690, Events: 49, Spread: 0.5, Objective: 800, Deadline: 12000, Patience: 3200, Returns: 1, Worth: 1.2, Late: 0.37},
-			{Name: "tag", Tier: 2, PerSecond: 27 * x, Prompt: 1860, Events: 4, Spread: 0.3, Objective: 1500, Deadline: 3000, Patience: 3000, Returns: 1, Worth: 0.27, Late: 0.08},
+			{Name: "draft", Tier: 0, PerSecond: 17 * x, Prompt: 6600, Events: 64, Spread: 0.5, Objective: 800, Deadline: 15000, Patience: 3200, MaxReturns: 1, Worth: 8.5, LateWorth: 2.5},
+			{Name: "summary", Tier: 1, PerSecond: 21 * x, Prompt: 690, Events: 49, Spread: 0.5, Objective: 800, Deadline: 12000, Patience: 3200, MaxReturns: 1, Worth: 1.2, LateWorth: 0.37},
+			{Name: "tag", Tier: 2, PerSecond: 27 * x, Prompt: 1860, Events: 4, Spread: 0.3, Objective: 1500, Deadline: 3000, Patience: 3000, MaxReturns: 1, Worth: 0.27, LateWorth: 0.08},
 		},
 		Targets: []loadmodel.TargetGroup{{Count: 10, Slots: 8, Factor: 1}, {Count: 2, Slots: 8, Factor: 2.5}},
-		Speed:   loadmodel.Speed{First: 35, ThousandToken: 13, Event: 30},
+		Speed:   loadmodel.Speed{FirstEvent: 35, PerThousandTokens: 13, Event: 30},
 	}
 }
 
 // bursts is a load of 0.9 times the normal rate with two bursts, the second of which coincides with an outage.
 func bursts(seed uint64) loadmodel.Load {
 	l := heavy(0.9, seed)
-	l.Bursts = []loadmodel.Burst{{At: 2 * clock.Second, For: 5 * clock.Second, Times: 1.8}, {At: 11 * clock.Second, For: 2500, Times: 2.2}}
-	l.Outages = []loadmodel.Outage{{At: 13 * clock.Second, For: 2 * clock.Second, Share: 0.25}}
+	l.Bursts = []loadmodel.Burst{{At: 2 * clock.Second, For: 5 * clock.Second, Factor: 1.8}, {At: 11 * clock.Second, For: 2500, Factor: 2.2}}
+	l.Outages = []loadmodel.Outage{{At: 13 * clock.Second, For: 2 * clock.Second, Fraction: 0.25}}
 	return l
 }
 
@@ -42,11 +42,11 @@
 	t.Helper()
 	for _, o := range append(r.Outcomes, r.All()) {
 		t.Logf("%-8s requested %4d in time %.2f late %.2f refused again %.2f lost %.2f worth %.2f net %.2f, largest tenth served %.2f",
-			o.Kind, o.Asked, fraction(o.InTime, o), fraction(o.Late, o), fraction(o.RefusedAgain, o), fraction(o.Lost, o), o.Share(), o.Net(), o.LargestServed)
+			o.Kind, o.Callers, fraction(o.InTime, o), fraction(o.Late, o), fraction(o.RefusedAgain, o), fraction(o.Lost, o), o.EarnedFraction(), o.NetFraction(), o.LargestServed)
 	}
 }
 
-func fraction(n int, o loadmodel.Outcome) float64 { return float64(n) / float64(max(1, o.Asked)) }
+func fraction(n int, o loadmodel.Outcome) float64 { return float64(n) / float64(max(1, o.Callers)) }
 
 // TestServiceUnderLoad simulates loads from half to four times the normal one. Up to the capacity of the targets
 // all requests are in time; beyond it the highest tier comes first, and the largest tenth of each kind is served at
@@ -70,7 +70,7 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			got, bound := loadmodel.Play(s.load, loadmodel.Observer{}), loadmodel.UpperBound(s.load)
+			got, bound := loadmodel.Simulate(s.load, loadmodel.Observer{}), loadmodel.UpperBound(s.load)
 			report(t, got)
 			for i, o := range got.Outcomes {
 				if fraction(o.InTime, o) < s.inTime[i] {
@@ -81,9 +81,9 @@
 				}
 			}
 			all, most := got.All(), bound.All()
-			t.Logf("earned %.3f, upper bound %.3f", all.Share(), most.Share())
-			if all.Share() < s.ofBound*most.Share() || all.Share() > most.Share()+0.005 {
-				t.Errorf("earned %.3f with an upper bound of %.3f", all.Share(), most.Share())
+			t.Logf("earned %.3f, upper bound %.3f", all.EarnedFraction(), most.EarnedFraction())
+			if all.EarnedFraction() < s.ofBound*most.EarnedFraction() || all.EarnedFraction() > most.EarnedFraction()+0.005 {
+				t.Errorf("earned %.3f with an upper bound of %.3f", all.EarnedFraction(), most.EarnedFraction())
 			}
 		})
 	}
@@ -102,9 +102,9 @@
 		t.Run(fmt.Sprint(i), func(t *testing.T) {
 			refusedAt := make(map[ids.TierRank]clock.Millis)
 			violations := 0
-			loadmodel.Play(load, loadmodel.Observer{
-				Began:   func(*planner.Planner) { clear(refusedAt) }, // a new planner does not know of earlier refusals
-				Refused: func(now clock.Millis, _ planner.JobID, tier ids.TierRank, _ clock.Millis) { refusedAt[tier] = now },
+			loadmodel.Simulate(load, loadmodel.Observer{
+				PlannerStarted: func(*planner.Planner) { clear(refusedAt) }, // a new planner does not know of earlier refusals
+				Refused:        func(now clock.Millis, _ planner.JobID, tier ids.TierRank, _ clock.Millis) { refusedAt[tier] = now },
 				Granted: func(now clock.Millis, _ planner.JobID, tier ids.TierRank, _ clock.Millis) {
 					for higher, at := range refusedAt {
 						if higher < tier && now < at+floorHold {
@@ -124,11 +124,11 @@
 // rates.
 func TestPlannerRestartCostsLittle(t *testing.T) {
 	load := bursts(5)
-	before := loadmodel.Play(load, loadmodel.Observer{}).All()
+	before := loadmodel.Simulate(load, loadmodel.Observer{}).All()
 	load.Restarts = []clock.Millis{4 * clock.Second}
-	after := loadmodel.Play(load, loadmodel.Observer{}).All()
-	if after.Share() < before.Share()-0.03 {
-		t.Errorf("worth %.3f, without the restart %.3f", after.Share(), before.Share())
+	after := loadmodel.Simulate(load, loadmodel.Observer{}).All()
+	if after.EarnedFraction() < before.EarnedFraction()-0.03 {
+		t.Errorf("worth %.3f, without the restart %.3f", after.EarnedFraction(), before.EarnedFraction())
 	}
 }
 
@@ -158,8 +158,8 @@
 			ratios := make(map[ids.TierRank][]float64)
 			for seed := range s.seeds {
 				estimates := make(map[planner.JobID]clock.Millis)
-				loadmodel.Play(heavy(s.times, first+seed), loadmodel.Observer{
-					Asked: func(now clock.Millis, p *planner.Planner, id planner.JobID) {
+				loadmodel.Simulate(heavy(s.times, first+seed), loadmodel.Observer{
+					Submitted: func(now clock.Millis, p *planner.Planner, id planner.JobID) {
 						if wait, waits := p.WaitOf(now, id); waits {
 							estimates[id] = wait
 						}
--- a/pkg/random/source.go
+++ b/pkg/random/source.go
@@ -38,7 +38,7 @@
 	return wait/2 + clock.Millis(s.generator.Int64N(int64(wait/2)+1))
 }
 
-// Within returns a random duration from 0 to longest, inclusive.
+// UpTo returns a random duration from 0 to longest, inclusive.
 func (s *Source) UpTo(longest clock.Millis) clock.Millis {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/standin/engine.go
+++ b/pkg/standin/engine.go
@@ -61,14 +61,14 @@
 
 // Reject makes the engine reject all calls with the given Retry-After, as an overloaded engine does; 0 makes it
 // accept calls again.
-func (e *Engine) TurnAway(retryAfter time.Duration) {
+func (e *Engine) Reject(retryAfter time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.retryAfter = retryAfter
 }
 
 // Rejected returns the number of calls that the engine has rejected.
-func (e *Engine) TurnedAway() int {
+func (e *Engine) Rejected() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.rejected
@@ -203,7 +203,7 @@
 
 // Close breaks off all answers and waits until the engine has stopped.
 func (e *Engine) Close() {
-	e.CutAll()
+	e.AbortAll()
 	e.steps.Wait()
 }
 
@@ -215,7 +215,7 @@
 }
 
 // AbortAll breaks off all running answers so that they cannot be resumed, as when the process of an engine ends.
-func (e *Engine) CutAll() {
+func (e *Engine) AbortAll() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, s := range slices.Concat(e.active, e.queued) {
--- a/pkg/standin/table.go
+++ b/pkg/standin/table.go
@@ -46,7 +46,7 @@
 }
 
 // SaveState saves the current rows for ServeSaved.
-func (t *Table) Remember() {
+func (t *Table) SaveState() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.saved = maps.Clone(t.rows)
@@ -54,7 +54,7 @@
 
 // ServeSaved makes reads return the saved rows, as a lagging replica
 // does, or the current rows again.
-func (t *Table) ShowRemembered(lagging bool) {
+func (t *Table) ServeSaved(lagging bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lagging = lagging
--- a/pkg/testbed/bed.go
+++ b/pkg/testbed/bed.go
@@ -244,7 +244,7 @@
 // EndTarget ends the process of target i: its answers and connections break, and its address refuses connections.
 func (b *Bed) EndTarget(i int) {
 	if i < len(b.Engines) {
-		b.Engines[i].CutAll()
+		b.Engines[i].AbortAll()
 	}
 	// Close fails only if the server is closed already.
 	_ = b.servers[i+1].Close() // servers[0] is the table's
--- a/pkg/testbed/breaks_test.go
+++ b/pkg/testbed/breaks_test.go
@@ -70,7 +70,7 @@
 	for i, a := range answers {
 		// If the connection to the target broke while the call was being sent, the agent cannot know whether it arrived.
 		lostInTransit := a.Ending == testbed.Unknown && bed.Runs(a.Request) == 0
-		if a.Ending != testbed.Whole && a.Ending != testbed.NotRun && !lostInTransit {
+		if a.Ending != testbed.Complete && a.Ending != testbed.NotRun && !lostInTransit {
 			t.Errorf("seed %d: call %d ended %v, %q; logs:\n%s", seed, i, a.Ending, a.Code, logs.String())
 		}
 	}
--- a/pkg/testbed/caller.go
+++ b/pkg/testbed/caller.go
@@ -22,15 +22,15 @@
 // The endings of a request.
 const (
 	// Complete: the answer is complete and is the request's own.
-	Whole Ending = iota
+	Complete Ending = iota
 	// NotRun: the request was refused and has not run.
 	NotRun
 	// Unknown: the request was refused but may have run.
 	Unknown
 	// Truncated: the answer broke off in a way that the caller can see.
-	Cut
+	Truncated
 	// Misattributed: the answer looks complete but is not the request's own.
-	Crossed
+	Misattributed
 )
 
 // Answer is what a caller received.
@@ -64,7 +64,7 @@
 func (c *Caller) Chat(ctx context.Context, prompt string, tokens int, stream bool, header http.Header) Answer {
 	body := fmt.Sprintf(`{"model":%q,"stream":%v,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, Model, stream, tokens, prompt)
 	answer := c.Do(ctx, http.MethodPost, "/v1/chat/completions", body, header)
-	if answer.Ending == Whole && answer.Status == http.StatusOK {
+	if answer.Ending == Complete && answer.Status == http.StatusOK {
 		answer.checkContent(body, stream, tokens)
 	}
 	return answer
@@ -74,7 +74,7 @@
 func (c *Caller) Do(ctx context.Context, method, path, body string, header http.Header) Answer {
 	call, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader([]byte(body)))
 	if err != nil {
-		return Answer{Ending: Cut, Body: err.Error()}
+		return Answer{Ending: Truncated, Body: err.Error()}
 	}
 	call.GetBody = nil
 	call.Header.Set("Authorization", "Bearer "+Key)
@@ -83,7 +83,7 @@
 	}
 	response, err := c.client.Do(call)
 	if err != nil {
-		return Answer{Ending: Cut, Body: err.Error()}
+		return Answer{Ending: Truncated, Body: err.Error()}
 	}
 	defer func() { _ = response.Body.Close() }()
 	return read(response)
@@ -98,7 +98,7 @@
 		Body:    string(body),
 	}
 	if err != nil {
-		answer.Ending = Cut
+		answer.Ending = Truncated
 		return answer
 	}
 	switch refusal.Outcome(response.Header.Get(refusal.HeaderOutcome)) {
@@ -107,7 +107,7 @@
 	case refusal.OutcomeUnknown:
 		answer.Ending = Unknown
 	}
-	if answer.Ending != Whole {
+	if answer.Ending != Complete {
 		answer.Code = errorCode(body)
 	}
 	return answer
@@ -131,15 +131,15 @@
 	if !stream {
 		a.Tokens = 1 + strings.Count(a.Body, " t")
 		if !strings.Contains(a.Body, own) || a.Tokens != tokens {
-			a.Ending = Crossed
+			a.Ending = Misattributed
 		}
 		return
 	}
 	a.Tokens = strings.Count(a.Body, `"delta"`)
 	switch {
 	case !strings.HasSuffix(a.Body, "data: [DONE]\n\n"):
-		a.Ending = Cut
+		a.Ending = Truncated
 	case !strings.Contains(a.Body, own) || a.Tokens != tokens:
-		a.Ending = Crossed
+		a.Ending = Misattributed
 	}
 }
--- a/pkg/testbed/claim_test.go
+++ b/pkg/testbed/claim_test.go
@@ -54,7 +54,7 @@
 			return callers[i%2].Chat(context.Background(), "correct the sounding", 20, true, keyedHeader())
 		})
 		endings := checkAnswers(t, bed, answers)
-		if runs := totalRuns(bed); runs != 1 || endings[testbed.Whole] != 1 {
+		if runs := totalRuns(bed); runs != 1 || endings[testbed.Complete] != 1 {
 			t.Errorf("%d runs, endings %v, want 1 run and 1 complete answer", runs, endings)
 		}
 	})
@@ -88,7 +88,7 @@
 // writes that took effect are lost. The call runs exactly once, and exactly one attempt gets a complete answer.
 func TestClaimWithLostTableMessages(t *testing.T) {
 	for _, direction := range []network.Direction{network.Request, network.Reply} {
-		for _, effect := range []network.Effect{network.CutBefore, network.CutAfter} {
+		for _, effect := range []network.Effect{network.BreakBefore, network.BreakAfter} {
 			for message := range 16 {
 				faults := network.NewFaults(network.Fault{Address: testbed.TableAddress, Direction: direction, Effect: effect, Message: message})
 				synctest.Test(t, func(t *testing.T) {
@@ -98,7 +98,7 @@
 					for i := range 4 {
 						a := callers[i%2].Chat(context.Background(), "correct", 5, true, keyedHeader())
 						checkInvariants(t, bed, a)
-						if a.Ending == testbed.Whole {
+						if a.Ending == testbed.Complete {
 							complete++
 						}
 					}
@@ -125,7 +125,7 @@
 		}
 		long.Wait()
 		again := callers[1].Chat(context.Background(), "correct", 5, true, keyedHeader())
-		if again.Ending != testbed.Whole {
+		if again.Ending != testbed.Complete {
 			t.Errorf("the repeat ended %v: %s", again.Ending, again.Body)
 		}
 		checkInvariants(t, bed, again)
@@ -144,12 +144,12 @@
 		if refused.Ending != testbed.NotRun || totalRuns(bed) != 0 {
 			t.Errorf("ended %v with %d runs: %s", refused.Ending, totalRuns(bed), refused.Body)
 		}
-		if plain := caller.Chat(context.Background(), "plain", 5, true, nil); plain.Ending != testbed.Whole {
+		if plain := caller.Chat(context.Background(), "plain", 5, true, nil); plain.Ending != testbed.Complete {
 			t.Errorf("a call without a key ended %v", plain.Ending)
 		}
 		bed.Table.SetDown(false)
 		time.Sleep(time.Minute)
-		if again := caller.Chat(context.Background(), "correct", 5, true, keyedHeader()); again.Ending != testbed.Whole {
+		if again := caller.Chat(context.Background(), "correct", 5, true, keyedHeader()); again.Ending != testbed.Complete {
 			t.Errorf("after the outage the call ended %v: %s", again.Ending, again.Body)
 		}
 	})
--- a/pkg/testbed/configuration_test.go
+++ b/pkg/testbed/configuration_test.go
@@ -71,7 +71,7 @@
 			for _, a := range parallel(8, func(i int) testbed.Answer {
 				return callers[i%2].Chat(context.Background(), fmt.Sprint("running ", i), 1200, true, nil)
 			}) {
-				if a.Ending != testbed.Whole {
+				if a.Ending != testbed.Complete {
 					t.Errorf("a running request ended %v: %s", a.Ending, a.Code)
 				}
 			}
@@ -85,7 +85,7 @@
 		answers := parallel(20, func(i int) testbed.Answer {
 			return callers[i%2].Chat(context.Background(), fmt.Sprint("after ", i), 5, true, nil)
 		})
-		if endings := checkAnswers(t, bed, answers); endings[testbed.Whole] != len(answers) {
+		if endings := checkAnswers(t, bed, answers); endings[testbed.Complete] != len(answers) {
 			t.Errorf("endings %v, want all complete", endings)
 		}
 		running.Wait()
@@ -103,12 +103,12 @@
 		caller := newCaller(t, bed)
 		o := newOperator(t, bed)
 		state := o.read()
-		bed.Table.Remember()
+		bed.Table.SaveState()
 		if err := o.publish(state, removePlacement(state, 0, "one")); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(3 * time.Second)
-		bed.Table.ShowRemembered(true) // reads return the head from before the change
+		bed.Table.ServeSaved(true) // reads return the head from before the change
 		time.Sleep(10 * time.Second)
 		bed.Table.SetDown(true)
 		time.Sleep(10 * time.Second)
@@ -116,7 +116,7 @@
 		answers := parallel(10, func(i int) testbed.Answer {
 			return caller.Chat(context.Background(), fmt.Sprint("after ", i), 5, true, nil)
 		})
-		if endings := checkAnswers(t, bed, answers); endings[testbed.Whole] != len(answers) {
+		if endings := checkAnswers(t, bed, answers); endings[testbed.Complete] != len(answers) {
 			t.Errorf("endings %v without the table, want all complete", endings)
 		}
 		if got := len(bed.Engines[0].AllRuns()); got != before {
@@ -129,7 +129,7 @@
 // at each message in turn. Exactly one change is made, and each operator gets the true result.
 func TestConcurrentOperators(t *testing.T) {
 	for _, direction := range []network.Direction{network.Request, network.Reply} {
-		for _, effect := range []network.Effect{network.CutBefore, network.CutAfter} {
+		for _, effect := range []network.Effect{network.BreakBefore, network.BreakAfter} {
 			for message := range 24 {
 				faults := network.NewFaults(network.Fault{Address: testbed.TableAddress, Direction: direction, Effect: effect, Message: message})
 				synctest.Test(t, func(t *testing.T) { raceOperators(t, faults) })
@@ -157,7 +157,7 @@
 		racing.Go(func() { failures[i] = o.publish(state, removePlacement(state, i, fmt.Sprint("operator ", i))) })
 	}
 	racing.Wait()
-	faults.Heal()
+	faults.Clear()
 	newest := operators[0].read()
 	if newest.Head.Revision != state.Head.Revision+1 {
 		t.Fatalf("revision %d after %d, want the next one", newest.Head.Revision, state.Head.Revision)
@@ -201,7 +201,7 @@
 		}
 		bed.Entries[0] = next
 		time.Sleep(time.Second)
-		if answer := newCaller(t, bed).Chat(context.Background(), "late", 3, true, nil); answer.Ending != testbed.Whole {
+		if answer := newCaller(t, bed).Chat(context.Background(), "late", 3, true, nil); answer.Ending != testbed.Complete {
 			t.Errorf("ended %v: %s", answer.Ending, answer.Body)
 		}
 	})
--- a/pkg/testbed/cut_test.go
+++ b/pkg/testbed/cut_test.go
@@ -31,7 +31,7 @@
 	if answer.Ending == testbed.NotRun && runs != 0 {
 		t.Errorf("request %s was reported as not run but ran %d times", answer.Request, runs)
 	}
-	if answer.Ending == testbed.Crossed {
+	if answer.Ending == testbed.Misattributed {
 		t.Errorf("request %s got the answer of another request: %s", answer.Request, answer.Body)
 	}
 	for _, e := range bed.Engines {
@@ -57,7 +57,7 @@
 	}
 	for _, link := range links {
 		for _, direction := range []network.Direction{network.Request, network.Reply} {
-			for _, effect := range []network.Effect{network.CutBefore, network.CutAfter} {
+			for _, effect := range []network.Effect{network.BreakBefore, network.BreakAfter} {
 				t.Run(fmt.Sprintf("%s/%v/%v", link.name, direction, effect), func(t *testing.T) {
 					breakEachMessage(t, network.Fault{Address: link.address, Direction: direction, Effect: effect})
 				})
@@ -70,7 +70,7 @@
 // of GET calls, which HTTP libraries repeat by themselves. None is sent twice.
 func TestPlainServiceCallsAreNotRepeated(t *testing.T) {
 	for _, direction := range []network.Direction{network.Request, network.Reply} {
-		for _, effect := range []network.Effect{network.CutBefore, network.CutAfter} {
+		for _, effect := range []network.Effect{network.BreakBefore, network.BreakAfter} {
 			for message := range 4 {
 				faults := network.NewFaults(network.Fault{
 					Address: testbed.TargetAddress(0), Direction: direction, Effect: effect, Message: message,
@@ -81,7 +81,7 @@
 					for range 4 {
 						answer := caller.Do(context.Background(), "GET", "/services/depths/berths/4", "", nil)
 						checkInvariants(t, bed, answer)
-						if answer.Ending == testbed.Whole && bed.Runs(answer.Request) != 1 {
+						if answer.Ending == testbed.Complete && bed.Runs(answer.Request) != 1 {
 							t.Errorf("an answered call ran %d times, want 1", bed.Runs(answer.Request))
 						}
 					}
@@ -100,7 +100,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			endings[breakOnce(t, faults, fault.Message)]++
 		})
-		if faults.Struck() == 0 {
+		if faults.Triggered() == 0 {
 			break
 		}
 	}
@@ -120,17 +120,17 @@
 	caller := testbed.NewCaller(bed.Network, testbed.EntryAddress(0))
 	defer caller.Close()
 	stream := message%2 == 0
-	before := faults.Struck()
+	before := faults.Triggered()
 	broken := caller.Chat(context.Background(), "struck", 6, stream, nil)
 	time.Sleep(30 * time.Second)
 	checkInvariants(t, bed, broken)
 	after := caller.Chat(context.Background(), "after", 3, true, nil)
 	checkInvariants(t, bed, after)
-	if after.Ending != testbed.Whole && faults.Struck() > before && broken.Ending == testbed.Whole {
+	if after.Ending != testbed.Complete && faults.Triggered() > before && broken.Ending == testbed.Complete {
 		// The fault may have hit this request instead of the one before.
 		after = caller.Chat(context.Background(), "after", 3, true, nil)
 	}
-	if after.Ending != testbed.Whole {
+	if after.Ending != testbed.Complete {
 		t.Errorf("message %d: a later request ended %v: %+v", message, after.Ending, after)
 	}
 	return broken.Ending
--- a/pkg/testbed/elsewhere_test.go
+++ b/pkg/testbed/elsewhere_test.go
@@ -75,7 +75,7 @@
 	})
 	took := time.Since(start)
 	running.Wait()
-	if endings := checkAnswers(t, bed, answers); endings[testbed.Whole] != calls || took > 6*time.Second {
+	if endings := checkAnswers(t, bed, answers); endings[testbed.Complete] != calls || took > 6*time.Second {
 		t.Errorf("endings %v after %v, codes %q", endings, took, codes(answers))
 	}
 }
@@ -103,7 +103,7 @@
 		running.Wait()
 		for i, a := range answers {
 			checkInvariants(t, bed, a)
-			if a.Ending != testbed.Whole {
+			if a.Ending != testbed.Complete {
 				t.Errorf("call %d ended %v, %q", i, a.Ending, a.Code)
 			}
 		}
--- a/pkg/testbed/ending_string.go
+++ b/pkg/testbed/ending_string.go
@@ -8,16 +8,16 @@
 	// An "invalid array index" compiler error signifies that the constant values have changed.
 	// Re-run the stringer command to generate them again.
 	var x [1]struct{}
-	_ = x[Whole-0]
+	_ = x[Complete-0]
 	_ = x[NotRun-1]
 	_ = x[Unknown-2]
-	_ = x[Cut-3]
-	_ = x[Crossed-4]
+	_ = x[Truncated-3]
+	_ = x[Misattributed-4]
 }
 
-const _Ending_name = "WholeNotRunUnknownCutCrossed"
+const _Ending_name = "CompleteNotRunUnknownTruncatedMisattributed"
 
-var _Ending_index = [...]uint8{0, 5, 11, 18, 21, 28}
+var _Ending_index = [...]uint8{0, 8, 14, 21, 30, 43}
 
 func (i Ending) String() string {
 	idx := int(i) - 0
--- a/pkg/testbed/endings_test.go
+++ b/pkg/testbed/endings_test.go
@@ -175,7 +175,7 @@
 			s.breakAt(data, 8*time.Second)
 		}},
 		{"target asks for back-off and data connection breaks", func(s *scenario) {
-			s.at(time.Second, func() { s.bed.Engines[0].TurnAway(10 * time.Second) })
+			s.at(time.Second, func() { s.bed.Engines[0].Reject(10 * time.Second) })
 			s.breakAt(data, 8*time.Second)
 		}},
 		{"agent is drained", func(s *scenario) { s.at(time.Second, func() { s.drain(0) }) }},
@@ -208,7 +208,7 @@
 					answer := newCaller(t, bed).Chat(context.Background(), "long", tokens, stream, long)
 					s.actions.Wait()
 					checkInvariants(t, bed, answer)
-					if answer.Ending != testbed.Whole {
+					if answer.Ending != testbed.Complete {
 						t.Errorf("ended %v with %d of %d tokens, code %q, end %q", answer.Ending, answer.Tokens, tokens, answer.Code, tail(answer.Body))
 					}
 				})
@@ -310,7 +310,7 @@
 		for _, a := range parallel(others, func(i int) testbed.Answer {
 			return newCaller(t, bed).Chat(context.Background(), fmt.Sprint("other ", i), tokens, true, nil)
 		}) {
-			if a.Ending != testbed.Whole {
+			if a.Ending != testbed.Complete {
 				t.Errorf("ended %v: %s", a.Ending, a.Code)
 			}
 		}
--- a/pkg/testbed/failure_test.go
+++ b/pkg/testbed/failure_test.go
@@ -74,7 +74,7 @@
 					return caller.Chat(context.Background(), fmt.Sprint("request ", i), 8, i%2 == 0, nil)
 				})
 				endings := checkAnswers(t, bed, answers)
-				if lost := endings[testbed.Unknown] + endings[testbed.Cut]; lost > 2 {
+				if lost := endings[testbed.Unknown] + endings[testbed.Truncated]; lost > 2 {
 					t.Errorf("%d requests lost, but at most 2 can have run at the agent that ended: %v", lost, endings)
 				}
 				if endings[testbed.NotRun] > 0 {
@@ -106,7 +106,7 @@
 		})
 		replacing.Wait()
 		endings := checkAnswers(t, bed, answers)
-		if endings[testbed.Whole] < 6 {
+		if endings[testbed.Complete] < 6 {
 			t.Errorf("endings %v, want at least the 6 that waited to be complete", endings)
 		}
 	})
@@ -138,10 +138,10 @@
 			synctest.Test(t, func(t *testing.T) {
 				bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 4})
 				caller := newCaller(t, bed)
-				time.AfterFunc(20*time.Millisecond, bed.Engines[0].CutAll)
+				time.AfterFunc(20*time.Millisecond, bed.Engines[0].AbortAll)
 				answer := caller.Chat(context.Background(), "cut", 50, stream, nil)
 				checkInvariants(t, bed, answer)
-				if answer.Ending != testbed.Cut && answer.Ending != testbed.Unknown {
+				if answer.Ending != testbed.Truncated && answer.Ending != testbed.Unknown {
 					t.Errorf("the answer ended %v: %s", answer.Ending, answer.Body)
 				}
 				if stream && !strings.Contains(answer.Body, `"code":"answer_cut"`) {
@@ -193,7 +193,7 @@
 		answers := parallel(4, func(i int) testbed.Answer {
 			return newCaller(t, bed).Chat(context.Background(), fmt.Sprint("call ", i), 100, i%2 == 0, nil)
 		})
-		if endings := checkAnswers(t, bed, answers); endings[testbed.Whole] != len(answers) {
+		if endings := checkAnswers(t, bed, answers); endings[testbed.Complete] != len(answers) {
 			t.Errorf("endings %v, want all complete: %+v", endings, answers)
 		}
 	})
@@ -231,7 +231,7 @@
 		t.Cleanup(func() { _ = server.Close() })
 		go func() { _ = server.Serve(listener) }()
 		answer := newCaller(t, bed).Chat(context.Background(), "early", 1, true, nil)
-		truncated := answer.Ending == testbed.Cut || answer.Ending == testbed.Unknown
+		truncated := answer.Ending == testbed.Truncated || answer.Ending == testbed.Unknown
 		if !truncated || !strings.Contains(answer.Body, `"code":"answer_cut"`) {
 			t.Errorf("ended %v: %q", answer.Ending, answer.Body)
 		}
@@ -256,7 +256,7 @@
 			checkInvariants(t, bed, gone)
 			next := caller.Chat(context.Background(), "next", 5, true, nil)
 			checkInvariants(t, bed, next)
-			if next.Ending != testbed.Whole {
+			if next.Ending != testbed.Complete {
 				t.Errorf("cancelled after %v: the next request ended %v: %s", after, next.Ending, next.Body)
 			}
 		})
@@ -273,7 +273,7 @@
 		caller.Chat(ctx, "leaves", 100_000, true, nil)
 		time.Sleep(time.Second)
 		next := caller.Chat(context.Background(), "next", 5, true, http.Header{"Quaydock-Deadline-Ms": {"1000"}})
-		if next.Ending != testbed.Whole {
+		if next.Ending != testbed.Complete {
 			t.Errorf("the next request ended %v: %s", next.Ending, next.Body)
 		}
 	})
@@ -330,7 +330,7 @@
 			return caller.Chat(context.Background(), fmt.Sprint("request ", i), 20, i%2 == 0, nil)
 		})
 		drains.Wait()
-		if endings := checkAnswers(t, bed, answers); endings[testbed.Whole] != len(answers) {
+		if endings := checkAnswers(t, bed, answers); endings[testbed.Complete] != len(answers) {
 			t.Errorf("endings %v, want all complete", endings)
 		}
 	})
@@ -356,7 +356,7 @@
 		}
 		time.Sleep(20 * time.Second)
 		next := newCaller(t, bed).Chat(context.Background(), "next", 5, true, http.Header{"Quaydock-Deadline-Ms": {"5000"}})
-		if next.Ending != testbed.Whole {
+		if next.Ending != testbed.Complete {
 			t.Errorf("a request after the slow reader was disconnected ended %v: %s", next.Ending, next.Body)
 		}
 	})
--- a/pkg/testbed/gone_test.go
+++ b/pkg/testbed/gone_test.go
@@ -20,7 +20,7 @@
 		limit time.Duration // from the failure to the end of the answer
 	}{
 		{"target ends", func(s *scenario) { s.bed.EndTarget(0) }, 1600 * time.Millisecond},
-		{"target loses its answers", func(s *scenario) { s.bed.Engines[0].CutAll() }, 1600 * time.Millisecond},
+		{"target loses its answers", func(s *scenario) { s.bed.Engines[0].AbortAll() }, 1600 * time.Millisecond},
 		{"agent ends", func(s *scenario) { s.bed.Agents[0].Close() }, 12 * time.Second},
 		{"agent's VM is partitioned", func(s *scenario) {
 			for _, address := range []string{testbed.ControlAddress(0), testbed.DataAddress(0)} {
@@ -43,7 +43,7 @@
 					took := time.Since(start) - after
 					s.actions.Wait()
 					checkInvariants(t, bed, answer)
-					if answer.Ending == testbed.Whole || took > c.limit {
+					if answer.Ending == testbed.Complete || took > c.limit {
 						t.Errorf("answer ended %v, %v after the failure", answer.Ending, took)
 					}
 					t.Log(answer.Ending, took)
--- a/pkg/testbed/grant_test.go
+++ b/pkg/testbed/grant_test.go
@@ -229,7 +229,7 @@
 		t.Cleanup(func() { _ = server.Close() })
 		go func() { _ = server.Serve(listener) }()
 		answer := newCaller(t, bed).Chat(context.Background(), "mine", 5, true, nil)
-		if answer.Ending == testbed.Whole || answer.Ending == testbed.Crossed {
+		if answer.Ending == testbed.Complete || answer.Ending == testbed.Misattributed {
 			t.Errorf("ended %v with %q", answer.Ending, answer.Body)
 		}
 		if n := bed.Entries[0].Metrics.Violations.Get("OwnAnswer"); n == nil {
--- a/pkg/testbed/large_event_test.go
+++ b/pkg/testbed/large_event_test.go
@@ -50,11 +50,11 @@
 				body := `{"model":"chart-small","stream":true,"messages":[]}`
 				answer := newCaller(t, bed).Do(context.Background(), http.MethodPost, "/v1/chat/completions", body, nil)
 				switch {
-				case c.truncateAt == 0 && (answer.Ending != testbed.Whole || answer.Body != complete):
+				case c.truncateAt == 0 && (answer.Ending != testbed.Complete || answer.Body != complete):
 					t.Errorf("ended %v with %d of %d bytes", answer.Ending, len(answer.Body), len(complete))
 				case c.truncateAt > 0 && strings.Contains(answer.Body, "[DONE]"):
 					t.Error("a truncated answer looks complete")
-				case c.truncateAt > 0 && answer.Ending != testbed.Cut && !strings.Contains(answer.Body, `"code":"answer_cut"`):
+				case c.truncateAt > 0 && answer.Ending != testbed.Truncated && !strings.Contains(answer.Body, `"code":"answer_cut"`):
 					t.Errorf("truncated answer ended %v with %q", answer.Ending, tail(answer.Body))
 				}
 			})
--- a/pkg/testbed/malformed_test.go
+++ b/pkg/testbed/malformed_test.go
@@ -117,7 +117,7 @@
 			t.Error("nothing was shed")
 		}
 		for i, a := range answers {
-			if i < 14 && i%2 == 0 && a.Ending != testbed.Whole {
+			if i < 14 && i%2 == 0 && a.Ending != testbed.Complete {
 				t.Errorf("a request of tier pilot ended %v: %s", a.Ending, a.Body)
 			}
 			if a.Ending == testbed.NotRun && (a.Code != "overloaded" || a.Retry == "") {
--- a/pkg/testbed/openai_client_test.go
+++ b/pkg/testbed/openai_client_test.go
@@ -101,7 +101,7 @@
 		stream := client.Chat.Completions.NewStreaming(context.Background(), request)
 		for tokens := 0; stream.Next(); tokens++ {
 			if tokens == 3 {
-				bed.Engines[0].CutAll()
+				bed.Engines[0].AbortAll()
 			}
 		}
 		if stream.Err() == nil {
--- a/pkg/testbed/random_test.go
+++ b/pkg/testbed/random_test.go
@@ -68,12 +68,12 @@
 	failures.Go(h.injectFailures)
 	answers := h.burst(60)
 	failures.Wait()
-	faults.Heal()
+	faults.Clear()
 	time.Sleep(time.Minute)
 	endings := checkAnswers(h.t, h.bed, answers)
 	after := newCaller(h.t, h.bed).Chat(context.Background(), "after", 3, true, nil)
 	checkInvariants(h.t, h.bed, after)
-	if after.Ending != testbed.Whole {
+	if after.Ending != testbed.Complete {
 		h.t.Errorf("seed %d: a later request ended %v: %s", h.seed, after.Ending, after.Body)
 	}
 	return endings
@@ -106,7 +106,7 @@
 		i := random.IntN(randomEngines)
 		switch random.IntN(3) {
 		case 0:
-			h.bed.Engines[i].CutAll()
+			h.bed.Engines[i].AbortAll()
 		case 1:
 			h.bed.Engines[i].SlowDown(1 + random.IntN(20))
 		default:
--- a/pkg/testbed/rest_test.go
+++ b/pkg/testbed/rest_test.go
@@ -24,18 +24,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		bed := startTestbed(t, testbed.Options{Entries: 2, Engines: engines(3), Slots: 2, Seed: 1})
 		callers := newCallers(t, bed)
-		bed.Engines[0].TurnAway(backoff)
+		bed.Engines[0].Reject(backoff)
 		answers := parallel(calls, func(i int) testbed.Answer {
 			time.Sleep(time.Duration(i) * each)
 			return callers[i%len(callers)].Chat(context.Background(), fmt.Sprint("call ", i), 10, false, nil)
 		})
 		served := 0
 		for _, a := range answers {
-			if a.Ending == testbed.Whole && a.Status == http.StatusOK {
+			if a.Ending == testbed.Complete && a.Status == http.StatusOK {
 				served++
 			}
 		}
-		rejected := bed.Engines[0].TurnedAway()
+		rejected := bed.Engines[0].Rejected()
 		t.Logf("%d calls rejected, %d of %d served", rejected, served, calls)
 		// Up to two calls may be running when the engine asks for a back-off, and there are three of these.
 		if rejected > 3*2 {
@@ -55,14 +55,14 @@
 		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 1, Seed: 1})
 		caller := newCaller(t, bed)
 		for _, e := range bed.Engines {
-			e.TurnAway(backoff)
+			e.Reject(backoff)
 		}
 		parallel(4, func(i int) testbed.Answer {
 			return caller.Chat(context.Background(), fmt.Sprint("first ", i), 10, false, http.Header{"Quaydock-Deadline-Ms": {"1000"}})
 		})
 		time.Sleep(500 * time.Millisecond)
 		for _, e := range bed.Engines {
-			e.TurnAway(0)
+			e.Reject(0)
 		}
 		start := time.Now()
 		short := caller.Chat(context.Background(), "short", 10, false, http.Header{"Quaydock-Deadline-Ms": {"1000"}})
--- a/pkg/testbed/trace_test.go
+++ b/pkg/testbed/trace_test.go
@@ -21,7 +21,7 @@
 		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 1, Adjust: func(s *settings.Settings) {
 			s.Trace = settings.Trace{Exporter: "file", File: filepath.Join(folder, string(s.Process)), Ratio: 1}
 		}})
-		if answer := newCaller(t, bed).Chat(context.Background(), "traced", 3, true, nil); answer.Ending != testbed.Whole {
+		if answer := newCaller(t, bed).Chat(context.Background(), "traced", 3, true, nil); answer.Ending != testbed.Complete {
 			t.Fatalf("ended %v", answer.Ending)
 		}
 	})
