--- a/pkg/app/entry_follow.go
+++ b/pkg/app/entry_follow.go
@@ -7,8 +7,8 @@
 	"quaydock/pkg/clock"
 	"quaydock/pkg/follow"
 	"quaydock/pkg/ids"
-	"quaydock/pkg/roster"
 	"quaydock/pkg/routing"
+	"quaydock/pkg/targetlist"
 	"quaydock/platform"
 )
 
@@ -33,8 +33,8 @@
 		configuration.orders = p.rollouts
 	}
 	go p.follower(platform.TableOperators, configuration, follow.Options{Wait: configurationWait, AnswerTimeout: storeAnswer, SnapshotInterval: configurationReread}).Run(ctx)
-	targets := roster.New(p.Common, platform.ParseTarget, p.domains.SetDirectory)
-	go p.follower(platform.TableTargets, targets, follow.Options{Wait: roster.WaitForChanges, AnswerTimeout: storeAnswer}).Run(ctx)
+	targets := targetlist.New(p.Common, platform.ParseTarget, p.domains.SetDirectory)
+	go p.follower(platform.TableTargets, targets, follow.Options{Wait: targetlist.WaitForChanges, AnswerTimeout: storeAnswer}).Run(ctx)
 }
 
 func (p *entryProcess) follower(table string, handler follow.Handler, options follow.Options) *follow.Follower {
--- a/pkg/app/entry_process.go
+++ b/pkg/app/entry_process.go
@@ -18,12 +18,12 @@
 
 	"quaydock/pkg/ablation"
 	"quaydock/pkg/advisory"
-	"quaydock/pkg/bulletin"
 	"quaydock/pkg/clock"
 	"quaydock/pkg/common"
 	"quaydock/pkg/descriptors"
 	"quaydock/pkg/dispatch"
 	"quaydock/pkg/domains"
+	"quaydock/pkg/feedrelay"
 	"quaydock/pkg/forward"
 	"quaydock/pkg/ids"
 	"quaydock/pkg/ingress"
@@ -75,7 +75,7 @@
 	link       *packets.Link
 	meter      *metering.Meter
 	dispatcher *dispatch.Dispatcher
-	board      *bulletin.Relay
+	board      *feedrelay.Relay
 	callers    *ingress.Server
 	readiness  *http.Server
 	figures    *http.Server
@@ -195,7 +195,7 @@
 	p.pool = forward.NewPool(c, func(h map[string][]string) forward.AnswerMetadata { return platform.HeaderCodec{}.AnswerMetadata(h) }, p.advice)
 	p.meter = metering.New(c, quotaBounds(s.Bounds), p.view, p.members, link)
 	p.guard = quarantine.New(quarantine.Dependencies{Common: c, Address: address, Peers: p.members, Link: link, Store: p.store.Quarantine(), Leaves: p.leaves})
-	p.board = bulletin.NewRelay(c, p.members, link)
+	p.board = feedrelay.NewRelay(c, p.members, link)
 	p.bounds.Store(&s.Bounds)
 	parts := dispatch.Dependencies{
 		Common: c, Address: address, Domain: s.Domain, View: p.view, Members: p.members, Link: link,
--- a/pkg/app/rollout_entries_test.go
+++ b/pkg/app/rollout_entries_test.go
@@ -9,11 +9,11 @@
 
 	"github.com/sirupsen/logrus"
 
-	"quaydock/pkg/bulletin"
 	"quaydock/pkg/clock"
 	"quaydock/pkg/commontest"
 	"quaydock/pkg/dispatch"
 	"quaydock/pkg/domains"
+	"quaydock/pkg/feedrelay"
 	"quaydock/pkg/ids"
 	"quaydock/pkg/membership"
 	"quaydock/pkg/packets"
@@ -56,7 +56,7 @@
 	p.bounds.Store(&platform.Bounds{ExposeFraction: exposeFraction, ExposeSlack: exposeSlack, Rollback: rollbackTime})
 	p.store = platform.NewStore(delayedNetwork{Network: b.net, delays: b.delays, name: name}, storeAddress(i), func(string, string) {})
 	p.members = membership.New(c, membership.Self{Name: ids.Process(fmt.Sprint("entry-", i)), Address: entryAddress(i), Weight: 1, Domain: "d"}, p.store.Table(platform.TableMembers), link)
-	p.board = bulletin.NewRelay(c, p.members, link)
+	p.board = feedrelay.NewRelay(c, p.members, link)
 	p.rollouts = newRollouts(c, p.view)
 	p.domains = domains.NewFilter(c, p.rollouts.screen.SetDirectory)
 	p.guard = quarantine.New(quarantine.Dependencies{Common: c, Address: entryAddress(i), Peers: p.members, Link: link, Store: p.store.Quarantine()})
--- a/pkg/ctl/explain.go
+++ b/pkg/ctl/explain.go
@@ -6,7 +6,7 @@
 	"io"
 	"os"
 
-	"quaydock/pkg/story"
+	"quaydock/pkg/requestlog"
 )
 
 // explain prints the timeline of one request from the logs of several processes.
@@ -19,7 +19,7 @@
 	if err != nil {
 		return err
 	}
-	timeline := story.ForRequest(args[0], lines)
+	timeline := requestlog.ForRequest(args[0], lines)
 	if len(timeline) == 0 {
 		return fmt.Errorf("no line of request %s: it was answered in time and not sampled, or the log of its entry is missing", args[0])
 	}
@@ -30,8 +30,8 @@
 }
 
 // readLogs reads the log files in the given order.
-func readLogs(paths []string) ([]story.Line, error) {
-	var lines []story.Line
+func readLogs(paths []string) ([]requestlog.Line, error) {
+	var lines []requestlog.Line
 	for _, path := range paths {
 		read, err := readLog(path)
 		if err != nil {
@@ -42,13 +42,13 @@
 	return lines, nil
 }
 
-func readLog(path string) ([]story.Line, error) {
+func readLog(path string) ([]requestlog.Line, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, fmt.Errorf("opening the log: %w", err)
 	}
 	defer func() { _ = file.Close() }() // opened for reading only
-	lines, err := story.Read(file)
+	lines, err := requestlog.Read(file)
 	if err != nil {
 		return nil, fmt.Errorf("reading log %s: %w", path, err)
 	}
--- a/pkg/bulletin/bed_test.go
+++ b/pkg/feedrelay/bed_test.go
@@ -1,4 +1,4 @@
-package bulletin_test
+package feedrelay_test
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"quaydock/pkg/bulletin"
 	"quaydock/pkg/clock"
 	"quaydock/pkg/common"
 	"quaydock/pkg/commontest"
+	"quaydock/pkg/feedrelay"
 	"quaydock/pkg/follow"
 	"quaydock/pkg/ids"
 	"quaydock/pkg/membership"
@@ -293,12 +293,12 @@
 }
 
 // build starts the sockets of an entry that does not know the list of entries and follows no table.
-func (b *cluster) build(t *testing.T, i int) (*membership.Members, *bulletin.Relay) {
+func (b *cluster) build(t *testing.T, i int) (*membership.Members, *feedrelay.Relay) {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	link := packets.NewLink(b.Common, b.net.Socket(address(i)))
 	m := membership.New(b.Common, membership.Self{Name: ids.Process(fmt.Sprint("entry-", i)), Address: address(i), Weight: 1}, commontest.NoRows{}, link)
-	relay := bulletin.NewRelay(b.Common, m, link)
+	relay := feedrelay.NewRelay(b.Common, m, link)
 	go link.Run(ctx)
 	listener, err := b.Network.Listen(address(i).String())
 	if err != nil {
@@ -311,7 +311,7 @@
 }
 
 // follow has an entry run its membership and relay, and follow the table.
-func (b *cluster) follow(i int, m *membership.Members, relay *bulletin.Relay) {
+func (b *cluster) follow(i int, m *membership.Members, relay *feedrelay.Relay) {
 	ctx := b.contexts[i]
 	e := newEntry()
 	f := follow.NewFollower(b.Common, relay.Source("t", client{b.store, i}), e, follow.Options{Wait: 1200, AnswerTimeout: 800})
--- a/pkg/bulletin/bulletin.go
+++ b/pkg/feedrelay/bulletin.go
@@ -1,9 +1,9 @@
-// Package bulletin relays the change feed of the platform's store among entries, so that one
+// Package feedrelay relays the change feed of the platform's store among entries, so that one
 // entry, the feed reader, reads the store for all. It sends the others what has changed, up to
 // which version, and when the store confirmed it. When the feed reader sends nothing or its
 // feed state is old, the others query one another and a few act as backup readers. An entry
 // reads the store itself (a fallback read) only after a long time without confirmed freshness.
-package bulletin
+package feedrelay
 
 import (
 	"context"
--- a/pkg/bulletin/bulletin_test.go
+++ b/pkg/feedrelay/bulletin_test.go
@@ -1,4 +1,4 @@
-package bulletin_test
+package feedrelay_test
 
 import (
 	"fmt"
--- a/pkg/bulletin/listen.go
+++ b/pkg/feedrelay/listen.go
@@ -1,4 +1,4 @@
-package bulletin
+package feedrelay
 
 import (
 	"context"
--- a/pkg/bulletin/whole_test.go
+++ b/pkg/feedrelay/whole_test.go
@@ -1,4 +1,4 @@
-package bulletin_test
+package feedrelay_test
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"quaydock/pkg/bulletin"
+	"quaydock/pkg/feedrelay"
 	"quaydock/pkg/follow"
 	"quaydock/pkg/network"
 )
@@ -94,7 +94,7 @@
 				b.store.put("k", "v")
 				b.outage(false, true)
 				var others []*entry
-				relays := make([]*bulletin.Relay, entryCount)
+				relays := make([]*feedrelay.Relay, entryCount)
 				for i := range entryCount {
 					m, relay := b.build(t, i)
 					b.follow(i, m, relay)
--- a/pkg/losses/losses.go
+++ b/pkg/losses/losses.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"quaydock/pkg/ids"
-	"quaydock/pkg/story"
+	"quaydock/pkg/requestlog"
 )
 
 // Messages and fields of the log lines that are evaluated.
@@ -56,11 +56,11 @@
 }
 
 // Find returns the losses found in lines, in the order of the lines.
-func Find(lines []story.Line) []Loss {
+func Find(lines []requestlog.Line) []Loss {
 	domains := processDomains(lines)
 	var list []Loss
 	for _, l := range lines {
-		entry := ids.Process(l.Text(story.FieldProcess))
+		entry := ids.Process(l.Text(requestlog.FieldProcess))
 		for _, loss := range lossesOf(l) {
 			loss.Entry = entry
 			loss.Domain = domains[entry]
@@ -74,18 +74,18 @@
 }
 
 // processDomains returns the failure domain of each process, as logged at its start.
-func processDomains(lines []story.Line) map[ids.Process]ids.FailureDomain {
+func processDomains(lines []requestlog.Line) map[ids.Process]ids.FailureDomain {
 	found := make(map[ids.Process]ids.FailureDomain)
 	for _, l := range lines {
-		if l.Text(story.FieldMessage) == messageStarted {
-			found[ids.Process(l.Text(story.FieldProcess))] = ids.FailureDomain(l.Text(fieldDomain))
+		if l.Text(requestlog.FieldMessage) == messageStarted {
+			found[ids.Process(l.Text(requestlog.FieldProcess))] = ids.FailureDomain(l.Text(fieldDomain))
 		}
 	}
 	return found
 }
 
-func lossesOf(l story.Line) []Loss {
-	switch l.Text(story.FieldMessage) {
+func lossesOf(l requestlog.Line) []Loss {
+	switch l.Text(requestlog.FieldMessage) {
 	case messageRefused:
 		return []Loss{requestLoss(l, l.Text(fieldCause))}
 	case messageAnswered:
@@ -99,7 +99,7 @@
 }
 
 // requestLoss returns the loss described by the log line of one request.
-func requestLoss(l story.Line, cause string) Loss {
+func requestLoss(l requestlog.Line, cause string) Loss {
 	held, _ := l.Number(fieldHeld)
 	prompt, _ := l.Number(fieldPrompt)
 	before, _ := l.Number(fieldBefore)
@@ -117,7 +117,7 @@
 }
 
 // suppressedLosses returns the losses whose log lines were suppressed, one for each cause.
-func suppressedLosses(l story.Line) []Loss {
+func suppressedLosses(l requestlog.Line) []Loss {
 	var list []Loss
 	for _, name := range l.Names() {
 		n, present := l.Number(name)
--- a/pkg/losses/losses_test.go
+++ b/pkg/losses/losses_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"quaydock/pkg/losses"
-	"quaydock/pkg/story"
+	"quaydock/pkg/requestlog"
 )
 
 const logs = `  0.0 a {"msg":"started","process":"a","domain":"north","time":"2026-05-10T10:00:00.000Z"}
@@ -25,7 +25,7 @@
 
 func find(t *testing.T) []losses.Loss {
 	t.Helper()
-	lines, err := story.Read(strings.NewReader(logs))
+	lines, err := requestlog.Read(strings.NewReader(logs))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,7 +93,7 @@
 }
 
 func ExampleWrite() {
-	lines, err := story.Read(strings.NewReader(`{"msg":"request not answered","process":"a","cause":"Lost","tier":1,"account":"acme","prompt_tokens":100,"held_ms":100,"time":"2026-05-10T10:00:02.100Z"}`))
+	lines, err := requestlog.Read(strings.NewReader(`{"msg":"request not answered","process":"a","cause":"Lost","tier":1,"account":"acme","prompt_tokens":100,"held_ms":100,"time":"2026-05-10T10:00:02.100Z"}`))
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/pkg/story/story.go
+++ b/pkg/requestlog/story.go
@@ -1,6 +1,6 @@
-// Package story assembles the timeline of one request from the logs of several processes. It opens no files:
+// Package requestlog assembles the timeline of one request from the logs of several processes. It opens no files:
 // logs are read from an io.Reader.
-package story
+package requestlog
 
 import (
 	"bufio"
--- a/pkg/story/story_test.go
+++ b/pkg/requestlog/story_test.go
@@ -1,4 +1,4 @@
-package story_test
+package requestlog_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"quaydock/pkg/story"
+	"quaydock/pkg/requestlog"
 )
 
 const logs = `  1.0 front-a {"msg":"configuration in force","process":"front-a","revision":7,"time":"2026-05-10T10:00:00Z"}
@@ -19,19 +19,19 @@
 `
 
 func TestRequestTimeline(t *testing.T) {
-	lines, err := story.Read(strings.NewReader(logs))
+	lines, err := requestlog.Read(strings.NewReader(logs))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got []string
-	for _, l := range story.ForRequest("r1", lines) {
+	for _, l := range requestlog.ForRequest("r1", lines) {
 		got = append(got, fmt.Sprint(l.Fields["msg"], " ", l.Fields["process"]))
 	}
 	want := "configuration in force front-a, request not answered front-a, target gone front-b"
 	if strings.Join(got, ", ") != want {
 		t.Errorf("got %q", strings.Join(got, ", "))
 	}
-	if len(story.ForRequest("r3", lines)) != 0 {
+	if len(requestlog.ForRequest("r3", lines)) != 0 {
 		t.Error("got lines for an unknown request")
 	}
 }
@@ -46,12 +46,12 @@
 {"msg":"an answer that had begun was broken off","ended_by":"Target","process":"front-a","request":"r2","targets":["t1"],"time":"2026-05-10T10:00:03Z"}
 {"msg":"target gone","process":"front-b","target":"t1","time":"2026-05-10T10:00:04Z"}
 `
-	lines, err := story.Read(strings.NewReader(text))
+	lines, err := requestlog.Read(strings.NewReader(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got []string
-	for _, l := range story.ForRequest("r1", lines) {
+	for _, l := range requestlog.ForRequest("r1", lines) {
 		got = append(got, strings.TrimSpace(fmt.Sprint(l.Text("msg"), " ", l.Text("outcome"), l.Text("ended_by"))))
 	}
 	want := []string{
@@ -64,7 +64,7 @@
 }
 
 func ExampleLine_String() {
-	lines, err := story.Read(strings.NewReader(`{"msg":"request not answered","cause":"Lost","process":"front-a","request":"r1","time":"2026-05-10T10:00:02Z"}`))
+	lines, err := requestlog.Read(strings.NewReader(`{"msg":"request not answered","cause":"Lost","process":"front-a","request":"r1","time":"2026-05-10T10:00:02Z"}`))
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/pkg/roster/lives_test.go
+++ b/pkg/targetlist/lives_test.go
@@ -1,4 +1,4 @@
-package roster_test
+package targetlist_test
 
 import (
 	"encoding/json"
@@ -13,8 +13,8 @@
 	"quaydock/pkg/ids"
 	"quaydock/pkg/network"
 	"quaydock/pkg/rollout"
-	"quaydock/pkg/roster"
 	"quaydock/pkg/routing"
+	"quaydock/pkg/targetlist"
 )
 
 // row is the row of target "a".
@@ -69,7 +69,7 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			var got *routing.Directory
-			r := roster.New(commontest.New(network.NewMemory(nil)), parseRow, func(d *routing.Directory) { got = d })
+			r := targetlist.New(commontest.New(network.NewMemory(nil)), parseRow, func(d *routing.Directory) { got = d })
 			r.Snapshot(nil, follow.Freshness{})
 			for _, row := range s.rows {
 				r.Changed([]follow.Row{row}, follow.Freshness{})
@@ -98,7 +98,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := commontest.New(network.NewMemory(nil))
 				var got *routing.Directory
-				r := roster.New(c, parseRow, func(d *routing.Directory) { got = d })
+				r := targetlist.New(c, parseRow, func(d *routing.Directory) { got = d })
 				now := func() follow.Freshness { return follow.Freshness{RequestedAt: c.Clock.Now(), CurrentAt: c.Clock.Now()} }
 				r.Snapshot([]follow.Row{row{Start: 50}.at(7)}, now())
 				r.ReadFailed(errors.New("store unreachable"))
@@ -126,7 +126,7 @@
 	book.PutOrders(nil, nil, true, rollout.Freshness{Revision: 10})
 	var got *routing.Directory
 	screen := rollout.NewFilter(book, func(d *routing.Directory) { got = d })
-	r := roster.New(commontest.New(network.NewMemory(nil)), parseRow, screen.SetDirectory)
+	r := targetlist.New(commontest.New(network.NewMemory(nil)), parseRow, screen.SetDirectory)
 	r.Snapshot([]follow.Row{row{Start: 50, Version: "v1"}.at(7)}, follow.Freshness{})
 	if a := got.Target("a").Admission; a != routing.Admitted {
 		t.Fatalf("admission of the former incarnation: %v", a)
@@ -147,7 +147,7 @@
 // from a peer: the target must not get work that its newest row does not ask for.
 func TestOlderRowDoesNotRestoreTarget(t *testing.T) {
 	var got *routing.Directory
-	r := roster.New(commontest.New(network.NewMemory(nil)), parseRow, func(d *routing.Directory) { got = d })
+	r := targetlist.New(commontest.New(network.NewMemory(nil)), parseRow, func(d *routing.Directory) { got = d })
 	valid := row{Start: 50, Version: "v1"}
 	invalid := follow.Row{Key: "a", Value: []byte("{"), Version: 10}
 	steps := []struct {
@@ -190,7 +190,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := commontest.New(network.NewMemory(nil))
 				var got *routing.Directory
-				r := roster.New(c, parseRow, func(d *routing.Directory) { got = d })
+				r := targetlist.New(c, parseRow, func(d *routing.Directory) { got = d })
 				r.Snapshot([]follow.Row{first.at(7)}, follow.Freshness{})
 				time.Sleep(time.Second)
 				r.Changed([]follow.Row{s.next.at(9)}, follow.Freshness{})
--- a/pkg/roster/roster.go
+++ b/pkg/targetlist/roster.go
@@ -1,6 +1,6 @@
-// Package roster keeps the target list correct across outages of the store, during which the rows of healthy targets
+// Package targetlist keeps the target list correct across outages of the store, during which the rows of healthy targets
 // may expire.
-package roster
+package targetlist
 
 import (
 	"sync"
--- a/pkg/roster/roster_test.go
+++ b/pkg/targetlist/roster_test.go
@@ -1,4 +1,4 @@
-package roster_test
+package targetlist_test
 
 import (
 	"bytes"
@@ -16,8 +16,8 @@
 	"quaydock/pkg/follow"
 	"quaydock/pkg/ids"
 	"quaydock/pkg/network"
-	"quaydock/pkg/roster"
 	"quaydock/pkg/routing"
+	"quaydock/pkg/targetlist"
 )
 
 func parse(id string, document []byte) (*routing.Target, error) {
@@ -29,7 +29,7 @@
 
 type bed struct {
 	common.Common
-	*roster.List
+	*targetlist.List
 
 	mu        sync.Mutex
 	directory *routing.Directory
@@ -37,7 +37,7 @@
 
 func newBed() *bed {
 	b := &bed{Common: commontest.New(network.NewMemory(nil))}
-	b.List = roster.New(b.Common, parse, func(d *routing.Directory) {
+	b.List = targetlist.New(b.Common, parse, func(d *routing.Directory) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		b.directory = d
@@ -165,7 +165,7 @@
 // counts as listed from its first revision on.
 func TestFirstRevisionOfRowIsKept(t *testing.T) {
 	var got *routing.Directory
-	r := roster.New(commontest.New(network.NewMemory(nil)), func(id string, document []byte) (*routing.Target, error) {
+	r := targetlist.New(commontest.New(network.NewMemory(nil)), func(id string, document []byte) (*routing.Target, error) {
 		if len(document) > 0 {
 			return nil, errors.New("faulty")
 		}
@@ -218,7 +218,7 @@
 		var log bytes.Buffer
 		c := commontest.New(network.NewMemory(nil))
 		c.Log.Logger.SetOutput(&log)
-		r := roster.New(c, parse, func(*routing.Directory) {})
+		r := targetlist.New(c, parse, func(*routing.Directory) {})
 		r.Snapshot(up("first"), follow.Freshness{})
 		lines := func() int { return strings.Count(log.String(), "\n") }
 		before := lines()
--- a/pkg/roster/rows.go
+++ b/pkg/targetlist/rows.go
@@ -1,4 +1,4 @@
-package roster
+package targetlist
 
 import (
 	"github.com/sirupsen/logrus"
