--- a/pkg/app/advice_bed_test.go
+++ b/pkg/app/advice_bed_test.go
@@ -13,47 +13,49 @@
 	"quaydock/platform/wiretest"
 )
 
-// drainTime is how long after an entry has passed on the word of a target that it leaves requests may
-// still reach that target from the entry.
-const drainTime = 2 * time.Second
+// leavingSlack is how long requests from an entry may still reach a target after the entry has passed on the
+// target's report that it is leaving.
+const leavingSlack = 2 * time.Second
 
-// restSlack is how long after a target has asked for rest requests may still be on their way to it, and
-// mostInRest how many may reach it from one entry in the rest of that time.
+// backoffSlack is how long requests may still be on their way to a target after it has asked for a back-off, and
+// maxInBackoff how many may reach it from one entry in the remainder of the back-off.
 const (
-	restSlack  = 500 * time.Millisecond
-	mostInRest = 2
+	backoffSlack = 500 * time.Millisecond
+	maxInBackoff = 2
 )
 
-// adviceBed is whole entries before targets that say in their answers that they leave, or ask for
-// rest. It knows what each entry was told, and counts what reaches a target against that.
+// adviceBed is a test bed of complete entries in front of targets that report in their answers that they are
+// leaving, or ask for a back-off. It records which reports each entry got, and counts the requests that reach a
+// target in spite of them.
 type adviceBed struct {
 	*crashBed
 
-	said    sync.Mutex
-	leaving map[int]bool           // targets, by number
-	sheds   map[int]shedding       // targets, by number
-	sent    map[string]sentCall    // requests, by id
-	told    map[pair]time.Duration // when an entry first passed on that a target leaves
-	rests   map[pair][]*rest
-	// against are the requests that reached targets that leave, and withinRest those beyond what a rest bears.
-	against, withinRest int
-	pairs               map[pair]bool // of which something counts
-	declined            int
-	arrivals            map[string]int // by target
-	lastArrival         map[string]time.Duration
+	adviceMu   sync.Mutex
+	leaving    map[int]bool                  // targets, by number
+	rejections map[int]rejection             // targets, by number
+	sent       map[string]sentCall           // requests, by id
+	passedOnAt map[entryTarget]time.Duration // when an entry first passed on that a target is leaving
+	backoffs   map[entryTarget][]*backoffPeriod
+	// afterLeaving counts the requests that reached leaving targets too late, and duringBackoff those beyond
+	// maxInBackoff.
+	afterLeaving, duringBackoff int
+	pairs                       map[entryTarget]bool // that violated a report
+	rejected                    int
+	arrivals                    map[string]int // by target
+	lastArrival                 map[string]time.Duration
 }
 
-// pair is an entry and a life of a target.
-type pair struct {
+// entryTarget is an entry and an incarnation of a target.
+type entryTarget struct {
 	entry  int
 	target string
 }
 
-// shedding is how a target turns requests away.
-type shedding struct {
-	share float64
-	rest  time.Duration
-	own   bool // without the mark that says that the request did not run
+// rejection is how a target rejects requests.
+type rejection struct {
+	fraction float64
+	backoff  time.Duration
+	unmarked bool // without the header that says that the request did not run
 }
 
 type sentCall struct {
@@ -61,8 +63,8 @@
 	at    time.Duration
 }
 
-// rest is one time of rest that a target has asked an entry for.
-type rest struct {
+// backoffPeriod is one back-off that a target has asked an entry for.
+type backoffPeriod struct {
 	from, until time.Duration
 	reached     int
 }
@@ -71,32 +73,32 @@
 
 func newAdviceBedOf(t *testing.T, seed uint64, entries, targets int) *adviceBed {
 	b := &adviceBed{
-		crashBed: newCrashBedOf(t, seed, entries, targets), leaving: make(map[int]bool), sheds: make(map[int]shedding),
-		sent: make(map[string]sentCall), told: make(map[pair]time.Duration), rests: make(map[pair][]*rest), pairs: make(map[pair]bool),
+		crashBed: newCrashBedOf(t, seed, entries, targets), leaving: make(map[int]bool), rejections: make(map[int]rejection),
+		sent: make(map[string]sentCall), passedOnAt: make(map[entryTarget]time.Duration), backoffs: make(map[entryTarget][]*backoffPeriod), pairs: make(map[entryTarget]bool),
 		arrivals: make(map[string]int), lastArrival: make(map[string]time.Duration),
 	}
 	b.answers = b.answer
 	return b
 }
 
-// answer counts a request that has reached a target, and answers what that turns away.
+// answer counts a request that has reached a target, and answers it if the target rejects it.
 func (b *adviceBed) answer(e *crashEngine, w http.ResponseWriter, r *http.Request) bool {
-	b.said.Lock()
-	defer b.said.Unlock()
+	b.adviceMu.Lock()
+	defer b.adviceMu.Unlock()
 	now := b.now()
 	call := b.sent[wiretest.RequestID(r.Header)]
-	at := pair{call.entry, e.id}
+	at := entryTarget{call.entry, e.id}
 	b.arrivals[e.id]++
 	b.lastArrival[e.id] = now
-	if told, known := b.told[at]; known && call.at > told+drainTime {
-		b.against++
+	if passedOn, known := b.passedOnAt[at]; known && call.at > passedOn+leavingSlack {
+		b.afterLeaving++
 		b.pairs[at] = true
 	}
-	for _, x := range b.rests[at] {
-		if now > x.from+restSlack && now < x.until {
-			x.reached++
-			if x.reached > mostInRest {
-				b.withinRest++
+	for _, period := range b.backoffs[at] {
+		if now > period.from+backoffSlack && now < period.until {
+			period.reached++
+			if period.reached > maxInBackoff {
+				b.duringBackoff++
 				b.pairs[at] = true
 			}
 		}
@@ -104,74 +106,74 @@
 	if b.leaving[e.n] {
 		wiretest.Leave(w.Header())
 	}
-	shed := b.sheds[e.n]
-	if shed.share <= 0 || b.draw(1000) >= int(shed.share*1000) {
+	rejecting := b.rejections[e.n]
+	if rejecting.fraction <= 0 || b.draw(1000) >= int(rejecting.fraction*1000) {
 		return false
 	}
-	b.declined++
-	b.rests[at] = append(b.rests[at], &rest{from: now, until: now + shed.rest})
-	if shed.own {
+	b.rejected++
+	b.backoffs[at] = append(b.backoffs[at], &backoffPeriod{from: now, until: now + rejecting.backoff})
+	if rejecting.unmarked {
 		wiretest.Seal(w.Header(), e.id)
 	} else {
 		wiretest.NotRun(w.Header())
 	}
-	wiretest.Rest(w.Header(), shed.rest)
+	wiretest.Rest(w.Header(), rejecting.backoff)
 	w.WriteHeader(http.StatusServiceUnavailable)
 	return true
 }
 
-// leave has the first n targets say in all their answers that they leave.
-func (b *adviceBed) leave(n int) {
-	b.said.Lock()
-	defer b.said.Unlock()
+// setLeaving makes the first n targets report in all their answers that they are leaving.
+func (b *adviceBed) setLeaving(n int) {
+	b.adviceMu.Lock()
+	defer b.adviceMu.Unlock()
 	for i := range n {
 		b.leaving[i] = true
 	}
 }
 
-// shed has the first n targets turn requests away.
-func (b *adviceBed) shed(n int, s shedding) {
+// rejectFirst makes the first n targets reject requests.
+func (b *adviceBed) rejectFirst(n int, s rejection) {
 	for i := range n {
-		b.shedAt(i, s)
+		b.rejectAt(i, s)
 	}
 }
 
-// shedAt has one target turn requests away.
-func (b *adviceBed) shedAt(n int, s shedding) {
-	b.said.Lock()
-	defer b.said.Unlock()
-	b.sheds[n] = s
+// rejectAt makes one target reject requests.
+func (b *adviceBed) rejectAt(n int, s rejection) {
+	b.adviceMu.Lock()
+	defer b.adviceMu.Unlock()
+	b.rejections[n] = s
 }
 
-// restarted forgets what an entry was told.
-func (b *adviceBed) restarted(entry int) {
-	b.said.Lock()
-	defer b.said.Unlock()
-	maps.DeleteFunc(b.told, func(at pair, _ time.Duration) bool { return at.entry == entry })
-	maps.DeleteFunc(b.rests, func(at pair, _ []*rest) bool { return at.entry == entry })
+// forgetAdviceOf drops the reports that an entry got: it has started again.
+func (b *adviceBed) forgetAdviceOf(entry int) {
+	b.adviceMu.Lock()
+	defer b.adviceMu.Unlock()
+	maps.DeleteFunc(b.passedOnAt, func(at entryTarget, _ time.Duration) bool { return at.entry == entry })
+	maps.DeleteFunc(b.backoffs, func(at entryTarget, _ []*backoffPeriod) bool { return at.entry == entry })
 }
 
 // adviceAnswer is what a caller got.
 type adviceAnswer struct {
-	at, took time.Duration
-	status   int
-	back     time.Duration // when it is told to come back, 0 if not
+	at, took   time.Duration
+	status     int
+	retryAfter time.Duration // the answer's Retry-After, 0 without one
 }
 
-// adviceLoad is how many requests a second come: a third of what one target can serve.
+// adviceLoad is the rate of requests per second: a third of what one target can serve.
 const adviceLoad = 200
 
-// callers sends requests of both kinds to all entries until a moment and returns their answers.
+// callers sends safe and unsafe requests to all entries until the given time, and returns their answers.
 func (b *adviceBed) callers(until time.Duration) []adviceAnswer {
 	return b.callersAt(adviceLoad, until)
 }
 
-// callersAt is callers with so many requests a second.
+// callersAt is callers at a given rate.
 func (b *adviceBed) callersAt(perSecond float64, until time.Duration) []adviceAnswer {
 	return b.collect(perSecond, until, b.callOnce)
 }
 
-// collect calls entries so many times a second until a moment, and returns their answers.
+// collect calls entries at the given rate until the given time, and returns their answers.
 func (b *adviceBed) collect(perSecond float64, until time.Duration, call func(entry int) adviceAnswer) []adviceAnswer {
 	var mu sync.Mutex
 	var answers []adviceAnswer
@@ -185,41 +187,41 @@
 }
 
 func (b *adviceBed) callOnce(entry int) adviceAnswer {
-	a, head := b.callKnown(entry)
+	a, head := b.callTraced(entry)
 	if wiretest.SaysLeaving(head) {
-		b.said.Lock()
-		noteFirst(b.told, pair{entry, wiretest.SealedBy(head)}, b.now())
-		b.said.Unlock()
+		b.adviceMu.Lock()
+		recordFirst(b.passedOnAt, entryTarget{entry, wiretest.SealedBy(head)}, b.now())
+		b.adviceMu.Unlock()
 	}
 	return a
 }
 
-// noteFirst notes when something first was so.
-func noteFirst[K comparable](first map[K]time.Duration, what K, now time.Duration) {
+// recordFirst records the time of the first occurrence of something.
+func recordFirst[K comparable](first map[K]time.Duration, what K, now time.Duration) {
 	if _, known := first[what]; !known {
 		first[what] = now
 	}
 }
 
-// callKnown sends a request of which targets can tell where it was sent, and returns the answer with its head.
-func (b *adviceBed) callKnown(entry int) (adviceAnswer, http.Header) {
+// callTraced sends a request whose entry and time are recorded by its id, and returns the answer with its header.
+func (b *adviceBed) callTraced(entry int) (adviceAnswer, http.Header) {
 	path := []string{"/safe/q", "/unsafe/q"}[b.draw(2)]
 	id, at := b.newRequestID(), b.now()
-	b.said.Lock()
+	b.adviceMu.Lock()
 	b.sent[id] = sentCall{entry, at}
-	b.said.Unlock()
+	b.adviceMu.Unlock()
 	status, head, _ := b.send(entry, id, path, "key-a", b.unlike())
 	a := adviceAnswer{at: at, took: b.now() - at, status: status}
 	if seconds, err := strconv.ParseFloat(head.Get("Retry-After"), 64); err == nil {
-		a.back = time.Duration(seconds * float64(time.Second))
+		a.retryAfter = time.Duration(seconds * float64(time.Second))
 	}
 	return a, head
 }
 
-// usedSince is how many targets a request has reached since a moment.
-func (b *adviceBed) usedSince(from time.Duration) int {
-	b.said.Lock()
-	defer b.said.Unlock()
+// targetsUsedSince returns how many targets got a request since the given time.
+func (b *adviceBed) targetsUsedSince(from time.Duration) int {
+	b.adviceMu.Lock()
+	defer b.adviceMu.Unlock()
 	used := 0
 	for _, at := range b.lastArrival {
 		if at >= from {
@@ -229,7 +231,7 @@
 	return used
 }
 
-// served is the part of answers to requests of a span that are whole.
+// served returns the fraction of a time span's requests that were answered with 200.
 func served(answers []adviceAnswer, from, until time.Duration) float64 {
 	n, all := 0, 0
 	for _, a := range answers {
@@ -244,20 +246,20 @@
 	return float64(n) / float64(max(1, all))
 }
 
-// check holds what has reached targets against what they had said.
+// check fails the test if requests reached targets in spite of their reports.
 func (b *adviceBed) check() {
 	b.t.Helper()
-	b.said.Lock()
-	defer b.said.Unlock()
+	b.adviceMu.Lock()
+	defer b.adviceMu.Unlock()
 	var pairs []string
 	for at := range b.pairs {
 		pairs = append(pairs, fmt.Sprintf("entry %d to %s", at.entry, at.target))
 	}
 	slices.Sort(pairs)
-	if b.against > 0 {
-		b.t.Errorf("%d requests reached targets that leave later than %v after their entries had passed that on: %v", b.against, drainTime, pairs)
+	if b.afterLeaving > 0 {
+		b.t.Errorf("%d requests reached leaving targets later than %v after their entries had passed the report on: %v", b.afterLeaving, leavingSlack, pairs)
 	}
-	if b.withinRest > 0 {
-		b.t.Errorf("%d requests beyond %d reached targets while they rested from those entries: %v", b.withinRest, mostInRest, pairs)
+	if b.duringBackoff > 0 {
+		b.t.Errorf("%d requests beyond %d reached targets during a back-off that they had asked those entries for: %v", b.duringBackoff, maxInBackoff, pairs)
 	}
 }
--- a/pkg/app/advice_lives_test.go
+++ b/pkg/app/advice_lives_test.go
@@ -15,21 +15,21 @@
 // vmClock is the clock of a target's VM.
 type vmClock struct {
 	ahead time.Duration // of the entries' clocks
-	dates bool          // whether its answers tell the time
+	dates bool          // whether its answers have a Date header
 }
 
 func (c vmClock) String() string {
 	return fmt.Sprintf("clock %v ahead, answers dated %t", c.ahead, c.dates)
 }
 
-// vmClocks are the clocks that the tests play. Undated ones tell an entry nothing but the start in the row.
+// vmClocks are the clocks that the tests use. From targets without dated answers an entry knows only the start in the row.
 var vmClocks = []vmClock{
 	{0, true}, {2 * time.Second, true}, {-2 * time.Second, true}, {20 * time.Second, true}, {-20 * time.Second, true},
 	{0, false}, {2 * time.Second, false}, {-2 * time.Second, false},
 }
 
-// runOn has the first target's answers carry the time of a VM's clock, or none.
-func (b *adviceBed) runOn(c vmClock) {
+// useClock makes the first target's answers carry the time of a VM's clock, or none.
+func (b *adviceBed) useClock(c vmClock) {
 	b.answers = func(e *crashEngine, w http.ResponseWriter, r *http.Request) bool {
 		if e.n == 0 {
 			w.Header()["Date"] = nil
@@ -37,23 +37,23 @@
 		if e.n == 0 && c.dates {
 			w.Header().Set("Date", time.Now().Add(c.ahead).UTC().Format(http.TimeFormat))
 		}
-		time.Sleep(crashWork) // so that several requests are under way
+		time.Sleep(crashWork) // so that several requests run at once
 		return b.answer(e, w, r)
 	}
 }
 
-// endQuietly ends the first target between two requests, while the store is silent: none fails, so that nothing but its row
-// tells that it has started again.
-func (b *adviceBed) endQuietly() {
+// endBetweenRequests ends the first target between two requests, while the store is unreachable: no request fails, so
+// that only the target's row shows that it has started again.
+func (b *adviceBed) endBetweenRequests() {
 	b.callers(time.Second)
 	b.silenceStore(true)
-	time.Sleep(6 * time.Second) // until no connection is kept
+	time.Sleep(6 * time.Second) // until idle connections are closed
 	b.engines[0].end()
 	time.Sleep(50 * time.Millisecond)
 }
 
-// startAgain starts the first target again under its id. Its start is told by its VM's clock.
-func (b *adviceBed) startAgain(c vmClock) {
+// restartWithClock starts the first target again under its id. The start in its row is that of its VM's clock.
+func (b *adviceBed) restartWithClock(c vmClock) {
 	id := b.engines[0].id
 	b.startEngineAs(0, id)
 	b.mu.Lock()
@@ -69,47 +69,47 @@
 	b.store.Put(platform.TableTargets, e.id, row.Row())
 }
 
-// newTerms forgets what the first target's former life said.
-func (b *adviceBed) newTerms() {
-	b.said.Lock()
-	defer b.said.Unlock()
+// clearAdvice drops the reports of the first target's former incarnation.
+func (b *adviceBed) clearAdvice() {
+	b.adviceMu.Lock()
+	defer b.adviceMu.Unlock()
 	delete(b.leaving, 0)
-	delete(b.sheds, 0)
-	clear(b.told)
-	clear(b.rests)
+	delete(b.rejections, 0)
+	clear(b.passedOnAt)
+	clear(b.backoffs)
 }
 
-// TestATargetThatLeavesSoonAfterItsStart: while the store was silent, a target started again under its id and was told
-// to leave at once, as in a release that is taken back. An entry passed on an answer of it that said so, and took it
-// for the former life, whose row was the newest that it had. When the store was back, with a row that was still ready,
-// the entry sent the target requests again: it had kept the word for the former life, since the connection had been
-// made less than 3 s after the new start, and clocks of two VMs may differ by that. What proved that: with a
-// leaving target that had started 3 s before its first connection nothing was sent.
-func TestATargetThatLeavesSoonAfterItsStart(t *testing.T) {
+// TestTargetLeavingSoonAfterRestart: while the store was unreachable, a target started again under its id and was
+// stopped at once, as in a release that is rolled back. An entry passed on its report that it was leaving, and recorded
+// it for the former incarnation, whose row was the newest that it had. When the store was back, with a row that was still
+// ready, the entry sent the target requests again: it attributed the report to the former incarnation, since the
+// connection had been made less than 3 s after the new start, and the clocks of two VMs may differ by that. A leaving
+// target that had started 3 s before its first connection got nothing.
+func TestTargetLeavingSoonAfterRestart(t *testing.T) {
 	for _, c := range vmClocks {
 		t.Run(c.String(), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				b := newAdviceBedOf(t, 1, 1, crashTargets)
-				b.runOn(c)
-				b.endQuietly()
-				b.leave(1)
-				b.startAgain(c)
+				b.useClock(c)
+				b.endBetweenRequests()
+				b.setLeaving(1)
+				b.restartWithClock(c)
 				go b.callers(b.now() + 11*time.Second)
 				time.Sleep(6 * time.Second)
-				b.said.Lock()
-				told := len(b.told)
-				b.said.Unlock()
+				b.adviceMu.Lock()
+				passedOn := len(b.passedOnAt)
+				b.adviceMu.Unlock()
 				b.silenceStore(false)
-				// It writes that it leaves with its next beat, at the latest.
+				// It writes the leaving state with its next heartbeat, at the latest.
 				time.Sleep(2 * time.Second)
 				b.row(wiretest.Draining)
 				time.Sleep(4 * time.Second)
-				b.said.Lock()
-				t.Logf("%d requests against its word", b.against)
-				b.said.Unlock()
-				if told == 0 {
-					t.Error("its entry was not told before its row was read")
+				b.adviceMu.Lock()
+				t.Logf("%d requests sent after its report", b.afterLeaving)
+				b.adviceMu.Unlock()
+				if passedOn == 0 {
+					t.Error("the entry got no report before the target's row was read")
 				}
 				b.check()
 			})
@@ -117,32 +117,32 @@
 	}
 }
 
-// TestARestThatIsAskedForBeforeTheStartIsRead: a target started again under its id while the store was silent, turned
-// requests away and asked for rest. Its VM's clock was ahead, so that the start in its row seemed to be later than the
-// connections on which it had said so; the entries took the rest for the former life's, and sent three and more
+// TestBackoffRequestedBeforeRestartIsRead: a target started again under its id while the store was unreachable, rejected
+// requests and asked for a back-off. Its VM's clock was ahead, so that the start in its row seemed to be later than the
+// connections of these answers. The entries attributed the back-off to the former incarnation, and sent three or more
 // requests at once when they had read the row.
-func TestARestThatIsAskedForBeforeTheStartIsRead(t *testing.T) {
+func TestBackoffRequestedBeforeRestartIsRead(t *testing.T) {
 	for _, c := range vmClocks {
 		t.Run(c.String(), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				b := newAdviceBedOf(t, 1, 1, crashTargets)
-				b.runOn(c)
-				b.endQuietly()
-				b.shed(1, shedding{share: 1, rest: 5 * time.Second})
-				b.startAgain(c)
+				b.useClock(c)
+				b.endBetweenRequests()
+				b.rejectFirst(1, rejection{fraction: 1, backoff: 5 * time.Second})
+				b.restartWithClock(c)
 				go b.callersAt(3*adviceLoad, b.now()+6*time.Second)
 				time.Sleep(3 * time.Second)
-				b.said.Lock()
-				before := b.declined
-				b.said.Unlock()
+				b.adviceMu.Lock()
+				before := b.rejected
+				b.adviceMu.Unlock()
 				b.silenceStore(false)
 				time.Sleep(4 * time.Second)
-				b.said.Lock()
-				t.Logf("%d requests turned away, %d before its row was read; %d too many", b.declined, before, b.withinRest)
-				b.said.Unlock()
+				b.adviceMu.Lock()
+				t.Logf("%d requests rejected, %d before its row was read; %d more than allowed during a back-off", b.rejected, before, b.duringBackoff)
+				b.adviceMu.Unlock()
 				if before == 0 {
-					t.Error("none was turned away before its row was read")
+					t.Error("no request was rejected before its row was read")
 				}
 				b.check()
 			})
@@ -150,35 +150,35 @@
 	}
 }
 
-// TestARestOfAFormerLife: a target asked for a minute of rest, ended, and started again under its id on a VM whose clock
-// was behind. The start in its row seemed to be earlier than the connections of its former life; the entries kept
-// the rest for the new life, which got nothing for the rest of the minute.
-func TestARestOfAFormerLife(t *testing.T) {
+// TestBackoffOfFormerIncarnationIsDropped: a target asked for a back-off of a minute, ended, and started again under its
+// id on a VM whose clock was behind. The start in its row seemed to be earlier than the connections of its former
+// incarnation; the entries applied the back-off to the new one, which got nothing for the remainder of the minute.
+func TestBackoffOfFormerIncarnationIsDropped(t *testing.T) {
 	for _, c := range vmClocks {
 		t.Run(c.String(), func(t *testing.T) {
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				b := newAdviceBed(t)
-				b.runOn(c)
-				b.shed(1, shedding{share: 1, rest: time.Minute})
+				b.useClock(c)
+				b.rejectFirst(1, rejection{fraction: 1, backoff: time.Minute})
 				go b.callers(13 * time.Second)
 				time.Sleep(time.Second)
 				b.engines[0].end()
 				time.Sleep(50 * time.Millisecond)
-				b.newTerms()
-				b.said.Lock()
+				b.clearAdvice()
+				b.adviceMu.Lock()
 				before := b.arrivals[b.engines[0].id]
-				b.said.Unlock()
-				b.startAgain(c)
-				// In doubt an entry waits; told by dates it need not.
+				b.adviceMu.Unlock()
+				b.restartWithClock(c)
+				// Dates in the answers tell the incarnations apart at once; without them an entry waits.
 				within := time.Second
 				if !c.dates {
 					within = 6 * time.Second
 				}
 				time.Sleep(within)
-				b.said.Lock()
+				b.adviceMu.Lock()
 				got := b.arrivals[b.engines[0].id] - before
-				b.said.Unlock()
+				b.adviceMu.Unlock()
 				if got < 5 {
 					t.Errorf("%d requests within %v of its start", got, within)
 				}
--- a/pkg/app/app.go
+++ b/pkg/app/app.go
@@ -1,5 +1,5 @@
-// Package app is the daemon: it reads the command line, builds the parts and
-// runs them until it is told to stop.
+// Package app is the daemon: it reads the command line, builds the components and
+// runs them until it receives a stop signal.
 package app
 
 import (
@@ -29,23 +29,23 @@
 	ExitInvalid = 3
 )
 
-// options are the command line.
+// options are the values of the command line's flags.
 type options struct {
 	role     string
 	policy   string
 	trace    settings.Trace
 	settings string
 	check    bool
-	// ablation names what is switched off; experiment allows that.
+	// ablation names the mechanisms that are switched off; it is only accepted with experiment.
 	ablation   string
 	experiment bool
-	// assuredTrust is for how long keys are trusted without the store at the most.
-	assuredTrust time.Duration
+	// maxKeyGrace is the longest time for which keys are accepted without a reply from the store.
+	maxKeyGrace time.Duration
 }
 
-// defaultAssuredTrust spans the longest outage of the store that is to be ridden out:
+// defaultMaxKeyGrace spans the longest outage of the store in which keyed requests are still served:
 // a failure domain that is restarted is back within a minute.
-const defaultAssuredTrust = time.Minute
+const defaultMaxKeyGrace = time.Minute
 
 // Main runs the daemon with the given arguments and returns its exit code.
 func Main(args []string, out, logs io.Writer) int {
@@ -75,18 +75,17 @@
 	return ExitOK
 }
 
-// report writes a line to the operator; there is nobody to tell if that fails.
 // The roles of a process on the platform.
 const roleEntry = "entry"
 
-// defaultTraceRatio keeps the cost of spans far below that of requests.
+// defaultTraceRatio keeps the cost of spans far below the cost of the requests.
 const defaultTraceRatio = 0.01
 
 func runRole(o options, logs io.Writer) int {
 	policy := schedule.Policy(o.policy)
 	known := []schedule.Policy{schedule.Planned, schedule.RoundRobin, schedule.LeastReported}
 	if o.role != roleEntry || !slices.Contains(known, policy) {
-		report(logs, fmt.Sprintf("command line: no role %q, or no policy %q", o.role, o.policy))
+		report(logs, fmt.Sprintf("command line: unknown role %q or policy %q", o.role, o.policy))
 		return ExitUsage
 	}
 	off, err := ablation.Parse(o.ablation)
@@ -97,13 +96,14 @@
 		report(logs, fmt.Errorf("command line: %w", err))
 		return ExitUsage
 	}
-	if err := runEntry(entryOptions{policy: policy, trace: o.trace, ablation: off, assuredTrust: clock.Millis(o.assuredTrust.Milliseconds())}, logs); err != nil {
+	if err := runEntry(entryOptions{policy: policy, trace: o.trace, ablation: off, maxKeyGrace: clock.Millis(o.maxKeyGrace.Milliseconds())}, logs); err != nil {
 		report(logs, err)
 		return ExitFailed
 	}
 	return ExitOK
 }
 
+// report writes a line to the operator. Errors are ignored: there is no other place to report them to.
 func report(to io.Writer, what any) {
 	_, _ = fmt.Fprintln(to, what)
 }
@@ -114,12 +114,12 @@
 	flags.SetOutput(usage)
 	flags.StringVar(&o.settings, "settings", "", "the settings `file` (JSON); required")
 	flags.StringVar(&o.role, "role", "", "the `role` to take on the platform, whose settings the environment names: "+roleEntry)
-	flags.StringVar(&o.policy, "policy", string(schedule.Planned), "how an entry on the platform places requests: planned, round-robin or least-reported")
+	flags.StringVar(&o.policy, "policy", string(schedule.Planned), "how an entry on the platform assigns requests to targets: planned, round-robin or least-reported")
 	flags.StringVar(&o.trace.Endpoint, "trace-to", "", "base `URL` of an OTLP collector for the spans of an entry on the platform; none without it")
-	flags.Float64Var(&o.trace.Ratio, "trace-ratio", defaultTraceRatio, "the share of requests traced")
+	flags.Float64Var(&o.trace.Ratio, "trace-ratio", defaultTraceRatio, "the fraction of requests that are traced")
 	flags.StringVar(&o.ablation, "ablation", "", "`mechanisms` that an entry on the platform does without, separated by commas; only with -experiment")
-	flags.BoolVar(&o.experiment, "experiment", false, "this is no service: allow -ablation")
-	flags.DurationVar(&o.assuredTrust, "trust-without-store", defaultAssuredTrust, "for how `long` an entry on the platform serves keyed requests while the store tells nobody anything and most entries hear one another; only where the bound on keys taken away is not strict, and the same at all entries")
+	flags.BoolVar(&o.experiment, "experiment", false, "allow -ablation: this process is an experiment, not a service")
+	flags.DurationVar(&o.maxKeyGrace, "trust-without-store", defaultMaxKeyGrace, "for how `long` an entry on the platform serves keyed requests while no entry reaches the store and most entries receive one another's heartbeats; only where the limit on revoked keys is not strict; must be the same at all entries")
 	flags.BoolVar(&o.check, "check", false, "check the settings and exit")
 	if err := flags.Parse(args); err != nil {
 		return options{}, fmt.Errorf("command line: %w", err)
@@ -128,7 +128,7 @@
 	if o.trace.Endpoint != "" {
 		o.trace.Exporter = "otlp"
 	}
-	if o.assuredTrust < 0 {
+	if o.maxKeyGrace < 0 {
 		return options{}, errors.New("command line: -trust-without-store is below 0")
 	}
 	if o.role != "" && o.settings == "" && flags.NArg() == 0 {
@@ -142,7 +142,7 @@
 }
 
 // run runs a process until SIGTERM or an interrupt, then drains it. A second
-// signal stops it at once.
+// signal ends the drain at once.
 func run(s settings.Settings, out, logs io.Writer) error {
 	stopped, release := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer release()
@@ -166,7 +166,7 @@
 	return nil
 }
 
-// describe tells the operator what runs.
+// describe prints the process's addresses for the operator.
 func describe(out io.Writer, s settings.Settings) {
 	report(out, fmt.Sprintf("process %s in failure domain %s", s.Process, s.FailureDomain))
 	report(out, fmt.Sprintf("  operators   http://%s/debug/vars", s.Operators.Listen))
--- a/pkg/app/app_test.go
+++ b/pkg/app/app_test.go
@@ -21,9 +21,9 @@
 	})
 }
 
-// The scripts in testdata are the daemon's command line as a user meets it. They run the examples of
-// several processes at an address of this run's own: on the one that the examples name, two runs of
-// the tests at once took each other's ports ("address already in use" at the operators' port).
+// TestScripts runs the scripts in testdata, which check the command line of the daemon and of quayctl. They run
+// the examples of several processes at a loopback address of this test run's own: at the address that the
+// examples name, two runs of the tests at once failed with "address already in use" at the operators' port.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
@@ -43,14 +43,14 @@
 // exampleHost is the address in the examples.
 const exampleHost = "127.0.0.1"
 
-// ownHost is a loopback address that no other process on this VM draws.
+// ownHost returns a loopback address made of the process id, so that no other process on this VM uses it.
 func ownHost() string {
-	const most = 1<<22 - 1 // of process ids
-	pid := os.Getpid() & most
+	const mask = 1<<22 - 1 // the largest process id
+	pid := os.Getpid() & mask
 	return netip.AddrFrom4([4]byte{127, byte(1 + pid>>16), byte(pid >> 8), byte(pid)}).String()
 }
 
-// moveExamples writes the examples of a folder to another one, with another address.
+// moveExamples copies the examples of a folder to another one, and replaces their address.
 func moveExamples(from, to, host string) error {
 	files, err := filepath.Glob(from + "/*.json")
 	if err != nil {
--- a/pkg/app/cold_test.go
+++ b/pkg/app/cold_test.go
@@ -11,24 +11,24 @@
 	"quaydock/platform"
 )
 
-// What a cold target of these tests bears: so many requests a second, and what is allowed beyond that.
+// The limit of a cold target in these tests: its rate of requests per second, and the tolerance of the limit.
 const (
 	coldPerSecond = 20
 	coldOver      = 1.5
 	coldSlack     = 5
-	coldMost      = coldPerSecond*coldOver + coldSlack
+	coldMax       = coldPerSecond*coldOver + coldSlack
 	coldTargets   = 6
-	coldLoad      = 300 // requests a second of all callers, two and a half times as much as that for each target
+	coldLoad      = 300 // requests per second of all callers; for each target two and a half times coldPerSecond
 )
 
-// coldBed is whole entries before targets in three failure domains that are cold after a start.
+// coldBed is a test bed of complete entries in front of targets in three failure domains, which are cold after a start.
 type coldBed struct {
 	*domainsBed
 
-	counting  sync.Mutex
-	coldUntil map[string]time.Duration
-	arrived   map[string][]time.Duration // at cold targets, by id
-	most      int                        // that reached a cold one within a second
+	countMu     sync.Mutex
+	coldUntil   map[string]time.Duration
+	arrived     map[string][]time.Duration // at cold targets, by id
+	maxInSecond int                        // the most requests that reached a cold target within a second
 }
 
 func newColdBed(t *testing.T, seed uint64) *coldBed {
@@ -46,12 +46,12 @@
 	return b
 }
 
-// countCold counts a request that has reached a target while that was cold.
+// countCold counts a request that has reached a cold target.
 func (b *coldBed) countCold(e *crashEngine, w http.ResponseWriter, r *http.Request) bool {
 	b.count(e, w, r)
 	now := b.now()
-	b.counting.Lock()
-	defer b.counting.Unlock()
+	b.countMu.Lock()
+	defer b.countMu.Unlock()
 	until, known := b.coldUntil[e.id]
 	if !known { // its first request, or it became cold before it started
 		until = time.UnixMilli(int64(e.born)).Add(coldTime).Sub(b.began)
@@ -63,50 +63,50 @@
 	list := append(b.arrived[e.id], now)
 	list = slices.DeleteFunc(list, func(at time.Duration) bool { return at <= now-time.Second })
 	b.arrived[e.id] = list
-	b.most = max(b.most, len(list))
+	b.maxInSecond = max(b.maxInSecond, len(list))
 	return false
 }
 
-// crashDomain ends all targets of a failure domain; they come back together, cold.
+// crashDomain ends all targets of a failure domain; they start again together, cold.
 func (b *coldBed) crashDomain(domain int) {
-	for n, e := range b.enginesNow() {
+	for n, e := range b.currentEngines() {
 		if n%b.domains == domain {
 			e.crash()
 		}
 	}
 }
 
-func (b *coldBed) enginesNow() []*crashEngine {
+func (b *coldBed) currentEngines() []*crashEngine {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.engines)
 }
 
-// coolDomain has all targets of a failure domain become cold where they are. They tell it a while later.
-func (b *coldBed) coolDomain(domain int, tellAfter time.Duration) {
-	for n, e := range b.enginesNow() {
+// makeDomainCold makes all running targets of a failure domain cold. Their rows report it after reportAfter.
+func (b *coldBed) makeDomainCold(domain int, reportAfter time.Duration) {
+	for n, e := range b.currentEngines() {
 		if n%b.domains != domain {
 			continue
 		}
-		b.counting.Lock()
+		b.countMu.Lock()
 		b.coldUntil[e.id] = b.now() + coldTime
-		b.counting.Unlock()
+		b.countMu.Unlock()
 		row := e.row
-		row.ColdFor = int((coldTime - tellAfter).Milliseconds())
-		time.AfterFunc(tellAfter, func() { b.store.Put(platform.TableTargets, e.id, row.Row()) })
+		row.ColdFor = int((coldTime - reportAfter).Milliseconds())
+		time.AfterFunc(reportAfter, func() { b.store.Put(platform.TableTargets, e.id, row.Row()) })
 	}
 }
 
-// TestColdTargets: targets that had just started got as many requests at once as warm ones, far more than they bear, and
-// fell over. The entries read in their rows for how long they are cold, and used it for nothing. What proved that: the
-// targets of a failure domain that came back got their first requests as fast as the callers sent them, with every
-// entry in touch and one planner for all.
-func TestColdTargets(t *testing.T) {
+// TestColdTargetsGetLimitedRate guards against entries that read the slow-start time in the targets' rows and ignore it.
+// Targets that had just started got as many requests at once as warm ones, far more than they could take, and failed. The
+// fault needs no partition: with all entries in touch and one planner for all, the targets of a failure domain that came
+// back got their first requests as fast as the callers sent them.
+func TestColdTargetsGetLimitedRate(t *testing.T) {
 	const length = 12 * time.Second
 	scenarios := []struct {
-		name  string
-		hurt  func(b *coldBed)
-		least float64 // of the requests that are served
+		name      string
+		fault     func(b *coldBed)
+		minServed float64 // fraction of the requests
 	}{
 		{"a failure domain comes back", func(b *coldBed) { b.crashDomain(1) }, 0.97},
 		{"and the entries are killed one after the other", func(b *coldBed) {
@@ -123,7 +123,7 @@
 			time.Sleep(crashBack + 500*time.Millisecond)
 			b.restartAll()
 		}, 0.7},
-		{"and entries are cut off from the others, and come back", func(b *coldBed) {
+		{"and entries are partitioned from the others, and come back", func(b *coldBed) {
 			b.crashDomain(1)
 			time.Sleep(crashBack + 300*time.Millisecond)
 			for i := range 2 {
@@ -134,14 +134,14 @@
 				b.cutOff(i, false)
 			}
 		}, 0.9},
-		{"and entries hear nothing of one another", func(b *coldBed) {
+		{"and all entries are partitioned", func(b *coldBed) {
 			for i := range b.entries {
 				b.cutOff(i, true)
 			}
 			time.Sleep(2 * time.Second)
 			b.crashDomain(1)
 		}, 0.8},
-		{"and again and again", func(b *coldBed) {
+		{"and two failure domains come back repeatedly", func(b *coldBed) {
 			for range 4 {
 				b.crashDomain(1)
 				time.Sleep(2 * time.Second)
@@ -154,12 +154,12 @@
 				b.crashDomain(domain)
 			}
 		}, 0.4},
-		{"targets become cold while they run", func(b *coldBed) { b.coolDomain(1, 0) }, 0.97},
-		{"targets become cold while they are drained, and tell it late", func(b *coldBed) {
+		{"targets become cold while they run", func(b *coldBed) { b.makeDomainCold(1, 0) }, 0.97},
+		{"targets become cold while they are drained, and report it late", func(b *coldBed) {
 			b.drain("d1")
 			time.Sleep(3 * time.Second)
-			b.coolDomain(1, time.Second)
-			b.takeBack("d1")
+			b.makeDomainCold(1, time.Second)
+			b.endDrain("d1")
 		}, 0.97},
 	}
 	for _, s := range scenarios {
@@ -169,19 +169,19 @@
 				b := newColdBed(t, 1)
 				go func() {
 					time.Sleep(time.Second)
-					s.hurt(b)
+					s.fault(b)
 				}()
 				b.usualCallers(coldLoad, length, b.unlike)
-				share := b.servedShare(0, length)
-				t.Logf("at most %d requests reached a cold target within a second; served %.3f", b.most, share)
-				if b.most > coldMost {
-					t.Errorf("%d requests reached a cold target within a second, allowed are %.0f", b.most, float64(coldMost))
+				fraction := b.servedShare(0, length)
+				t.Logf("at most %d requests reached a cold target within a second; served %.3f", b.maxInSecond, fraction)
+				if b.maxInSecond > coldMax {
+					t.Errorf("%d requests reached a cold target within a second, want at most %.0f", b.maxInSecond, float64(coldMax))
 				}
-				if b.most < 5 {
-					t.Errorf("a cold target got %d requests within a second: it is not warmed", b.most)
+				if b.maxInSecond < 5 {
+					t.Errorf("a cold target got at most %d requests within a second, too few to warm up", b.maxInSecond)
 				}
-				if share < s.least {
-					t.Errorf("served %.3f, want %.2f", share, s.least)
+				if fraction < s.minServed {
+					t.Errorf("served %.3f, want %.2f", fraction, s.minServed)
 				}
 			})
 		})
--- a/pkg/app/configuration_handler.go
+++ b/pkg/app/configuration_handler.go
@@ -9,57 +9,57 @@
 	"quaydock/platform"
 )
 
-// configurationHandler puts the operators' newest configuration in force.
+// configurationHandler follows the operators' table and puts its newest configuration and drain orders in force.
 type configurationHandler struct {
 	common.Common
-	view    *view.View
-	applied func(*routing.Catalog)
-	orders  orderTaker // nil if roll-outs are no part of the deployment
-	domains *domains.Screen
-	faults  *follow.Faults
-	// faulty says that the newest row of the configuration cannot be used.
+	view      *view.View
+	onApplied func(*routing.Catalog)
+	orders    orderReceiver // nil if roll-outs are disabled in this deployment
+	domains   *domains.Screen
+	faults    *follow.Faults
+	// faulty reports whether the newest row of the configuration is invalid.
 	faulty bool
 }
 
-// orderTaker takes the operators' rows with orders of roll-outs.
-type orderTaker interface {
-	take(rows []follow.Row, all bool, proof follow.Proof)
+// orderReceiver applies the operators' rows with roll-out orders.
+type orderReceiver interface {
+	applyOrders(rows []follow.Row, all bool, proof follow.Proof)
 }
 
-// Whole takes the configuration from the operators' rows.
+// Snapshot applies all rows of the operators' table.
 func (h *configurationHandler) Whole(rows []follow.Row, proof follow.Proof) {
 	h.faults.Retain(rows)
-	h.change(rows, true, proof)
+	h.apply(rows, true, proof)
 }
 
-// Changed takes a newer configuration, if there is one.
+// Changed applies rows that have changed, among them a newer configuration, if there is one.
 func (h *configurationHandler) Changed(rows []follow.Row, proof follow.Proof) {
-	h.change(rows, false, proof)
+	h.apply(rows, false, proof)
 }
 
-func (h *configurationHandler) change(rows []follow.Row, all bool, proof follow.Proof) {
+func (h *configurationHandler) apply(rows []follow.Row, all bool, proof follow.Proof) {
 	if h.orders != nil {
-		h.orders.take(rows, all, proof)
+		h.orders.applyOrders(rows, all, proof)
 	}
-	h.takeDrained(rows, all) // before requests are placed by a first configuration
+	h.applyDrainOrders(rows, all) // before the first configuration lets requests be assigned
 	for _, row := range rows {
 		switch {
 		case row.Key != platform.KeyConfiguration:
 		case row.Gone:
 			h.faults.Sound(row.Key)
 		default:
-			h.take(row)
+			h.setConfiguration(row)
 		}
 	}
-	// A faulty row may stand over one that took a key away: what is in force stays so, but
-	// nothing proves it the newest, as while the store is away.
+	// An invalid row may have replaced one that revoked a key: the configuration in force stays, but
+	// it is not confirmed as the newest, as while the store is unreachable.
 	if !h.faulty {
 		h.view.Proven(proof.CurrentAt)
 	}
 }
 
-// takeDrained takes the operators' rows that drain failure domains.
-func (h *configurationHandler) takeDrained(rows []follow.Row, all bool) {
+// applyDrainOrders applies the operators' rows that drain failure domains.
+func (h *configurationHandler) applyDrainOrders(rows []follow.Row, all bool) {
 	var orders []domains.Order
 	for _, row := range rows {
 		if domain, is := platform.DrainedOf(row.Key); is {
@@ -73,8 +73,8 @@
 	h.domains.Change(orders)
 }
 
-// take puts a configuration in force. A row that cannot be used leaves the former one in force.
-func (h *configurationHandler) take(row follow.Row) {
+// setConfiguration puts a configuration in force. If the row is invalid, the former one stays in force.
+func (h *configurationHandler) setConfiguration(row follow.Row) {
 	catalog, err := platform.ParseConfiguration(row.Value)
 	h.faulty = err != nil
 	if err != nil {
@@ -84,9 +84,9 @@
 	h.faults.Sound(row.Key)
 	if h.view.SetCatalog(catalog) {
 		h.Log.WithField("revision", int64(catalog.Revision)).Info("configuration in force")
-		h.applied(catalog)
+		h.onApplied(catalog)
 	}
 }
 
-// Lost does nothing: the configuration stays, and its proof grows old.
+// ReadFailed does nothing: the configuration stays in force, and its freshness ages.
 func (h *configurationHandler) Lost(error) {}
--- a/pkg/app/descriptor_limit.go
+++ b/pkg/app/descriptor_limit.go
@@ -8,26 +8,26 @@
 )
 
 const (
-	// usualDescriptors is assumed where the system doesn't tell its limit: the usual soft limit of
+	// defaultDescriptors is assumed if the system's limit cannot be read: the usual soft limit of
 	// a Linux process.
-	usualDescriptors = 1024
-	// mostDescriptors bounds a limit that the system tells as infinite: the most that Linux gives a
+	defaultDescriptors = 1024
+	// maxDescriptors replaces a limit that the system reports as infinite: the most that Linux gives a
 	// process by default.
-	mostDescriptors = 1 << 20
+	maxDescriptors = 1 << 20
 )
 
-// descriptorLimit is how many descriptors the process may have for connections: what the
-// system and the VM's settings say, whichever is less.
+// descriptorLimit returns how many descriptors the process may have for connections: the lower of the
+// system's limit and the one in the VM's settings.
 func descriptorLimit(c common.Common, limits platform.MachineLimits) int {
-	limit := usualDescriptors
+	limit := defaultDescriptors
 	var system syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &system); err != nil {
 		c.Log.WithError(err).WithField("assumed", limit).Warn("the limit of descriptors is not known")
 	} else {
-		limit = int(min(system.Cur, mostDescriptors))
+		limit = int(min(system.Cur, maxDescriptors))
 	}
-	if told := limits.Sockets(); told > 0 {
-		limit = min(limit, told)
+	if configured := limits.Sockets(); configured > 0 {
+		limit = min(limit, configured)
 	}
 	return limit
 }
--- a/pkg/app/domains_test.go
+++ b/pkg/app/domains_test.go
@@ -12,14 +12,15 @@
 	"quaydock/platform/wiretest"
 )
 
-// drainedTime is how long after operators have drained a failure domain requests may still reach its targets.
-const drainedTime = 5 * time.Second
+// domainDrainSlack is how long requests may still reach the targets of a failure domain after operators have drained it.
+const domainDrainSlack = 5 * time.Second
 
-// domainsBed is whole entries before targets in three failure domains, which operators drain and take back.
+// domainsBed is a test bed of complete entries in front of targets in three failure domains, which operators drain and
+// restore.
 type domainsBed struct {
 	*crashBed
 
-	ordered  sync.Mutex
+	ordersMu sync.Mutex
 	drained  map[ids.FailureDomain]time.Duration // since when
 	late     map[ids.FailureDomain]int           // requests that reached its targets too late
 	arrivals map[ids.FailureDomain]int
@@ -37,50 +38,50 @@
 
 // count counts a request that has reached a target.
 func (b *domainsBed) count(e *crashEngine, _ http.ResponseWriter, _ *http.Request) bool {
-	b.ordered.Lock()
-	defer b.ordered.Unlock()
+	b.ordersMu.Lock()
+	defer b.ordersMu.Unlock()
 	domain := b.domainOf(e.n)
 	b.arrivals[domain]++
-	if since, drained := b.drained[domain]; drained && b.now() > since+drainedTime {
+	if since, drained := b.drained[domain]; drained && b.now() > since+domainDrainSlack {
 		b.late[domain]++
 	}
 	return false
 }
 
-// drain has the operators drain a failure domain.
+// drain writes the operators' order to drain a failure domain.
 func (b *domainsBed) drain(domain ids.FailureDomain) {
 	b.store.Put(platform.TableOperators, wiretest.Drain(domain), []byte("{}"))
-	b.ordered.Lock()
-	defer b.ordered.Unlock()
+	b.ordersMu.Lock()
+	defer b.ordersMu.Unlock()
 	b.drained[domain] = b.now()
 	b.arrivals[domain] = 0
 }
 
-// takeBack has the operators take a failure domain back.
-func (b *domainsBed) takeBack(domain ids.FailureDomain) {
-	b.ordered.Lock()
+// endDrain removes the operators' order to drain a failure domain.
+func (b *domainsBed) endDrain(domain ids.FailureDomain) {
+	b.ordersMu.Lock()
 	delete(b.drained, domain)
 	b.arrivals[domain] = 0
-	b.ordered.Unlock()
+	b.ordersMu.Unlock()
 	b.store.Remove(platform.TableOperators, wiretest.Drain(domain))
 }
 
-// TestADrainedFailureDomain: operators drained a failure domain, so that its machines could be taken away, and
-// requests went on reaching its targets for as long as it was drained, a third of all. The operators' row was read by each
-// entry and passed over: nothing knew what it was. What proved that: the targets of the domain got as many requests
-// as those of the others, from all entries alike, whether or not the store and the other entries could be reached.
-func TestADrainedFailureDomain(t *testing.T) {
+// TestDrainedFailureDomainGetsNoRequests guards against entries that read the drain order and ignore its row as unknown.
+// Operators drained a failure domain to take its VMs away, and a third of all requests went on reaching its targets. These
+// got as many requests as those of the other domains, from all entries, whether or not the store and the other entries
+// were reachable.
+func TestDrainedFailureDomainGetsNoRequests(t *testing.T) {
 	const (
 		drainAt = 2 * time.Second
 		backAt  = 12 * time.Second
 		length  = 16 * time.Second
 	)
 	scenarios := []struct {
-		name  string
-		hurt  func(b *domainsBed)
-		least float64 // of the requests that are served
+		name      string
+		fault     func(b *domainsBed)
+		minServed float64 // fraction of the requests
 	}{
-		{"in calm", nil, 0.99},
+		{"without faults", nil, 0.99},
 		{"targets break answers off", func(b *domainsBed) {
 			b.mu.Lock()
 			defer b.mu.Unlock()
@@ -98,8 +99,8 @@
 			time.Sleep(6 * time.Second)
 			b.restartAll()
 		}, 0.85},
-		{"one entry is turned away by the store", func(b *domainsBed) { b.awayFromStore(1, true) }, 0.99},
-		{"one entry starts while the store turns it away", func(b *domainsBed) {
+		{"the store rejects one entry", func(b *domainsBed) { b.awayFromStore(1, true) }, 0.99},
+		{"one entry starts while the store rejects it", func(b *domainsBed) {
 			time.Sleep(4 * time.Second)
 			b.killEntry(2)
 			b.awayFromStore(2, true)
@@ -107,19 +108,19 @@
 			time.Sleep(6 * time.Second)
 			b.awayFromStore(2, false)
 		}, 0.9},
-		{"the store is silent once it has taken the order", func(b *domainsBed) {
+		{"the store stops answering after it has accepted the order", func(b *domainsBed) {
 			time.Sleep(drainAt + 300*time.Millisecond)
 			b.silenceStore(true)
 			time.Sleep(8 * time.Second)
 			b.silenceStore(false)
 		}, 0.99},
-		{"the store forgets its history", func(b *domainsBed) {
+		{"the store trims its history", func(b *domainsBed) {
 			for range 12 {
 				time.Sleep(time.Second)
 				b.store.Forget()
 			}
 		}, 0.99},
-		{"entries that hear nothing of one another", func(b *domainsBed) {
+		{"all entries are partitioned", func(b *domainsBed) {
 			for i := range b.entries {
 				b.cutOff(i, true)
 			}
@@ -130,37 +131,37 @@
 			t.Parallel()
 			synctest.Test(t, func(t *testing.T) {
 				b := newDomainsBed(t, 1, crashTargets)
-				if s.hurt != nil {
-					go s.hurt(b)
+				if s.fault != nil {
+					go s.fault(b)
 				}
 				go func() {
 					time.Sleep(drainAt)
 					b.drain("d1")
 					time.Sleep(backAt - drainAt)
-					b.takeBack("d1")
+					b.endDrain("d1")
 				}()
 				b.usualCallers(200, length, b.unlike)
-				b.ordered.Lock()
-				defer b.ordered.Unlock()
-				share := b.servedShare(0, length)
-				t.Logf("%d requests reached drained targets too late; served %.3f; %d reached those taken back", b.late["d1"], share, b.arrivals["d1"])
+				b.ordersMu.Lock()
+				defer b.ordersMu.Unlock()
+				fraction := b.servedShare(0, length)
+				t.Logf("%d requests reached drained targets too late; served %.3f; %d reached them after the drain was ended", b.late["d1"], fraction, b.arrivals["d1"])
 				if b.late["d1"] > 0 {
-					t.Errorf("%d requests reached targets later than %v after their failure domain was drained", b.late["d1"], drainedTime)
+					t.Errorf("%d requests reached targets later than %v after their failure domain was drained", b.late["d1"], domainDrainSlack)
 				}
-				if share < s.least {
-					t.Errorf("served %.3f, want %.2f", share, s.least)
+				if fraction < s.minServed {
+					t.Errorf("served %.3f, want %.2f", fraction, s.minServed)
 				}
 				if b.arrivals["d1"] == 0 {
-					t.Error("nothing reaches the failure domain that was taken back")
+					t.Error("no request reaches the failure domain after its drain was ended")
 				}
 			})
 		})
 	}
 }
 
-// TestFailureDomainsAreDrainedInSeries: domains that are drained and taken back again and again, two at a time, also
-// within one read of the store.
-func TestFailureDomainsAreDrainedInSeries(t *testing.T) {
+// TestFailureDomainsDrainedRepeatedly: failure domains are drained and restored several times, also within one read of
+// the store.
+func TestFailureDomainsDrainedRepeatedly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const length = 40 * time.Second
 		b := newDomainsBed(t, 2, crashTargets)
@@ -168,15 +169,15 @@
 			for _, domain := range []ids.FailureDomain{"d0", "d1", "d2", "d1"} {
 				b.drain(domain)
 				time.Sleep(7 * time.Second)
-				b.takeBack(domain)
-				b.drain(domain) // taken back by mistake
+				b.endDrain(domain)
+				b.drain(domain) // the drain was ended by mistake
 				time.Sleep(2 * time.Second)
-				b.takeBack(domain)
+				b.endDrain(domain)
 			}
 		}()
 		b.usualCallers(150, length, b.unlike)
-		if share := b.servedShare(0, length); share < 0.99 {
-			t.Errorf("served %.3f", share)
+		if fraction := b.servedShare(0, length); fraction < 0.99 {
+			t.Errorf("served %.3f", fraction)
 		}
 		for domain, n := range b.late {
 			t.Errorf("%d requests reached targets of %s too late", n, domain)
--- a/pkg/app/entries_handler.go
+++ b/pkg/app/entries_handler.go
@@ -7,13 +7,13 @@
 	"quaydock/platform"
 )
 
-// entriesHandler follows the table of the entries, in which what has been decided of roll-outs and
-// what is known against requests lie too.
+// entriesHandler follows the table of the entries, which also holds the records of roll-outs and of
+// quarantined requests, and passes each row to the component that it is for.
 type entriesHandler struct {
 	members  follow.Handler
-	rollouts *rollouts // nil if they are no part of the deployment
+	rollouts *rollouts // nil if they are disabled in this deployment
 	guard    *quarantine.Guard
-	// faults are about the rows of requests.
+	// faults are the invalid records of requests.
 	faults *follow.Faults
 }
 
@@ -23,36 +23,36 @@
 	return &entriesHandler{members: members, rollouts: r, guard: g, faults: follow.NewFaults(c, "records of requests")}
 }
 
-// Whole takes all rows.
+// Snapshot applies all rows of the table.
 func (h *entriesHandler) Whole(rows []follow.Row, proof follow.Proof) {
-	d := h.divide(rows)
+	d := h.splitRows(rows)
 	h.faults.Retain(d.requests)
 	h.members.Whole(d.entries, proof)
-	h.takeRequests(d.requests, true)
+	h.applyQuarantine(d.requests, true)
 	if h.rollouts != nil {
 		h.rollouts.recordFaults.Retain(d.rollouts)
-		h.rollouts.takeRecords(d.rollouts, proof)
+		h.rollouts.applyRecords(d.rollouts, proof)
 	}
 }
 
-// Changed takes rows that have changed.
+// Changed applies rows that have changed.
 func (h *entriesHandler) Changed(rows []follow.Row, proof follow.Proof) {
-	d := h.divide(rows)
+	d := h.splitRows(rows)
 	h.members.Changed(d.entries, proof)
-	h.takeRequests(d.requests, false)
+	h.applyQuarantine(d.requests, false)
 	if h.rollouts != nil {
-		h.rollouts.takeRecords(d.rollouts, proof)
+		h.rollouts.applyRecords(d.rollouts, proof)
 	}
 }
 
-// Lost tells of the loss; what is known of roll-outs and requests stays.
+// ReadFailed notifies the member list only; the records of roll-outs and requests stay in force.
 func (h *entriesHandler) Lost(err error) { h.members.Lost(err) }
 
-// divided are the rows of the table by what they are about.
-type divided struct{ entries, rollouts, requests []follow.Row }
+// rowsBySubject are the rows of the table, split by what they describe.
+type rowsBySubject struct{ entries, rollouts, requests []follow.Row }
 
-func (h *entriesHandler) divide(rows []follow.Row) divided {
-	var d divided
+func (h *entriesHandler) splitRows(rows []follow.Row) rowsBySubject {
+	var d rowsBySubject
 	for _, row := range rows {
 		_, isRollout := platform.RolloutOf(row.Key)
 		_, isRequest := platform.QuarantineOf(row.Key)
@@ -68,8 +68,8 @@
 	return d
 }
 
-// takeRequests takes what is known against requests. A row that cannot be used leaves what was known.
-func (h *entriesHandler) takeRequests(rows []follow.Row, all bool) {
+// applyQuarantine applies the records of suspected requests. If a row is invalid, its former record stays.
+func (h *entriesHandler) applyQuarantine(rows []follow.Row, all bool) {
 	if len(rows) == 0 && !all {
 		return
 	}
@@ -78,7 +78,7 @@
 	for _, row := range rows {
 		if row.Gone {
 			h.faults.Sound(row.Key)
-			gone = append(gone, goneDigest(row.Key)...)
+			gone = append(gone, removedDigest(row.Key)...)
 			continue
 		}
 		record, err := platform.ParseQuarantine(row)
@@ -92,12 +92,12 @@
 	h.guard.TakeRows(records, gone, all)
 }
 
-// goneDigest returns the digest of a row that is gone, if its key has one.
-func goneDigest(key string) []quarantine.Digest {
+// removedDigest returns the digest in the key of a removed row, or none if the key has no valid digest.
+func removedDigest(key string) []quarantine.Digest {
 	text, _ := platform.QuarantineOf(key)
 	digest, err := quarantine.ParseDigest(text)
 	if err != nil {
-		return nil // another writer's key: nothing was known by it
+		return nil // another writer's key: there was no record under it
 	}
 	return []quarantine.Digest{digest}
 }
--- a/pkg/app/entry_bounds.go
+++ b/pkg/app/entry_bounds.go
@@ -15,33 +15,33 @@
 	return clock.Millis(s * float64(clock.Second))
 }
 
-// change takes over the bounds that may change while the process runs.
+// applyBounds applies those bounds of the settings that may change while the process runs.
 // Addresses are read at the start only.
 func (p *entryProcess) change(s platform.Settings) {
 	p.bounds.Store(&s.Bounds)
 	p.grace.Store(int64(seconds(s.Bounds.GraceSeconds)))
-	keys := p.keyTrust(s.Bounds)
+	keys := p.keyGrace(s.Bounds)
 	p.controller.SetKeyTrust(keys)
 	p.members.SetTrust(keys.Most)
 	p.retries.SetBounds(retryBounds(s.Bounds))
 	p.meter.SetBounds(quotaBounds(s.Bounds))
 }
 
-func (p *entryProcess) keyTrust(b platform.Bounds) ingress.KeyTrust {
+func (p *entryProcess) keyGrace(b platform.Bounds) ingress.KeyTrust {
 	keys := ingress.KeyTrust{Bound: b.Revoke, Strict: b.RevokeStrict}
 	if !keys.Strict && !p.Ablation.Off(ablation.KeyTrust) {
-		keys.Most = p.assuredTrust
+		keys.Most = p.maxKeyGrace
 	}
 	return keys
 }
 
-// exposure is what a version on trial may get.
+// exposure returns the limits on the traffic of a canary version.
 func (p *entryProcess) exposure() rollout.Bounds {
 	b := p.bounds.Load()
 	return rollout.Bounds{Share: b.ExposeShare, Slack: b.ExposeSlack, Stop: b.Rollback}
 }
 
-// coldBounds bound what cold targets get.
+// coldBounds returns the limits on the requests that cold targets get.
 func (p *entryProcess) coldBounds() planner.ColdBounds {
 	b := p.bounds.Load()
 	return planner.ColdBounds{Over: b.ColdOver, Slack: b.ColdSlack}
--- a/pkg/app/entry_drain_test.go
+++ b/pkg/app/entry_drain_test.go
@@ -37,71 +37,73 @@
 	drainGrace   = 8 * time.Second
 )
 
-// drainBed is an entry with its real server of callers, its controller and its list of
-// entries, before one target, in virtual time. The other entries that are listed are never
-// heard of, so that too few are ready while this one is stopped.
+// drainBed is a test bed of an entry with its real server for callers, its controller and its list of
+// entries, in front of one target, in virtual time. The other listed entries never send a
+// heartbeat, so that too few are ready while this one is stopped.
 type drainBed struct {
 	t       *testing.T
-	reach   *network.Memory
+	network *network.Memory
 	process *entryProcess
-	// suspension has the entry's clock jump ahead while the steady one stands.
+	// suspension makes the entry's clock jump ahead while the monotonic one stands still.
 	suspension *clock.Suspension
 	// drained is closed when the process has ended.
 	drained chan struct{}
 
-	mu      sync.Mutex
-	takes   map[string]time.Duration    // by path, how long the target works
-	holds   map[ids.Route]time.Duration // how long a route's requests wait for a place
-	arrived []string                    // paths, at the target
+	mu               sync.Mutex
+	workTimes        map[string]time.Duration    // by path, how long the target works
+	assignmentDelays map[ids.Route]time.Duration // how long a route's requests wait for an assignment
+	arrived          []string                    // paths of the requests that reached the target
 }
 
-// drainDialect has plain words for the headers of these tests.
-type drainDialect struct{}
+// drainHeaderCodec uses simple header names of its own.
+type drainHeaderCodec struct{}
 
-func (drainDialect) Describe(h http.Header) ingress.Call {
+func (drainHeaderCodec) Describe(h http.Header) ingress.Call {
 	wait, _ := strconv.Atoi(h.Get("Wait"))
 	return ingress.Call{ID: h.Get("Id"), Deadline: clock.Millis(wait)}
 }
 
-func (drainDialect) Onward(h http.Header, _ ingress.Onward) http.Header { return h.Clone() }
+func (drainHeaderCodec) Onward(h http.Header, _ ingress.Onward) http.Header { return h.Clone() }
 
-func (drainDialect) Marks(h http.Header) forward.Marks { return forward.Marks{ID: h.Get("Id")} }
+func (drainHeaderCodec) Marks(h http.Header) forward.Marks { return forward.Marks{ID: h.Get("Id")} }
 
-func (drainDialect) Answer(from, to http.Header) { to.Set("Content-Type", from.Get("Content-Type")) }
+func (drainHeaderCodec) Answer(from, to http.Header) {
+	to.Set("Content-Type", from.Get("Content-Type"))
+}
 
-// noBounds bounds nothing.
-type noBounds struct{}
+// unlimitedMeter admits all requests.
+type unlimitedMeter struct{}
 
-func (noBounds) Take(context.Context, *routing.Account, float64, float64) (bool, clock.Millis) {
+func (unlimitedMeter) Take(context.Context, *routing.Account, float64, float64) (bool, clock.Millis) {
 	return true, 0
 }
-func (noBounds) Return(*routing.Account, float64, clock.Millis) {}
+func (unlimitedMeter) Return(*routing.Account, float64, clock.Millis) {}
 
-// Acquire gives the only target after a while.
+// Acquire assigns the only target after the route's delay.
 func (b *drainBed) Acquire(ctx context.Context, ask schedule.Ask) (schedule.Place, *schedule.Refused, error) {
 	b.mu.Lock()
-	hold := b.holds[ask.Route]
+	hold := b.assignmentDelays[ask.Route]
 	b.mu.Unlock()
 	select {
 	case <-time.After(hold):
-		return drainPlace{}, nil, nil
+		return drainAssignment{}, nil, nil
 	case <-ctx.Done():
-		return nil, nil, fmt.Errorf("no place: %w", context.Cause(ctx))
+		return nil, nil, fmt.Errorf("waiting for an assignment: %w", context.Cause(ctx))
 	}
 }
 
-type drainPlace struct{}
+type drainAssignment struct{}
 
-func (drainPlace) Target() *routing.Target {
+func (drainAssignment) Target() *routing.Target {
 	return &routing.Target{ID: "t", Service: "s", Address: drainTarget, Slots: 4}
 }
-func (drainPlace) Began(*planner.Load)                {}
-func (drainPlace) Moved() <-chan struct{}             { return nil }
-func (drainPlace) Done(planner.Outcome, planner.Flow) {}
+func (drainAssignment) Began(*planner.Load)                {}
+func (drainAssignment) Moved() <-chan struct{}             { return nil }
+func (drainAssignment) Done(planner.Outcome, planner.Flow) {}
 
 func newDrainBed(t *testing.T, grace time.Duration) *drainBed {
-	b := &drainBed{t: t, reach: network.NewMemory(nil), drained: make(chan struct{}), takes: make(map[string]time.Duration), holds: make(map[ids.Route]time.Duration)}
-	c := commontest.New(b.reach)
+	b := &drainBed{t: t, network: network.NewMemory(nil), drained: make(chan struct{}), workTimes: make(map[string]time.Duration), assignmentDelays: make(map[ids.Route]time.Duration)}
+	c := commontest.New(b.network)
 	c.Clock, b.suspension = clock.NewSuspendable()
 	address := netip.MustParseAddrPort("10.0.0.1:7600")
 	p := &entryProcess{Common: c, view: view.New(c.Check)}
@@ -109,12 +111,12 @@
 	p.link = packets.NewLink(c, packets.NewMemory().Socket(address))
 	p.members = membership.New(c, membership.Self{Name: "entry-0", Address: address, Weight: 1, Domain: "d"}, commontest.NoRows{}, p.link)
 	p.members.Whole(drainListing(4), follow.Proof{})
-	p.view.SetDirectory(routing.NewDirectory([]*routing.Target{drainPlace{}.Target()}))
+	p.view.SetDirectory(routing.NewDirectory([]*routing.Target{drainAssignment{}.Target()}))
 	p.view.SetCatalog(routing.NewCatalog(1, routing.Limits{BodyBytes: 1 << 16}, drainRoutes(), nil, nil))
 	p.view.Proven(c.Clock.Now())
-	p.pool = forward.NewPool(c, func(h map[string][]string) forward.Marks { return drainDialect{}.Marks(h) }, nil)
+	p.pool = forward.NewPool(c, func(h map[string][]string) forward.Marks { return drainHeaderCodec{}.Marks(h) }, nil)
 	p.controller = ingress.NewController(ingress.Parts{
-		Common: c, View: p.view, Dialect: drainDialect{}, Scheduler: b, Pool: p.pool, Meter: noBounds{}, Entries: p.members,
+		Common: c, View: p.view, Dialect: drainHeaderCodec{}, Scheduler: b, Pool: p.pool, Meter: unlimitedMeter{}, Entries: p.members,
 		Retries: quota.NewRetryBudget(quota.RetryBounds{Ratio: 0.2, Slack: 100, Window: 10 * clock.Second}, c.Clock.Now()-10*clock.Second), Keys: ingress.KeyTrust{Bound: clock.Minute},
 	})
 	p.callers = ingress.NewServer(c, ingress.Handlers{Serve: p.controller, Context: p.controller.Context()}, descriptors.Divide(1024))
@@ -153,18 +155,18 @@
 }
 
 func (b *drainBed) listen(address string) net.Listener {
-	listener, err := b.reach.Listen(address)
+	listener, err := b.network.Listen(address)
 	if err != nil {
 		b.t.Fatal(err)
 	}
 	return listener
 }
 
-// work is the target: it answers after a while, streams event by event.
+// work is the target's handler: it answers after the path's work time; drafts are streamed in two events.
 func (b *drainBed) work(w http.ResponseWriter, r *http.Request) {
 	b.mu.Lock()
 	b.arrived = append(b.arrived, r.URL.Path)
-	long := b.takes[r.URL.Path]
+	long := b.workTimes[r.URL.Path]
 	b.mu.Unlock()
 	w.Header().Set("Id", r.Header.Get("Id"))
 	if strings.HasPrefix(r.URL.Path, "/draft/") {
@@ -182,7 +184,7 @@
 func (b *drainBed) setTakes(path string, long time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.takes[path] = long
+	b.workTimes[path] = long
 }
 
 func (b *drainBed) reached(path string) int {
@@ -197,7 +199,7 @@
 	return n
 }
 
-// stop sends the signal.
+// stop starts the drain, as the signal does.
 func (b *drainBed) stop() {
 	go func() {
 		b.process.drain()
@@ -206,15 +208,14 @@
 	synctest.Wait()
 }
 
-// drainReply is what a caller got.
+// drainReply is the result of a call.
 type drainReply struct {
-	status int // 0 if the connection was closed without a status
-	whole  bool
-	retry  string
+	status     int // 0 if the connection was closed without a status
+	complete   bool
+	retryAfter string
 }
 
-// call makes one request on a connection of its own; its answer comes by the channel.
-// Whoever has none when the process ends is cut.
+// call makes one request on a connection of its own, and sends the reply to the channel.
 func (b *drainBed) call(path string, deadline time.Duration, body io.Reader) <-chan drainReply {
 	replies := make(chan drainReply, 1)
 	go func() { replies <- b.exchange(path, deadline, body) }()
@@ -223,7 +224,7 @@
 
 func (b *drainBed) exchange(path string, deadline time.Duration, body io.Reader) drainReply {
 	transport := &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-		return b.reach.Dial(ctx, drainCallers)
+		return b.network.Dial(ctx, drainCallers)
 	}}
 	defer transport.CloseIdleConnections()
 	r, err := http.NewRequestWithContext(b.t.Context(), http.MethodPost, "http://h"+path, body)
@@ -238,17 +239,17 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	_, err = io.Copy(io.Discard, response.Body)
-	return drainReply{status: response.StatusCode, whole: err == nil, retry: response.Header.Get("Retry-After")}
+	return drainReply{status: response.StatusCode, complete: err == nil, retryAfter: response.Header.Get("Retry-After")}
 }
 
-// get is the reply of a call, or none if the process ends before it has one.
+// await returns the reply of a call, or a zero reply if the process ends before there is one.
 func (b *drainBed) get(replies <-chan drainReply) drainReply {
 	select {
 	case reply := <-replies:
 		return reply
 	case <-b.drained:
 	}
-	synctest.Wait() // what was written at the last moment arrives
+	synctest.Wait() // for replies that were written just before the end
 	select {
 	case reply := <-replies:
 		return reply
@@ -260,27 +261,26 @@
 func (b *drainBed) expect(what string, replies <-chan drainReply, status int) {
 	b.t.Helper()
 	got := b.get(replies)
-	if got.status != status || status != 0 && !got.whole {
-		b.t.Errorf("%s: status %d, whole %t, want %d", what, got.status, got.whole, status)
+	if got.status != status || status != 0 && !got.complete {
+		b.t.Errorf("%s: status %d, complete %t, want %d", what, got.status, got.complete, status)
 	}
-	if status == http.StatusServiceUnavailable && got.retry == "" {
-		b.t.Errorf("%s: not told when to come back", what)
+	if status == http.StatusServiceUnavailable && got.retryAfter == "" {
+		b.t.Errorf("%s: no Retry-After", what)
 	}
 }
 
-// Users saw an answer cut in the middle: the entry had got SIGTERM, took the request 3.5 s
-// later since answers of that route had been short of late, its target worked for longer
-// than the 4 s that were left, and the process ended with the answer half written. Cause: only what answers
-// had taken of late was compared with the time left, not how long this request might be
-// held. Evidence: in the record the request is sent 3.545 s after the signal and cut 7.6 s after it;
-// on the same day played on code that compares its deadline, the request of the same moment
-// is told to come back in 4.05 s.
-func TestADrainTakesNothingThatMayOutlastIt(t *testing.T) {
+// TestDrainRejectsRequestsThatMayOutlastIt: users got truncated answers. An entry admitted a request 3.5 s after
+// SIGTERM, since recent answers of that route had been short. Its target worked for longer than the 4 s that were
+// left, and the process ended with half of the answer written. Cause: the time left was compared with the duration of
+// recent answers only, not with the request's deadline. In the recorded day the request is sent 3.545 s after the
+// signal and broken off 7.6 s after it; in a replay with the deadline compared, it is rejected with a Retry-After of
+// 4.05 s.
+func TestDrainRejectsRequestsThatMayOutlastIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newDrainBed(t, drainGrace)
 		b.setTakes("/call/a", 300*time.Millisecond)
 		for range 5 {
-			b.expect("before the stop", b.call("/call/a", 10*time.Second, nil), http.StatusOK)
+			b.expect("before the drain", b.call("/call/a", 10*time.Second, nil), http.StatusOK)
 		}
 		b.setTakes("/keep/a", 7*time.Second)
 		kept := b.call("/keep/a", 20*time.Second, nil)
@@ -290,12 +290,12 @@
 		time.Sleep(3500 * time.Millisecond)
 		short := b.call("/call/a", 2*time.Second, nil)
 		b.setTakes("/call/b", 5*time.Second)
-		b.expect("one that may outlast the stop", b.call("/call/b", 10*time.Second, nil), http.StatusServiceUnavailable)
-		b.expect("one that surely ends in time", short, http.StatusOK)
-		b.expect("one from before", kept, http.StatusOK)
+		b.expect("a request that may outlast the drain", b.call("/call/b", 10*time.Second, nil), http.StatusServiceUnavailable)
+		b.expect("a request that surely ends in time", short, http.StatusOK)
+		b.expect("a request from before the drain", kept, http.StatusOK)
 		<-b.drained
 		if n := b.reached("/call/b"); n != 0 {
-			t.Errorf("what was told not to have run reached the target %d times", n)
+			t.Errorf("a request that was answered as not run reached the target %d times", n)
 		}
 		if took := time.Since(began); took > drainGrace {
 			t.Errorf("the process ended %v after the signal", took)
@@ -303,21 +303,20 @@
 	})
 }
 
-// Requests that came within seconds of SIGTERM, while the balancer still sends callers here,
-// and had no answer when the grace ended, had their connections closed without a word: one
-// that waited for a place could have come back elsewhere, but wasn't told that it had not
-// run; of one whose target was at work there was no log line. Cause: at its end the process
-// closed what was left, whatever it was. Evidence: on the recorded day three of four entries log
-// `stopped` with 2 or 3 requests running, and no line tells which they were.
-func TestWhatIsLeftAtTheEndOfADrainIsTold(t *testing.T) {
+// TestUnfinishedRequestsAreAnsweredAtDrainEnd: requests that arrived within seconds of SIGTERM, while the balancer still
+// sends callers here, and that had no answer at the end of the grace had their connections closed without an answer. One
+// that waited for an assignment could have been retried elsewhere, but its caller didn't learn that it had not run; one
+// whose target was at work was not logged. Cause: at its end the process closed all remaining connections alike. On the
+// recorded day three of four entries log `stopped` with 2 or 3 requests running, and no line names these requests.
+func TestUnfinishedRequestsAreAnsweredAtDrainEnd(t *testing.T) {
 	scenarios := []struct {
-		name    string
-		path    string
-		status  int
-		whole   bool
-		reached int
+		name     string
+		path     string
+		status   int
+		complete bool
+		reached  int
 	}{
-		{"waits for a place", "/wait/a", http.StatusServiceUnavailable, true, 0},
+		{"waits for an assignment", "/wait/a", http.StatusServiceUnavailable, true, 0},
 		{"its target works on it", "/call/a", http.StatusBadGateway, true, 1},
 		{"its answer has begun", "/draft/a", http.StatusOK, false, 1},
 	}
@@ -325,14 +324,14 @@
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newDrainBed(t, drainGrace)
-				b.holds["wait"] = time.Hour
+				b.assignmentDelays["wait"] = time.Hour
 				b.setTakes(s.path, time.Minute)
 				began := time.Now()
 				b.stop()
 				time.Sleep(2 * time.Second)
 				got := b.get(b.call(s.path, 20*time.Second, nil))
-				if got.status != s.status || got.whole != s.whole {
-					t.Errorf("status %d, whole %t, want %d, %t", got.status, got.whole, s.status, s.whole)
+				if got.status != s.status || got.complete != s.complete {
+					t.Errorf("status %d, complete %t, want %d, %t", got.status, got.complete, s.status, s.complete)
 				}
 				if n := b.reached(s.path); n != s.reached {
 					t.Errorf("%d arrivals at the target, want %d", n, s.reached)
@@ -346,32 +345,32 @@
 	}
 }
 
-// A request that came in time, but got its place only when the entry had 1 s left, was sent to
-// a target that needs 2 s for such requests, and told 502 at the end: it may have run, and can't be
-// repeated, where it could have come back elsewhere. Cause: the end was looked at when the request
-// came, not when it was sent. Evidence: this test; it wasn't seen on a record.
-func TestWhatGetsItsPlaceLateInADrainIsNotSent(t *testing.T) {
+// TestRequestAssignedLateInDrainIsNotSent: a request that arrived in time, but was assigned only 1 s before the entry's
+// end, was sent to a target that needs 2 s for such requests, and got 502 at the end: it may have run and can't be
+// repeated, though it could have been retried elsewhere. Cause: the end of the drain was checked when the request
+// arrived, not when it was sent. This was found by this test alone, not seen in a recorded day.
+func TestRequestAssignedLateInDrainIsNotSent(t *testing.T) {
 	scenarios := []struct {
-		name    string
-		takes   time.Duration
-		place   time.Duration // after the request
-		status  int
-		reached int
+		name          string
+		workTime      time.Duration
+		assignedAfter time.Duration // how long after its arrival the request is assigned
+		status        int
+		reached       int
 	}{
-		{"no time for one that takes as long as others", 2 * time.Second, 4500 * time.Millisecond, http.StatusServiceUnavailable, 0},
+		{"too little time for a usual request", 2 * time.Second, 4500 * time.Millisecond, http.StatusServiceUnavailable, 0},
 		{"time enough", 2 * time.Second, 2500 * time.Millisecond, http.StatusOK, 1},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newDrainBed(t, drainGrace)
-				b.setTakes("/wait/before", s.takes)
-				b.setTakes("/wait/a", s.takes)
-				b.expect("before the stop", b.call("/wait/before", 10*time.Second, nil), http.StatusOK)
-				b.holds["wait"] = s.place
+				b.setTakes("/wait/before", s.workTime)
+				b.setTakes("/wait/a", s.workTime)
+				b.expect("before the drain", b.call("/wait/before", 10*time.Second, nil), http.StatusOK)
+				b.assignmentDelays["wait"] = s.assignedAfter
 				b.stop()
 				time.Sleep(2100 * time.Millisecond)
-				b.expect("one that waited", b.call("/wait/a", 20*time.Second, nil), s.status)
+				b.expect("a request that waited", b.call("/wait/a", 20*time.Second, nil), s.status)
 				if n := b.reached("/wait/a"); n != s.reached {
 					t.Errorf("%d arrivals at the target, want %d", n, s.reached)
 				}
@@ -381,11 +380,11 @@
 	}
 }
 
-// A request whose head came 2.4 s after SIGTERM and whose body was there 1.2 s later was
-// sent to a target, which then had less time than it needed. Cause: whether it could end in
-// time was asked when its head came, before the body was waited for. Evidence: this test; it
-// wasn't seen on a record.
-func TestABodyThatComesDuringADrain(t *testing.T) {
+// TestRequestBodyArrivingDuringDrain: a request whose header arrived 2.4 s after SIGTERM and whose body was complete
+// 1.2 s later was sent to a target, which then had less time than it needed. Cause: whether it could end in time was
+// checked when its header arrived, before the wait for the body. This was found by this test alone, not seen in a
+// recorded day.
+func TestRequestBodyArrivingDuringDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newDrainBed(t, drainGrace)
 		b.setTakes("/call/a", 4500*time.Millisecond)
@@ -398,17 +397,17 @@
 		_ = writer.Close()
 		b.expect("a body that came late", replies, http.StatusServiceUnavailable)
 		if n := b.reached("/call/a"); n != 0 {
-			t.Errorf("what was told not to have run reached the target %d times", n)
+			t.Errorf("a request that was answered as not run reached the target %d times", n)
 		}
 		<-b.drained
 	})
 }
 
-// With a grace shorter than the time that the balancer takes to notice, the process was
-// killed while it still took requests without a look at its end: it slept through the
-// whole of its grace. Cause: the time until less is taken was a constant that fits a grace of some
-// seconds. Evidence: this test; no deployment seen has such a grace.
-func TestADrainWithAShortGrace(t *testing.T) {
+// TestDrainWithShortGrace: with a grace shorter than the time that the balancer takes to notice, the process was killed
+// while it still admitted all requests. Cause: the time until the restriction was a constant that fits a grace of some
+// seconds, so that the process slept through the whole of a short one. This was found by this test alone; no deployment
+// seen has such a grace.
+func TestDrainWithShortGrace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const grace = 2400 * time.Millisecond
 		b := newDrainBed(t, grace)
@@ -419,13 +418,13 @@
 		early := b.call("/call/a", 10*time.Second, nil)
 		time.Sleep(1500 * time.Millisecond)
 		late := b.call("/call/b", 10*time.Second, nil)
-		b.expect("one that is short", early, http.StatusOK)
+		b.expect("a short request", early, http.StatusOK)
 		<-b.drained
 		if took := time.Since(began); took > grace {
 			t.Errorf("the process ended %v after the signal, killed at %v", took, grace)
 		}
 		if got := b.get(late); got.status == http.StatusOK || b.reached("/call/b") > 0 {
-			t.Errorf("one that may outlast the stop: status %d, %d arrivals at the target", got.status, b.reached("/call/b"))
+			t.Errorf("a request that may outlast the drain: status %d, %d arrivals at the target", got.status, b.reached("/call/b"))
 		}
 	})
 }
--- a/pkg/app/entry_figures.go
+++ b/pkg/app/entry_figures.go
@@ -10,13 +10,13 @@
 	"quaydock/pkg/quarantine"
 )
 
-// metricsPort and metricsPath stand in deploy/system.toml too.
+// metricsPort and metricsPath are repeated in deploy/system.toml.
 const (
 	metricsPort = "9464"
 	metricsPath = "/metrics"
 )
 
-// metrics serves the figures as text, and the expvar counters.
+// metrics serves the metrics in Prometheus's text format, the expvar counters and the operators' pages.
 func (p *entryProcess) metrics() http.Handler {
 	f := p.Metrics.Figures
 	f.Gauge("configuration_proof_age_seconds", func() float64 { return p.view.Age(p.Clock.Now()).Duration().Seconds() })
@@ -32,9 +32,9 @@
 		}
 		return 0
 	})
-	f.Gauge("targets_leaving_by_their_word", func() float64 { return p.advised(func(s advisory.Standing) bool { return s.Leaving }) })
-	f.Gauge("targets_resting_from_this_entry", func() float64 { return p.advised(func(s advisory.Standing) bool { return s.Rest > 0 }) })
-	f.Gauge("targets_limited_by_their_word", func() float64 { return p.advised(func(s advisory.Standing) bool { return s.Limit.Limits() }) })
+	f.Gauge("targets_leaving_by_their_word", func() float64 { return p.countAdvised(func(s advisory.Standing) bool { return s.Leaving }) })
+	f.Gauge("targets_resting_from_this_entry", func() float64 { return p.countAdvised(func(s advisory.Standing) bool { return s.Rest > 0 }) })
+	f.Gauge("targets_limited_by_their_word", func() float64 { return p.countAdvised(func(s advisory.Standing) bool { return s.Limit.Limits() }) })
 	f.Gauge("targets_cold", p.coldTargets)
 	f.Gauge("entries_listed", func() float64 {
 		entries, _ := p.members.Entries()
@@ -51,22 +51,22 @@
 	f.Gauge("planner_waiting", func() float64 { waiting, _ := p.dispatcher.Planned(); return float64(waiting) })
 	f.Gauge("planner_running", func() float64 { _, running := p.dispatcher.Planned(); return float64(running) })
 	f.Gauge("descriptors_limit", func() float64 { return float64(p.descriptors) })
-	f.Gauge("caller_connections_open", func() float64 { taken, _ := p.callers.Connections(); return float64(taken) })
-	f.Gauge("caller_connections_turning_away", func() float64 { _, turned := p.callers.Connections(); return float64(turned) })
+	f.Gauge("caller_connections_open", func() float64 { open, _ := p.callers.Connections(); return float64(open) })
+	f.Gauge("caller_connections_turning_away", func() float64 { _, rejecting := p.callers.Connections(); return float64(rejecting) })
 	mux := http.NewServeMux()
 	mux.Handle("GET "+metricsPath, f)
 	mux.Handle("GET "+operators.PathMetrics, p.Metrics)
-	mux.HandleFunc("GET "+operators.PathRollouts, tell(p, p.dispatcher.Rollouts))
-	mux.HandleFunc("GET "+operators.PathQuarantine, tell(p, p.guard.Held))
-	mux.HandleFunc("GET "+operators.PathAdvice, tell(p, p.toldByTargets))
-	mux.HandleFunc("GET "+operators.PathDomains, tell(p, p.failureDomains))
+	mux.HandleFunc("GET "+operators.PathRollouts, jsonHandler(p, p.dispatcher.Rollouts))
+	mux.HandleFunc("GET "+operators.PathQuarantine, jsonHandler(p, p.guard.Held))
+	mux.HandleFunc("GET "+operators.PathAdvice, jsonHandler(p, p.adviceReports))
+	mux.HandleFunc("GET "+operators.PathDomains, jsonHandler(p, p.failureDomains))
 	mux.HandleFunc("GET "+operators.PathReady, p.ready(http.StatusNoContent))
 	mux.HandleFunc("POST "+operators.PathQuarantine, p.release)
 	return mux
 }
 
-// toldByTargets lists the targets that leave, rest or are limited by their own word.
-func (p *entryProcess) toldByTargets() []advisory.Report {
+// adviceReports lists the targets that are leaving, in back-off or limited by their own report.
+func (p *entryProcess) adviceReports() []advisory.Report {
 	listed := p.view.Directory()
 	if listed == nil {
 		return []advisory.Report{}
@@ -74,7 +74,7 @@
 	return p.advice.Reports(listed)
 }
 
-// failureDomains tells of the failure domains of all targets.
+// failureDomains reports on the failure domains of all targets.
 func (p *entryProcess) failureDomains() []domains.Report {
 	listed := p.view.Directory()
 	if listed == nil {
@@ -83,7 +83,7 @@
 	return domains.Reports(p.Clock.Now(), listed, p.view.Catalog())
 }
 
-// coldTargets is how many targets get few requests.
+// coldTargets returns how many targets are cold and get a limited rate of requests.
 func (p *entryProcess) coldTargets() float64 {
 	cold := 0
 	for _, r := range p.failureDomains() {
@@ -92,8 +92,8 @@
 	return float64(cold)
 }
 
-// advised is for how many targets something holds by their own word.
-func (p *entryProcess) advised(holds func(advisory.Standing) bool) float64 {
+// countAdvised returns for how many targets the status from their own reports meets a condition.
+func (p *entryProcess) countAdvised(holds func(advisory.Standing) bool) float64 {
 	count := 0.0
 	for _, s := range p.advice.All() {
 		if holds(s) {
@@ -103,17 +103,17 @@
 	return count
 }
 
-// tell answers an operator with what a function returns.
-func tell[T any](p *entryProcess, of func() T) http.HandlerFunc {
+// jsonHandler answers with the result of a function, as JSON.
+func jsonHandler[T any](p *entryProcess, of func() T) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		if err := json.NewEncoder(w).Encode(of()); err != nil {
-			p.Log.WithError(err).Debug("an operator has left")
+			p.Log.WithError(err).Debug("operator closed the connection before the answer was written")
 		}
 	}
 }
 
-// release lets a request go that is held back.
+// release lifts the quarantine of the request with the digest in the form.
 func (p *entryProcess) release(w http.ResponseWriter, r *http.Request) {
 	digest, err := quarantine.ParseDigest(r.FormValue("digest"))
 	if err != nil {
@@ -124,6 +124,6 @@
 		http.Error(w, "nothing is known against this request", http.StatusNotFound)
 		return
 	}
-	p.Log.WithField("digest", digest.String()).Warn("an operator has let a request go")
+	p.Log.WithField("digest", digest.String()).Warn("request released from quarantine by an operator")
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/pkg/app/entry_follow.go
+++ b/pkg/app/entry_follow.go
@@ -12,14 +12,14 @@
 	"quaydock/platform"
 )
 
-// followEntries follows the list of the entries.
+// followEntries follows the table of the entries until ctx ends.
 func (p *entryProcess) followEntries(ctx context.Context) {
 	handler := newEntriesHandler(p.Common, p.members, p.rollouts, p.guard)
-	p.follower(platform.TableMembers, handler, follow.Options{Wait: membersWait, Answer: storeAnswer}).Run(ctx)
+	p.follower(platform.TableMembers, handler, follow.Options{Wait: membersWait, Answer: storeTimeout}).Run(ctx)
 }
 
-// followRest follows the configuration and the targets once it is known who the others
-// are: these may have read them already.
+// followOtherTables follows the configuration and the targets once the other entries are known,
+// since these may have read the tables already and can relay them.
 func (p *entryProcess) followRest(ctx context.Context) {
 	select {
 	case <-p.members.Peopled():
@@ -28,13 +28,13 @@
 	case <-ctx.Done():
 		return
 	}
-	configuration := &configurationHandler{Common: p.Common, view: p.view, applied: p.applied, domains: p.domains, faults: follow.NewFaults(p.Common, "configuration")}
+	configuration := &configurationHandler{Common: p.Common, view: p.view, onApplied: p.applyCatalog, domains: p.domains, faults: follow.NewFaults(p.Common, "configuration")}
 	if p.rollouts != nil {
 		configuration.orders = p.rollouts
 	}
-	go p.follower(platform.TableOperators, configuration, follow.Options{Wait: configurationWait, Answer: storeAnswer, Reread: configurationReread}).Run(ctx)
+	go p.follower(platform.TableOperators, configuration, follow.Options{Wait: configurationWait, Answer: storeTimeout, Reread: configurationReread}).Run(ctx)
 	targets := roster.New(p.Common, platform.ParseTarget, p.domains.SetDirectory)
-	go p.follower(platform.TableTargets, targets, follow.Options{Wait: roster.WaitForChanges, Answer: storeAnswer}).Run(ctx)
+	go p.follower(platform.TableTargets, targets, follow.Options{Wait: roster.WaitForChanges, Answer: storeTimeout}).Run(ctx)
 }
 
 func (p *entryProcess) follower(table string, handler follow.Handler, options follow.Options) *follow.Follower {
@@ -43,9 +43,9 @@
 	return follow.NewFollower(c, p.board.Share(table, p.store.Table(table)), handler, options)
 }
 
-// applied puts a configuration's limits in force and forgets what belongs to
-// accounts that are gone.
-func (p *entryProcess) applied(c *routing.Catalog) {
+// applyCatalog puts a configuration's limits in force and drops the state of accounts and routes that
+// it no longer has.
+func (p *entryProcess) applyCatalog(c *routing.Catalog) {
 	known := make(map[ids.Account]bool)
 	for _, a := range c.Accounts() {
 		known[a.Name] = true
@@ -57,7 +57,7 @@
 
 func (p *entryProcess) prune(ctx context.Context) {
 	for ctx.Err() == nil {
-		clock.Pause(ctx, pruneEvery)
+		clock.Pause(ctx, pruneInterval)
 		if d := p.view.Directory(); d != nil {
 			p.pool.Prune(d)
 			p.advice.Prune(d)
--- a/pkg/app/entry_process.go
+++ b/pkg/app/entry_process.go
@@ -44,62 +44,62 @@
 
 // Times of an entry on the platform.
 const (
-	// configurationWait is how long the store holds a question for a newer
-	// configuration; the proof that keys are good is that old at the most.
+	// configurationWait is how long the store holds a query for a newer configuration; while the
+	// store answers, the freshness of the keys is at most that old.
 	configurationWait = 1200 * clock.Millisecond
 	membersWait       = 20 * clock.Second
-	// membersFirst is for how long the other tables wait at the start for the list of
-	// entries, which the store answers within a few ms where it answers.
+	// firstListTimeout is how long reading the other tables waits at the start for the list of
+	// entries, which a reachable store returns within a few ms.
 	membersFirst = 300 * clock.Millisecond
-	storeAnswer  = 800 * clock.Millisecond
-	// configurationReread bounds how long a change could stay unseen that the
-	// store failed to tell.
+	storeTimeout = 800 * clock.Millisecond
+	// configurationReread limits how long a change stays unseen that the store failed to
+	// report.
 	configurationReread = 10 * clock.Second
-	pruneEvery          = clock.Second
-	// leastWeight is the weight of an entry whose settings tell no share of a
+	pruneInterval       = clock.Second
+	// minWeight is the weight of an entry whose settings name no fraction of a
 	// core.
-	leastWeight   = 0.01
+	minWeight     = 0.01
 	headerTimeout = 10 * clock.Second
 	idleTimeout   = 60 * clock.Second
 )
 
-// entryProcess is an entry on the platform, all parts wired together.
+// entryProcess is an entry on the platform with all its components.
 type entryProcess struct {
 	common.Common
-	settings   platform.Settings
-	store      *platform.Store
-	view       *view.View
-	members    *membership.Members
-	pool       *forward.Pool
-	controller *ingress.Controller
-	link       *packets.Link
-	meter      *metering.Meter
-	dispatcher *dispatch.Dispatcher
-	board      *bulletin.Board
-	callers    *ingress.Server
-	readiness  *http.Server
-	figures    *http.Server
-	retries    *quota.RetryBudget
-	grace      atomic.Int64 // from SIGTERM to the kill, in clock.Millis
-	bounds     atomic.Pointer[platform.Bounds]
-	guard      *quarantine.Guard
-	advice     *advisory.Book
-	rollouts   *rollouts // nil if they are no part of the deployment
-	domains    *domains.Screen
-	// assuredTrust is that of entryOptions.
-	assuredTrust clock.Millis
-	// descriptors is how many the process may have.
+	settings      platform.Settings
+	store         *platform.Store
+	view          *view.View
+	members       *membership.Members
+	pool          *forward.Pool
+	controller    *ingress.Controller
+	link          *packets.Link
+	meter         *metering.Meter
+	dispatcher    *dispatch.Dispatcher
+	board         *bulletin.Board
+	callers       *ingress.Server
+	readiness     *http.Server
+	metricsServer *http.Server
+	retries       *quota.RetryBudget
+	grace         atomic.Int64 // from SIGTERM to the kill, in clock.Millis
+	bounds        atomic.Pointer[platform.Bounds]
+	guard         *quarantine.Guard
+	advice        *advisory.Book
+	rollouts      *rollouts // nil if they are disabled in this deployment
+	domains       *domains.Screen
+	// maxKeyGrace is entryOptions.maxKeyGrace.
+	maxKeyGrace clock.Millis
+	// descriptors is how many descriptors the process may have for connections.
 	descriptors int
 }
 
-// entryOptions are what the command line says of an entry on the platform.
+// entryOptions are the command line's options of an entry on the platform.
 type entryOptions struct {
 	policy   schedule.Policy
 	trace    settings.Trace
 	ablation ablation.Set
-	// assuredTrust is for how long keys are trusted without proof from the store at
-	// the most, where the bound on keys taken away is not strict.
-	assuredTrust clock.Millis
+	// maxKeyGrace is the longest time for which keys are accepted without confirmation by the
+	// store, where the limit on the use of revoked keys is not strict.
+	maxKeyGrace clock.Millis
 }
 
 // runEntry runs an entry on the platform until SIGTERM.
@@ -115,7 +115,7 @@
 	c.Ablation = o.ablation
 	tracing, err := telemetry.NewTracing(context.Background(), o.trace, s.Node)
 	if err != nil {
-		return fmt.Errorf("tracing: %w", err)
+		return fmt.Errorf("setting up tracing: %w", err)
 	}
 	c.Tracer = tracing.Tracer
 	link, err := packets.Open(c, s.InternalAddress(0))
@@ -137,7 +137,7 @@
 	go newSettingsWatcher(c, os.Getenv(platform.SettingsVariable), p.change).run(ctx, changes)
 	c.Log.WithField("domain", string(s.Domain)).Info("started")
 	received := <-stops
-	c.Log.WithField("signal", received.String()).Info("signal")
+	c.Log.WithField("signal", received.String()).Info("signal received")
 	p.drain()
 	limited, cancel := context.WithTimeout(context.Background(), spansTimeout.Duration())
 	defer cancel()
@@ -147,26 +147,26 @@
 	return nil
 }
 
-// spansTimeout bounds the sending of the last spans at the end.
+// spansTimeout limits how long a stopping process sends its last spans.
 const spansTimeout = 100 * clock.Millisecond
 
-// limitMemory keeps the heap well under what the VM gives.
+// limitMemory keeps the heap well below the VM's memory.
 func limitMemory(megabytes int) {
-	const part = 0.6
+	const fraction = 0.6
 	if megabytes > 0 {
-		debug.SetMemoryLimit(int64(part * float64(megabytes) * mebibyte))
+		debug.SetMemoryLimit(int64(fraction * float64(megabytes) * mebibyte))
 	}
 }
 
-// logTime is how log lines tell the time: in ms, since several lines of a request
+// logTimeFormat gives the time of log lines in ms, since several lines of a request
 // fall into one second.
-const logTime = "2006-01-02T15:04:05.000Z07:00"
+const logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// newCommon builds what all parts share, for processes on the platform.
+// newCommon builds the dependencies that all components of a process on the platform share.
 func newCommon(name ids.Process, logs io.Writer) common.Common {
 	logger := logrus.New()
 	logger.SetOutput(logs)
-	logger.SetFormatter(&logrus.JSONFormatter{TimestampFormat: logTime})
+	logger.SetFormatter(&logrus.JSONFormatter{TimestampFormat: logTimeFormat})
 	log := logger.WithField("process", string(name))
 	metrics := telemetry.NewMetrics()
 	return common.Common{
@@ -182,14 +182,14 @@
 func newEntryProcess(c common.Common, s platform.Settings, o entryOptions, link *packets.Link) (*entryProcess, error) {
 	address, err := netip.ParseAddrPort(s.InternalAddress(0))
 	if err != nil {
-		return nil, fmt.Errorf("internal address: %w", err)
+		return nil, fmt.Errorf("parsing the internal address: %w", err)
 	}
-	p := &entryProcess{Common: c, settings: s, view: view.New(c.Check), assuredTrust: o.assuredTrust}
+	p := &entryProcess{Common: c, settings: s, view: view.New(c.Check), maxKeyGrace: o.maxKeyGrace}
 	p.link = link
 	p.store = platform.NewStore(c.Network, s.Store.Address, func(call, outcome string) {
 		c.Metrics.Figures.Add("store_calls", "outcome", call+" "+outcome)
 	})
-	p.members = membership.New(c, membership.Self{Name: s.Node, Address: address, Weight: max(s.Limits.CPUShare, leastWeight), Domain: s.Domain}, p.store.Table(platform.TableMembers), link)
+	p.members = membership.New(c, membership.Self{Name: s.Node, Address: address, Weight: max(s.Limits.CPUShare, minWeight), Domain: s.Domain}, p.store.Table(platform.TableMembers), link)
 	p.advice = advisory.NewBook(c)
 	p.view.Watch(p.advice.Follow)
 	p.pool = forward.NewPool(c, func(h map[string][]string) forward.Marks { return platform.Dialect{}.Marks(h) }, p.advice)
@@ -197,7 +197,7 @@
 	p.guard = quarantine.New(quarantine.Parts{Common: c, Address: address, Peers: p.members, Link: link, Store: p.store.Quarantine(), Leaves: p.leaves})
 	p.board = bulletin.NewBoard(c, p.members, link)
 	p.bounds.Store(&s.Bounds)
-	parts := dispatch.Parts{
+	dependencies := dispatch.Parts{
 		Common: c, Address: address, Domain: s.Domain, View: p.view, Members: p.members, Link: link,
 		Notes: p.store.Table(platform.TableNotes), Local: schedule.NewLocal(c, p.view, p.advice), Advice: p.advice,
 		ColdBounds: p.coldBounds,
@@ -206,29 +206,29 @@
 	if p.exposure().Enabled() {
 		p.rollouts = newRollouts(c, p.view)
 		listed = p.rollouts.screen.SetDirectory
-		parts.Rollouts = p.rollouts.parts(p.exposure, p.store.Rollouts(), p.guard)
+		dependencies.Rollouts = p.rollouts.parts(p.exposure, p.store.Rollouts(), p.guard)
 	}
 	p.domains = domains.NewScreen(c, listed)
-	p.dispatcher = dispatch.New(parts)
+	p.dispatcher = dispatch.New(dependencies)
 	p.advice.OnHeard(p.dispatcher.Advise)
 	p.retries = quota.NewRetryBudget(retryBounds(s.Bounds), c.Clock.Now())
 	p.grace.Store(int64(seconds(s.Bounds.GraceSeconds)))
 	p.descriptors = descriptorLimit(c, s.Limits)
-	shares := descriptors.Divide(p.descriptors)
+	limits := descriptors.Divide(p.descriptors)
 	p.controller = ingress.NewController(ingress.Parts{
 		Common: c, View: p.view, Dialect: platform.Dialect{}, Scheduler: p.scheduler(o.policy),
-		Pool: p.pool, Meter: p.meter, Entries: p.members, Keys: p.keyTrust(s.Bounds),
-		Retries: p.retries, Guard: p.guard, Advice: p.advice, MostExtra: shares.Extra,
+		Pool: p.pool, Meter: p.meter, Entries: p.members, Keys: p.keyGrace(s.Bounds),
+		Retries: p.retries, Guard: p.guard, Advice: p.advice, MostExtra: limits.Extra,
 	})
-	p.members.SetTrust(p.keyTrust(s.Bounds).Most)
+	p.members.SetTrust(p.keyGrace(s.Bounds).Most)
 	handlers := ingress.Handlers{Serve: p.controller, TurnAway: http.HandlerFunc(p.controller.TurnAway), Context: p.controller.Context()}
-	p.callers = ingress.NewServer(c, handlers, shares)
-	p.figures = &http.Server{Handler: p.metrics(), ReadHeaderTimeout: headerTimeout.Duration(), ErrorLog: ingress.NewServerLog(c)}
+	p.callers = ingress.NewServer(c, handlers, limits)
+	p.metricsServer = &http.Server{Handler: p.metrics(), ReadHeaderTimeout: headerTimeout.Duration(), ErrorLog: ingress.NewServerLog(c)}
 	p.readiness = &http.Server{Handler: p.ready(http.StatusOK), ReadHeaderTimeout: headerTimeout.Duration(), ErrorLog: ingress.NewServerLog(c)}
 	return p, nil
 }
 
-// leaves reports whether a life of a target has said that it leaves.
+// leaves reports whether an incarnation of a target has reported that it is leaving.
 func (p *entryProcess) leaves(life ids.Life) bool { return p.advice.Of(life).Leaving }
 
 func (p *entryProcess) scheduler(policy schedule.Policy) schedule.Scheduler {
@@ -243,19 +243,19 @@
 
 func (p *entryProcess) start(ctx context.Context) error {
 	if err := p.serve(p.readiness, p.settings.Listen.Ready); err != nil {
-		return fmt.Errorf("readiness: %w", err)
+		return fmt.Errorf("serving readiness: %w", err)
 	}
 	callers, err := p.Network.Listen(p.settings.Listen.Callers)
 	if err != nil {
-		return fmt.Errorf("callers: %w", err)
+		return fmt.Errorf("listening for callers: %w", err)
 	}
 	go p.callers.Serve(callers)
-	if err := p.serve(p.figures, net.JoinHostPort(p.settings.IP, metricsPort)); err != nil {
-		return fmt.Errorf("metrics: %w", err)
+	if err := p.serve(p.metricsServer, net.JoinHostPort(p.settings.IP, metricsPort)); err != nil {
+		return fmt.Errorf("serving metrics: %w", err)
 	}
 	peers, err := p.Network.Listen(p.settings.InternalAddress(0))
 	if err != nil {
-		return fmt.Errorf("peers: %w", err)
+		return fmt.Errorf("listening for peers: %w", err)
 	}
 	go p.board.Serve(peers)
 	go p.link.Run(ctx)
@@ -282,7 +282,8 @@
 	return nil
 }
 
-// ready answers whether callers should be sent here: the balancer by one status, operators by another.
+// ready answers with the given status if callers should be sent here, else with 503. The balancer and
+// operators expect different statuses.
 func (p *entryProcess) ready(success int) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if !p.controller.Ready() {
--- a/pkg/app/entry_stop.go
+++ b/pkg/app/entry_stop.go
@@ -8,73 +8,75 @@
 )
 
 const (
-	// endMargin is kept from the time at which the platform kills a process.
+	// killMargin is the time between the end of a drain and the moment at which the platform kills
+	// the process.
 	endMargin = 400 * clock.Millisecond
-	// finalAnswerTime is the part of endMargin in which callers are told what became of the requests
-	// that are left.
+	// finalAnswerTime is the part of killMargin in which the callers of unfinished requests get a
+	// final answer that says what became of them.
 	finalAnswerTime = 100 * clock.Millisecond
-	// leaveTime is how long a process that is stopped goes on taking new
-	// connections, until the balancer has seen that it is not ready.
+	// balancerNoticeTime is how long a process that is stopped goes on accepting new connections,
+	// until the balancer has seen that it is not ready.
 	leaveTime = 2600 * clock.Millisecond
-	// doorMargin is how long before its end a process takes no connection any more,
-	// whoever else is ready.
-	doorMargin = 500 * clock.Millisecond
-	doorEvery  = 50 * clock.Millisecond
+	// closeMargin is how long before its end a process stops accepting connections, even if
+	// no other entry is ready.
+	closeMargin        = 500 * clock.Millisecond
+	closeCheckInterval = 50 * clock.Millisecond
 )
 
-// door is what decides whether an entry that is being stopped goes on taking connections.
+// acceptState determines whether an entry that is being stopped goes on accepting connections.
 type door struct {
-	// few says that less than half of the entries are ready.
+	// minorityReady reports whether less than half of the entries are ready.
 	few bool
-	// running is how many requests run for which the process has to stay anyway.
+	// running is the number of running requests that keep the process alive anyway.
 	running int
-	// left is the time until the process has to end.
+	// remaining is the time until the process has to end.
 	left clock.Millis
 }
 
-// open reports whether connections are taken. While most entries are stopped within
-// seconds of one another the balancer hands callers to closed ports; one that has to stay
-// for a long answer can serve short ones meanwhile, and tell the others when to come
-// back. It does not stay for that alone: the sooner it ends, the sooner it is back.
+// accepts reports whether new connections are accepted. If most entries are stopped within
+// seconds of one another, the balancer sends callers to closed ports. An entry that has to stay
+// for a long answer can serve short requests meanwhile, and tell the other callers when to
+// retry. It does not stay for that alone: the sooner it ends, the sooner it is back.
 func (d door) open() bool {
-	return d.few && d.running > 0 && d.left > doorMargin
+	return d.few && d.running > 0 && d.left > closeMargin
 }
 
-// stopAt is the course of a stop whose signal comes now. Where the grace is short, less is
-// taken before the balancer has noticed: one that waits for the balancer would be killed while it takes
-// everything.
+// stopAt returns the schedule of a drain whose signal comes now. If the grace is short, the
+// restriction starts before the balancer has noticed: a process that waited for the balancer would be
+// killed while it still admits all requests.
 func stopAt(now, grace clock.Millis) ingress.Stop {
 	end := max(0, grace-endMargin)
 	return ingress.Stop{Narrows: now + min(leaveTime, end/2), Ends: now + end}
 }
 
-// drain stops the entry without cutting a request: it is not ready any more,
-// goes on serving until the balancer has noticed, then takes nothing more, or only what
-// is short while too few others are ready, and ends when nothing runs, or just before it
-// would be killed.
+// drain stops the entry without breaking off a request. The entry reports that it is not ready,
+// serves on until the balancer has noticed, and then accepts nothing more, or only short
+// requests while too few other entries are ready. It ends when no request runs, or just before
+// it would be killed.
 func (p *entryProcess) drain() {
 	stop := stopAt(p.Clock.Now(), clock.Millis(p.grace.Load()))
 	p.controller.Leave(stop)
 	p.members.Leave()
 	p.Clock.PauseUntil(context.Background(), stop.Narrows)
 	for p.door(stop.Ends).open() {
-		clock.Pause(context.Background(), doorEvery)
+		clock.Pause(context.Background(), closeCheckInterval)
 	}
 	limited, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go p.end(limited, cancel, stop.Ends)
-	// Shutdown closes the listener and what rests, so that no request is taken
-	// that could not be ended in time.
+	go p.endRemaining(limited, cancel, stop.Ends)
+	// Shutdown closes the listener and idle connections, so that no request is accepted
+	// that could not be completed in time.
 	err := p.callers.Shutdown(limited)
 	p.Log.WithError(err).WithField("running", p.controller.Running()).Info("stopped")
 }
 
-// end gives the requests that are left their final answers at a moment, and then has nobody waited
-// for. On a VM that is suspended meanwhile a timer would go off after the process is killed.
-func (p *entryProcess) end(ctx context.Context, done context.CancelFunc, at clock.Millis) {
+// endRemaining gives the unfinished requests their final answers at the given time, and shortly after it
+// ends the wait for them. It uses the suspension-aware clock: on a VM that is suspended meanwhile, a timer
+// would fire after the process is killed.
+func (p *entryProcess) endRemaining(ctx context.Context, done context.CancelFunc, at clock.Millis) {
 	p.Clock.PauseUntil(ctx, at)
 	if ctx.Err() != nil {
-		return // nothing is left
+		return // all requests have ended
 	}
 	p.controller.End()
 	p.Clock.PauseUntil(ctx, at+finalAnswerTime)
--- a/pkg/app/fleet_test.go
+++ b/pkg/app/fleet_test.go
@@ -13,24 +13,24 @@
 	"quaydock/platform/wiretest"
 )
 
-var fleetEntries = flag.Int("fleet.entries", 60, "how `many` entries start together")
+var fleetEntries = flag.Int("fleet.entries", 60, "how `many` entries start at once")
 
 const (
-	fleetDomains    = 6
-	fleetWrites     = 200 // a second, of one part of the store
-	fleetAnswer     = 4 * time.Millisecond
-	fleetStartsIn   = 300 * time.Millisecond // all VMs start within so long
-	fleetFirstCalls = 24 * time.Second       // callers come so long after the first start
+	fleetDomains         = 6
+	fleetWritesPerSecond = 200 // per second, of one part of the store
+	fleetStoreDelay      = 4 * time.Millisecond
+	fleetStartSpan       = 300 * time.Millisecond // all VMs start within this time
+	fleetTimeout         = 24 * time.Second       // callers come this long after the first start
 )
 
-// fleetBed is a whole fleet of entries that start together beside a store that takes so many writes a second.
+// fleetBed is a test bed of a whole fleet of entries that start at once, with a store that accepts fleetWritesPerSecond.
 type fleetBed struct{ *crashBed }
 
 func newFleetBed(t *testing.T, seed uint64, entries int) *fleetBed {
 	b := &fleetBed{newBed(t, seed, entries, entries*10/3, 0, true)}
 	b.entryDomains = fleetDomains
-	b.store.Pace(fleetWrites)
-	b.store.Break(func(*http.Request) storetest.Fault { return storetest.Fault{Delay: fleetAnswer} })
+	b.store.Pace(fleetWritesPerSecond)
+	b.store.Break(func(*http.Request) storetest.Fault { return storetest.Fault{Delay: fleetStoreDelay} })
 	for n := range b.engines {
 		row := wiretest.Engine{Service: "s", Address: targetAddress(n), Domain: "d0", Version: "v1", Slots: crashSlots, State: wiretest.Ready, Sequence: 1, Born: 1}
 		b.store.Put(platform.TableTargets, fmt.Sprint("t-", n), row.Row())
@@ -38,24 +38,24 @@
 	return b
 }
 
-// startAll starts all entries within fleetStartsIn, in no order.
+// startAll starts all entries within fleetStartSpan, in random order.
 func (b *fleetBed) startAll() {
 	for i := range b.entries {
-		after := time.Duration(b.draw(int(fleetStartsIn)))
+		after := time.Duration(b.draw(int(fleetStartSpan)))
 		time.AfterFunc(after, func() { b.startEntry(i) })
 	}
 }
 
-// awaitServing waits until all entries serve and are on the list, and returns how long that took.
-func (b *fleetBed) awaitServing(most time.Duration) time.Duration {
+// awaitServing waits until all entries are ready and know the list of entries, and returns how long that took.
+func (b *fleetBed) awaitServing(timeout time.Duration) time.Duration {
 	began := time.Now()
-	for time.Since(began) < most {
+	for time.Since(began) < timeout {
 		time.Sleep(50 * time.Millisecond)
 		if b.serving() == len(b.entries) {
 			return time.Since(began)
 		}
 	}
-	return most
+	return timeout
 }
 
 func (b *fleetBed) serving() int {
@@ -74,20 +74,22 @@
 }
 
 const (
-	fleetCalls = 1.3 // calls an entry that a start of all may cost
-	// fleetFirst is how many the first that start, and the reader, make besides, whatever the size of the fleet.
-	fleetFirst   = 60
-	fleetSettles = 4 * time.Second // after which only the reader asks
-	// fleetServes is how soon all are to serve, as they did when 60 or fewer started.
-	fleetServes = 800 * time.Millisecond
+	fleetCallsPerEntry = 1.3 // calls to the store per entry that a start of all entries may cost
+	// fleetExtraCalls is how many calls the first entries to start and the feed reader make besides, whatever the size of
+	// the fleet.
+	fleetExtraCalls   = 60
+	fleetSettlingTime = 4 * time.Second // after which only the feed reader queries the store
+	// fleetServingTime is the time within which all entries must serve, as they did when 60 or fewer started.
+	fleetServingTime = 800 * time.Millisecond
 )
 
-// TestAStartOfAll: a start of 385 entries cost 7.9 calls to the store for each, 411 of which it turned away, and a start of
-// all in the middle of a day 2.0. Each wrote its own row, 385 at once into a part that takes 200 a second, and asked again
-// when it was turned away. Those that found the list empty, as it was until the first rows were in, each read all tables
-// and followed them as if there were nobody else. What proved that: all calls of a day without disruption came before its first
-// request; of 60 entries each made 5. By hand with -fleet.entries 385 and 1000.
-func TestAStartOfAll(t *testing.T) {
+// TestSimultaneousStartOfAllEntries: a start of 385 entries cost 7.9 calls to the store per entry, 411 of which it
+// rejected, and a restart of all in the middle of a day 2.0. Each entry wrote its own row, 385 at once into a part of the
+// store that accepts 200 writes a second, and retried when it was rejected. Entries that found the list still empty, before the
+// first rows were written, each read all tables and followed them as if there were no other entry. On a day without
+// disruption all calls came before the first request; of 60 entries each made 5. Run by hand with -fleet.entries 385 and
+// 1000.
+func TestSimultaneousStartOfAllEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newFleetBed(t, 1, *fleetEntries)
 		for _, when := range []string{"first", "after all were killed"} {
@@ -96,18 +98,18 @@
 			}
 			before := b.store.AllCalls()
 			b.startAll()
-			took := b.awaitServing(fleetFirstCalls)
-			time.Sleep(fleetSettles)
+			took := b.awaitServing(fleetTimeout)
+			time.Sleep(fleetSettlingTime)
 			n := len(b.entries)
 			calls := b.store.AllCalls() - before
-			t.Logf("%s: %d entries serve after %v; %.2f calls an entry, %d turned away", when, n, took, float64(calls)/float64(n), b.store.TurnedAway())
-			if float64(calls) > fleetCalls*float64(n)+fleetFirst {
+			t.Logf("%s: %d entries serve after %v; %.2f calls per entry, %d rejected", when, n, took, float64(calls)/float64(n), b.store.TurnedAway())
+			if float64(calls) > fleetCallsPerEntry*float64(n)+fleetExtraCalls {
 				t.Errorf("%s: %d calls of %d entries", when, calls, n)
 			}
 			if b.store.TurnedAway() > 0 {
-				t.Errorf("%s: %d calls were turned away", when, b.store.TurnedAway())
+				t.Errorf("%s: %d calls were rejected", when, b.store.TurnedAway())
 			}
-			if took > fleetServes {
+			if took > fleetServingTime {
 				t.Errorf("%s: all serve after %v", when, took)
 			}
 		}
--- a/pkg/app/foreign_rows_test.go
+++ b/pkg/app/foreign_rows_test.go
@@ -19,14 +19,14 @@
 	return follow.Row{Key: platform.KeyConfiguration, Value: []byte(document), Version: int64(version)}
 }
 
-func soundConfiguration(version int) follow.Row {
+func validConfiguration(version int) follow.Row {
 	return configurationRow(version, fmt.Sprintf(
 		`{"version":%d,"routes":[{"name":"r","host":"h","path_prefix":"/","kind":"safe","timeout_ms":1000,"service":"s"}],"services":[{"name":"s"}],"limits":{}}`, version))
 }
 
-// TestAForeignConfigurationChangesNothing has another writer put something where the operators'
-// configuration stands. Read as one without routes, a version alone ended all of them.
-func TestAForeignConfigurationChangesNothing(t *testing.T) {
+// TestInvalidConfigurationKeepsFormerOne: another writer overwrites the row of the operators' configuration with a
+// document that is none. A document with a version alone was read as a configuration without routes, and removed all.
+func TestInvalidConfigurationKeepsFormerOne(t *testing.T) {
 	documents := []struct{ name, document string }{
 		{"nothing", ``},
 		{"null", `null`},
@@ -35,12 +35,12 @@
 		{"no routes", `{"version":9,"services":[],"limits":{}}`},
 		{"routes that are null", `{"version":9,"routes":null,"services":[],"limits":{}}`},
 		{"no limits", `{"version":9,"routes":[],"services":[]}`},
-		{"a version that is a text", `{"version":"9","routes":[],"services":[],"limits":{}}`},
+		{"a version that is a string", `{"version":"9","routes":[],"services":[],"limits":{}}`},
 		{"a version below 0", `{"version":-9,"routes":[],"services":[],"limits":{}}`},
 		{"routes twice", `{"version":9,"routes":[],"routes":[],"services":[],"limits":{}}`},
 		{"a time below 0", `{"version":9,"routes":[{"name":"r","timeout_ms":-1}],"services":[],"limits":{}}`},
-		{"a time beyond measure", `{"version":9,"routes":[],"services":[],"limits":{"idle_timeout_ms":9000000000000000000}}`},
-		{"a share below 0", `{"version":9,"routes":[{"name":"r","split":[{"service":"s","weight":-1}]}],"services":[],"limits":{}}`},
+		{"a time out of range", `{"version":9,"routes":[],"services":[],"limits":{"idle_timeout_ms":9000000000000000000}}`},
+		{"a weight below 0", `{"version":9,"routes":[{"name":"r","split":[{"service":"s","weight":-1}]}],"services":[],"limits":{}}`},
 		{"a limit below 0", `{"version":9,"routes":[],"services":[],"limits":{},"tenants":[{"name":"t","rate_per_s":-1}]}`},
 		{"a size below 0", `{"version":9,"routes":[],"services":[],"limits":{"max_body_bytes":-1}}`},
 	}
@@ -48,8 +48,8 @@
 		t.Run(d.name, func(t *testing.T) {
 			c := commontest.New(network.NewMemory(nil))
 			v := view.New(c.Check)
-			h := &configurationHandler{Common: c, view: v, applied: func(*routing.Catalog) {}, domains: domains.NewScreen(c, v.SetDirectory), faults: follow.NewFaults(c, "configuration")}
-			h.Whole([]follow.Row{soundConfiguration(7)}, follow.Proof{CurrentAt: 100})
+			h := &configurationHandler{Common: c, view: v, onApplied: func(*routing.Catalog) {}, domains: domains.NewScreen(c, v.SetDirectory), faults: follow.NewFaults(c, "configuration")}
+			h.Whole([]follow.Row{validConfiguration(7)}, follow.Proof{CurrentAt: 100})
 			for i, take := range []func([]follow.Row, follow.Proof){h.Changed, h.Whole} {
 				now := clock.Millis(200 * (i + 1))
 				take([]follow.Row{configurationRow(8, d.document)}, follow.Proof{CurrentAt: now})
@@ -57,15 +57,15 @@
 					t.Errorf("revision %d is in force", v.Catalog().Revision)
 				}
 				h.Changed(nil, follow.Proof{CurrentAt: now})
-				// The row may have taken the place of one that took a key away.
+				// The row may have replaced one that revoked a key.
 				if age := v.Age(now); age != now-100 {
-					t.Errorf("what is in force was proven %d ms ago", age)
+					t.Errorf("the configuration in force was confirmed %d ms ago", age)
 				}
 				if h.faults.Standing() != 1 {
-					t.Error("it is not shown")
+					t.Error("the fault is not counted")
 				}
 			}
-			h.Changed([]follow.Row{soundConfiguration(9)}, follow.Proof{CurrentAt: 500})
+			h.Changed([]follow.Row{validConfiguration(9)}, follow.Proof{CurrentAt: 500})
 			if v.Catalog().Revision != 9 || h.faults.Standing() != 0 || v.Age(500) != 0 {
 				t.Errorf("revision %d is in force after the next one", v.Catalog().Revision)
 			}
@@ -73,9 +73,9 @@
 	}
 }
 
-// TestAForeignOrderLeavesTheRollout has another writer put something where an order stands. A whole
-// read, which comes each 10 s, took the order for gone.
-func TestAForeignOrderLeavesTheRollout(t *testing.T) {
+// TestInvalidOrderKeepsRollout: another writer overwrites the row of an order. A snapshot of the table, which is read
+// every 10 s, took the order for removed.
+func TestInvalidOrderKeepsRollout(t *testing.T) {
 	for _, document := range []string{
 		``, `{}`, `[]`, `{"target_version":"v2"}`, `{"target_version":"v2","duration_s":"9"}`, `{"target_version":"v2","duration_s":1e300}`,
 		`{"target_version":"v2","duration_s":-9}`, `{"target_version":2,"duration_s":9}`, `{"service":"other","target_version":"v2","duration_s":9}`,
@@ -87,26 +87,26 @@
 			row := func(document string, version int64) []follow.Row {
 				return []follow.Row{{Key: platform.RecordKey("s"), Value: []byte(document), Version: version}}
 			}
-			r.take(row(`{"service":"s","target_version":"v1","duration_s":9}`, 5), true, follow.Proof{Version: 5})
-			for _, whole := range []bool{false, true, true} {
-				r.take(row(document, 6), whole, follow.Proof{Version: 6})
-				if o, known := r.book.Order("s"); !known || o.Version != "v1" || o.Placed != 5 {
-					t.Errorf("order %+v, known %t, after a whole read %t", o, known, whole)
+			r.applyOrders(row(`{"service":"s","target_version":"v1","duration_s":9}`, 5), true, follow.Proof{Version: 5})
+			for _, snapshot := range []bool{false, true, true} {
+				r.applyOrders(row(document, 6), snapshot, follow.Proof{Version: 6})
+				if o, known := r.tracker.Order("s"); !known || o.Version != "v1" || o.Placed != 5 {
+					t.Errorf("order %+v, known %t, after a snapshot %t", o, known, snapshot)
 				}
 			}
 			if r.orderFaults.Standing() != 1 {
-				t.Error("it is not shown")
+				t.Error("the fault is not counted")
 			}
-			r.take(row(`{"target_version":"v3","duration_s":9}`, 7), false, follow.Proof{Version: 7})
-			if o, _ := r.book.Order("s"); o.Version != "v3" || r.orderFaults.Standing() != 0 {
+			r.applyOrders(row(`{"target_version":"v3","duration_s":9}`, 7), false, follow.Proof{Version: 7})
+			if o, _ := r.tracker.Order("s"); o.Version != "v3" || r.orderFaults.Standing() != 0 {
 				t.Errorf("the next order is %+v", o)
 			}
 		})
 	}
 }
 
-// TestAForeignRecordDecidesNothing has another writer put something where a record stands.
-func TestAForeignRecordDecidesNothing(t *testing.T) {
+// TestInvalidRolloutRecordDecidesNothing: another writer overwrites the row of a record.
+func TestInvalidRolloutRecordDecidesNothing(t *testing.T) {
 	for _, document := range []string{
 		``, `{}`, `{"service":"s"}`, `{"service":"other","version":"v2","order":5,"state":2}`, `{"service":"s","version":"v2","order":5,"state":77}`,
 		`{"service":"s","version":"v2","order":5,"state":2,"started_ms":9,"ends_ms":-9}`, `{"service":"s","version":"v2","order":-5,"state":2}`,
@@ -114,19 +114,19 @@
 		t.Run(document, func(t *testing.T) {
 			c := commontest.New(network.NewMemory(nil))
 			r := newRollouts(c, view.New(c.Check))
-			r.takeRecords([]follow.Row{{Key: platform.RecordKey("s"), Value: []byte(document), Version: 6}}, follow.Proof{Version: 6})
-			for _, service := range r.book.Services() {
+			r.applyRecords([]follow.Row{{Key: platform.RecordKey("s"), Value: []byte(document), Version: 6}}, follow.Proof{Version: 6})
+			for _, service := range r.tracker.Services() {
 				t.Errorf("a record of service %s", service)
 			}
 			if r.recordFaults.Standing() != 1 {
-				t.Error("it is not shown")
+				t.Error("the fault is not counted")
 			}
-			sound := `{"service":"s","version":"v2","order":5,"state":1}`
-			r.takeRecords([]follow.Row{{Key: platform.RecordKey("s"), Value: []byte(sound), Version: 7}}, follow.Proof{Version: 7})
-			r.takeRecords([]follow.Row{{Key: platform.RecordKey("s"), Value: []byte(document), Version: 8}}, follow.Proof{Version: 8})
+			valid := `{"service":"s","version":"v2","order":5,"state":1}`
+			r.applyRecords([]follow.Row{{Key: platform.RecordKey("s"), Value: []byte(valid), Version: 7}}, follow.Proof{Version: 7})
+			r.applyRecords([]follow.Row{{Key: platform.RecordKey("s"), Value: []byte(document), Version: 8}}, follow.Proof{Version: 8})
 			// The next state is written under the condition that the row has its revision.
-			if known, _ := r.book.Record("s"); known.Version != "v2" || known.State != rollout.Running || known.Written != 8 {
-				t.Errorf("decided is %+v", known)
+			if known, _ := r.tracker.Record("s"); known.Version != "v2" || known.State != rollout.Running || known.Written != 8 {
+				t.Errorf("the record is %+v", known)
 			}
 		})
 	}
--- a/pkg/app/heap_reserve.go
+++ b/pkg/app/heap_reserve.go
@@ -2,10 +2,10 @@
 
 import "runtime"
 
-// heapReserve makes the collector wait until at least so much garbage has
-// gathered. Without it, a process with little live memory collects many times a
-// second under load. Its pages are never touched, so that the kernel gives it no
-// memory.
+// heapReserve is an unused allocation that makes the garbage collector wait until at
+// least its size in garbage has accumulated. Without it, a process with little live memory
+// collects many times a second under load. Its pages are never touched, so that the kernel
+// assigns no memory to them.
 type heapReserve []byte
 
 const mebibyte = 1 << 20
@@ -14,7 +14,7 @@
 	return make(heapReserve, megabytes*mebibyte)
 }
 
-// keep holds the reserve up to this call.
+// keep keeps the reserve reachable up to this call.
 func (h heapReserve) keep() {
 	runtime.KeepAlive(h)
 }
--- a/pkg/app/limit_bed_test.go
+++ b/pkg/app/limit_bed_test.go
@@ -13,45 +13,46 @@
 	"quaydock/platform/wiretest"
 )
 
-// What a target that has named a limit may get in any limitWindow, from contactTime after it first did so, summed over the
-// entries that had passed on such an answer limitToldFor before: limitOver times what the limit allows, and limitSlack more.
+// A target that has reported a limit may get limitOver times the limit plus limitSlack requests in any limitWindow. This
+// holds from contactTime after its first report, for the sum over the entries that had passed on such an answer at least
+// limitReactionTime before.
 const (
-	limitWindow  = 4 * time.Second
-	limitOver    = 1.5
-	limitSlack   = 5.0
-	limitToldFor = 500 * time.Millisecond
+	limitWindow       = 4 * time.Second
+	limitOver         = 1.5
+	limitSlack        = 5.0
+	limitReactionTime = 500 * time.Millisecond
 )
 
-// limitLoad is how many requests a second come: a small part of what the targets can serve.
+// limitLoad is the rate of requests per second: a small fraction of what the targets can serve.
 const limitLoad = 240
 
-// noLimit is what a target names that is not limited.
+// noLimit is the limit text of a target without a limit.
 const noLimit = ""
 
-// limitBed is whole entries before targets that name limits in their answers. It knows what each entry was told, and counts
-// what reaches a target beyond its limit.
+// limitBed is a test bed of complete entries in front of targets that report limits in their answers. It records which
+// reports each entry got, and counts the requests that reach a target beyond its limit.
 type limitBed struct {
 	*adviceBed
 
-	counting sync.Mutex
-	limits   map[int][]namedLimit       // by target, in the order of time
-	told     map[pair]time.Duration     // when an entry first passed on a limit
-	counted  map[string][]time.Duration // arrivals within the last window that count, by target
-	arrived  map[int][]time.Duration    // all arrivals, by target
-	worst    windowed
-	first    map[string]time.Duration // when a target first named a limit
-	over     map[int]bool             // targets that got too many
+	countMu         sync.Mutex
+	limits          map[int][]reportedLimit       // by target, oldest first
+	limitPassedOnAt map[entryTarget]time.Duration // when an entry first passed on a limit
+	counted         map[string][]time.Duration    // arrivals within the last window that count, by target
+	arrived         map[int][]time.Duration       // all arrivals, by target
+	worst           windowCount
+	firstLimitAt    map[string]time.Duration // when a target first reported a limit
+	exceeded        map[int]bool             // targets that got more than allowed
 }
 
-// namedLimit is what a target names from a moment on.
-type namedLimit struct {
+// reportedLimit is the limit that a target reports from a given time on.
+type reportedLimit struct {
 	from      time.Duration
 	text      string
-	perSecond float64 // that a limit of this text stands for; infinite if it is none
+	perSecond float64 // the meaning of the text; infinite if it is no limit
 }
 
-// windowed is what a target got in a window beside what was allowed.
-type windowed struct {
+// windowCount is the number of requests that a target got in a window, and the number allowed.
+type windowCount struct {
 	target  int
 	at      time.Duration
 	got     int
@@ -60,68 +61,69 @@
 
 func newLimitBed(t *testing.T, seed uint64, entries int) *limitBed {
 	b := &limitBed{
-		adviceBed: newAdviceBedOf(t, seed, entries, crashTargets), limits: make(map[int][]namedLimit), told: make(map[pair]time.Duration),
-		counted: make(map[string][]time.Duration), arrived: make(map[int][]time.Duration), first: make(map[string]time.Duration), over: make(map[int]bool),
+		adviceBed: newAdviceBedOf(t, seed, entries, crashTargets), limits: make(map[int][]reportedLimit), limitPassedOnAt: make(map[entryTarget]time.Duration),
+		counted: make(map[string][]time.Duration), arrived: make(map[int][]time.Duration), firstLimitAt: make(map[string]time.Duration), exceeded: make(map[int]bool),
 	}
 	b.answers = b.answerLimited
 	return b
 }
 
-// limit has a target name a limit from now on.
+// limit makes a target report a limit from now on.
 func (b *limitBed) limit(n int, perSecond float64) {
-	b.limitAs(n, strconv.FormatFloat(perSecond, 'f', -1, 64), perSecond)
+	b.limitText(n, strconv.FormatFloat(perSecond, 'f', -1, 64), perSecond)
 }
 
-// lift has a target name no limit any more.
-func (b *limitBed) lift(n int) { b.limitAs(n, noLimit, math.Inf(1)) }
+// lift makes a target report no limit any more.
+func (b *limitBed) lift(n int) { b.limitText(n, noLimit, math.Inf(1)) }
 
-// limitAs has a target name a limit by a text that stands for so many requests a second.
-func (b *limitBed) limitAs(n int, text string, perSecond float64) {
-	b.counting.Lock()
-	defer b.counting.Unlock()
-	b.limits[n] = append(b.limits[n], namedLimit{b.now(), text, perSecond})
+// limitText makes a target report a limit by a text that means the given number of requests per second.
+func (b *limitBed) limitText(n int, text string, perSecond float64) {
+	b.countMu.Lock()
+	defer b.countMu.Unlock()
+	b.limits[n] = append(b.limits[n], reportedLimit{b.now(), text, perSecond})
 }
 
-// limitFirst has the first n targets name a limit from now on.
+// limitFirst makes the first n targets report a limit from now on.
 func (b *limitBed) limitFirst(n int, perSecond float64) {
 	for i := range n {
 		b.limit(i, perSecond)
 	}
 }
 
-// answerLimited counts a request that has reached a target, and names the target's limit.
+// answerLimited counts a request that has reached a target, and reports the target's limit in the answer.
 func (b *limitBed) answerLimited(e *crashEngine, w http.ResponseWriter, r *http.Request) bool {
-	b.said.Lock()
+	b.adviceMu.Lock()
 	entry := b.sent[wiretest.RequestID(r.Header)].entry
-	b.said.Unlock()
-	b.counting.Lock()
-	defer b.counting.Unlock()
+	b.adviceMu.Unlock()
+	b.countMu.Lock()
+	defer b.countMu.Unlock()
 	now := b.now()
 	b.arrived[e.n] = append(b.arrived[e.n], now)
-	if named := b.limits[e.n]; len(named) > 0 && named[len(named)-1].text != noLimit {
-		wiretest.Limit(w.Header(), named[len(named)-1].text)
-		noteFirst(b.first, e.id, now)
+	if reported := b.limits[e.n]; len(reported) > 0 && reported[len(reported)-1].text != noLimit {
+		wiretest.Limit(w.Header(), reported[len(reported)-1].text)
+		recordFirst(b.firstLimitAt, e.id, now)
 	}
-	if told, known := b.told[pair{entry, e.id}]; known && now >= told+limitToldFor && now >= b.first[e.id]+contactTime {
+	if passedOn, known := b.limitPassedOnAt[entryTarget{entry, e.id}]; known && now >= passedOn+limitReactionTime && now >= b.firstLimitAt[e.id]+contactTime {
 		b.count(e, now)
 	}
 	return false
 }
 
-// count counts an arrival for which the limit holds, and holds it against what is allowed; the lock is held.
+// count counts an arrival to which the limit applies, and compares the window's count with the limit. countMu is held.
 func (b *limitBed) count(e *crashEngine, now time.Duration) {
 	window := slices.DeleteFunc(append(b.counted[e.id], now), func(at time.Duration) bool { return at <= now-limitWindow })
 	b.counted[e.id] = window
 	allowed := b.allowed(e.n, now)
 	if float64(len(window)) > allowed {
-		b.over[e.n] = true
+		b.exceeded[e.n] = true
 	}
 	if float64(len(window))/allowed > float64(b.worst.got)/max(1, b.worst.allowed) {
-		b.worst = windowed{e.n, now, len(window), allowed}
+		b.worst = windowCount{e.n, now, len(window), allowed}
 	}
 }
 
-// allowed is what a target may get in the window that ends now, by the highest limit that it has named there.
+// allowed returns how many requests a target may get in the window that ends now, by the highest limit that it has
+// reported in that window.
 func (b *limitBed) allowed(n int, now time.Duration) float64 {
 	highest := 0.0
 	for i, l := range b.limits[n] {
@@ -132,62 +134,63 @@
 	return limitOver*highest*limitWindow.Seconds() + limitSlack
 }
 
-// callers sends requests of both kinds to all entries until a moment, and returns their answers.
+// callers sends safe and unsafe requests to all entries until the given time, and returns their answers.
 func (b *limitBed) callers(until time.Duration) []adviceAnswer {
 	return b.collect(limitLoad, until, b.callOnce)
 }
 
-// callOnce is a request to an entry, of which it notes what the answer names.
+// callOnce sends a request to an entry, and records whether the answer reports a limit.
 func (b *limitBed) callOnce(entry int) adviceAnswer {
-	a, head := b.callKnown(entry)
+	a, head := b.callTraced(entry)
 	if wiretest.LimitOf(head) != "" {
-		b.counting.Lock()
-		noteFirst(b.told, pair{entry, wiretest.SealedBy(head)}, b.now())
-		b.counting.Unlock()
+		b.countMu.Lock()
+		recordFirst(b.limitPassedOnAt, entryTarget{entry, wiretest.SealedBy(head)}, b.now())
+		b.countMu.Unlock()
 	}
 	return a
 }
 
-// loseDatagrams has a part of all datagrams lost from now on.
-func (b *limitBed) loseDatagrams(part float64) {
+// loseDatagrams drops a fraction of all datagrams from now on.
+func (b *limitBed) loseDatagrams(fraction float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.lost = part
+	b.lost = fraction
 }
 
-// restartEntry kills an entry and starts it again a while later. It knows nothing of what it was told.
+// restartEntry kills an entry and starts it again after a delay. The reports that it got are lost.
 func (b *limitBed) restartEntry(i int, after time.Duration) {
 	b.killEntry(i)
-	b.forgetTold(i)
+	b.forgetLimitsOf(i)
 	time.Sleep(after)
 	b.startEntry(i)
 }
 
-// startAgain has a target crash and start again under its id: what it named before says nothing of its new life.
-func (b *limitBed) startAgain(n int) {
+// crashTarget makes a target crash and start again under its id: limits that it reported before don't apply to its new
+// incarnation.
+func (b *limitBed) crashTarget(n int) {
 	b.reuseIDs()
 	b.mu.Lock()
 	e := b.engines[n]
 	b.mu.Unlock()
-	b.counting.Lock()
-	delete(b.first, e.id)
+	b.countMu.Lock()
+	delete(b.firstLimitAt, e.id)
 	delete(b.counted, e.id)
-	maps.DeleteFunc(b.told, func(at pair, _ time.Duration) bool { return at.target == e.id })
-	b.counting.Unlock()
+	maps.DeleteFunc(b.limitPassedOnAt, func(at entryTarget, _ time.Duration) bool { return at.target == e.id })
+	b.countMu.Unlock()
 	e.crash()
 }
 
-// forgetTold forgets what an entry was told.
-func (b *limitBed) forgetTold(entry int) {
-	b.counting.Lock()
-	defer b.counting.Unlock()
-	maps.DeleteFunc(b.told, func(at pair, _ time.Duration) bool { return at.entry == entry })
+// forgetLimitsOf drops the reports of limits that an entry got.
+func (b *limitBed) forgetLimitsOf(entry int) {
+	b.countMu.Lock()
+	defer b.countMu.Unlock()
+	maps.DeleteFunc(b.limitPassedOnAt, func(at entryTarget, _ time.Duration) bool { return at.entry == entry })
 }
 
-// got is how many requests a second have reached a target between two moments.
-func (b *limitBed) got(n int, from, until time.Duration) float64 {
-	b.counting.Lock()
-	defer b.counting.Unlock()
+// rate returns the average number of requests per second that reached a target between two times.
+func (b *limitBed) rate(n int, from, until time.Duration) float64 {
+	b.countMu.Lock()
+	defer b.countMu.Unlock()
 	count := 0
 	for _, at := range b.arrived[n] {
 		if at >= from && at < until {
@@ -197,14 +200,14 @@
 	return float64(count) / (until - from).Seconds()
 }
 
-// check holds what has reached targets against their limits.
+// check fails the test if a target got more requests than its limit allows.
 func (b *limitBed) check() {
 	b.t.Helper()
-	b.counting.Lock()
-	defer b.counting.Unlock()
+	b.countMu.Lock()
+	defer b.countMu.Unlock()
 	w := b.worst
-	b.t.Logf("at the worst target %d got %d in %v at %v, allowed %.1f", w.target, w.got, limitWindow, w.at, w.allowed)
-	if len(b.over) > 0 {
-		b.t.Errorf("%d targets got more than their limits allow", len(b.over))
+	b.t.Logf("highest use of a limit: target %d got %d in %v at %v, allowed %.1f", w.target, w.got, limitWindow, w.at, w.allowed)
+	if len(b.exceeded) > 0 {
+		b.t.Errorf("%d targets got more than their limits allow", len(b.exceeded))
 	}
 }
--- a/pkg/app/limit_test.go
+++ b/pkg/app/limit_test.go
@@ -8,27 +8,28 @@
 	"time"
 )
 
-// limitCases are what targets name, and how much of the limits is to be used where all name one.
+// limitCases are limits that targets report, and the fraction of the limits that must be used if all targets report one.
 var limitCases = []struct {
 	name    string
-	targets int // that name limits, of twelve
-	names   func(b *limitBed, targets int)
-	uses    float64
+	targets int // that report limits, of twelve
+	report  func(b *limitBed, targets int)
+	minUse  float64
 }{
-	{"1 of 12 names 2.5", 1, func(b *limitBed, n int) { b.limitFirst(n, 2.5) }, 0},
-	{"4 of 12 name 1.4", 4, func(b *limitBed, n int) { b.limitFirst(n, 1.4) }, 0},
-	{"4 of 12 name 0.3", 4, func(b *limitBed, n int) { b.limitFirst(n, 0.3) }, 0},
-	{"6 of 12 name 8, then 2, then 5", 6, func(b *limitBed, n int) {
+	{"1 of 12 reports 2.5", 1, func(b *limitBed, n int) { b.limitFirst(n, 2.5) }, 0},
+	{"4 of 12 report 1.4", 4, func(b *limitBed, n int) { b.limitFirst(n, 1.4) }, 0},
+	{"4 of 12 report 0.3", 4, func(b *limitBed, n int) { b.limitFirst(n, 0.3) }, 0},
+	{"6 of 12 report 8, then 2, then 5", 6, func(b *limitBed, n int) {
 		for _, perSecond := range []float64{8, 2, 5} {
 			b.limitFirst(n, perSecond)
 			time.Sleep(6 * time.Second)
 		}
 	}, 0},
-	{"all name 6", 12, func(b *limitBed, n int) { b.limitFirst(n, 6) }, 0.85},
+	{"all report 6", 12, func(b *limitBed, n int) { b.limitFirst(n, 6) }, 0.85},
 }
 
-// TestTargetsThatNameALimitGetNoMore guards against entries that don't heed, or heed each by itself, what a target takes from all.
-func TestTargetsThatNameALimitGetNoMore(t *testing.T) {
+// TestTargetLimitsAreNotExceeded guards against entries that ignore a target's limit on the requests of all entries
+// together, or that each apply it to their own requests alone.
+func TestTargetLimitsAreNotExceeded(t *testing.T) {
 	const length = 18 * time.Second
 	for _, entries := range []int{3, 16} {
 		for _, c := range limitCases {
@@ -36,20 +37,20 @@
 				t.Parallel()
 				synctest.Test(t, func(t *testing.T) {
 					b := newLimitBed(t, 1, entries)
-					go c.names(b, c.targets)
+					go c.report(b, c.targets)
 					answers := b.callers(length)
 					b.check()
 					used := 0.0
 					for n := range c.targets {
-						used += b.got(n, 6*time.Second, length) / float64(c.targets)
+						used += b.rate(n, 6*time.Second, length) / float64(c.targets)
 					}
-					share := served(answers, 6*time.Second, length)
-					t.Logf("served %.3f of %d; a limited target got %.2f a second", share, len(answers), used)
-					if c.targets < crashTargets && share < 0.97 {
-						t.Errorf("served %.3f, want 0.97", share)
+					fraction := served(answers, 6*time.Second, length)
+					t.Logf("served %.3f of %d; a limited target got %.2f a second", fraction, len(answers), used)
+					if c.targets < crashTargets && fraction < 0.97 {
+						t.Errorf("served %.3f, want 0.97", fraction)
 					}
-					if c.uses > 0 && used < c.uses*6 {
-						t.Errorf("a target that takes 6 a second got %.2f", used)
+					if c.minUse > 0 && used < c.minUse*6 {
+						t.Errorf("a target with a limit of 6 a second got %.2f", used)
 					}
 				})
 			})
@@ -57,13 +58,14 @@
 	}
 }
 
-// TestLimitsHoldWhileEntriesFail guards against homes that don't know, give out what another one does, or have become homes just now.
-func TestLimitsHoldWhileEntriesFail(t *testing.T) {
+// TestTargetLimitsHoldDuringFailures guards against owners that don't know a limit, that give out what another owner has
+// given out, or that have just become owner.
+func TestTargetLimitsHoldDuringFailures(t *testing.T) {
 	const length = 16 * time.Second
-	hurts := []struct {
-		name  string
-		hurt  func(b *limitBed)
-		least float64 // of the requests that are served
+	faults := []struct {
+		name      string
+		fault     func(b *limitBed)
+		minServed float64 // fraction of the requests
 	}{
 		{"entries are killed one after the other", func(b *limitBed) {
 			for i := range min(8, len(b.entries)) {
@@ -73,11 +75,11 @@
 		}, 0.6},
 		{"all entries are killed", func(b *limitBed) {
 			for i := range b.entries {
-				b.forgetTold(i)
+				b.forgetLimitsOf(i)
 			}
 			b.restartAll()
 		}, 0.85},
-		{"entries are cut off from the others and come back", func(b *limitBed) {
+		{"entries are partitioned from the others and come back", func(b *limitBed) {
 			for range 3 {
 				for i := range 2 {
 					b.cutOff(i, true)
@@ -89,25 +91,25 @@
 				time.Sleep(500 * time.Millisecond)
 			}
 		}, 0.9},
-		{"entries hear nothing of one another", func(b *limitBed) {
+		{"all entries are partitioned", func(b *limitBed) {
 			for i := range b.entries {
 				b.cutOff(i, true)
 			}
 		}, 0.9},
 		{"a twentieth of all datagrams is lost", func(b *limitBed) { b.loseDatagrams(0.05) }, 0.9},
 		{"a fifth of all datagrams is lost", func(b *limitBed) { b.loseDatagrams(0.2) }, 0.9},
-		{"the store is silent", func(b *limitBed) { b.silenceStore(true) }, 0.97},
+		{"the store does not answer", func(b *limitBed) { b.silenceStore(true) }, 0.97},
 		{"targets start again under their ids", func(b *limitBed) {
 			for n := range 6 {
-				b.startAgain(n)
+				b.crashTarget(n)
 				time.Sleep(time.Second)
 			}
 		}, 0.9},
-		{"all at once", func(b *limitBed) {
+		{"all faults at once", func(b *limitBed) {
 			b.loseDatagrams(0.1)
 			for i := range min(5, len(b.entries)) {
 				b.cutOff(i, true)
-				b.startAgain(i)
+				b.crashTarget(i)
 				time.Sleep(600 * time.Millisecond)
 				b.cutOff(i, false)
 				b.restartEntry((i+1)%len(b.entries), 200*time.Millisecond)
@@ -117,9 +119,9 @@
 		}, 0.5},
 	}
 	for _, entries := range []int{3, 16, 60} {
-		for n, h := range hurts {
+		for n, h := range faults {
 			if entries > 16 && n%4 != 0 {
-				continue // each of these takes long
+				continue // these take long at this size
 			}
 			t.Run(fmt.Sprintf("%d entries, %s", entries, h.name), func(t *testing.T) {
 				t.Parallel()
@@ -130,14 +132,14 @@
 					}
 					go func() {
 						time.Sleep(4 * time.Second)
-						h.hurt(b)
+						h.fault(b)
 					}()
 					answers := b.callers(length)
 					b.check()
-					share := served(answers, 0, length)
-					t.Logf("served %.3f of %d", share, len(answers))
-					if share < h.least {
-						t.Errorf("served %.3f, want %.2f", share, h.least)
+					fraction := served(answers, 0, length)
+					t.Logf("served %.3f of %d", fraction, len(answers))
+					if fraction < h.minServed {
+						t.Errorf("served %.3f, want %.2f", fraction, h.minServed)
 					}
 				})
 			})
@@ -145,13 +147,14 @@
 	}
 }
 
-// TestATargetWhoseLimitIsLiftedGetsWorkAgain guards against limits that nobody hears the end of, as too little is sent.
-func TestATargetWhoseLimitIsLiftedGetsWorkAgain(t *testing.T) {
+// TestTargetGetsRequestsAfterLimitIsLifted guards against limits whose end no entry notices because hardly any request is
+// sent to the target.
+func TestTargetGetsRequestsAfterLimitIsLifted(t *testing.T) {
 	const (
 		liftAt = 8 * time.Second
-		// A target that takes nothing is asked once in limitWindow.
-		heard = limitWindow + time.Second
-		// In so long a target without a limit gets 160 requests, give or take 13.
+		// A target with a limit of 0 gets one request per limitWindow.
+		noticed = limitWindow + time.Second
+		// In this time a target without a limit gets 160 ± 13 requests.
 		counted = 8 * time.Second
 	)
 	for _, idle := range []bool{false, true} {
@@ -172,11 +175,11 @@
 				for n := range limits {
 					b.lift(n)
 				}
-				b.callers(liftAt + heard + counted)
+				b.callers(liftAt + noticed + counted)
 				for n, perSecond := range limits {
-					got := b.got(n, liftAt+heard, liftAt+heard+counted)
+					got := b.rate(n, liftAt+noticed, liftAt+noticed+counted)
 					if got < 0.7*limitLoad/crashTargets {
-						t.Errorf("one that took %.2f a second gets %.1f after %v", perSecond, got, heard)
+						t.Errorf("a target whose limit was %.2f a second gets %.1f, %v after the limit was lifted", perSecond, got, noticed)
 					}
 				}
 			})
@@ -184,8 +187,9 @@
 	}
 }
 
-// TestLimitsThatAreOddlyWritten guards against texts that end in no limit by mistake, or in a target that is never asked again.
-func TestLimitsThatAreOddlyWritten(t *testing.T) {
+// TestUnusualLimitTexts guards against limit texts that are read as no limit by mistake, or that leave a target without
+// requests for good.
+func TestUnusualLimitTexts(t *testing.T) {
 	const length = 16 * time.Second
 	texts := []struct {
 		text      string
@@ -206,15 +210,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newLimitBed(t, 4, 3)
 		for n, x := range texts {
-			b.limitAs(n, x.text, x.perSecond)
+			b.limitText(n, x.text, x.perSecond)
 		}
 		b.callers(length)
 		b.check()
-		usual := b.got(len(texts), 6*time.Second, length)
+		usual := b.rate(len(texts), 6*time.Second, length)
 		for n, x := range texts {
-			got := b.got(n, 6*time.Second, length)
-			if least := min(0.8*x.perSecond, usual/2); got < least || got == 0 {
-				t.Errorf("%q: %.2f a second, want %.2f", x.text, got, least)
+			got := b.rate(n, 6*time.Second, length)
+			if minRate := min(0.8*x.perSecond, usual/2); got < minRate || got == 0 {
+				t.Errorf("%q: %.2f a second, want %.2f", x.text, got, minRate)
 			}
 		}
 	})
--- a/pkg/app/process.go
+++ b/pkg/app/process.go
@@ -21,7 +21,7 @@
 	"quaydock/pkg/telemetry"
 )
 
-// Process is all parts of one process, wired together.
+// Process is one process with all components that its settings name.
 type Process struct {
 	common.Common
 	settings settings.Settings
@@ -37,28 +37,28 @@
 	reserve  heapReserve
 }
 
-// NewProcess builds the parts that the settings name. Nothing runs yet.
-func NewProcess(s settings.Settings, reach network.Network, logs io.Writer) (*Process, error) {
+// NewProcess builds the components that the settings name, without starting them.
+func NewProcess(s settings.Settings, transport network.Network, logs io.Writer) (*Process, error) {
 	log, err := telemetry.NewLogger(logs, s.Log.Level, s.Process)
 	if err != nil {
-		return nil, fmt.Errorf("logger: %w", err)
+		return nil, fmt.Errorf("creating the logger: %w", err)
 	}
 	tracing, err := telemetry.NewTracing(context.Background(), s.Trace, s.Process)
 	if err != nil {
-		return nil, fmt.Errorf("tracing: %w", err)
+		return nil, fmt.Errorf("setting up tracing: %w", err)
 	}
 	metrics := telemetry.NewMetrics()
 	p := &Process{settings: s, tracing: tracing, reserve: newHeapReserve(s.HeapReserveMB)}
 	p.Common = common.Common{
 		Log:     log,
 		Clock:   clock.New(),
-		Network: reach,
+		Network: transport,
 		Metrics: metrics,
 		Tracer:  tracing.Tracer,
 		Random:  random.NewSource(s.Seed),
 		Check:   invariant.NewChecker(log, metrics.Violations, s.StrictInvariants),
 	}
-	p.table = table.NewTable(reach, s.Platform.Table, s.Platform.TimeoutMS)
+	p.table = table.NewTable(transport, s.Platform.Table, s.Platform.TimeoutMS)
 	p.follower = table.NewFollower(p.Common, p.table, s.Platform.PollMS, p.apply)
 	for _, a := range s.Agents {
 		p.agents = append(p.agents, agent.New(p.Common, a))
@@ -70,7 +70,7 @@
 	return p, nil
 }
 
-// Start runs all parts.
+// Start starts all components.
 func (p *Process) Start() error {
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
@@ -86,24 +86,24 @@
 	}
 	for _, a := range p.agents {
 		if err := a.Start(); err != nil {
-			return fmt.Errorf("agent: %w", err)
+			return fmt.Errorf("starting an agent: %w", err)
 		}
 	}
 	if p.entry != nil {
 		if err := p.entry.Start(); err != nil {
-			return fmt.Errorf("entry: %w", err)
+			return fmt.Errorf("starting the entry: %w", err)
 		}
 	}
 	p.running.Go(func() { p.follower.Run(ctx) })
 	return nil
 }
 
-func (p *Process) apply(book *declaration.Book) {
+func (p *Process) apply(index *declaration.Book) {
 	for _, a := range p.agents {
-		a.Apply(book)
+		a.Apply(index)
 	}
 	if p.entry != nil {
-		p.entry.Apply(book)
+		p.entry.Apply(index)
 	}
 }
 
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// Drain stops the process without cutting a request: the entry first, so that
+// Drain stops the process without breaking off a request: the entry first, so that
 // agents of the same process still serve it.
 func (p *Process) Drain(ctx context.Context) error {
 	if p.entry != nil {
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// Close stops at once what still runs.
+// Close stops at once all components that still run.
 func (p *Process) Close() {
 	p.stop()
 	defer p.reserve.keep()
--- a/pkg/app/process_network_test.go
+++ b/pkg/app/process_network_test.go
@@ -9,8 +9,8 @@
 	"quaydock/pkg/network"
 )
 
-// processNetwork is the network as one process has it: with the process all its connections and
-// listeners end.
+// processNetwork is the network of one process: all its connections and listeners are closed when the
+// process ends.
 type processNetwork struct {
 	network.Network
 
@@ -29,20 +29,20 @@
 	if err != nil {
 		return nil, err
 	}
-	return c, p.keep(c)
+	return c, p.track(c)
 }
 
-// Listen takes connections at an address.
+// Listen listens at an address.
 func (p *processNetwork) Listen(address string) (net.Listener, error) {
 	l, err := p.Network.Listen(address)
 	if err != nil {
 		return nil, err
 	}
 	own := &processListener{l, p}
-	return own, p.keep(l)
+	return own, p.track(l)
 }
 
-func (p *processNetwork) keep(c interface{ Close() error }) error {
+func (p *processNetwork) track(c interface{ Close() error }) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.ended {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// end closes everything.
+// end closes all connections and listeners.
 func (p *processNetwork) end() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,7 +63,7 @@
 	}
 }
 
-// processListener keeps the connections that it accepts.
+// processListener registers the connections that it accepts with the process's network.
 type processListener struct {
 	net.Listener
 	process *processNetwork
@@ -75,5 +75,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return c, l.process.keep(c)
+	return c, l.process.track(c)
 }
--- a/pkg/app/rollouts.go
+++ b/pkg/app/rollouts.go
@@ -13,31 +13,31 @@
 	"quaydock/platform"
 )
 
-// rollouts keeps what an entry knows of roll-outs, and sorts the list of targets by it.
+// rollouts keeps an entry's state of all roll-outs, and filters the target list by it.
 type rollouts struct {
 	common.Common
-	book   *rollout.Book
-	screen *rollout.Screen
-	// orderFaults and recordFaults are about the rows of the two tables that tell of roll-outs.
+	tracker *rollout.Book
+	screen  *rollout.Screen
+	// orderFaults and recordFaults are the invalid rows of the two tables with roll-outs.
 	orderFaults  *follow.Faults
 	recordFaults *follow.Faults
 }
 
 func newRollouts(c common.Common, v *view.View) *rollouts {
-	book := rollout.NewBook()
+	tracker := rollout.NewBook()
 	return &rollouts{
-		Common: c, book: book, screen: rollout.NewScreen(book, v.SetDirectory),
+		Common: c, tracker: tracker, screen: rollout.NewScreen(tracker, v.SetDirectory),
 		orderFaults: follow.NewFaults(c, "orders of roll-outs"), recordFaults: follow.NewFaults(c, "records of roll-outs"),
 	}
 }
 
-// parts is what the dispatcher needs of it.
+// dependencies returns what the dispatcher needs of the roll-outs.
 func (r *rollouts) parts(bounds func() rollout.Bounds, store dispatch.RolloutStore, g *quarantine.Guard) *dispatch.Rollouts {
-	return &dispatch.Rollouts{Book: r.book, Bounds: bounds, Store: store, Changed: r.screen.Changed, Excused: g.EndedLives}
+	return &dispatch.Rollouts{Book: r.tracker, Bounds: bounds, Store: store, Changed: r.screen.Changed, Excused: g.EndedLives}
 }
 
-// take takes the operators' orders.
-func (r *rollouts) take(rows []follow.Row, all bool, proof follow.Proof) {
+// applyOrders applies the operators' orders.
+func (r *rollouts) applyOrders(rows []follow.Row, all bool, proof follow.Proof) {
 	var orders []rollout.Order
 	var gone []ids.Service
 	if all {
@@ -50,12 +50,12 @@
 		case row.Gone:
 			gone = append(gone, service)
 			r.orderFaults.Sound(row.Key)
-			r.Log.WithField("service", string(service)).Info("order of a roll-out gone")
+			r.Log.WithField("service", string(service)).Info("roll-out order removed")
 		default:
 			o, err := platform.ParseOrder(row)
 			if err != nil {
 				r.orderFaults.Note(row, err)
-				orders = append(orders, r.standing(service)...)
+				orders = append(orders, r.orderInForce(service)...)
 				continue
 			}
 			r.orderFaults.Sound(row.Key)
@@ -63,7 +63,7 @@
 			r.logOrder(o)
 		}
 	}
-	r.book.PutOrders(orders, gone, all, r.proved(proof))
+	r.tracker.PutOrders(orders, gone, all, r.freshness(proof))
 	if len(orders)+len(gone) > 0 {
 		r.screen.Changed()
 		return
@@ -71,30 +71,30 @@
 	r.screen.Proven()
 }
 
-// standing returns the order of a service that stays in force while its row cannot be used.
-func (r *rollouts) standing(service ids.Service) []rollout.Order {
-	if o, known := r.book.Order(service); known {
+// orderInForce returns the order of a service that stays in force while its row is invalid.
+func (r *rollouts) orderInForce(service ids.Service) []rollout.Order {
+	if o, known := r.tracker.Order(service); known {
 		return []rollout.Order{o}
 	}
 	return nil
 }
 
 func (r *rollouts) logOrder(o rollout.Order) {
-	if !r.book.Knows(o) {
+	if !r.tracker.Knows(o) {
 		r.Log.WithField("service", string(o.Service)).WithField("version", string(o.Version)).
 			WithField("within_ms", int64(o.Within)).WithField("revision", int64(o.Placed)).Info("roll-out ordered")
 	}
 }
 
-func (r *rollouts) proved(p follow.Proof) rollout.Proof {
+func (r *rollouts) freshness(p follow.Proof) rollout.Proof {
 	return rollout.Proof{Read: r.Clock.Now(), At: p.CurrentAt, Store: p.StoreTime, Up: rollout.Revision(p.Version)}
 }
 
-// errOtherKey is the fault of a record that stands under the key of another service.
-var errOtherKey = errors.New("record of a roll-out: of another service than its row")
+// errOtherKey is the fault of a record that is stored under the key of another service.
+var errOtherKey = errors.New("roll-out record: its service does not match the key of its row")
 
-// takeRecords takes what has been decided. A record that is gone stays decided.
-func (r *rollouts) takeRecords(rows []follow.Row, proof follow.Proof) {
+// applyRecords applies the records of decisions. A decision stays in force when its record is removed.
+func (r *rollouts) applyRecords(rows []follow.Row, proof follow.Proof) {
 	var records []rollout.Record
 	for _, row := range rows {
 		if row.Gone {
@@ -107,25 +107,25 @@
 		}
 		if err != nil {
 			r.recordFaults.Note(row, err)
-			records = append(records, r.overwriting(row)...)
+			records = append(records, r.recordToOverwrite(row)...)
 			continue
 		}
 		r.recordFaults.Sound(row.Key)
 		r.logState(record)
 		records = append(records, record)
 	}
-	r.book.PutRecords(records, r.proved(proof))
+	r.tracker.PutRecords(records, r.freshness(proof))
 	if len(records) > 0 {
 		r.screen.Changed()
 	}
 }
 
-// overwriting returns what was decided of a running roll-out whose record's row has become faulty, as
-// of that row's revision: the home writes the next state over it. The revision of a completed one
-// tells which targets are older, and stays.
-func (r *rollouts) overwriting(row follow.Row) []rollout.Record {
+// recordToOverwrite returns the last valid record of a running roll-out whose row has become invalid, with
+// the invalid row's revision, so that the owner can overwrite it with the next state. The revision of a
+// completed roll-out determines which targets are older than it, and stays.
+func (r *rollouts) recordToOverwrite(row follow.Row) []rollout.Record {
 	service, _ := platform.RolloutOf(row.Key)
-	known, has := r.book.Record(service)
+	known, has := r.tracker.Record(service)
 	if !has || known.State.Final() {
 		return nil
 	}
@@ -134,8 +134,8 @@
 }
 
 func (r *rollouts) logState(record rollout.Record) {
-	if known, _ := r.book.Record(record.Service); known.State != record.State || known.Order != record.Order {
+	if known, _ := r.tracker.Record(record.Service); known.State != record.State || known.Order != record.Order {
 		r.Log.WithField("service", string(record.Service)).WithField("version", string(record.Version)).
-			WithField("state", record.State.String()).WithField("why", record.Why).Info("state of a roll-out")
+			WithField("state", record.State.String()).WithField("why", record.Why).Info("roll-out state changed")
 	}
 }
--- a/pkg/app/settings_watcher.go
+++ b/pkg/app/settings_watcher.go
@@ -11,11 +11,11 @@
 	"quaydock/platform"
 )
 
-// watchEvery is how often the settings file is read: it may change without a
+// watchInterval is the interval at which the settings file is read: it may change without a
 // signal.
-const watchEvery = 3 * clock.Second
+const watchInterval = 3 * clock.Second
 
-// settingsWatcher takes over the settings that may change while a process runs.
+// settingsWatcher applies the settings that may change while a process runs.
 type settingsWatcher struct {
 	common.Common
 	path  string
@@ -31,26 +31,25 @@
 	return w
 }
 
-// run looks at the file at once when told to, and from time to time, until ctx
-// ends.
+// run checks the file at each signal and every watchInterval, until ctx ends.
 func (w *settingsWatcher) run(ctx context.Context, now <-chan os.Signal) {
 	for ctx.Err() == nil {
-		wait, stop := context.WithTimeout(ctx, watchEvery.Duration())
+		wait, stop := context.WithTimeout(ctx, watchInterval.Duration())
 		select {
 		case <-now:
 		case <-wait.Done():
 		}
 		stop()
-		if err := w.look(); err != nil {
+		if err := w.reload(); err != nil {
 			w.Log.WithError(err).Warn("settings not read; those in force stay")
 		}
 	}
 }
 
-func (w *settingsWatcher) look() error {
+func (w *settingsWatcher) reload() error {
 	document, err := os.ReadFile(w.path)
 	if err != nil {
-		return fmt.Errorf("settings: %w", err)
+		return fmt.Errorf("reading settings: %w", err)
 	}
 	if bytes.Equal(document, w.last) {
 		return nil
--- a/pkg/app/stand_ins.go
+++ b/pkg/app/stand_ins.go
@@ -16,7 +16,7 @@
 
 const standInHeaderTimeout = 10 * clock.Second
 
-// standIns are the outside systems that run inside this process for a trial.
+// standIns are simulated outside systems that run inside this process for trials.
 type standIns struct {
 	common.Common
 	servers []*http.Server
@@ -26,36 +26,35 @@
 	started := &standIns{Common: c}
 	if s.Platform != nil {
 		if err := started.platform(*s.Platform); err != nil {
-			return nil, fmt.Errorf("platform stand-in: %w", err)
+			return nil, fmt.Errorf("starting the platform stand-in: %w", err)
 		}
 	}
 	for _, e := range s.Engines {
 		if err := started.serve(e.Listen, standin.NewEngine(e).Handler()); err != nil {
-			return nil, fmt.Errorf("engine stand-in: %w", err)
+			return nil, fmt.Errorf("starting an engine stand-in: %w", err)
 		}
 	}
 	for _, p := range s.Services {
 		if err := started.serve(p.Listen, standin.NewService()); err != nil {
-			return nil, fmt.Errorf("service stand-in: %w", err)
+			return nil, fmt.Errorf("starting a service stand-in: %w", err)
 		}
 	}
 	return started, nil
 }
 
-// platform starts a table that holds the declarations of a file as its first
-// revision.
+// platform starts a table whose first revision holds the declarations of a file.
 func (s *standIns) platform(p settings.PlatformStandIn) error {
 	document, err := os.ReadFile(p.Declarations)
 	if err != nil {
-		return fmt.Errorf("declarations: %w", err)
+		return fmt.Errorf("reading declarations: %w", err)
 	}
 	set, err := declaration.Parse(document)
 	if err != nil {
-		return fmt.Errorf("declarations %s: %w", p.Declarations, err)
+		return fmt.Errorf("parsing declarations %s: %w", p.Declarations, err)
 	}
 	transaction, err := table.FirstRevision(set)
 	if err != nil {
-		return fmt.Errorf("first revision: %w", err)
+		return fmt.Errorf("building the first revision: %w", err)
 	}
 	stored := standin.NewTable()
 	stored.Commit(transaction)
@@ -79,7 +78,7 @@
 
 func (s *standIns) close() {
 	for _, server := range s.servers {
-		// An error says only that it was closed before.
+		// The only error is that the server was closed before.
 		_ = server.Close()
 	}
 }
--- a/pkg/commontest/no_notes.go
+++ b/pkg/commontest/no_notes.go
@@ -6,11 +6,11 @@
 	"quaydock/pkg/follow"
 )
 
-// NoNotes is a table in a store that keeps nothing.
+// NoEstimates is an estimate store that accepts all rows and keeps none.
 type NoNotes struct{}
 
-// Put takes a row.
+// Put does nothing.
 func (NoNotes) Put(context.Context, string, []byte) error { return nil }
 
-// Whole returns no rows.
+// Snapshot returns no rows.
 func (NoNotes) Whole(context.Context) (follow.Batch, error) { return follow.Batch{}, nil }
