--- a/pkg/common/common.go
+++ b/pkg/common/common.go
@@ -1,4 +1,4 @@
-// Package common has the dependencies that every component needs, in one struct.
+// Package common has the one struct of things that every part is handed.
 package common
 
 import (
@@ -13,7 +13,7 @@
 	"quaydock/pkg/telemetry"
 )
 
-// Common is passed by value to each constructor.
+// Common is handed by value to each constructor.
 type Common struct {
 	Log     *logrus.Entry
 	Clock   clock.Clock
@@ -22,6 +22,6 @@
 	Tracer  trace.Tracer
 	Check   *invariant.Checker
 	Random  *random.Source
-	// Ablation is the set of mechanisms that are switched off for an experiment.
+	// Ablation is what is switched off for an experiment.
 	Ablation ablation.Set
 }
--- a/pkg/commontest/commontest.go
+++ b/pkg/commontest/commontest.go
@@ -1,4 +1,4 @@
-// Package commontest builds the dependencies that all components share, for tests.
+// Package commontest builds what all parts share, for tests.
 package commontest
 
 import (
@@ -15,8 +15,8 @@
 	"quaydock/pkg/telemetry"
 )
 
-// New returns dependencies with strict invariant checks, a fixed seed and no log, which use the given network.
-func New(transport network.Network) common.Common {
+// New returns strict parts over a network, with a fixed seed and no log.
+func New(reach network.Network) common.Common {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	log := logrus.NewEntry(logger)
@@ -25,7 +25,7 @@
 	return common.Common{
 		Log:     log,
 		Clock:   clock.New(),
-		Network: transport,
+		Network: reach,
 		Metrics: metrics,
 		Tracer:  noop.NewTracerProvider().Tracer(""),
 		Random:  random.NewSource(seed),
--- a/pkg/commontest/no_notes.go
+++ b/pkg/commontest/no_notes.go
@@ -6,11 +6,11 @@
 	"quaydock/pkg/follow"
 )
 
-// NoEstimates is an estimate store that accepts all rows and keeps none.
+// NoNotes is a table in a store that keeps nothing.
 type NoNotes struct{}
 
-// Put does nothing.
+// Put takes a row.
 func (NoNotes) Put(context.Context, string, []byte) error { return nil }
 
-// Snapshot returns no rows.
+// Whole returns no rows.
 func (NoNotes) Whole(context.Context) (follow.Batch, error) { return follow.Batch{}, nil }
--- a/pkg/commontest/rows.go
+++ b/pkg/commontest/rows.go
@@ -2,14 +2,15 @@
 
 import "context"
 
-// NoRows is a table of entries in a store that accepts all writes and keeps none.
+// NoRows is a table of entries in a store that takes everything and tells
+// nothing.
 type NoRows struct{}
 
-// Put does nothing.
+// Put takes a row.
 func (NoRows) Put(context.Context, string, []byte) error { return nil }
 
 // PutAll does nothing.
 func (NoRows) PutAll(context.Context, map[string][]byte) error { return nil }
 
-// Remove does nothing.
+// Remove takes a row away.
 func (NoRows) Remove(context.Context, ...string) error { return nil }
