--- a/pkg/app/endings_test.go
+++ b/pkg/app/endings_test.go
@@ -255,7 +255,7 @@
 	{"nothing", func(*endingsBed) {}},
 	{"other settings apply", func(b *endingsBed) {
 		for _, e := range b.entries {
-			e.process.change(platform.Settings{Bounds: platform.Bounds{GraceSeconds: 1, Revoke: 100, RevokeStrict: true, RetryRatio: 0.01, RetryWindowSeconds: 1}})
+			e.process.applyBounds(platform.Settings{Bounds: platform.Bounds{GraceSeconds: 1, Revoke: 100, RevokeStrict: true, RetryRatio: 0.01, RetryWindowSeconds: 1}})
 		}
 	}},
 	{"the API key is removed", func(b *endingsBed) {
--- a/pkg/app/entry_bounds.go
+++ b/pkg/app/entry_bounds.go
@@ -17,7 +17,7 @@
 
 // applyBounds applies those bounds of the settings that may change while the process runs.
 // Addresses are read at the start only.
-func (p *entryProcess) change(s platform.Settings) {
+func (p *entryProcess) applyBounds(s platform.Settings) {
 	p.bounds.Store(&s.Bounds)
 	p.grace.Store(int64(seconds(s.Bounds.GraceSeconds)))
 	keys := p.keyGrace(s.Bounds)
--- a/pkg/app/entry_drain_test.go
+++ b/pkg/app/entry_drain_test.go
@@ -185,7 +185,7 @@
 	}
 }
 
-func (b *drainBed) setTakes(path string, long time.Duration) {
+func (b *drainBed) setWorkTime(path string, long time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.workTimes[path] = long
@@ -247,7 +247,7 @@
 }
 
 // await returns the reply of a call, or a zero reply if the process ends before there is one.
-func (b *drainBed) get(replies <-chan drainReply) drainReply {
+func (b *drainBed) await(replies <-chan drainReply) drainReply {
 	select {
 	case reply := <-replies:
 		return reply
@@ -264,7 +264,7 @@
 
 func (b *drainBed) expect(what string, replies <-chan drainReply, status int) {
 	b.t.Helper()
-	got := b.get(replies)
+	got := b.await(replies)
 	if got.status != status || status != 0 && !got.complete {
 		b.t.Errorf("%s: status %d, complete %t, want %d", what, got.status, got.complete, status)
 	}
@@ -282,18 +282,18 @@
 func TestDrainRejectsRequestsThatMayOutlastIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newDrainBed(t, drainGrace)
-		b.setTakes("/call/a", 300*time.Millisecond)
+		b.setWorkTime("/call/a", 300*time.Millisecond)
 		for range 5 {
 			b.expect("before the drain", b.call("/call/a", 10*time.Second, nil), http.StatusOK)
 		}
-		b.setTakes("/keep/a", 7*time.Second)
+		b.setWorkTime("/keep/a", 7*time.Second)
 		kept := b.call("/keep/a", 20*time.Second, nil)
 		synctest.Wait()
 		began := time.Now()
 		b.stop()
 		time.Sleep(3500 * time.Millisecond)
 		short := b.call("/call/a", 2*time.Second, nil)
-		b.setTakes("/call/b", 5*time.Second)
+		b.setWorkTime("/call/b", 5*time.Second)
 		b.expect("a request that may outlast the drain", b.call("/call/b", 10*time.Second, nil), http.StatusServiceUnavailable)
 		b.expect("a request that surely ends in time", short, http.StatusOK)
 		b.expect("a request from before the drain", kept, http.StatusOK)
@@ -329,11 +329,11 @@
 			synctest.Test(t, func(t *testing.T) {
 				b := newDrainBed(t, drainGrace)
 				b.assignmentDelays["wait"] = time.Hour
-				b.setTakes(s.path, time.Minute)
+				b.setWorkTime(s.path, time.Minute)
 				began := time.Now()
 				b.stop()
 				time.Sleep(2 * time.Second)
-				got := b.get(b.call(s.path, 20*time.Second, nil))
+				got := b.await(b.call(s.path, 20*time.Second, nil))
 				if got.status != s.status || got.complete != s.complete {
 					t.Errorf("status %d, complete %t, want %d, %t", got.status, got.complete, s.status, s.complete)
 				}
@@ -368,8 +368,8 @@
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newDrainBed(t, drainGrace)
-				b.setTakes("/wait/before", s.workTime)
-				b.setTakes("/wait/a", s.workTime)
+				b.setWorkTime("/wait/before", s.workTime)
+				b.setWorkTime("/wait/a", s.workTime)
 				b.expect("before the drain", b.call("/wait/before", 10*time.Second, nil), http.StatusOK)
 				b.assignmentDelays["wait"] = s.assignedAfter
 				b.stop()
@@ -391,7 +391,7 @@
 func TestRequestBodyArrivingDuringDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newDrainBed(t, drainGrace)
-		b.setTakes("/call/a", 4500*time.Millisecond)
+		b.setWorkTime("/call/a", 4500*time.Millisecond)
 		b.stop()
 		time.Sleep(2400 * time.Millisecond)
 		body, writer := io.Pipe()
@@ -415,8 +415,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		const grace = 2400 * time.Millisecond
 		b := newDrainBed(t, grace)
-		b.setTakes("/call/a", 500*time.Millisecond)
-		b.setTakes("/call/b", 5*time.Second)
+		b.setWorkTime("/call/a", 500*time.Millisecond)
+		b.setWorkTime("/call/b", 5*time.Second)
 		began := time.Now()
 		b.stop()
 		early := b.call("/call/a", 10*time.Second, nil)
@@ -427,7 +427,7 @@
 		if took := time.Since(began); took > grace {
 			t.Errorf("the process ended %v after the signal, killed at %v", took, grace)
 		}
-		if got := b.get(late); got.status == http.StatusOK || b.reached("/call/b") > 0 {
+		if got := b.await(late); got.status == http.StatusOK || b.reached("/call/b") > 0 {
 			t.Errorf("a request that may outlast the drain: status %d, %d arrivals at the target", got.status, b.reached("/call/b"))
 		}
 	})
--- a/pkg/app/entry_follow.go
+++ b/pkg/app/entry_follow.go
@@ -20,10 +20,10 @@
 
 // followOtherTables follows the configuration and the targets once the other entries are known,
 // since these may have read the tables already and can relay them.
-func (p *entryProcess) followRest(ctx context.Context) {
+func (p *entryProcess) followOtherTables(ctx context.Context) {
 	select {
 	case <-p.members.FirstListed():
-	case <-time.After(membersFirst.Duration()):
+	case <-time.After(firstListTimeout.Duration()):
 		p.Log.WithField("read", p.members.ListRead()).Warn("no entry seen on the list yet; reading the other tables without it")
 	case <-ctx.Done():
 		return
@@ -40,7 +40,7 @@
 func (p *entryProcess) follower(table string, handler follow.Handler, options follow.Options) *follow.Follower {
 	c := p.Common
 	c.Log = c.Log.WithField("table", table)
-	return follow.NewFollower(c, p.board.Source(table, p.store.Table(table)), handler, options)
+	return follow.NewFollower(c, p.relay.Source(table, p.store.Table(table)), handler, options)
 }
 
 // applyCatalog puts a configuration's limits in force and drops the state of accounts and routes that
--- a/pkg/app/entry_process.go
+++ b/pkg/app/entry_process.go
@@ -50,8 +50,8 @@
 	membersWait       = 20 * clock.Second
 	// firstListTimeout is how long reading the other tables waits at the start for the list of
 	// entries, which a reachable store returns within a few ms.
-	membersFirst = 300 * clock.Millisecond
-	storeTimeout = 800 * clock.Millisecond
+	firstListTimeout = 300 * clock.Millisecond
+	storeTimeout     = 800 * clock.Millisecond
 	// configurationReread limits how long a change stays unseen that the store failed to
 	// report.
 	configurationReread = 10 * clock.Second
@@ -75,7 +75,7 @@
 	link          *packets.Link
 	meter         *metering.Meter
 	dispatcher    *dispatch.Dispatcher
-	board         *feedrelay.Relay
+	relay         *feedrelay.Relay
 	callers       *ingress.Server
 	readiness     *http.Server
 	metricsServer *http.Server
@@ -134,7 +134,7 @@
 	if err := p.start(ctx); err != nil {
 		return err
 	}
-	go newSettingsWatcher(c, os.Getenv(platform.SettingsVariable), p.change).run(ctx, changes)
+	go newSettingsWatcher(c, os.Getenv(platform.SettingsVariable), p.applyBounds).run(ctx, changes)
 	c.Log.WithField("domain", string(s.Domain)).Info("started")
 	received := <-stops
 	c.Log.WithField("signal", received.String()).Info("signal")
@@ -195,7 +195,7 @@
 	p.pool = forward.NewPool(c, func(h map[string][]string) forward.AnswerMetadata { return platform.HeaderCodec{}.AnswerMetadata(h) }, p.advice)
 	p.meter = metering.New(c, quotaBounds(s.Bounds), p.view, p.members, link)
 	p.guard = quarantine.New(quarantine.Dependencies{Common: c, Address: address, Peers: p.members, Link: link, Store: p.store.Quarantine(), Leaves: p.leaves})
-	p.board = feedrelay.NewRelay(c, p.members, link)
+	p.relay = feedrelay.NewRelay(c, p.members, link)
 	p.bounds.Store(&s.Bounds)
 	dependencies := dispatch.Dependencies{
 		Common: c, Address: address, Domain: s.Domain, View: p.view, Members: p.members, Link: link,
@@ -205,8 +205,8 @@
 	listed := p.view.SetDirectory
 	if p.exposure().Enabled() {
 		p.rollouts = newRollouts(c, p.view)
-		listed = p.rollouts.screen.SetDirectory
-		dependencies.Rollouts = p.rollouts.parts(p.exposure, p.store.Rollouts(), p.guard)
+		listed = p.rollouts.filter.SetDirectory
+		dependencies.Rollouts = p.rollouts.dependencies(p.exposure, p.store.Rollouts(), p.guard)
 	}
 	p.domains = domains.NewFilter(c, listed)
 	p.dispatcher = dispatch.New(dependencies)
@@ -257,14 +257,14 @@
 	if err != nil {
 		return fmt.Errorf("listening for peers: %w", err)
 	}
-	go p.board.Serve(peers)
+	go p.relay.Serve(peers)
 	go p.link.Run(ctx)
 	go p.members.Run(ctx)
 	go p.dispatcher.Run(ctx)
-	go p.board.Run(ctx)
+	go p.relay.Run(ctx)
 	go p.guard.Run(ctx)
 	go p.followEntries(ctx)
-	go p.followRest(ctx)
+	go p.followOtherTables(ctx)
 	go p.prune(ctx)
 	return nil
 }
--- a/pkg/app/entry_stop.go
+++ b/pkg/app/entry_stop.go
@@ -10,13 +10,13 @@
 const (
 	// killMargin is the time between the end of a drain and the moment at which the platform kills
 	// the process.
-	endMargin = 400 * clock.Millisecond
+	killMargin = 400 * clock.Millisecond
 	// finalAnswerTime is the part of killMargin in which the callers of unfinished requests get a
 	// final answer that says what became of them.
 	finalAnswerTime = 100 * clock.Millisecond
 	// balancerNoticeTime is how long a process that is stopped goes on accepting new connections,
 	// until the balancer has seen that it is not ready.
-	leaveTime = 2600 * clock.Millisecond
+	balancerNoticeTime = 2600 * clock.Millisecond
 	// closeMargin is how long before its end a process stops accepting connections, even if
 	// no other entry is ready.
 	closeMargin        = 500 * clock.Millisecond
@@ -24,29 +24,29 @@
 )
 
 // acceptState determines whether an entry that is being stopped goes on accepting connections.
-type door struct {
+type acceptState struct {
 	// minorityReady reports whether less than half of the entries are ready.
-	few bool
+	minorityReady bool
 	// running is the number of running requests that keep the process alive anyway.
 	running int
 	// remaining is the time until the process has to end.
-	left clock.Millis
+	remaining clock.Millis
 }
 
 // accepts reports whether new connections are accepted. If most entries are stopped within
 // seconds of one another, the balancer sends callers to closed ports. An entry that has to stay
 // for a long answer can serve short requests meanwhile, and tell the other callers when to
 // retry. It does not stay for that alone: the sooner it ends, the sooner it is back.
-func (d door) open() bool {
-	return d.few && d.running > 0 && d.left > closeMargin
+func (d acceptState) accepts() bool {
+	return d.minorityReady && d.running > 0 && d.remaining > closeMargin
 }
 
 // stopAt returns the schedule of a drain whose signal comes now. If the grace is short, the
 // restriction starts before the balancer has noticed: a process that waited for the balancer would be
 // killed while it still admits all requests.
 func stopAt(now, grace clock.Millis) ingress.Stop {
-	end := max(0, grace-endMargin)
-	return ingress.Stop{RestrictsFrom: now + min(leaveTime, end/2), EndsAt: now + end}
+	end := max(0, grace-killMargin)
+	return ingress.Stop{RestrictsFrom: now + min(balancerNoticeTime, end/2), EndsAt: now + end}
 }
 
 // drain stops the entry without breaking off a request. The entry reports that it is not ready,
@@ -58,7 +58,7 @@
 	p.controller.Leave(stop)
 	p.members.Leave()
 	p.Clock.PauseUntil(context.Background(), stop.RestrictsFrom)
-	for p.door(stop.EndsAt).open() {
+	for p.acceptState(stop.EndsAt).accepts() {
 		clock.Pause(context.Background(), closeCheckInterval)
 	}
 	limited, cancel := context.WithCancel(context.Background())
@@ -83,6 +83,6 @@
 	done()
 }
 
-func (p *entryProcess) door(end clock.Millis) door {
-	return door{few: p.members.MinorityRemains(), running: p.controller.RunningUnrestricted(), left: end - p.Clock.Now()}
+func (p *entryProcess) acceptState(end clock.Millis) acceptState {
+	return acceptState{minorityReady: p.members.MinorityRemains(), running: p.controller.RunningUnrestricted(), remaining: end - p.Clock.Now()}
 }
--- a/pkg/app/entry_stop_test.go
+++ b/pkg/app/entry_stop_test.go
@@ -9,17 +9,17 @@
 func TestStoppingEntryAcceptsConnections(t *testing.T) {
 	scenarios := []struct {
 		name string
-		door door
+		door acceptState
 		want bool
 	}{
-		{"enough others are ready", door{few: false, running: 3, left: 4 * clock.Second}, false},
-		{"few others are ready, and requests still run", door{few: true, running: 1, left: 4 * clock.Second}, true},
-		{"few others are ready, and nothing runs", door{few: true, running: 0, left: 4 * clock.Second}, false},
-		{"few others are ready, and hardly any time is left", door{few: true, running: 1, left: 400}, false},
+		{"enough others are ready", acceptState{minorityReady: false, running: 3, remaining: 4 * clock.Second}, false},
+		{"few others are ready, and requests still run", acceptState{minorityReady: true, running: 1, remaining: 4 * clock.Second}, true},
+		{"few others are ready, and nothing runs", acceptState{minorityReady: true, running: 0, remaining: 4 * clock.Second}, false},
+		{"few others are ready, and hardly any time is left", acceptState{minorityReady: true, running: 1, remaining: 400}, false},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			if got := s.door.open(); got != s.want {
+			if got := s.door.accepts(); got != s.want {
 				t.Errorf("open: %t, want %t", got, s.want)
 			}
 		})
@@ -34,7 +34,7 @@
 		wantRestricts clock.Millis // after the signal
 		wantEnds      clock.Millis
 	}{
-		{"long enough for the load balancer to notice", 8 * clock.Second, leaveTime, 8*clock.Second - endMargin},
+		{"long enough for the load balancer to notice", 8 * clock.Second, balancerNoticeTime, 8*clock.Second - killMargin},
 		{"too short for the load balancer", 2400, 1000, 2000},
 		{"hardly any grace time", 300, 0, 0},
 	}
--- a/pkg/app/entry_suspension_test.go
+++ b/pkg/app/entry_suspension_test.go
@@ -16,7 +16,7 @@
 	for _, at := range []time.Duration{500 * time.Millisecond, 3 * time.Second, 7 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			b := newDrainBed(t, drainGrace)
-			b.setTakes("/wait/a", time.Minute)
+			b.setWorkTime("/wait/a", time.Minute)
 			reply := b.call("/wait/a", 19*time.Second, nil)
 			time.Sleep(100 * time.Millisecond)
 			b.stop()
@@ -28,7 +28,7 @@
 			if took := time.Since(began); took > limit {
 				t.Errorf("suspended %v after the signal, it ran for %v of steady time, want at most %v", at, took, limit)
 			}
-			if got := b.get(reply); got.status != http.StatusBadGateway {
+			if got := b.await(reply); got.status != http.StatusBadGateway {
 				t.Errorf("suspended %v after the signal, its last request got %+v, want 502", at, got)
 			}
 		})
--- a/pkg/app/rollout_entries_test.go
+++ b/pkg/app/rollout_entries_test.go
@@ -56,21 +56,21 @@
 	p.bounds.Store(&platform.Bounds{ExposeFraction: exposeFraction, ExposeSlack: exposeSlack, Rollback: rollbackTime})
 	p.store = platform.NewStore(delayedNetwork{Network: b.net, delays: b.delays, name: name}, storeAddress(i), func(string, string) {})
 	p.members = membership.New(c, membership.Self{Name: ids.Process(fmt.Sprint("entry-", i)), Address: entryAddress(i), Weight: 1, Domain: "d"}, p.store.Table(platform.TableMembers), link)
-	p.board = feedrelay.NewRelay(c, p.members, link)
+	p.relay = feedrelay.NewRelay(c, p.members, link)
 	p.rollouts = newRollouts(c, p.view)
-	p.domains = domains.NewFilter(c, p.rollouts.screen.SetDirectory)
+	p.domains = domains.NewFilter(c, p.rollouts.filter.SetDirectory)
 	p.guard = quarantine.New(quarantine.Dependencies{Common: c, Address: entryAddress(i), Peers: p.members, Link: link, Store: p.store.Quarantine()})
 	p.dispatcher = dispatch.New(dispatch.Dependencies{
 		Common: c, Address: entryAddress(i), Domain: "d", View: p.view, Members: p.members, Link: link, Estimates: p.store.Table(platform.TableEstimates),
-		Local: schedule.NewLocal(c, p.view, nil), Rollouts: p.rollouts.parts(p.exposure, p.store.Rollouts(), p.guard),
+		Local: schedule.NewLocal(c, p.view, nil), Rollouts: p.rollouts.dependencies(p.exposure, p.store.Rollouts(), p.guard),
 	})
 	peers, err := others.Listen(entryAddress(i).String())
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	go p.board.Serve(peers)
+	go p.relay.Serve(peers)
 	go link.Run(ctx)
-	for _, run := range []func(context.Context){p.members.Run, p.dispatcher.Run, p.board.Run, p.guard.Run, p.followEntries, b.followOtherTablesOf(p, name)} {
+	for _, run := range []func(context.Context){p.members.Run, p.dispatcher.Run, p.relay.Run, p.guard.Run, p.followEntries, b.followOtherTablesOf(p, name)} {
 		time.Sleep(b.delays.delay("starts", nil)) // so that their periodic work does not fall on the same instants
 		go run(ctx)
 	}
@@ -86,10 +86,10 @@
 		select {
 		case <-p.members.Ready():
 			time.Sleep(b.delays.delay(name+" goes on", nil))
-		case <-time.After(membersFirst.Duration()):
+		case <-time.After(firstListTimeout.Duration()):
 		case <-ctx.Done():
 		}
-		p.followRest(ctx)
+		p.followOtherTables(ctx)
 	}
 }
 
--- a/pkg/app/rollouts.go
+++ b/pkg/app/rollouts.go
@@ -17,7 +17,7 @@
 type rollouts struct {
 	common.Common
 	tracker *rollout.Tracker
-	screen  *rollout.Filter
+	filter  *rollout.Filter
 	// orderFaults and recordFaults are the invalid rows of the two tables with roll-outs.
 	orderFaults  *follow.Faults
 	recordFaults *follow.Faults
@@ -26,14 +26,14 @@
 func newRollouts(c common.Common, v *view.View) *rollouts {
 	tracker := rollout.NewTracker()
 	return &rollouts{
-		Common: c, tracker: tracker, screen: rollout.NewFilter(tracker, v.SetDirectory),
+		Common: c, tracker: tracker, filter: rollout.NewFilter(tracker, v.SetDirectory),
 		orderFaults: follow.NewFaults(c, "orders of roll-outs"), recordFaults: follow.NewFaults(c, "records of roll-outs"),
 	}
 }
 
 // dependencies returns what the dispatcher needs of the roll-outs.
-func (r *rollouts) parts(bounds func() rollout.Bounds, store dispatch.RolloutStore, g *quarantine.Guard) *dispatch.Rollouts {
-	return &dispatch.Rollouts{Tracker: r.tracker, Bounds: bounds, Store: store, Changed: r.screen.Changed, Excused: g.EndedIncarnations}
+func (r *rollouts) dependencies(bounds func() rollout.Bounds, store dispatch.RolloutStore, g *quarantine.Guard) *dispatch.Rollouts {
+	return &dispatch.Rollouts{Tracker: r.tracker, Bounds: bounds, Store: store, Changed: r.filter.Changed, Excused: g.EndedIncarnations}
 }
 
 // applyOrders applies the operators' orders.
@@ -65,10 +65,10 @@
 	}
 	r.tracker.PutOrders(orders, gone, all, r.freshness(proof))
 	if len(orders)+len(gone) > 0 {
-		r.screen.Changed()
+		r.filter.Changed()
 		return
 	}
-	r.screen.Confirmed()
+	r.filter.Confirmed()
 }
 
 // orderInForce returns the order of a service that stays in force while its row is invalid.
@@ -116,7 +116,7 @@
 	}
 	r.tracker.PutRecords(records, r.freshness(proof))
 	if len(records) > 0 {
-		r.screen.Changed()
+		r.filter.Changed()
 	}
 }
 
