--- a/pkg/app/endings_test.go
+++ b/pkg/app/endings_test.go
@@ -381,7 +381,7 @@
 	const trial ids.Version = "v2"
 	synctest.Test(t, func(t *testing.T) {
 		b := newEndingsBed(t, *firstEndings)
-		b.bounds.ExposeFraction, b.bounds.ExposeSlack, b.bounds.Rollback = 0.1, 50, 5000
+		b.bounds.ExposeShare, b.bounds.ExposeSlack, b.bounds.Rollback = 0.1, 50, 5000
 		b.restartAll()
 		time.Sleep(2 * time.Second)
 		b.store.Put(platform.TableOperators, "rollout/s", fmt.Appendf(nil, `{"service":"s","target_version":%q,"duration_s":20}`, trial))
--- a/pkg/app/entry_bounds.go
+++ b/pkg/app/entry_bounds.go
@@ -38,7 +38,7 @@
 // exposure returns the limits on the traffic of a canary version.
 func (p *entryProcess) exposure() rollout.Bounds {
 	b := p.bounds.Load()
-	return rollout.Bounds{Fraction: b.ExposeFraction, Slack: b.ExposeSlack, Stop: b.Rollback}
+	return rollout.Bounds{Fraction: b.ExposeShare, Slack: b.ExposeSlack, Stop: b.Rollback}
 }
 
 // coldBounds returns the limits on the requests that cold targets get.
