--- a/pkg/quarantine/guard.go
+++ b/pkg/quarantine/guard.go
@@ -304,7 +304,8 @@
 		return
 	}
 	go g.persist(ctx)
-	timer := time.NewTimer(0)
+	// Not 0: selecting on a timer of zero length crashes the race detector in virtual time.
+	timer := time.NewTimer(time.Nanosecond)
 	defer timer.Stop()
 	for ctx.Err() == nil {
 		select {
