--- a/pkg/advisory/tracker.go
+++ b/pkg/advisory/tracker.go
@@ -135,18 +135,18 @@
 // AllBackoff returns the time until the first of the targets ends its back-off, without those that are leaving. It
 // returns 0 if one of them has no back-off, or if all are leaving.
 func (b *Tracker) AllBackoff(targets []*routing.Target) clock.Millis {
-	var least clock.Millis
+	var shortest clock.Millis
 	for _, t := range targets {
 		s := b.Status(t.Incarnation())
 		switch {
 		case s.Leaving:
 		case s.Backoff <= 0:
 			return 0
-		case least == 0 || s.Backoff < least:
-			least = s.Backoff
+		case shortest == 0 || s.Backoff < shortest:
+			shortest = s.Backoff
 		}
 	}
-	return least
+	return shortest
 }
 
 // All lists the incarnations that are leaving, backing off, or have reported a limit, in no particular order.
--- a/pkg/app/configuration_handler.go
+++ b/pkg/app/configuration_handler.go
@@ -23,23 +23,23 @@
 
 // orderReceiver applies the operators' rows with roll-out orders.
 type orderReceiver interface {
-	applyOrders(rows []follow.Row, all bool, proof follow.Freshness)
+	applyOrders(rows []follow.Row, all bool, freshness follow.Freshness)
 }
 
 // Snapshot applies all rows of the operators' table.
-func (h *configurationHandler) Snapshot(rows []follow.Row, proof follow.Freshness) {
+func (h *configurationHandler) Snapshot(rows []follow.Row, freshness follow.Freshness) {
 	h.faults.Retain(rows)
-	h.apply(rows, true, proof)
+	h.apply(rows, true, freshness)
 }
 
 // Changed applies rows that have changed, among them a newer configuration, if there is one.
-func (h *configurationHandler) Changed(rows []follow.Row, proof follow.Freshness) {
-	h.apply(rows, false, proof)
+func (h *configurationHandler) Changed(rows []follow.Row, freshness follow.Freshness) {
+	h.apply(rows, false, freshness)
 }
 
-func (h *configurationHandler) apply(rows []follow.Row, all bool, proof follow.Freshness) {
+func (h *configurationHandler) apply(rows []follow.Row, all bool, freshness follow.Freshness) {
 	if h.orders != nil {
-		h.orders.applyOrders(rows, all, proof)
+		h.orders.applyOrders(rows, all, freshness)
 	}
 	h.applyDrainOrders(rows, all) // before the first configuration lets requests be assigned
 	for _, row := range rows {
@@ -54,7 +54,7 @@
 	// An invalid row may have replaced one that revoked a key: the configuration in force stays, but
 	// it is not confirmed as the newest, as while the store is unreachable.
 	if !h.faulty {
-		h.view.Confirmed(proof.CurrentAt)
+		h.view.Confirmed(freshness.CurrentAt)
 	}
 }
 
--- a/pkg/app/entries_handler.go
+++ b/pkg/app/entries_handler.go
@@ -24,24 +24,24 @@
 }
 
 // Snapshot applies all rows of the table.
-func (h *entriesHandler) Snapshot(rows []follow.Row, proof follow.Freshness) {
+func (h *entriesHandler) Snapshot(rows []follow.Row, freshness follow.Freshness) {
 	d := h.splitRows(rows)
 	h.faults.Retain(d.requests)
-	h.members.Snapshot(d.entries, proof)
+	h.members.Snapshot(d.entries, freshness)
 	h.applyQuarantine(d.requests, true)
 	if h.rollouts != nil {
 		h.rollouts.recordFaults.Retain(d.rollouts)
-		h.rollouts.applyRecords(d.rollouts, proof)
+		h.rollouts.applyRecords(d.rollouts, freshness)
 	}
 }
 
 // Changed applies rows that have changed.
-func (h *entriesHandler) Changed(rows []follow.Row, proof follow.Freshness) {
+func (h *entriesHandler) Changed(rows []follow.Row, freshness follow.Freshness) {
 	d := h.splitRows(rows)
-	h.members.Changed(d.entries, proof)
+	h.members.Changed(d.entries, freshness)
 	h.applyQuarantine(d.requests, false)
 	if h.rollouts != nil {
-		h.rollouts.applyRecords(d.rollouts, proof)
+		h.rollouts.applyRecords(d.rollouts, freshness)
 	}
 }
 
--- a/pkg/app/entry_drain_test.go
+++ b/pkg/app/entry_drain_test.go
@@ -102,7 +102,7 @@
 	return &routing.Target{ID: "t", Service: "s", Address: drainTarget, Slots: 4}
 }
 func (drainAssignment) Began(*planner.Load)                       {}
-func (drainAssignment) Moved() <-chan struct{}                    { return nil }
+func (drainAssignment) Redispatched() <-chan struct{}             { return nil }
 func (drainAssignment) Done(planner.Outcome, planner.StreamStats) {}
 
 func newDrainBed(t *testing.T, grace time.Duration) *drainBed {
--- a/pkg/app/entry_process.go
+++ b/pkg/app/entry_process.go
@@ -229,7 +229,9 @@
 }
 
 // leaves reports whether an incarnation of a target has reported that it is leaving.
-func (p *entryProcess) leaves(life ids.TargetIncarnation) bool { return p.advice.Status(life).Leaving }
+func (p *entryProcess) leaves(incarnation ids.TargetIncarnation) bool {
+	return p.advice.Status(incarnation).Leaving
+}
 
 func (p *entryProcess) scheduler(policy schedule.Policy) schedule.Scheduler {
 	switch {
--- a/pkg/app/rollouts.go
+++ b/pkg/app/rollouts.go
@@ -37,7 +37,7 @@
 }
 
 // applyOrders applies the operators' orders.
-func (r *rollouts) applyOrders(rows []follow.Row, all bool, proof follow.Freshness) {
+func (r *rollouts) applyOrders(rows []follow.Row, all bool, freshness follow.Freshness) {
 	var orders []rollout.Order
 	var gone []ids.Service
 	if all {
@@ -63,7 +63,7 @@
 			r.logOrder(o)
 		}
 	}
-	r.tracker.PutOrders(orders, gone, all, r.freshness(proof))
+	r.tracker.PutOrders(orders, gone, all, r.freshness(freshness))
 	if len(orders)+len(gone) > 0 {
 		r.filter.Changed()
 		return
@@ -94,7 +94,7 @@
 var errOtherKey = errors.New("roll-out record: its service does not match the key of its row")
 
 // applyRecords applies the records of decisions. A decision stays in force when its record is removed.
-func (r *rollouts) applyRecords(rows []follow.Row, proof follow.Freshness) {
+func (r *rollouts) applyRecords(rows []follow.Row, freshness follow.Freshness) {
 	var records []rollout.Record
 	for _, row := range rows {
 		if row.Gone {
@@ -114,7 +114,7 @@
 		r.logState(record)
 		records = append(records, record)
 	}
-	r.tracker.PutRecords(records, r.freshness(proof))
+	r.tracker.PutRecords(records, r.freshness(freshness))
 	if len(records) > 0 {
 		r.filter.Changed()
 	}
--- a/pkg/ctl/rollout.go
+++ b/pkg/ctl/rollout.go
@@ -51,7 +51,7 @@
 	for _, route := range r.Evidence.Routes {
 		line("route "+string(route.Route), "%d answers, %d bad; old version %d, %d bad", route.Requests, route.Bad, route.Old, route.OldBad)
 	}
-	if r.Judges {
+	if r.Evaluates {
 		line("judged here", "%.1f%% of requests go to it", 100*r.Fraction)
 		line("speaks against it", "%s", orNothing(r.Suspicion))
 		line("still missing", "%s", orNothing(strings.Join(r.Missing, "; ")))
--- a/pkg/ctl/rollout_test.go
+++ b/pkg/ctl/rollout_test.go
@@ -20,7 +20,7 @@
 	}{
 		{"none", nil, []string{"no roll-out is known"}},
 		{"at the entry that evaluates it", []rollout.Report{{
-			Service: "s", Version: "v2", State: "running", EndsIn: 4500, Judges: true, Fraction: 0.0585, Missing: []string{"3 answers under load"},
+			Service: "s", Version: "v2", State: "running", EndsIn: 4500, Evaluates: true, Fraction: 0.0585, Missing: []string{"3 answers under load"},
 			Evidence: rollout.Summary{Requests: 40, Bad: 2, Targets: 5, WorseTargets: 1, Routes: []rollout.RouteSummary{{Route: "r", Requests: 40, Bad: 2, Old: 600, OldBad: 6}}},
 		}}, []string{"s to v2: running", "4.5 s", "40, 2 bad; 5 targets, 1 suspect", "route r", "5.9%", "3 answers under load"}},
 		{"rolled back, elsewhere", []rollout.Report{{Service: "s", Version: "v2", State: "rolled back", Why: "the order is gone", Reached: 7}},
--- a/pkg/dispatch/assignment.go
+++ b/pkg/dispatch/assignment.go
@@ -11,7 +11,7 @@
 )
 
 func (d *Dispatcher) startAssignment(number uint64, request *schedule.Request, t *routing.Target, local schedule.Assignment) *assignment {
-	p := &assignment{dispatcher: d, number: number, target: t, request: request, local: local, sentAt: d.Clock.Now(), moved: make(chan struct{}), order: d.trials.currentOrder(request.Service)}
+	p := &assignment{dispatcher: d, number: number, target: t, request: request, local: local, sentAt: d.Clock.Now(), redispatched: make(chan struct{}), order: d.trials.currentOrder(request.Service)}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.running[number] = p
@@ -20,21 +20,21 @@
 
 // assignment is one request given to one target. It implements schedule.Assignment.
 type assignment struct {
-	dispatcher *Dispatcher
-	number     uint64
-	target     *routing.Target
-	request    *schedule.Request
-	local      schedule.Assignment // set if the entry chose the target by its own counts
-	order      rollout.Revision    // the roll-out during which it was sent, or 0
-	sentAt     clock.Millis
-	begun      bool // guarded by the dispatcher's lock
-	moved      chan struct{}
-	moveOnce   sync.Once
+	dispatcher   *Dispatcher
+	number       uint64
+	target       *routing.Target
+	request      *schedule.Request
+	local        schedule.Assignment // set if the entry chose the target by its own counts
+	order        rollout.Revision    // the roll-out during which it was sent, or 0
+	sentAt       clock.Millis
+	begun        bool // guarded by the dispatcher's lock
+	redispatched chan struct{}
+	moveOnce     sync.Once
 }
 
 func (p *assignment) Target() *routing.Target { return p.target }
 
-func (p *assignment) Moved() <-chan struct{} { return p.moved }
+func (p *assignment) Redispatched() <-chan struct{} { return p.redispatched }
 
 func (p *assignment) Began(load *planner.Load) {
 	p.dispatcher.mu.Lock()
--- a/pkg/dispatch/dispatcher.go
+++ b/pkg/dispatch/dispatcher.go
@@ -76,17 +76,17 @@
 }
 
 // New returns a dispatcher and registers its datagram handlers.
-func New(parts Dependencies) *Dispatcher {
-	c := parts.Common
+func New(deps Dependencies) *Dispatcher {
+	c := deps.Common
 	d := &Dispatcher{
-		Common: c, view: parts.View, members: parts.Members, link: parts.Link, address: parts.Address, domain: parts.Domain, local: parts.Local,
-		trials:     newTrials(c, parts.Rollouts, parts.Members),
-		advice:     parts.Advice,
+		Common: c, view: deps.View, members: deps.Members, link: deps.Link, address: deps.Address, domain: deps.Domain, local: deps.Local,
+		trials:     newTrials(c, deps.Rollouts, deps.Members),
+		advice:     deps.Advice,
 		lastNumber: c.Random.Fork().Uint64(),
 		waiting:    make(map[uint64]chan decisionMessage), running: make(map[uint64]*assignment), syncsLeft: make(map[ids.Service]int),
 	}
-	link := parts.Link
-	d.owner = newOwner(c, parts, d.deliverDecision)
+	link := deps.Link
+	d.owner = newOwner(c, deps, d.deliverDecision)
 	link.Handle(packets.KindJobSubmit, packets.Receive(link, d.owner.receiveSubmit))
 	link.Handle(packets.KindJobProgress, packets.Receive(link, d.owner.receiveProgress))
 	link.Handle(packets.KindJobSync, packets.Receive(link, d.owner.receiveSync))
@@ -134,7 +134,7 @@
 	decisions, isWaiting := d.waiting[a.Number]
 	p, isRunning := d.running[a.Number]
 	if a.Kind == redispatch && isRunning && !p.begun {
-		p.moveOnce.Do(func() { close(p.moved) })
+		p.moveOnce.Do(func() { close(p.redispatched) })
 	}
 	if isWaiting && a.Kind != redispatch {
 		select {
--- a/pkg/dispatch/incarnations_test.go
+++ b/pkg/dispatch/incarnations_test.go
@@ -78,15 +78,15 @@
 // or last. Over both incarnations the target must never run more requests than it has slots, and must get requests again
 // once all entries have read of the restart.
 func TestTargetRestartUnderLoadStaysWithinSlots(t *testing.T) {
-	for _, homeReads := range []time.Duration{0, 150 * time.Millisecond, 400 * time.Millisecond} {
-		t.Run(homeReads.String(), func(t *testing.T) {
+	for _, ownerReads := range []time.Duration{0, 150 * time.Millisecond, 400 * time.Millisecond} {
+		t.Run(ownerReads.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newCluster(t)
 				for i := range entryCount {
 					b.listFirstTarget(i, formerStart)
 				}
 				owner := b.ownerIndex(-1)
-				for i, wait := range []time.Duration{homeReads, 100 * time.Millisecond, 300 * time.Millisecond} {
+				for i, wait := range []time.Duration{ownerReads, 100 * time.Millisecond, 300 * time.Millisecond} {
 					time.AfterFunc(time.Second+wait, func() { b.listFirstTarget((owner+i)%entryCount, nextStart) })
 				}
 				var all sync.WaitGroup
--- a/pkg/dispatch/owner.go
+++ b/pkg/dispatch/owner.go
@@ -28,15 +28,15 @@
 
 // servicePlanner is the planner of one service's targets with its state at this owner.
 type servicePlanner struct {
-	planner    *planner.Planner
-	directory  *routing.Directory
-	lastHeard  map[string]clock.Millis // by entry address
-	lastLogged clock.Millis
-	trial      *rollout.Trial // of a version; nil without an order
-	plan       rollout.Plan   // the last result of trial.Step
-	rampingUp  bool           // the new version of a completed roll-out does not get all requests yet
-	startedAt  clock.Millis
-	writer     recordWriter
+	planner       *planner.Planner
+	directory     *routing.Directory
+	lastMessageAt map[string]clock.Millis // by entry address
+	lastLogged    clock.Millis
+	trial         *rollout.Trial // of a version; nil without an order
+	plan          rollout.Plan   // the last result of trial.Step
+	rampingUp     bool           // the new version of a completed roll-out does not get all requests yet
+	startedAt     clock.Millis
+	writer        recordWriter
 }
 
 // Owner runs the planners of the services that this entry owns.
@@ -65,10 +65,10 @@
 	loadEstimates sync.Once
 }
 
-func newOwner(c common.Common, parts Dependencies, send func(netip.AddrPort, decisionMessage)) *Owner {
+func newOwner(c common.Common, deps Dependencies, send func(netip.AddrPort, decisionMessage)) *Owner {
 	return &Owner{
-		Common: c, view: parts.View, members: parts.Members, estimates: newEstimateCache(c, parts.Members, parts.Link, parts.Estimates),
-		rollouts: parts.Rollouts, coldBounds: parts.ColdBounds, id: c.Random.Fork().Uint64(), sendMessage: send, sampler: telemetry.NewSampler(c.Clock, c.Log, logLinesPerSecond), planners: make(map[ids.Service]*servicePlanner),
+		Common: c, view: deps.View, members: deps.Members, estimates: newEstimateCache(c, deps.Members, deps.Link, deps.Estimates),
+		rollouts: deps.Rollouts, coldBounds: deps.ColdBounds, id: c.Random.Fork().Uint64(), sendMessage: send, sampler: telemetry.NewSampler(c.Clock, c.Log, logLinesPerSecond), planners: make(map[ids.Service]*servicePlanner),
 	}
 }
 
@@ -81,7 +81,7 @@
 func (h *Owner) plannerForSender(now clock.Millis, service ids.Service, from netip.AddrPort) *servicePlanner {
 	g := h.plannerFor(now, service)
 	if g != nil {
-		g.lastHeard[from.String()] = now
+		g.lastMessageAt[from.String()] = now
 	}
 	return g
 }
@@ -94,7 +94,7 @@
 	}
 	g := h.planners[service]
 	if g == nil {
-		g = &servicePlanner{planner: planner.New(h.Random.Fork()), lastHeard: make(map[string]clock.Millis), startedAt: now}
+		g = &servicePlanner{planner: planner.New(h.Random.Fork()), lastMessageAt: make(map[string]clock.Millis), startedAt: now}
 		g.planner.Disable(h.Ablation)
 		h.planners[service] = g
 		h.updateLimits(now, g, service)
@@ -166,9 +166,9 @@
 			h.Log.WithField("service", string(service)).Info("another entry now plans for a service")
 			continue
 		}
-		for entry, at := range g.lastHeard {
+		for entry, at := range g.lastMessageAt {
 			if now-at > entryTimeout {
-				delete(g.lastHeard, entry)
+				delete(g.lastMessageAt, entry)
 				g.planner.DropEntry(now, entry)
 			}
 		}
--- a/pkg/dispatch/pending.go
+++ b/pkg/dispatch/pending.go
@@ -93,12 +93,12 @@
 
 // register gives a request a new number, by which the owner identifies it.
 func (d *Dispatcher) register(p *pending) {
-	const room = 8 // decisions not read yet
+	const unread = 8 // decisions not read yet
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.lastNumber++
 	p.number = d.lastNumber
-	p.decisions = make(chan decisionMessage, room)
+	p.decisions = make(chan decisionMessage, unread)
 	d.waiting[p.number] = p.decisions
 	d.syncsLeft[p.request.Service] = finalSyncs
 }
--- a/pkg/feedrelay/fetch.go
+++ b/pkg/feedrelay/fetch.go
@@ -65,7 +65,7 @@
 	case a.err != nil:
 		return a.err
 	}
-	s.board.applyRelayed(s.name, after, a.batch, a.requestedAt-*a.batch.Age)
+	s.relay.applyRelayed(s.name, after, a.batch, a.requestedAt-*a.batch.Age)
 	s.recordReturned(a.batch)
 	return nil
 }
@@ -73,7 +73,7 @@
 func (s *Source) changesFromStore(ctx context.Context, after int64) fetchResult {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout.Duration())
 	defer cancel()
-	requestedAt := s.board.Clock.Now()
+	requestedAt := s.relay.Clock.Now()
 	batch, err := s.direct.Changes(ctx, after, 0)
 	return fetchResult{batch: batch, err: err, fromStore: true, requestedAt: requestedAt}
 }
@@ -81,11 +81,11 @@
 // changesFromPeers requests the changes after a version from other entries, in rounds until
 // the time within is over, from when on the store is read too.
 func (s *Source) changesFromPeers(ctx context.Context, after int64, within clock.Millis) fetchResult {
-	end := s.board.Clock.Now() + within
+	end := s.relay.Clock.Now() + within
 	for round := 0; ; round++ {
-		requestedAt := s.board.Clock.Now()
+		requestedAt := s.relay.Clock.Now()
 		batch, err := s.queryPeers(ctx, after, round)
-		if err == nil || ctx.Err() != nil || s.board.Clock.Now() >= end || errors.Is(err, errNoPeer) {
+		if err == nil || ctx.Err() != nil || s.relay.Clock.Now() >= end || errors.Is(err, errNoPeer) {
 			return fetchResult{batch: batch, err: err, requestedAt: requestedAt}
 		}
 		clock.Pause(ctx, s.random.Jitter(roundPause))
--- a/pkg/feedrelay/listen.go
+++ b/pkg/feedrelay/listen.go
@@ -18,14 +18,14 @@
 	newState
 	// missedChange: there was a change whose rows this entry has not received.
 	missedChange
-	// ownTurn: there is no feed state to rely on, and this entry is to read the store.
-	ownTurn
+	// shouldReadStore: there is no feed state to rely on, and this entry is to read the store.
+	shouldReadStore
 )
 
 // listen waits for a newer feed state, until this entry is to read the store itself, or until
 // there has been no feed state to rely on for storeLostAfter.
 func (s *Source) listen(ctx context.Context, after int64) (follow.Batch, listenResult) {
-	b := s.board
+	b := s.relay
 	again := time.NewTicker(minReadPause.Duration())
 	defer again.Stop()
 	for {
@@ -38,7 +38,7 @@
 				return batch, found
 			}
 		} else if s.readDecision(silence, freshnessAge).shouldRead() {
-			return follow.Batch{}, ownTurn
+			return follow.Batch{}, shouldReadStore
 		}
 		if silence > storeLostAfter {
 			return follow.Batch{}, nothingNew
@@ -54,14 +54,14 @@
 
 // readDecision gathers the inputs of the decision whether this entry reads the store itself.
 func (s *Source) readDecision(silence, freshnessAge clock.Millis) readDecision {
-	entries, _ := s.board.members.Entries()
+	entries, _ := s.relay.members.Entries()
 	if s.fallbackAge == 0 {
 		s.fallbackAge = fallbackReadAge + s.random.UpTo(fallbackSpan(entries))
 	}
-	rank, aliveRank := s.board.members.FeedReaderRank(feedShard)
+	rank, aliveRank := s.relay.members.FeedReaderRank(feedShard)
 	return readDecision{
 		rank: rank, aliveRank: aliveRank, entries: entries,
-		unreliableFor: silence, sinceRead: s.board.Clock.Now() - s.readAt, answeredLast: s.answeredLast, freshnessAge: freshnessAge, fallbackAge: s.fallbackAge,
+		unreliableFor: silence, sinceRead: s.relay.Clock.Now() - s.readAt, answeredLast: s.answeredLast, freshnessAge: freshnessAge, fallbackAge: s.fallbackAge,
 	}
 }
 
--- a/pkg/feedrelay/peer_conn.go
+++ b/pkg/feedrelay/peer_conn.go
@@ -59,7 +59,7 @@
 
 // requestChanges requests the changes after a version from a peer.
 func (s *Source) requestChanges(ctx context.Context, peer netip.AddrPort, after int64) (follow.Batch, error) {
-	c, err := s.board.dial(ctx, peer)
+	c, err := s.relay.dial(ctx, peer)
 	if err != nil {
 		return follow.Batch{}, err
 	}
@@ -77,7 +77,7 @@
 // requestSnapshot requests a snapshot from a peer: first whether the peer has one, which it
 // answers at once, then the rows, which may take long.
 func (s *Source) requestSnapshot(ctx context.Context, peer netip.AddrPort, atLeast int64) (follow.Batch, error) {
-	c, err := s.board.dial(ctx, peer)
+	c, err := s.relay.dial(ctx, peer)
 	if err != nil {
 		return follow.Batch{}, err
 	}
--- a/pkg/feedrelay/peer_server.go
+++ b/pkg/feedrelay/peer_server.go
@@ -12,7 +12,7 @@
 )
 
 // peerServer answers the feed queries of peers. Its method names go over the wire.
-type peerServer struct{ board *Relay }
+type peerServer struct{ relay *Relay }
 
 // Changes returns the changes after a version, if this entry holds all of them.
 func (s *peerServer) Changes(q *FeedQuery, state *FeedState) error {
@@ -32,12 +32,12 @@
 }
 
 func (s *peerServer) answer(q *FeedQuery, state *FeedState, read func(*table) (follow.Batch, bool)) error {
-	now := s.board.Clock.Now()
-	s.board.mu.Lock()
-	t := s.board.table(q.Table)
+	now := s.relay.Clock.Now()
+	s.relay.mu.Lock()
+	t := s.relay.table(q.Table)
 	batch, known := read(t)
 	*state = FeedState{Known: known, Version: batch.Version, StoreTime: batch.StoreTime, Age: now - t.currentAt}
-	s.board.mu.Unlock()
+	s.relay.mu.Unlock()
 	packed, err := pack(batch.Rows)
 	state.Rows = packed
 	return err
--- a/pkg/feedrelay/peers.go
+++ b/pkg/feedrelay/peers.go
@@ -91,7 +91,7 @@
 		case a := <-answers:
 			ended++
 			if a.err == nil {
-				s.board.Metrics.Links.Add("news_from_peers", 1)
+				s.relay.Metrics.Links.Add("news_from_peers", 1)
 				return a.batch, nil
 			}
 			failed = a.err
@@ -118,7 +118,7 @@
 // queries the sender of the last message; the others query that one only from the second round
 // on.
 func (s *Source) candidatePeers(round int) []netip.AddrPort {
-	b := s.board
+	b := s.relay
 	if b.Ablation.Off(ablation.PeerNews) {
 		return nil
 	}
--- a/pkg/feedrelay/read_decision_test.go
+++ b/pkg/feedrelay/read_decision_test.go
@@ -44,7 +44,7 @@
 		for now := clock.Millis(0); now < length; now += 50 {
 			for i := range entries {
 				fallbackAge := fallbackReadAge + fallbackSpan(entries)*clock.Millis(i)/clock.Millis(entries)
-				decision := readDecision{rank: max(1, i), aliveRank: i, entries: entries, unreliableFor: now, sinceRead: now - last[i] + neverAsked(last[i]), freshnessAge: now, fallbackAge: fallbackAge}
+				decision := readDecision{rank: max(1, i), aliveRank: i, entries: entries, unreliableFor: now, sinceRead: now - last[i] + sinceFirstRead(last[i]), freshnessAge: now, fallbackAge: fallbackAge}
 				if decision.shouldRead() {
 					reads++
 					last[i] = now
@@ -57,8 +57,8 @@
 	}
 }
 
-// neverAsked returns a long time since the last read if an entry has not read yet, otherwise 0.
-func neverAsked(last clock.Millis) clock.Millis {
+// sinceFirstRead returns a long time since the last read if an entry has not read yet, otherwise 0.
+func sinceFirstRead(last clock.Millis) clock.Millis {
 	if last == 0 {
 		return clock.Minute
 	}
--- a/pkg/feedrelay/snapshot.go
+++ b/pkg/feedrelay/snapshot.go
@@ -13,15 +13,15 @@
 // Snapshot reads all rows of the table: the feed reader from the store, the others from their own
 // replica or from a peer that has all rows, and otherwise from the store.
 func (s *Source) Snapshot(ctx context.Context) (follow.Batch, error) {
-	rank, _ := s.board.members.FeedReaderRank(feedShard)
-	_, domainOwner := s.board.members.DomainOwner(feedShard)
-	reads := rank == 0 || s.board.Ablation.Off(ablation.OneReader)
+	rank, _ := s.relay.members.FeedReaderRank(feedShard)
+	_, domainOwner := s.relay.members.DomainOwner(feedShard)
+	reads := rank == 0 || s.relay.Ablation.Off(ablation.OneReader)
 	if !reads && !s.trimmed {
 		if batch, has := s.ownSnapshot(); has {
 			return batch, nil
 		}
 	}
-	_, listed := s.board.members.Entries()
+	_, listed := s.relay.members.Entries()
 	if !reads && (rank >= initialReaders && !domainOwner || s.trimmed || !listed) {
 		peersTime := peersFirstTime
 		if !listed {
@@ -40,7 +40,7 @@
 // storeDelay returns a random delay before this entry reads from the store what no peer has sent. All
 // entries need it at the same moment, and the first one that has it spares the others the read.
 func (s *Source) storeDelay() clock.Millis {
-	entries, _ := s.board.members.Entries()
+	entries, _ := s.relay.members.Entries()
 	return s.random.UpTo(min(maxSpread, clock.Millis(entries)*readSpacing))
 }
 
@@ -56,7 +56,7 @@
 	storeFailed := make(chan struct{})
 	atLeast := s.version
 	go func() {
-		requestedAt := s.board.Clock.Now()
+		requestedAt := s.relay.Clock.Now()
 		batch, err := s.direct.Snapshot(ctx)
 		if err != nil {
 			close(storeFailed)
@@ -87,16 +87,16 @@
 	if a.fromStore {
 		s.readAt = a.requestedAt
 		s.answeredLast = a.err == nil
-		s.board.recordStoreReply(s.answeredLast)
+		s.relay.recordStoreReply(s.answeredLast)
 	}
 	switch {
 	case a.err != nil:
 		return a.err
 	case a.fromStore:
-		s.board.publishSnapshot(s.name, a.batch)
+		s.relay.publishSnapshot(s.name, a.batch)
 	default:
-		s.board.Metrics.Links.Add("tables_from_peers", 1)
-		s.board.applyRelayedSnapshot(s.name, a.batch, a.requestedAt-*a.batch.Age)
+		s.relay.Metrics.Links.Add("tables_from_peers", 1)
+		s.relay.applyRelayedSnapshot(s.name, a.batch, a.requestedAt-*a.batch.Age)
 	}
 	s.recordReturned(a.batch)
 	return nil
@@ -105,9 +105,9 @@
 // ownSnapshot returns all rows from this entry's replica, if it has them at a version that is not
 // older than what was returned before.
 func (s *Source) ownSnapshot() (follow.Batch, bool) {
-	s.board.mu.Lock()
-	defer s.board.mu.Unlock()
-	batch, has := s.board.table(s.name).replica.snapshot()
+	s.relay.mu.Lock()
+	defer s.relay.mu.Unlock()
+	batch, has := s.relay.table(s.name).replica.snapshot()
 	return batch, has && batch.Version >= s.version
 }
 
@@ -117,7 +117,7 @@
 	for round := 0; ; round++ {
 		failed := errNoPeer
 		for _, peer := range s.candidatePeers(round) {
-			requestedAt := s.board.Clock.Now()
+			requestedAt := s.relay.Clock.Now()
 			batch, err := s.requestSnapshot(ctx, peer, atLeast)
 			if err == nil {
 				return fetchResult{batch: batch, requestedAt: requestedAt}
@@ -147,7 +147,7 @@
 	default:
 		return false
 	}
-	_, aliveRank := s.board.members.FeedReaderRank(feedShard)
-	_, domainOwner := s.board.members.DomainOwner(feedShard)
+	_, aliveRank := s.relay.members.FeedReaderRank(feedShard)
+	_, domainOwner := s.relay.members.DomainOwner(feedShard)
 	return aliveRank < initialReaders || domainOwner
 }
--- a/pkg/feedrelay/source.go
+++ b/pkg/feedrelay/source.go
@@ -14,7 +14,7 @@
 // Source reads one table through the relay: from the store if this entry is the feed reader,
 // otherwise from relayed feed states. It is for one follower.
 type Source struct {
-	board  *Relay
+	relay  *Relay
 	name   string
 	direct follow.Source
 	// random is for this table alone: with a shared source, followers that start together would
@@ -63,15 +63,15 @@
 
 // Source returns a source of a table that relays what direct reads from the store.
 func (b *Relay) Source(name string, direct follow.Source) *Source {
-	return &Source{board: b, name: name, direct: direct, random: random.NewSource(b.Random.Fork().Uint64())}
+	return &Source{relay: b, name: name, direct: direct, random: random.NewSource(b.Random.Fork().Uint64())}
 }
 
 // Recovered returns a channel that is closed when the store answers a query for any table after
 // one has failed.
 func (s *Source) Recovered() <-chan struct{} {
-	s.board.mu.Lock()
-	defer s.board.mu.Unlock()
-	return s.board.recovered
+	s.relay.mu.Lock()
+	defer s.relay.mu.Unlock()
+	return s.relay.recovered
 }
 
 func (s *Source) recordReturned(batch follow.Batch) {
@@ -83,7 +83,7 @@
 
 // Changes returns the changes after a version, received from others or read from the store.
 func (s *Source) Changes(ctx context.Context, after int64, wait clock.Millis) (follow.Batch, error) {
-	if s.board.isFeedReader() {
+	if s.relay.isFeedReader() {
 		return s.readStore(ctx, after, min(wait, MaxStoreWait))
 	}
 	batch, found := s.listen(ctx, after)
@@ -93,7 +93,7 @@
 		return batch, nil
 	case missedChange:
 		return s.fetch(ctx, after)
-	case ownTurn:
+	case shouldReadStore:
 		return s.readStore(ctx, after, min(wait, MaxStoreWait))
 	default:
 		return follow.Batch{}, errNoFeedState
@@ -102,11 +102,11 @@
 
 // applyReceived applies a batch from the feed state that was last received.
 func (s *Source) applyReceived(after int64, batch follow.Batch) {
-	s.board.mu.Lock()
-	t := s.board.table(s.name)
+	s.relay.mu.Lock()
+	t := s.relay.table(s.name)
 	currentAt := t.receivedAt - t.received.Age
-	s.board.mu.Unlock()
-	s.board.applyRelayed(s.name, after, batch, currentAt)
+	s.relay.mu.Unlock()
+	s.relay.applyRelayed(s.name, after, batch, currentAt)
 	s.recordReturned(batch)
 }
 
@@ -119,8 +119,8 @@
 		defer cancel()
 		ctx, wait = limited, 0
 	}
-	clock.Pause(ctx, s.readAt+minReadPause-s.board.Clock.Now())
-	s.readAt = s.board.Clock.Now()
+	clock.Pause(ctx, s.readAt+minReadPause-s.relay.Clock.Now())
+	s.readAt = s.relay.Clock.Now()
 	batch, err := s.direct.Changes(ctx, after, limitHold(ctx, wait))
 	return batch, s.storeAnswered(after, batch, err)
 }
@@ -129,11 +129,11 @@
 func (s *Source) storeAnswered(after int64, batch follow.Batch, err error) error {
 	s.trimmed = errors.Is(err, follow.ErrTrimmed)
 	s.answeredLast = err == nil || s.trimmed
-	s.board.recordStoreReply(s.answeredLast)
+	s.relay.recordStoreReply(s.answeredLast)
 	if err != nil {
 		return fmt.Errorf("reading changes from the store: %w", err)
 	}
-	s.board.publish(s.name, after, batch)
+	s.relay.publish(s.name, after, batch)
 	s.recordReturned(batch)
 	return nil
 }
--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -15,7 +15,7 @@
 	QueueTime clock.Millis
 	// QueueMin is the work that may always wait, also before a drain rate is measured.
 	QueueMin ids.Tokens
-	// GrantLife is the time within which a grant must be used.
+	// GrantLifetime is the time within which a grant must be used.
 	GrantLifetime clock.Millis
 	// FloorHold is how long lower tiers are refused after a tier was refused.
 	FloorHold clock.Millis
--- a/pkg/gate/queue.go
+++ b/pkg/gate/queue.go
@@ -170,14 +170,14 @@
 		if len(t.accounts) == 0 {
 			continue
 		}
-		most := t.accounts[0]
+		mostServed := t.accounts[0]
 		for _, l := range t.accounts {
-			if most.served < l.served {
-				most = l
+			if mostServed.served < l.served {
+				mostServed = l
 			}
 		}
-		last := most.tickets[0]
-		for _, w := range most.tickets {
+		last := mostServed.tickets[0]
+		for _, w := range mostServed.tickets {
 			if last.deadline < w.deadline {
 				last = w
 			}
--- a/pkg/ids/target_incarnation_test.go
+++ b/pkg/ids/target_incarnation_test.go
@@ -14,7 +14,7 @@
 	// Output: false
 }
 
-func TestLifeSame(t *testing.T) {
+func TestTargetIncarnationSame(t *testing.T) {
 	scenarios := []struct {
 		name string
 		a, b ids.TargetIncarnation
--- a/pkg/ingress/broken_off.go
+++ b/pkg/ingress/broken_off.go
@@ -52,9 +52,9 @@
 		return EnderDeadline
 	case cause == CauseLeaving:
 		return EnderEntry
-	case errors.Is(r.lostBy, forward.ErrReplaced):
+	case errors.Is(r.lostErr, forward.ErrReplaced):
 		return EnderNewStart
-	case errors.Is(r.lostBy, errGivenUp):
+	case errors.Is(r.lostErr, errGivenUp):
 		return EnderGivenUp
 	default:
 		return EnderTarget
@@ -75,8 +75,8 @@
 	fields["silence_ms"] = int64(now - q.eventAt)
 	fields["left_ms"] = int64(q.deadline - now)
 	entry := c.Log.WithFields(fields)
-	if q.lostBy != nil {
-		entry = entry.WithError(q.lostBy)
+	if q.lostErr != nil {
+		entry = entry.WithError(q.lostErr)
 	}
 	entry.Info("an answer that had begun was broken off")
 }
--- a/pkg/ingress/caller_conns.go
+++ b/pkg/ingress/caller_conns.go
@@ -32,9 +32,9 @@
 	idle     *list.Element // nil unless the connection is idle
 }
 
-func newCallerConns(c common.Common, shares descriptors.Limits) *callerConns {
+func newCallerConns(c common.Common, limits descriptors.Limits) *callerConns {
 	return &callerConns{
-		Common: c, freed: make(chan struct{}, 1), limiter: descriptors.NewLimiter(shares),
+		Common: c, freed: make(chan struct{}, 1), limiter: descriptors.NewLimiter(limits),
 		open: make(map[net.Conn]*callerConn), idle: list.New(),
 	}
 }
--- a/pkg/ingress/delivery.go
+++ b/pkg/ingress/delivery.go
@@ -129,7 +129,7 @@
 			}
 		case lost:
 			q.sent++
-			q.lostBy = result.err
+			q.lostErr = result.err
 			if ctx.Err() != nil || result.final || !result.retryTaken && (!d.repeatable(q, out) || !d.takeRetry(q)) {
 				return d.finalRefusal(ctx, q, &Refusal{Status: http.StatusBadGateway, Cause: CauseLost, Err: result.err})
 			}
--- a/pkg/ingress/first_tries.go
+++ b/pkg/ingress/first_tries.go
@@ -19,7 +19,7 @@
 	return &firstTries{routes: make(map[string]*longestDeadline)}
 }
 
-// longestWait is the longest deadline seen on a route, and how common it is.
+// longestDeadline is the longest deadline seen on a route, and how common it is.
 type longestDeadline struct {
 	deadline    clock.Millis
 	seen, total float64 // decayed counts of requests with that deadline, and of all requests
--- a/pkg/ingress/request.go
+++ b/pkg/ingress/request.go
@@ -34,8 +34,8 @@
 	hasEvent    bool
 
 	trail []trailEntry
-	// lostBy is the error of the latest exchange that may have run.
-	lostBy error
+	// lostErr is the error of the latest exchange that may have run.
+	lostErr error
 	// digest identifies what is requested; it is computed once a target breaks off.
 	digest quarantine.Digest
 	// ended lists the targets whose processes ended while they ran the request.
--- a/pkg/ingress/search.go
+++ b/pkg/ingress/search.go
@@ -211,7 +211,7 @@
 // followOwner ends an attempt once the owner of the service reports that its target gives no response, if the first target
 // is gone. While the first target may still respond, maxOverlap is the limit.
 func (s *search) followOwner(assignment schedule.Assignment, opened <-chan struct{}, end context.CancelCauseFunc) {
-	redispatched := assignment.Moved()
+	redispatched := assignment.Redispatched()
 	if redispatched == nil {
 		return
 	}
--- a/pkg/ingress/server.go
+++ b/pkg/ingress/server.go
@@ -56,9 +56,9 @@
 }
 
 // NewServer returns a server that does not accept connections yet.
-func NewServer(c common.Common, handlers Handlers, shares descriptors.Limits) *Server {
+func NewServer(c common.Common, handlers Handlers, limits descriptors.Limits) *Server {
 	return &Server{
-		Common: c, handlers: handlers, conns: newCallerConns(c, shares), log: newServerLog(c),
+		Common: c, handlers: handlers, conns: newCallerConns(c, limits), log: newServerLog(c),
 		accepted: make(chan net.Conn), rejected: make(chan net.Conn), closed: make(chan struct{}),
 	}
 }
--- a/pkg/ingress/testbed_test.go
+++ b/pkg/ingress/testbed_test.go
@@ -43,15 +43,15 @@
 }
 
 func (testCodec) TargetHeaders(h http.Header, to ingress.TargetCall) http.Header {
-	onward := h.Clone()
-	onward.Del("Key")
-	onward.Set("Account", string(to.Account))
-	onward.Set("Target", string(to.Target))
-	onward.Set("Left", strconv.Itoa(int(to.Remaining)))
+	forwarded := h.Clone()
+	forwarded.Del("Key")
+	forwarded.Set("Account", string(to.Account))
+	forwarded.Set("Target", string(to.Target))
+	forwarded.Set("Left", strconv.Itoa(int(to.Remaining)))
 	if to.LastEvent != "" {
-		onward.Set("Last", to.LastEvent)
+		forwarded.Set("Last", to.LastEvent)
 	}
-	return onward
+	return forwarded
 }
 
 func (testCodec) AnswerMetadata(h http.Header) forward.AnswerMetadata {
@@ -154,7 +154,7 @@
 
 func (p *orderedAssignment) Target() *routing.Target { return p.t }
 func (p *orderedAssignment) Began(*planner.Load)     {}
-func (p *orderedAssignment) Moved() <-chan struct{} {
+func (p *orderedAssignment) Redispatched() <-chan struct{} {
 	if p.t.ID == p.s.redispatched {
 		moved := make(chan struct{})
 		time.AfterFunc(300*time.Millisecond, func() { close(moved) })
--- a/pkg/ingress/watch.go
+++ b/pkg/ingress/watch.go
@@ -84,7 +84,7 @@
 	w := d.newWatch(ctx, exchangeCtx, end, q, assignment)
 	w.began.sends++
 	w.began.tried = append(w.began.tried, assignment.Target().Incarnation())
-	if redispatched := assignment.Moved(); redispatched != nil {
+	if redispatched := assignment.Redispatched(); redispatched != nil {
 		go w.followOwner(redispatched)
 	}
 	return w
--- a/pkg/membership/heartbeats.go
+++ b/pkg/membership/heartbeats.go
@@ -48,9 +48,9 @@
 	for ctx.Err() == nil {
 		m.sendHeartbeats()
 		interval := m.interval()
-		least := min(interval, minHeartbeatGap*interval/heartbeatInterval)
-		clock.Pause(ctx, least)
-		m.await(ctx, interval-least)
+		minPause := min(interval, minHeartbeatGap*interval/heartbeatInterval)
+		clock.Pause(ctx, minPause)
+		m.await(ctx, interval-minPause)
 	}
 }
 
@@ -92,7 +92,7 @@
 	m.mu.Lock()
 	now := m.Clock.Now()
 	m.refresh(now)
-	if m.isJoining() || m.isolated(now) {
+	if m.awaitsListing() || m.isolated(now) {
 		m.mu.Unlock()
 		return
 	}
@@ -175,7 +175,7 @@
 		// owner which still counts on it must not count in the agreement of the next owner before that.
 		m.requestHeartbeat()
 	}
-	if answer && !m.isJoining() {
+	if answer && !m.awaitsListing() {
 		m.link.Send(from, packets.KindHeartbeat, m.heartbeatTo(now, other))
 	}
 }
--- a/pkg/membership/joining.go
+++ b/pkg/membership/joining.go
@@ -27,10 +27,10 @@
 	}
 }
 
-// countedByMost reports whether most other entries have this one on their lists: entries send heartbeats to those on
+// countedByMajority reports whether most other entries have this one on their lists: entries send heartbeats to those on
 // their list. Entries that cannot read the store do not learn of one that joins, and keep dividing the whole among
 // themselves; an entry that joined beside three of these took a quarter on top. The lock is held.
-func (m *Members) countedByMost() bool {
+func (m *Members) countedByMajority() bool {
 	if m.joining.counted {
 		return true
 	}
--- a/pkg/membership/lease.go
+++ b/pkg/membership/lease.go
@@ -9,7 +9,7 @@
 	"quaydock/pkg/packets"
 )
 
-// An entry that gets no news from the store may go on spending its share as long as nobody divides that share among
+// An entry that gets no reply from the store may go on spending its share as long as nobody divides that share among
 // the others. It knows this by a lease that the others renew: each heartbeat carries a timestamp, and each entry
 // acknowledges to the others the last timestamp that it received from them. While more than half of the listed
 // entries have received a heartbeat of this one within leaseDuration, it cannot be taken off the list: for that, half
@@ -132,12 +132,12 @@
 		return 1, 1
 	}
 	answered, agreed = 1, 1
-	for other, silent := range i.answers {
+	for other, silence := range i.answers {
 		if m.list[other] == nil {
 			continue
 		}
 		answered++
-		if silent > ForgetAfter {
+		if silence > ForgetAfter {
 			agreed++
 		}
 	}
--- a/pkg/membership/lease_test.go
+++ b/pkg/membership/lease_test.go
@@ -33,7 +33,7 @@
 	return -1
 }
 
-// TestHoldsLeaseUnderPartitions partitions the network for longer than ForgetAfter, without news from the store.
+// TestHoldsLeaseUnderPartitions partitions the network for longer than ForgetAfter, without replies from the store.
 func TestHoldsLeaseUnderPartitions(t *testing.T) {
 	scenarios := []struct {
 		name       string
--- a/pkg/membership/listing.go
+++ b/pkg/membership/listing.go
@@ -87,11 +87,11 @@
 	}
 	var names []ids.Process
 	for name, other := range m.list {
-		silent := now - max(other.lastHeartbeatAt, other.listedAt)
+		silence := now - max(other.lastHeartbeatAt, other.listedAt)
 		switch {
-		case name == m.self || silent <= ForgetAfter:
+		case name == m.self || silence <= ForgetAfter:
 			delete(m.silenceQueries, name)
-		case m.mayRemove(now, name, silent):
+		case m.mayRemove(now, name, silence):
 			names = append(names, name)
 		}
 	}
@@ -102,13 +102,13 @@
 // grace it has stopped by itself by now, wherever it is, and may be removed at once. Otherwise half of all entries
 // must confirm the missing heartbeats, or, if too few are left to ask, the time must exceed any grace granted by the
 // others. The lock is held.
-func (m *Members) mayRemove(now clock.Millis, name ids.Process, silent clock.Millis) bool {
+func (m *Members) mayRemove(now clock.Millis, name ids.Process, silence clock.Millis) bool {
 	if m.grace == 0 {
 		return true
 	}
 	answered, agreed := m.countSilence(now, name)
 	half := m.entryCount() - m.entryCount()/2
-	if agreed >= half || answered < half && silent > m.grace+ForgetAfter {
+	if agreed >= half || answered < half && silence > m.grace+ForgetAfter {
 		return true
 	}
 	m.sendSilenceQueries(now, name)
--- a/pkg/membership/members.go
+++ b/pkg/membership/members.go
@@ -175,7 +175,7 @@
 // already divided the whole among themselves. In a simulation four entries that started while the store was
 // unreachable each took itself for the only one, and together gave out 1.7 times an account's limit in a window. The
 // lock is held.
-func (m *Members) hasShare() bool { return m.list[m.self] != nil && m.countedByMost() }
+func (m *Members) hasShare() bool { return m.list[m.self] != nil && m.countedByMajority() }
 
 // entryCount returns the number of listed entries, plus one if this entry is not listed.
 func (m *Members) entryCount() int {
--- a/pkg/membership/owners.go
+++ b/pkg/membership/owners.go
@@ -110,7 +110,7 @@
 	defer m.mu.Unlock()
 	m.refresh(m.Clock.Now())
 	peers := m.domainPeers()
-	if m.isJoining() {
+	if m.awaitsListing() {
 		peers = m.withoutSelf(peers)
 	}
 	if len(peers) == 0 {
@@ -119,9 +119,9 @@
 	return m.addressOf(m.topRanked(shard, peers))
 }
 
-// isJoining reports whether other entries are alive and this one is not listed yet. The others have, or are getting,
+// awaitsListing reports whether other entries are alive and this one is not listed yet. The others have, or are getting,
 // what all entries need, and this one fetches it from them. The lock is held.
-func (m *Members) isJoining() bool { return m.list[m.self] == nil && len(m.alive) > 1 }
+func (m *Members) awaitsListing() bool { return m.list[m.self] == nil && len(m.alive) > 1 }
 
 func (m *Members) withoutSelf(among []ids.Process) []ids.Process {
 	return slices.DeleteFunc(slices.Clone(among), func(name ids.Process) bool { return name == m.self })
@@ -187,7 +187,7 @@
 	eligible, alive := m.feedReaders(m.Clock.Now())
 	own := m.score(m.self, shard)
 	before := func(name ids.Process) bool {
-		if m.isJoining() {
+		if m.awaitsListing() {
 			return true
 		}
 		score := m.score(name, shard)
@@ -215,7 +215,7 @@
 			eligible = append(eligible, name)
 		}
 	}
-	if m.isJoining() {
+	if m.awaitsListing() {
 		eligible = m.withoutSelf(eligible)
 	}
 	if len(eligible) == 0 {
--- a/pkg/membership/probes.go
+++ b/pkg/membership/probes.go
@@ -97,7 +97,7 @@
 func (m *Members) tickProbes(late clock.Millis) {
 	m.mu.Lock()
 	now := m.Clock.Now()
-	m.probes.enabled = m.scaledInterval() > heartbeatInterval && !m.isJoining()
+	m.probes.enabled = m.scaledInterval() > heartbeatInterval && !m.awaitsListing()
 	if !m.probes.enabled {
 		clear(m.probes.open)
 		m.mu.Unlock()
@@ -200,7 +200,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	other := m.list[q.Name]
-	if other == nil || other.address != from || m.isJoining() {
+	if other == nil || other.address != from || m.awaitsListing() {
 		return
 	}
 	now := m.Clock.Now()
--- a/pkg/membership/rank.go
+++ b/pkg/membership/rank.go
@@ -10,10 +10,10 @@
 
 // topRanked returns the entry with the highest score for a shard. The lock is held.
 func (m *Members) topRanked(shard string, among []ids.Process) ids.Process {
-	best, most := among[0], math.Inf(-1)
+	best, highest := among[0], math.Inf(-1)
 	for _, name := range among {
-		if score := m.score(name, shard); score >= most {
-			best, most = name, score
+		if score := m.score(name, shard); score >= highest {
+			best, highest = name, score
 		}
 	}
 	return best
--- a/pkg/metering/meter.go
+++ b/pkg/metering/meter.go
@@ -81,8 +81,8 @@
 	Number  uint64
 	Account ids.Account
 	Units   float64
-	// Keep is the fraction of the account's burst that is left to other requests.
-	Keep float64
+	// Reserve is the fraction of the account's burst that is left to other requests.
+	Reserve float64
 	// Used is what the account has used at this entry in the last window.
 	Used float64
 	// Incarnation distinguishes the sender's process from earlier ones at its address.
@@ -192,30 +192,30 @@
 	return m.bounds.Over*(account.PerSecond*window+account.Burst) + m.bounds.Slack, window
 }
 
-// Take counts units against an account's allowance. If they may not run, it returns when to come back. keep is the
+// Take counts units against an account's allowance. If they may not run, it returns when to come back. reserve is the
 // fraction of the account's burst that is left to others.
-func (m *Meter) Take(ctx context.Context, account *routing.Account, units, keep float64) (bool, clock.Millis) {
+func (m *Meter) Take(ctx context.Context, account *routing.Account, units, reserve float64) (bool, clock.Millis) {
 	if account.PerSecond <= 0 {
 		return true, 0
 	}
-	taken, wait := m.take(ctx, account, units, keep)
+	taken, wait := m.take(ctx, account, units, reserve)
 	if taken {
 		m.usage.Add(m.Clock.Now(), account.Name, m.window(), units)
 	}
 	return taken, wait
 }
 
-func (m *Meter) take(ctx context.Context, account *routing.Account, units, keep float64) (bool, clock.Millis) {
+func (m *Meter) take(ctx context.Context, account *routing.Account, units, reserve float64) (bool, clock.Millis) {
 	if m.Ablation.Off(ablation.QuotaHomes) {
 		return m.takeLocally(account, units)
 	}
 	owner, self := m.members.Owner(shardOf(account.Name))
 	used := m.usage.Sum(m.Clock.Now(), account.Name, m.window())
 	if self {
-		return m.takeAsOwner(netip.AddrPort{}, account, claim{Units: units, Keep: keep, Used: used, Incarnation: m.incarnation})
+		return m.takeAsOwner(netip.AddrPort{}, account, claim{Units: units, Reserve: reserve, Used: used, Incarnation: m.incarnation})
 	}
 	incarnations := m.reports.incarnationsAt(m.Clock.Now(), account.Name, owner, m.window())
-	request := claim{Account: account.Name, Units: units, Keep: keep, Used: used, Incarnation: m.incarnation, Incarnations: incarnations}
+	request := claim{Account: account.Name, Units: units, Reserve: reserve, Used: used, Incarnation: m.incarnation, Incarnations: incarnations}
 	if answer, answered := m.sendClaim(ctx, owner, request); answered {
 		m.recordOwnerReply()
 		m.reports.set(account.Name, reporter{owner, answer.Incarnation}, report{used: answer.Used, at: m.Clock.Now()})
--- a/pkg/metering/owner.go
+++ b/pkg/metering/owner.go
@@ -38,7 +38,7 @@
 	if excess >= 0 {
 		return false, clock.Millis(math.Ceil((excess + c.Units/2) / adjusted.PerSecond * float64(clock.Second)))
 	}
-	taken, wait := m.ownerAllowance.Take(now, &adjusted, quota.Spending{Share: agreement, Units: c.Units, Reserve: c.Keep, Debt: maxDebt(agreement, margin)})
+	taken, wait := m.ownerAllowance.Take(now, &adjusted, quota.Spending{Share: agreement, Units: c.Units, Reserve: c.Reserve, Debt: maxDebt(agreement, margin)})
 	if taken {
 		m.reports.set(account.Name, reporter{from, c.Incarnation}, report{used: c.Used + c.Units, at: now})
 	}
--- a/pkg/planner/advice.go
+++ b/pkg/planner/advice.go
@@ -47,9 +47,9 @@
 // the entry's jobs go there one at a time until one was served, so that a target that rejected all requests is not
 // filled again at once.
 func (t *target) admits(now clock.Millis, entry string) bool {
-	until, asked := t.backoffs[entry]
+	until, requested := t.backoffs[entry]
 	switch {
-	case !asked:
+	case !requested:
 		return true
 	case now < until:
 		return false
@@ -107,11 +107,11 @@
 }
 
 // backoffKept is how long a back-off is kept after its end, so that only one job is sent at first.
-const backoffKept = 10 * clock.Second
+const backoffRetention = 10 * clock.Second
 
 // pruneBackoffs removes all back-offs once the last has ended long ago.
 func (p *Planner) pruneBackoffs(now clock.Millis) {
-	if p.backoffUntil == 0 || now < p.backoffUntil+backoffKept {
+	if p.backoffUntil == 0 || now < p.backoffUntil+backoffRetention {
 		return
 	}
 	p.backoffUntil = 0
--- a/pkg/planner/place.go
+++ b/pkg/planner/place.go
@@ -53,7 +53,7 @@
 		p.grant(now, w, t)
 		p.countGrant(now, w)
 		p.trial.addCredit(w.Route)
-		c.available = slices.DeleteFunc(c.available, func(t *target) bool { return !p.hasRoom(now, t, c.spareFailing) })
+		c.available = slices.DeleteFunc(c.available, func(t *target) bool { return !p.hasFreeSlot(now, t, c.avoidFailing) })
 	}
 	clear(p.queue.jobs[len(remaining):])
 	p.queue.jobs = remaining
@@ -75,9 +75,9 @@
 	return r
 }
 
-// hasRoom reports whether a target can take a job now, also by its rate limits.
-func (p *Planner) hasRoom(now clock.Millis, t *target, spareFailing bool) bool {
-	return t.hasRoom(now, spareFailing) && p.withinColdRate(now, t) && p.withinLimit(now, t)
+// hasFreeSlot reports whether a target can take a job now, also by its rate limits.
+func (p *Planner) hasFreeSlot(now clock.Millis, t *target, avoidFailing bool) bool {
+	return t.hasFreeSlot(now, avoidFailing) && p.withinColdRate(now, t) && p.withinLimit(now, t)
 }
 
 // heldBack reports whether a job must wait because one that goes before it was refused recently.
@@ -95,7 +95,7 @@
 // candidates is the state of the targets in one round of placement.
 type candidates struct {
 	available    []*target // targets that can take a job
-	spareFailing bool      // enough targets are healthy to spare the failing ones
+	avoidFailing bool      // enough targets are healthy to avoid the failing ones
 	// lowestFactor is the lowest factor of any target that is not ejected; valid if known is set.
 	lowestFactor float64
 	known        bool
@@ -103,14 +103,14 @@
 
 // findCandidates examines all targets. Those ejected are left out while enough others are healthy.
 func (p *Planner) findCandidates(now clock.Millis) candidates {
-	c := candidates{spareFailing: p.halfHealthy(now), lowestFactor: factorMax}
+	c := candidates{avoidFailing: p.halfHealthy(now), lowestFactor: factorMax}
 	for _, t := range p.eligible {
 		ejected := t.health.Ejected(now)
 		if !ejected {
 			c.lowestFactor = min(c.lowestFactor, t.factor.get())
 			c.known = true
 		}
-		if p.hasRoom(now, t, c.spareFailing) && (!c.spareFailing || !ejected) {
+		if p.hasFreeSlot(now, t, c.avoidFailing) && (!c.avoidFailing || !ejected) {
 			c.available = append(c.available, t)
 		}
 	}
@@ -121,15 +121,15 @@
 func (p *Planner) cheapest(now clock.Millis, c *candidates, w *queuedJob) *target {
 	inTimeOnly := c.known && !p.off.Off(ablation.InTime) && p.wouldBeInTime(now, w, c.lowestFactor, 0, 1)
 	var best *target
-	var least float64
+	var minCost float64
 	for _, t := range c.available {
 		if slices.Contains(w.Exclude, t.Incarnation()) || !t.admits(now, w.ID.Entry) || inTimeOnly && (!p.wouldBeInTime(now, w, t.factor.get(), t.pendingPrompt, len(t.runs)+1) || p.stallsStreams(t, w)) {
 			continue
 		}
 		// Random jitter spreads jobs over targets of equal cost.
 		cost := p.cost(now, t, &w.Job) * (1 + jitter*p.random.Float64())
-		if best == nil || cost < least {
-			best, least = t, cost
+		if best == nil || cost < minCost {
+			best, minCost = t, cost
 		}
 	}
 	return best
@@ -198,12 +198,12 @@
 
 // minFirstEventTime estimates the time to a job's first event on the fastest target.
 func (p *Planner) minFirstEventTime(job *Job) clock.Millis {
-	least := float64(factorMax)
+	minFactor := float64(factorMax)
 	if len(p.eligible) == 0 {
-		least = 1
+		minFactor = 1
 	}
 	for _, t := range p.eligible {
-		least = min(least, t.factor.get())
+		minFactor = min(minFactor, t.factor.get())
 	}
-	return clock.Millis(least * p.timings.firstEventTime(job.Prompt))
+	return clock.Millis(minFactor * p.timings.firstEventTime(job.Prompt))
 }
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -120,8 +120,8 @@
 		return
 	}
 	for _, r := range t.runs {
-		if r.Movable && !r.hasFirstEvent && !r.moved {
-			r.moved = true
+		if r.Movable && !r.hasFirstEvent && !r.redispatched {
+			r.redispatched = true
 			p.addDecision(Move{ID: r.ID})
 		}
 	}
--- a/pkg/planner/target.go
+++ b/pkg/planner/target.go
@@ -42,7 +42,7 @@
 	target        *target
 	grantedAt     clock.Millis
 	hasFirstEvent bool
-	moved         bool // a Move was emitted for it
+	redispatched  bool // a Move was emitted for it
 	canary        bool // its target ran a canary version
 	counted       bool // counted against the limit of its target
 	firstEventAt  clock.Millis
@@ -59,13 +59,13 @@
 	stuckRatio = 8
 )
 
-// hasRoom reports whether a target has a free slot. With spareFailing set, a target that was ejected gets one job
+// hasFreeSlot reports whether a target has a free slot. With avoidFailing set, a target that was ejected gets one job
 // at a time until it has served one; where most targets fail, this would leave hardly any of their capacity.
-func (t *target) hasRoom(now clock.Millis, spareFailing bool) bool {
+func (t *target) hasFreeSlot(now clock.Millis, avoidFailing bool) bool {
 	if !t.offered || t.draining || t.incarnations.runs+t.externalLoad.current(now) >= t.capacity() {
 		return false
 	}
-	return !spareFailing || !t.probing || len(t.runs) == 0
+	return !avoidFailing || !t.probing || len(t.runs) == 0
 }
 
 func (t *target) capacity() int {
--- a/pkg/quarantine/accounts_test.go
+++ b/pkg/quarantine/accounts_test.go
@@ -20,9 +20,9 @@
 
 func holdBackOne(r *Register, now clock.Millis, n int) {
 	record := Record{Digest: digest(n), Account: "acme", Route: "r"}
-	record.Ends = []TargetEnd{{Incarnation: life(2 * n)}}
+	record.Ends = []TargetEnd{{Incarnation: incarnation(2 * n)}}
 	r.Join(now, &record)
-	record.Ends = []TargetEnd{{Incarnation: life(2*n + 1), Again: true}}
+	record.Ends = []TargetEnd{{Incarnation: incarnation(2*n + 1), Again: true}}
 	r.Join(now, &record)
 }
 
@@ -56,7 +56,7 @@
 		{"four, one of them completed later", func(r *Register) { holdBack(r, start, 1, 4); r.Completed(start, digest(2)) }, other(9), 0, false},
 		{"rows of the store", func(r *Register) {
 			for n := 1; n <= 4; n++ {
-				row := Record{Digest: digest(n), Account: "acme", Route: "r", Ends: []TargetEnd{{Incarnation: life(2 * n)}, {Incarnation: life(2*n + 1), Again: true}}}
+				row := Record{Digest: digest(n), Account: "acme", Route: "r", Ends: []TargetEnd{{Incarnation: incarnation(2 * n)}, {Incarnation: incarnation(2*n + 1), Again: true}}}
 				r.RowRead(start, &row, int64(n))
 			}
 		}, other(9), 0, false},
@@ -83,7 +83,7 @@
 	}
 	now, n := clock.Millis(start), 10
 	for _, want := range []clock.Millis{1, 2, 4, 8, 16, 30, 30} {
-		r.Join(now, &Record{Digest: digest(n), Account: "acme", Route: "r", Ends: []TargetEnd{{Incarnation: life(100 + n)}}})
+		r.Join(now, &Record{Digest: digest(n), Account: "acme", Route: "r", Ends: []TargetEnd{{Incarnation: incarnation(100 + n)}}})
 		n++
 		if _, wait := r.Suspected(now, other(99)); wait != want*clock.Second {
 			t.Errorf("wait of %d ms, want %d s", wait, want)
@@ -105,7 +105,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := commontest.New(network.NewMemory(nil))
 		g := New(Dependencies{Common: c})
-		if pass, refused := g.Enter(context.Background(), other(50)); pass != nil || refused != nil {
+		if permit, refused := g.Enter(context.Background(), other(50)); permit != nil || refused != nil {
 			t.Fatal("request restricted before its account is suspected")
 		}
 		holdBack(g.register, c.Clock.Now(), 1, 4)
@@ -125,7 +125,7 @@
 		if took := time.Since(began); second == nil || took < 300*time.Millisecond || took > 400*time.Millisecond {
 			t.Errorf("second request: refused %+v after %v, want a permit after 300 ms", refused, took)
 		}
-		g.Ended(Run{Request: other(51), Incarnation: life(200)})
+		g.Ended(Run{Request: other(51), Incarnation: incarnation(200)})
 		second.Release(true)
 		if _, refused := g.Enter(context.Background(), other(52)); refused == nil || refused.Held || refused.RetryAfter != clock.Second {
 			t.Errorf("after one more end: refused %+v, want for 1 s", refused)
--- a/pkg/quarantine/guard_test.go
+++ b/pkg/quarantine/guard_test.go
@@ -83,7 +83,9 @@
 
 func request() Request { return Request{Digest: digest(1), Account: "acme", Route: "r"} }
 
-func run(n int, again bool) Run { return Run{Request: request(), Incarnation: life(n), Again: again} }
+func run(n int, again bool) Run {
+	return Run{Request: request(), Incarnation: incarnation(n), Again: again}
+}
 
 // TestSuspectedRequestWaitsForSettleTime guards against blaming a request for the loss of a failure domain: what ends
 // one target of a domain ends the others within some ms. A run that begins before that is over says nothing about its
@@ -92,11 +94,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newGuardCluster(t, 2)
 		enter := func(n int) *Permit {
-			pass, refused := b.guards[n].Enter(context.Background(), request())
+			permit, refused := b.guards[n].Enter(context.Background(), request())
 			if refused != nil {
 				t.Fatalf("refused: %+v", refused)
 			}
-			return pass
+			return permit
 		}
 		first := time.Now()
 		for n := range 4 {
@@ -105,18 +107,18 @@
 		}
 		last := first.Add(60 * time.Millisecond)
 		for n := range 2 { // the first entry reported to the second
-			pass := enter(n)
+			permit := enter(n)
 			if waited := time.Since(last); waited < settleTime.Duration() || waited > 3*settleTime.Duration() {
 				t.Errorf("entry %d: the run was permitted %v after the last end", n, waited)
 			}
-			if !pass.Again {
+			if !permit.Again {
 				t.Errorf("entry %d: the run does not count as a further try", n)
 			}
-			pass.Release(true)
+			permit.Release(true)
 		}
-		pass := enter(0)
-		b.guards[0].Ended(run(9, pass.Again))
-		pass.Release(true)
+		permit := enter(0)
+		b.guards[0].Ended(run(9, permit.Again))
+		permit.Release(true)
 		if _, refused := b.guards[0].Enter(context.Background(), request()); refused == nil || !refused.Held {
 			t.Errorf("after the end in an exclusive run: refused %+v, want quarantined", refused)
 		}
--- a/pkg/quarantine/register_report.go
+++ b/pkg/quarantine/register_report.go
@@ -52,18 +52,18 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var lives []ids.TargetIncarnation
+	var incarnations []ids.TargetIncarnation
 	for _, e := range r.records {
 		if e.heldAt == 0 {
 			continue
 		}
 		for _, end := range e.Ends {
 			if !end.Excused {
-				lives = append(lives, end.Incarnation)
+				incarnations = append(incarnations, end.Incarnation)
 			}
 		}
 	}
-	return lives
+	return incarnations
 }
 
 // Len returns the number of requests that something is recorded against.
--- a/pkg/quarantine/register_test.go
+++ b/pkg/quarantine/register_test.go
@@ -18,7 +18,7 @@
 	// Output: true false
 }
 
-func life(n int) ids.TargetIncarnation {
+func incarnation(n int) ids.TargetIncarnation {
 	return ids.TargetIncarnation{Target: ids.Target(fmt.Sprint("t", n))}
 }
 
@@ -27,7 +27,7 @@
 func record(d Digest, account ids.Account, numbers ...int) *Record {
 	r := &Record{Digest: d, Account: account, Route: "r"}
 	for _, n := range numbers {
-		r.add(TargetEnd{Incarnation: life(max(n, -n)), Again: n < 0})
+		r.add(TargetEnd{Incarnation: incarnation(max(n, -n)), Again: n < 0})
 	}
 	return r
 }
--- a/pkg/quota/allowance.go
+++ b/pkg/quota/allowance.go
@@ -47,14 +47,14 @@
 	// Share is the fraction of the allowance that this entry holds, between 0 and 1.
 	Share float64
 	Units float64
-	// Keep is the fraction of the bucket that is left to other requests.
+	// Reserve is the fraction of the bucket that is left to other requests.
 	Reserve float64
 	// Debt is how far below 0 this request may take the bucket; math.Inf(1) is no limit.
 	Debt float64
 }
 
 // Take counts units against an account's allowance. If the share is spent, it returns false and when to come back. A
-// request larger than what is left is admitted while more than Keep is left and its debt is within Debt, so that
+// request larger than what is left is admitted while more than Reserve is left and its debt is within Debt, so that
 // large requests do not starve.
 func (a *Allowance) Take(now clock.Millis, account *routing.Account, s Spending) (bool, clock.Millis) {
 	if account.PerSecond <= 0 {
@@ -63,12 +63,12 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	b := a.refill(now, account, s.Share)
-	kept := s.Reserve * b.capacity
-	if b.level > kept && s.Units-b.level <= s.Debt {
+	reserved := s.Reserve * b.capacity
+	if b.level > reserved && s.Units-b.level <= s.Debt {
 		b.level -= s.Units
 		return true, 0
 	}
-	missing := max(s.Units/2+kept, s.Units-s.Debt) - b.level
+	missing := max(s.Units/2+reserved, s.Units-s.Debt) - b.level
 	perMilli := account.PerSecond * s.Share / float64(clock.Second)
 	return false, clock.Millis(math.Ceil(max(0, missing) / perMilli))
 }
--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/evaluate.go
@@ -11,7 +11,7 @@
 	"quaydock/pkg/ids"
 )
 
-// A version is judged by how many of its targets look worse than the old version's, not by the number of bad answers.
+// A version is evaluated by how many of its targets look worse than the old version's, not by the number of bad answers.
 // A single target that fails, crashes or is slow for reasons of its own counts once, however bad it is, while a bad
 // version shows on most of its targets.
 
@@ -70,16 +70,16 @@
 	expected  float64
 	rate      float64 // of bad answers of the old version
 	excess    float64
-	mostWorse bool // at least half of the targets look worse
+	halfWorse bool // at least half of the targets look worse
 	// trimmedProbability is that of so many bad answers by chance without the worst targets, 1 if there are too few
 	// targets to leave one out.
 	trimmedProbability float64
 }
 
 // compare compares the versions on a subset of the evidence.
-func (e *Evidence) compare(part subset, recent bool) comparison {
-	old := e.oldVersion.byTarget(part, recent)
-	if part.loaded && e.oldLoaded < oldLoadedAnswers {
+func (e *Evidence) compare(sub subset, recent bool) comparison {
+	old := e.oldVersion.byTarget(sub, recent)
+	if sub.loaded && e.oldLoaded < oldLoadedAnswers {
 		old = e.oldVersion.byTarget(subset{}, recent)
 	}
 	rate := badRate(old)
@@ -96,7 +96,7 @@
 	ailingRate := max(minAilingRate, float64(oldWorse)/float64(max(1, oldTargets)))
 	var probabilities []float64
 	var worse []tally
-	fresh := e.newVersion.byTarget(part, recent)
+	fresh := e.newVersion.byTarget(sub, recent)
 	for _, t := range fresh {
 		c.answers.n += t.n
 		c.answers.bad += t.bad
@@ -116,9 +116,9 @@
 	if len(fresh) >= minTargets {
 		c.trimmedProbability = trimmedTail(slices.Collect(maps.Values(fresh)), rate)
 	}
-	c.mostWorse = 2*c.worse >= c.targets && c.worse > 0
+	c.halfWorse = 2*c.worse >= c.targets && c.worse > 0
 	c.excess = float64(c.answers.bad) - c.expected
-	if !c.mostWorse {
+	if !c.halfWorse {
 		for _, t := range worse {
 			c.excess -= max(0, float64(t.bad)-float64(t.n)*rate-maxExcessPerTarget)
 		}
@@ -137,7 +137,7 @@
 	return binomialTail(rest.n, rate, rest.bad)
 }
 
-// minAnswersPerTarget is the number of answers below which a target is not judged.
+// minAnswersPerTarget is the number of answers below which a target is not evaluated.
 const minAnswersPerTarget = 2
 
 // badRate returns the rate of bad answers of the old version, with a prior that dominates while few answers are known.
@@ -172,8 +172,8 @@
 	return sum
 }
 
-// Judge returns the current conclusion; targets is the number of canary targets that could be used.
-func (e *Evidence) Judge(now clock.Millis, targets int) Finding {
+// Evaluate returns the current finding; targets is the number of canary targets that could be used.
+func (e *Evidence) Evaluate(now clock.Millis, targets int) Finding {
 	e.classify()
 	e.newVersion.dropBefore(now - recentWindow)
 	e.oldVersion.dropBefore(now - recentWindow)
@@ -181,10 +181,10 @@
 	if f := e.latency.finding(); f.Bad && !finding.Bad || f.PossiblyBad && !finding.PossiblyBad {
 		finding = f
 	}
-	for _, part := range e.subsets() {
+	for _, sub := range e.subsets() {
 		for _, recent := range []bool{true, false} {
-			c := e.compare(part, recent)
-			f := c.finding(part, recent, targets)
+			c := e.compare(sub, recent)
+			f := c.finding(sub, recent, targets)
 			if f.Bad && !finding.Bad || f.PossiblyBad && !finding.PossiblyBad && !finding.Bad {
 				finding = f
 			}
@@ -193,10 +193,10 @@
 	return finding
 }
 
-func (c *comparison) finding(part subset, recent bool, targets int) Finding {
+func (c *comparison) finding(sub subset, recent bool, targets int) Finding {
 	few := targets < minTargets
-	bad := c.mostWorse && c.worse >= minTargets && c.probability <= badProbability
-	if few && c.mostWorse && c.answers.bad >= fewTargetsMinBad {
+	bad := c.halfWorse && c.worse >= minTargets && c.probability <= badProbability
+	if few && c.halfWorse && c.answers.bad >= fewTargetsMinBad {
 		bad = c.pooledProbability() <= fewTargetsBadProbability
 	}
 	bad = bad || c.trimmedProbability <= trimmedBadProbability
@@ -205,7 +205,7 @@
 		maxPooledProbability, maxProbability = pooledPossiblyBadRecentProbability, possiblyBadRecentProbability
 	}
 	pooled := c.answers.bad >= pooledMinBad && c.pooledProbability() <= maxPooledProbability
-	possiblyBad := bad || pooled || c.trimmedProbability <= trimmedPossiblyBadProbability || c.worse >= 2 && c.probability <= maxProbability || few && c.mostWorse && c.pooledProbability() <= possiblyBadProbability
+	possiblyBad := bad || pooled || c.trimmedProbability <= trimmedPossiblyBadProbability || c.worse >= 2 && c.probability <= maxProbability || few && c.halfWorse && c.pooledProbability() <= possiblyBadProbability
 	if !possiblyBad {
 		return Finding{}
 	}
@@ -214,7 +214,7 @@
 		span = "of late"
 	}
 	return Finding{Bad: bad, PossiblyBad: true, Why: fmt.Sprintf("%d of %d targets suspect on %v %s, %d of %d answers bad where %.1f were expected (chance %.1g, without the worst targets %.1g)",
-		c.worse, c.targets, part, span, c.answers.bad, c.answers.n, c.expected, c.probability, c.trimmedProbability)}
+		c.worse, c.targets, sub, span, c.answers.bad, c.answers.n, c.expected, c.probability, c.trimmedProbability)}
 }
 
 // finding reports whether the canary is slower on all of its targets.
--- a/pkg/rollout/evidence.go
+++ b/pkg/rollout/evidence.go
@@ -21,7 +21,7 @@
 	Loaded bool
 }
 
-// recentWindow is the span of recent evidence, which is judged separately so that earlier good answers don't mask a
+// recentWindow is the span of recent evidence, which is evaluated separately so that earlier good answers don't mask a
 // version that turns bad later.
 const recentWindow = 6 * clock.Second
 
@@ -126,8 +126,8 @@
 }
 
 // byTarget sums the answers of a subset by target; each incarnation of a target counts separately.
-func (g *versionHistory) byTarget(part subset, recent bool) map[ids.TargetIncarnation]tally {
-	return sumBy(g, part, recent, func(c historyKey) ids.TargetIncarnation { return c.incarnation })
+func (g *versionHistory) byTarget(sub subset, recent bool) map[ids.TargetIncarnation]tally {
+	return sumBy(g, sub, recent, func(c historyKey) ids.TargetIncarnation { return c.incarnation })
 }
 
 // byRoute sums all answers by route.
@@ -136,10 +136,10 @@
 }
 
 // sumBy sums the answers of a subset, grouped by key.
-func sumBy[K comparable](g *versionHistory, part subset, recent bool, key func(historyKey) K) map[K]tally {
+func sumBy[K comparable](g *versionHistory, sub subset, recent bool, key func(historyKey) K) map[K]tally {
 	sums := make(map[K]tally)
 	for c, h := range g.histories {
-		if !part.contains(c) {
+		if !sub.contains(c) {
 			continue
 		}
 		t := h.tally(recent)
@@ -186,28 +186,28 @@
 // Excuse ignores the failures of these incarnations for both versions. A request that ends its target also fails
 // everything that runs beside it. Which request it was is known only when a second target ends under it, and by then
 // the failures at the first one have been recorded.
-func (e *Evidence) Excuse(lives []ids.TargetIncarnation) {
-	for _, life := range lives {
-		if e.excused[life] || len(e.excused) >= maxExcused {
+func (e *Evidence) Excuse(incarnations []ids.TargetIncarnation) {
+	for _, incarnation := range incarnations {
+		if e.excused[incarnation] || len(e.excused) >= maxExcused {
 			continue
 		}
 		if e.excused == nil {
 			e.excused = make(map[ids.TargetIncarnation]bool)
 		}
-		e.excused[life] = true
-		maps.DeleteFunc(e.oldVersion.histories, func(c historyKey, _ *history) bool { return c.incarnation == life })
-		e.dropTruncated(life)
+		e.excused[incarnation] = true
+		maps.DeleteFunc(e.oldVersion.histories, func(c historyKey, _ *history) bool { return c.incarnation == incarnation })
+		e.dropTruncated(incarnation)
 	}
 }
 
 // dropTruncated removes the failed answers of an excused incarnation from its typical durations: compared with answers
 // that the target end cut short, complete ones would look slow.
-func (e *Evidence) dropTruncated(life ids.TargetIncarnation) {
-	delete(e.latency.oldTargets, life)
-	delete(e.latency.newTargets, life)
+func (e *Evidence) dropTruncated(incarnation ids.TargetIncarnation) {
+	delete(e.latency.oldTargets, incarnation)
+	delete(e.latency.newTargets, incarnation)
 	for _, a := range e.answers {
-		if a.Incarnation == life && !a.Failed && a.relative > 0 {
-			sampleFor(e.latency.newTargets, life).add(a.relative)
+		if a.Incarnation == incarnation && !a.Failed && a.relative > 0 {
+			sampleFor(e.latency.newTargets, incarnation).add(a.relative)
 		}
 	}
 }
@@ -276,7 +276,7 @@
 // ownAnswers returns the number of canary answers that this owner has seen itself.
 func (e *Evidence) ownAnswers() int { return len(e.answers) }
 
-// subsets lists the parts of the evidence that are judged separately.
+// subsets lists the parts of the evidence that are evaluated separately.
 func (e *Evidence) subsets() []subset {
 	list := []subset{{}, {loaded: true}}
 	for _, route := range slices.Sorted(maps.Keys(e.newVersion.byRoute())) {
--- a/pkg/rollout/evidence_test.go
+++ b/pkg/rollout/evidence_test.go
@@ -29,17 +29,17 @@
 	random := rand.New(rand.NewPCG(seed, 2))
 	speeds := []float64{0.36, 1, 1.8}
 	e := rollout.NewEvidence(rollout.Summary{})
-	target := func(n int, onTrial bool) (factor float64, observe func(at clock.Millis, part float64)) {
+	target := func(n int, onTrial bool) (factor float64, observe func(at clock.Millis, elapsed float64)) {
 		factor = speeds[n%len(speeds)]
 		if random.Float64() < p.slowTargets {
 			factor *= 5
 		}
 		ill := random.Float64() < p.ailing
 		id := ids.TargetIncarnation{Target: ids.Target(fmt.Sprint(onTrial, n))}
-		return factor, func(at clock.Millis, part float64) {
+		return factor, func(at clock.Millis, elapsed float64) {
 			o := rollout.Observation{At: at, Incarnation: id, Route: "r", Ratio: factor * math.Exp(0.25*random.NormFloat64()), Factor: factor}
 			o.Failed = random.Float64() < p.errors || ill && random.Float64() < 0.5
-			if onTrial && part >= p.from {
+			if onTrial && elapsed >= p.from {
 				o.Failed = o.Failed || random.Float64() < p.bad
 				if random.Float64() < p.slowPart {
 					o.Ratio *= p.slow
@@ -79,18 +79,18 @@
 			}
 		}
 		e.SetFactors(factors)
-		if f := e.Judge(now, p.fresh); f.Bad && !finding.Bad {
+		if f := e.Evaluate(now, p.fresh); f.Bad && !finding.Bad {
 			finding = f
 		}
 	}
 	return e, finding
 }
 
-// TestJudge judges many random draws of each kind and limits the fraction of wrong results.
-func TestJudge(t *testing.T) {
-	usual := simulation{fresh: 12, old: 12, answers: 20, errors: 0.01}
+// TestEvaluate evaluates many random draws of each kind and limits the fraction of wrong results.
+func TestEvaluate(t *testing.T) {
+	established := simulation{fresh: 12, old: 12, answers: 20, errors: 0.01}
 	with := func(change func(*simulation)) simulation {
-		p := usual
+		p := established
 		change(&p)
 		return p
 	}
@@ -101,7 +101,7 @@
 		// The fraction of draws judged bad must be between least and most.
 		least, most float64
 	}{
-		{"good", usual, 0, 0.01},
+		{"good", established, 0, 0.01},
 		{"good, a tenth fails on all versions", with(func(p *simulation) { p.errors = 0.14 }), 0, 0.02},
 		{"good, a sixth of all targets ails", with(func(p *simulation) { p.ailing = 0.15 }), 0, 0.03},
 		{"good, a sixth of all targets is slow", with(func(p *simulation) { p.slowTargets = 0.15 }), 0, 0.03},
@@ -142,18 +142,18 @@
 	if got := next.Summary(); got.Requests != sum.Requests || got.Bad != sum.Bad {
 		t.Errorf("evidence %+v was inherited as %+v", sum, got)
 	}
-	if f := next.Judge(1000, 3); !f.Bad {
+	if f := next.Evaluate(1000, 3); !f.Bad {
 		t.Errorf("finding of the next owner with %d of %d answers bad: %+v", sum.Bad, sum.Requests, f)
 	}
 }
 
-// BenchmarkJudge judges the evidence of some minutes at 400 requests a second: 0.7 ms on the VM of the measurements
+// BenchmarkEvaluate evaluates the evidence of some minutes at 400 requests a second: 0.7 ms on the VM of the measurements
 // (32 ms before the binomial terms were summed incrementally), four times a second during a trial.
-func BenchmarkJudge(b *testing.B) {
+func BenchmarkEvaluate(b *testing.B) {
 	p := simulation{fresh: 54, old: 54, answers: 100, errors: 0.02}
 	e, _ := p.run(1)
 	for b.Loop() {
-		e.Judge(20000, 54)
+		e.Evaluate(20000, 54)
 	}
 }
 
@@ -163,16 +163,16 @@
 func TestExcusedIncarnations(t *testing.T) {
 	const most = 6 // number of excused incarnations
 	e := rollout.NewEvidence(rollout.Summary{})
-	var lives []ids.TargetIncarnation
+	var incarnations []ids.TargetIncarnation
 	for n := range 2 * most {
-		life := ids.TargetIncarnation{Target: ids.Target(fmt.Sprint("t", n))}
-		lives = append(lives, life)
-		e.Add(true, rollout.Observation{Incarnation: life, Route: "r", Failed: true})
-		e.Add(true, rollout.Observation{Incarnation: life, Route: "r"})
+		incarnation := ids.TargetIncarnation{Target: ids.Target(fmt.Sprint("t", n))}
+		incarnations = append(incarnations, incarnation)
+		e.Add(true, rollout.Observation{Incarnation: incarnation, Route: "r", Failed: true})
+		e.Add(true, rollout.Observation{Incarnation: incarnation, Route: "r"})
 	}
-	e.Excuse(lives)
-	e.Excuse(lives)
-	e.Add(true, rollout.Observation{Incarnation: lives[0], Route: "r", Failed: true})
+	e.Excuse(incarnations)
+	e.Excuse(incarnations)
+	e.Add(true, rollout.Observation{Incarnation: incarnations[0], Route: "r", Failed: true})
 	if s := e.Summary(); s.Bad != most || s.Requests != 3*most {
 		t.Errorf("%d of %d answers bad, want %d of %d", s.Bad, s.Requests, most, 3*most)
 	}
@@ -183,23 +183,23 @@
 // tenth of their time, still counted in the target's typical duration. In comparison the complete answers given before
 // looked slow: 3 to 9 bad answers a roll-out on routes of which hardly any fail.
 func TestAnswersCutShortDontMakeOthersSlow(t *testing.T) {
-	const usual, cut = 1.0, 0.1
+	const normal, truncated = 1.0, 0.1
 	for _, onTrial := range []bool{true, false} {
 		t.Run(fmt.Sprint("on trial ", onTrial), func(t *testing.T) {
 			e := rollout.NewEvidence(rollout.Summary{})
 			for range 30 {
-				e.Add(false, rollout.Observation{Incarnation: ids.TargetIncarnation{Target: "other"}, Route: "r", Ratio: usual, Factor: 1})
+				e.Add(false, rollout.Observation{Incarnation: ids.TargetIncarnation{Target: "other"}, Route: "r", Ratio: normal, Factor: 1})
 			}
 			ended := ids.TargetIncarnation{Target: "ended"}
 			for range 8 {
-				e.Add(onTrial, rollout.Observation{Incarnation: ended, Route: "r", Ratio: usual, Factor: 1})
+				e.Add(onTrial, rollout.Observation{Incarnation: ended, Route: "r", Ratio: normal, Factor: 1})
 			}
 			for range 8 {
-				e.Add(onTrial, rollout.Observation{Incarnation: ended, Route: "r", Ratio: cut, Factor: 1, Failed: true})
+				e.Add(onTrial, rollout.Observation{Incarnation: ended, Route: "r", Ratio: truncated, Factor: 1, Failed: true})
 			}
 			e.Excuse([]ids.TargetIncarnation{ended})
 			for range 8 { // the last answers of the former incarnation arrive
-				e.Add(onTrial, rollout.Observation{Incarnation: ended, Route: "r", Ratio: usual, Factor: 1})
+				e.Add(onTrial, rollout.Observation{Incarnation: ended, Route: "r", Ratio: normal, Factor: 1})
 			}
 			s := e.Summary()
 			bad := s.Bad
--- a/pkg/rollout/filter.go
+++ b/pkg/rollout/filter.go
@@ -21,8 +21,8 @@
 }
 
 // NewFilter returns a filter without targets that calls onUpdate with each new directory.
-func NewFilter(book *Tracker, sorted func(*routing.Directory)) *Filter {
-	return &Filter{tracker: book, onUpdate: sorted}
+func NewFilter(tracker *Tracker, onUpdate func(*routing.Directory)) *Filter {
+	return &Filter{tracker: tracker, onUpdate: onUpdate}
 }
 
 // SetDirectory replaces the target list.
--- a/pkg/rollout/latencies.go
+++ b/pkg/rollout/latencies.go
@@ -70,7 +70,7 @@
 }
 
 // quantile returns 0 for an empty sample.
-func (s *sample) quantile(part float64) float64 {
+func (s *sample) quantile(fraction float64) float64 {
 	if len(s.values) == 0 {
 		return 0
 	}
@@ -79,7 +79,7 @@
 		slices.Sort(s.sorted)
 		s.addedSinceSort = 0
 	}
-	return s.sorted[min(len(s.sorted)-1, int(part*float64(len(s.sorted))))]
+	return s.sorted[min(len(s.sorted)-1, int(fraction*float64(len(s.sorted))))]
 }
 
 const medianQuantile = 0.5
@@ -134,12 +134,12 @@
 }
 
 // slow reports whether an answer took several times as long as is typical for its target.
-func (p *latencies) slow(onTrial bool, life ids.TargetIncarnation, relative float64) bool {
+func (p *latencies) slow(onTrial bool, incarnation ids.TargetIncarnation, relative float64) bool {
 	targets := p.oldTargets
 	if onTrial {
 		targets = p.newTargets
 	}
-	return relative > 0 && relative > slowAnswerRatio*p.typical(sampleFor(targets, life))
+	return relative > 0 && relative > slowAnswerRatio*p.typical(sampleFor(targets, incarnation))
 }
 
 func sampleFor[K comparable](samples map[K]*sample, key K) *sample {
--- a/pkg/rollout/record.go
+++ b/pkg/rollout/record.go
@@ -29,7 +29,7 @@
 	// Evidence is what the decision is based on, or would be based on now.
 	Evidence Summary `json:"evidence"`
 	Why      string  `json:"why,omitempty"`
-	// By tells the records of one owner from another's, and TimedBy names the owner that recorded the order's times.
+	// Owner tells the records of one owner from another's, and TimedByOwner names the owner that recorded the order's times.
 	Owner        uint64 `json:"by"`
 	TimedByOwner uint64 `json:"timed_by"`
 	// Written is the revision of the row.
--- a/pkg/rollout/report.go
+++ b/pkg/rollout/report.go
@@ -13,11 +13,11 @@
 	Why     string      `json:"why,omitempty"`
 	// Barred lists the versions that receive nothing without a new order.
 	Barred []ids.Version `json:"barred,omitempty"`
-	// Evidence is that of the record or, at the entry that judges, the current one.
+	// Evidence is that of the record or, at the entry that evaluates the version, the current one.
 	Evidence Summary `json:"evidence"`
-	// Judges says that this entry judges the version. Only then are Missing, Suspicion and Fraction set: the evidence
+	// Evaluates says that this entry evaluates the version. Only then are Missing, Suspicion and Fraction set: the evidence
 	// that is still missing, what counts against the version, and the fraction of the requests that it gets now.
-	Judges    bool     `json:"judges"`
+	Evaluates bool     `json:"judges"`
 	Missing   []string `json:"missing,omitempty"`
 	Suspicion string   `json:"doubt,omitempty"`
 	Fraction  float64  `json:"share"`
@@ -50,7 +50,7 @@
 
 // Describe adds to a report what the trial at this owner knows.
 func (t *Trial) Describe(r *Report, p Plan) {
-	r.Judges = true
+	r.Evaluates = true
 	r.Evidence = t.Evidence.Summary()
 	r.Missing = t.Missing()
 	r.Suspicion = t.finding.Why
--- a/pkg/rollout/tracker.go
+++ b/pkg/rollout/tracker.go
@@ -49,7 +49,7 @@
 }
 
 // PutOrders adds orders that were read and removes those in gone. With all, it replaces all known orders.
-func (b *Tracker) PutOrders(orders []Order, gone []ids.Service, all bool, proof Freshness) {
+func (b *Tracker) PutOrders(orders []Order, gone []ids.Service, all bool, freshness Freshness) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known := b.orders
@@ -61,18 +61,18 @@
 	}
 	for _, o := range orders {
 		if known[o.Service].Placed != o.Placed {
-			b.placedBetween[o.Service] = interval{b.placedAfter(o, proof), proof.ReadAt + endMargin}
+			b.placedBetween[o.Service] = interval{b.placedAfter(o, freshness), freshness.ReadAt + endMargin}
 		}
 		b.orders[o.Service] = o
 		addVersion(b.ordered, o.Service, o.Version)
 	}
 	if b.firstOrdersUpTo == 0 {
-		b.firstOrdersUpTo = proof.Revision
+		b.firstOrdersUpTo = freshness.Revision
 	}
-	b.ordersUpTo = max(b.ordersUpTo, proof.Revision)
-	b.ordersAt = max(b.ordersAt, proof.At)
-	if proof.StoreTime > 0 {
-		b.clockOffset = proof.At - proof.StoreTime
+	b.ordersUpTo = max(b.ordersUpTo, freshness.Revision)
+	b.ordersAt = max(b.ordersAt, freshness.At)
+	if freshness.StoreTime > 0 {
+		b.clockOffset = freshness.At - freshness.StoreTime
 	}
 }
 
@@ -90,12 +90,12 @@
 
 // placedAfter returns a moment before the order was written. If nothing was read before the order, it is taken to have
 // been written when it was read.
-func (b *Tracker) placedAfter(o Order, proof Freshness) clock.Millis {
+func (b *Tracker) placedAfter(o Order, freshness Freshness) clock.Millis {
 	switch {
 	case b.ordersAt == 0 || b.firstOrdersUpTo >= o.Placed:
-		return proof.ReadAt
-	case proof.At-b.ordersAt <= steadyReadInterval:
-		return max(b.ordersAt, proof.At-promptReadDelay)
+		return freshness.ReadAt
+	case freshness.At-b.ordersAt <= steadyReadInterval:
+		return max(b.ordersAt, freshness.At-promptReadDelay)
 	}
 	return b.ordersAt
 }
@@ -121,12 +121,12 @@
 // OpensAt returns when a completed version of a service starts to receive all requests, and whether that moment is
 // still ahead. The owner that recorded the order's times knows the moment by its own clock; any other owner adds
 // maxClockSkew.
-func (b *Tracker) OpensAt(service ids.Service, home uint64, now clock.Millis) (clock.Millis, bool) {
+func (b *Tracker) OpensAt(service ids.Service, owner uint64, now clock.Millis) (clock.Millis, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.records[service]
 	at := r.LatestEnd + b.clockOffset
-	if r.TimedByOwner != home {
+	if r.TimedByOwner != owner {
 		at += maxClockSkew
 	}
 	return at, r.State == Completed && now < at
@@ -140,7 +140,7 @@
 }
 
 // PutRecords adds records that were read. Records older than the known ones are ignored.
-func (b *Tracker) PutRecords(records []Record, proof Freshness) {
+func (b *Tracker) PutRecords(records []Record, freshness Freshness) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, r := range records {
@@ -151,7 +151,7 @@
 			addVersion(b.alreadyInUse, r.Service, r.Version) // it stays in use while the next version is on trial
 		}
 	}
-	b.recordsAt = max(b.recordsAt, proof.At)
+	b.recordsAt = max(b.recordsAt, freshness.At)
 }
 
 // OpenOrder returns a service's order that awaits a decision, and its record, which is Pending if none has been
--- a/pkg/rollout/trial.go
+++ b/pkg/rollout/trial.go
@@ -18,7 +18,7 @@
 	recorded       Summary
 	verdict        State
 	why            string
-	judgedAt       clock.Millis
+	evaluatedAt    clock.Millis
 	finding        Finding
 	latencyFinding Finding // about the speed of the new targets only
 	objection      string  // what counts against completing the roll-out, once completion is due
@@ -28,8 +28,8 @@
 	// observeFraction is the fraction of the limit that is used while the canary is observed. The rest is left for the
 	// end, when the old version's targets are drained.
 	observeFraction = 0.65
-	// judgeInterval is how often the evidence is judged.
-	judgeInterval = 250 * clock.Millisecond
+	// evaluationInterval is how often the evidence is evaluated.
+	evaluationInterval = 250 * clock.Millisecond
 	// writeMarginFraction is the fraction of an order's time that is reserved for writing the final state, between
 	// minWriteMargin and maxWriteMargin. It is as short as the store allows, since a version may turn bad late, and
 	// since callers wait from then on until the order's time is over.
@@ -104,7 +104,7 @@
 	// Fresh says that orders and records are known to be current, but for a moment.
 	Fresh bool
 	// Factors returns how much slower than ordinary ones the old version's targets are. It is called when the evidence
-	// is judged, not at each step; nil if unknown.
+	// is evaluated, not at each step; nil if unknown.
 	Factors func() []float64
 	// Targets is the number of canary targets that may receive work, Old that of other targets.
 	Targets, Old int
@@ -141,7 +141,7 @@
 	case t.verdict == RolledBack:
 		return Plan{Write: RolledBack, Why: t.why}
 	}
-	t.judge(s)
+	t.evaluate(s)
 	if why := t.rollbackReason(s); why != "" {
 		t.verdict, t.why = RolledBack, why
 		return Plan{Write: RolledBack, Why: why}
@@ -152,12 +152,12 @@
 	return t.planPhase(s)
 }
 
-// judge evaluates the evidence at intervals.
-func (t *Trial) judge(s Situation) {
-	if s.Now-t.judgedAt >= judgeInterval {
-		t.judgedAt = s.Now
+// evaluate evaluates the evidence at intervals.
+func (t *Trial) evaluate(s Situation) {
+	if s.Now-t.evaluatedAt >= evaluationInterval {
+		t.evaluatedAt = s.Now
 		t.updateFactors(s)
-		t.finding = t.Evidence.Judge(s.Now, s.Targets)
+		t.finding = t.Evidence.Evaluate(s.Now, s.Targets)
 		t.latencyFinding = t.Evidence.latency.finding()
 		t.objection = ""
 		if s.Now >= t.closeAt() {
--- a/pkg/rollout/trial_test.go
+++ b/pkg/rollout/trial_test.go
@@ -102,15 +102,15 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			trial := rollout.NewTrial(order("v2", 10), bounds, rollout.Summary{}, placed, rollout.Times{Started: placed, EarliestEnd: ends, LatestEnd: over})
-			note := func(onTrial bool, n, loaded int, route ids.Route) {
+			add := func(onTrial bool, n, loaded int, route ids.Route) {
 				for i := range n {
 					trial.Evidence.Add(onTrial, rollout.Observation{At: placed, Incarnation: ids.TargetIncarnation{Target: "a"}, Route: route, Ratio: 1, Factor: 1, Loaded: i < loaded})
 				}
 			}
-			note(false, s.old, s.oldLoaded, "r")
-			note(false, s.old, 0, "r2")
-			note(true, s.requests, s.loaded, "r")
-			note(true, s.route, 0, "r2")
+			add(false, s.old, s.oldLoaded, "r")
+			add(false, s.old, 0, "r2")
+			add(true, s.requests, s.loaded, "r")
+			add(true, s.route, 0, "r2")
 			missing := strings.Join(trial.Missing(), "; ")
 			if s.want == "" && missing != "" || !strings.Contains(missing, s.want) {
 				t.Errorf("missing evidence: %q, want %q", missing, s.want)
@@ -209,12 +209,12 @@
 	bad := good
 	bad.Bad, bad.Routes = 40, []rollout.RouteSummary{{Route: "r", Requests: 150, Bad: 40, Old: 2000, OldBad: 50}}
 	scenarios := []struct {
-		name    string
-		began   clock.Millis
-		backing float64
-		carried rollout.Summary
-		now     clock.Millis
-		want    rollout.State
+		name      string
+		began     clock.Millis
+		agreement float64
+		carried   rollout.Summary
+		now       clock.Millis
+		want      rollout.State
 	}{
 		{"just taken over", closing, 1, good, closing, rollout.Pending},
 		{"hardly any entry agrees", placed, 0.25, good, closing, rollout.Pending},
@@ -228,7 +228,7 @@
 			for range 400 {
 				trial.Evidence.Add(false, rollout.Observation{At: s.began, Incarnation: ids.TargetIncarnation{Target: "old"}, Route: "r", Ratio: 1, Factor: 1})
 			}
-			p := trial.Step(rollout.Situation{Now: s.now, Record: running(rollout.Running), Fresh: true, Targets: 8, Old: 8, Agreement: s.backing})
+			p := trial.Step(rollout.Situation{Now: s.now, Record: running(rollout.Running), Fresh: true, Targets: 8, Old: 8, Agreement: s.agreement})
 			if p.Write != s.want {
 				t.Errorf("plan %+v, want state %v", p, s.want)
 			}
--- a/pkg/schedule/baselines.go
+++ b/pkg/schedule/baselines.go
@@ -119,6 +119,6 @@
 	p.baseline.reports[p.target.Incarnation()] = report{load: load.Running + load.Waiting, at: p.baseline.Clock.Now()}
 }
 
-func (p *baselineAssignment) Moved() <-chan struct{} { return nil }
+func (p *baselineAssignment) Redispatched() <-chan struct{} { return nil }
 
 func (p *baselineAssignment) Done(planner.Outcome, planner.StreamStats) {}
--- a/pkg/schedule/local.go
+++ b/pkg/schedule/local.go
@@ -78,7 +78,7 @@
 	random := l.Random.Fork()
 	service := l.view.Catalog().Service(request.Service)
 	var best *routing.Target
-	var least float64
+	var minCost float64
 	for _, t := range l.view.Directory().Serving(request.Service) {
 		status := l.advice.Status(t.Incarnation())
 		if status.Blocks() || status.Limit.IsLimited() || t.Cold(now, service) {
@@ -94,8 +94,8 @@
 			const triedCost = 2000
 			cost += triedCost
 		}
-		if best == nil || cost < least {
-			best, least = t, cost
+		if best == nil || cost < minCost {
+			best, minCost = t, cost
 		}
 	}
 	return best
@@ -110,7 +110,7 @@
 
 func (p *localAssignment) Began(*planner.Load) {}
 
-func (p *localAssignment) Moved() <-chan struct{} { return nil }
+func (p *localAssignment) Redispatched() <-chan struct{} { return nil }
 
 func (p *localAssignment) Done(o planner.Outcome, _ planner.StreamStats) {
 	l := p.local
--- a/pkg/schedule/schedule.go
+++ b/pkg/schedule/schedule.go
@@ -24,9 +24,9 @@
 	// Began records that the target has begun to answer: with a complete answer, or the
 	// first event of a stream. The load is the target's own report, nil if it gave none.
 	Began(load *planner.Load)
-	// Moved is closed when the request should be re-dispatched, as its target does not
+	// Redispatched is closed when the request should be re-dispatched, as its target does not
 	// respond. It is nil if the scheduler never signals this.
-	Moved() <-chan struct{}
+	Redispatched() <-chan struct{}
 	// Done frees the slot; flow describes the answer's stream of events.
 	Done(outcome planner.Outcome, flow planner.StreamStats)
 }
--- a/pkg/table/follower.go
+++ b/pkg/table/follower.go
@@ -18,7 +18,7 @@
 	common.Common
 	table   *Table
 	poll    clock.Millis
-	book    atomic.Pointer[declaration.Index]
+	index   atomic.Pointer[declaration.Index]
 	applied func(*declaration.Index)
 }
 
@@ -30,7 +30,7 @@
 
 // Index returns the index of the configuration in force, or nil before the first.
 func (f *Follower) Index() *declaration.Index {
-	return f.book.Load()
+	return f.index.Load()
 }
 
 // Run polls the head until ctx ends.
@@ -94,7 +94,7 @@
 }
 
 func (f *Follower) apply(index *declaration.Index) {
-	before := f.book.Swap(index)
+	before := f.index.Swap(index)
 	f.Check.That(before == nil || before.Revision < index.Revision, invariant.RevisionUpward,
 		"revision %d applied", index.Revision)
 	f.Log.WithField("revision", index.Revision).Info("configuration in force")
--- a/pkg/targetlist/incarnations_test.go
+++ b/pkg/targetlist/incarnations_test.go
@@ -122,11 +122,11 @@
 // next version and gets all requests before any order is read: by the revision of its former incarnation it counted
 // as listed before the known orders, and its version as already in use.
 func TestRestartWithNewVersionIsNewIncarnationForRollouts(t *testing.T) {
-	book := rollout.NewTracker()
-	book.PutOrders(nil, nil, true, rollout.Freshness{Revision: 10})
+	tracker := rollout.NewTracker()
+	tracker.PutOrders(nil, nil, true, rollout.Freshness{Revision: 10})
 	var got *routing.Directory
-	screen := rollout.NewFilter(book, func(d *routing.Directory) { got = d })
-	r := targetlist.New(commontest.New(network.NewMemory(nil)), parseRow, screen.SetDirectory)
+	filter := rollout.NewFilter(tracker, func(d *routing.Directory) { got = d })
+	r := targetlist.New(commontest.New(network.NewMemory(nil)), parseRow, filter.SetDirectory)
 	r.Snapshot([]follow.Row{row{Start: 50, Version: "v1"}.at(7)}, follow.Freshness{})
 	if a := got.Target("a").Admission; a != routing.Admitted {
 		t.Fatalf("admission of the former incarnation: %v", a)
@@ -136,8 +136,8 @@
 	if a := got.Target("a").Admission; a != routing.Withheld {
 		t.Errorf("admission of the new incarnation before the order is read: %v", a)
 	}
-	book.PutOrders([]rollout.Order{{Service: "s", Version: "v2", Within: 30000, Placed: 20}}, nil, true, rollout.Freshness{Revision: 30})
-	screen.Changed()
+	tracker.PutOrders([]rollout.Order{{Service: "s", Version: "v2", Within: 30000, Placed: 20}}, nil, true, rollout.Freshness{Revision: 30})
+	filter.Changed()
 	if a := got.Target("a").Admission; a != routing.Withheld {
 		t.Errorf("admission of the new incarnation once the order is read: %v", a)
 	}
--- a/pkg/targetlist/list.go
+++ b/pkg/targetlist/list.go
@@ -56,10 +56,10 @@
 }
 
 // Snapshot replaces the list.
-func (r *List) Snapshot(rows []follow.Row, proof follow.Freshness) {
+func (r *List) Snapshot(rows []follow.Row, freshness follow.Freshness) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	now := r.recordContact(proof)
+	now := r.recordContact(freshness)
 	// The first list takes one log line: when all entries start together, each would log a line for every target
 	// while its callers wait.
 	r.starting = len(r.targets) == 0
@@ -94,10 +94,10 @@
 }
 
 // Changed applies changed and deleted rows.
-func (r *List) Changed(rows []follow.Row, proof follow.Freshness) {
+func (r *List) Changed(rows []follow.Row, freshness follow.Freshness) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	now := r.recordContact(proof)
+	now := r.recordContact(freshness)
 	for _, row := range rows {
 		if row.Gone {
 			r.faults.Clear(row.Key)
@@ -120,9 +120,9 @@
 }
 
 // recordContact records that the store has answered. After an outage, the store was back by the time of the query.
-func (r *List) recordContact(proof follow.Freshness) clock.Millis {
+func (r *List) recordContact(freshness follow.Freshness) clock.Millis {
 	if r.storeUnreachable {
-		r.graceUntil = proof.RequestedAt + restoreGrace
+		r.graceUntil = freshness.RequestedAt + restoreGrace
 	}
 	r.storeUnreachable = false
 	return r.Clock.Now()
--- a/pkg/targetlist/list_test.go
+++ b/pkg/targetlist/list_test.go
@@ -75,7 +75,7 @@
 }
 
 func TestTargetList(t *testing.T) {
-	away := errors.New("store unreachable")
+	unreachable := errors.New("store unreachable")
 	scenarios := []struct {
 		name string
 		do   func(b *bed)
@@ -91,24 +91,24 @@
 			b.Snapshot(up("b"), b.now())
 		}, false},
 		{"a target whose row expired in an outage is kept for a while", func(b *bed) {
-			b.ReadFailed(away)
+			b.ReadFailed(unreachable)
 			b.Changed(gone(), b.now())
 			time.Sleep(2 * time.Second)
 		}, true},
 		{"it is dropped if the row does not come back", func(b *bed) {
-			b.ReadFailed(away)
+			b.ReadFailed(unreachable)
 			b.Snapshot(up("b"), b.now())
 			time.Sleep(2500 * time.Millisecond)
 		}, false},
 		{"it stays if the row comes back", func(b *bed) {
-			b.ReadFailed(away)
+			b.ReadFailed(unreachable)
 			b.Changed(gone(), b.now())
 			time.Sleep(time.Second)
 			b.Changed(up("a"), b.now())
 			time.Sleep(5 * time.Second)
 		}, true},
 		{"long after the outage it is dropped at once", func(b *bed) {
-			b.ReadFailed(away)
+			b.ReadFailed(unreachable)
 			b.Changed(nil, b.now())
 			time.Sleep(3 * time.Second)
 			b.Changed(gone(), b.now())
@@ -116,7 +116,7 @@
 		// The first query after an outage was held for 3 s, and a target that left in that time was kept for another
 		// 2.2 s.
 		{"the store was back when the query was sent", func(b *bed) {
-			b.ReadFailed(away)
+			b.ReadFailed(unreachable)
 			asked := b.Clock.Now()
 			time.Sleep(3 * time.Second)
 			b.Changed(gone(), follow.Freshness{RequestedAt: asked, CurrentAt: b.Clock.Now()})
@@ -128,13 +128,13 @@
 			b.Snapshot(append(invalid(), up("b")...), b.now())
 		}, false},
 		{"row expires in an outage, then is invalid", func(b *bed) {
-			b.ReadFailed(away)
+			b.ReadFailed(unreachable)
 			b.Changed(gone(), b.now())
 			b.Changed(invalid(), b.now())
 		}, false},
 		{"row is invalid, then expires in an outage", func(b *bed) {
 			b.Changed(invalid(), b.now())
-			b.ReadFailed(away)
+			b.ReadFailed(unreachable)
 			b.Changed(gone(), b.now())
 		}, false},
 		{"valid row after an invalid one", func(b *bed) {
