--- a/pkg/dispatch/owner_messages.go
+++ b/pkg/dispatch/owner_messages.go
@@ -48,7 +48,7 @@
 			if d.ID == id {
 				return true
 			}
-		case planner.Refuse:
+		case planner.Refusal:
 			if d.ID == id {
 				return true
 			}
@@ -65,7 +65,7 @@
 				h.Metrics.Links.Add("grants_by_limits", 1)
 			}
 			h.sendDecision(d.ID, decisionMessage{Kind: granted, Incarnation: d.Incarnation, Limit: d.RateLimit.Aged(h.Clock.Now()), Counted: d.Counted})
-		case planner.Refuse:
+		case planner.Refusal:
 			kind := refused
 			switch {
 			case d.NoTargets:
--- a/pkg/ingress/admission.go
+++ b/pkg/ingress/admission.go
@@ -59,13 +59,13 @@
 // admission decides whether a request is admitted.
 type admission struct {
 	common.Common
-	view     *view.View
-	dialect  HeaderCodec
-	meter    Meter
-	tries    *firstTries
-	drain    *drainAdmission
-	entries  Entries
-	keyGrace atomic.Int64 // how long keys are used without a confirmation, in clock.Millis
+	view        *view.View
+	headerCodec HeaderCodec
+	meter       Meter
+	tries       *firstTries
+	drain       *drainAdmission
+	entries     Entries
+	keyGrace    atomic.Int64 // how long keys are used without a confirmation, in clock.Millis
 	// leasedKeyGrace is how long they are while this entry holds its membership lease.
 	leasedKeyGrace atomic.Int64
 }
@@ -115,7 +115,7 @@
 // admit reads a request and checks its route, key, size and allowance.
 func (a *admission) admit(w http.ResponseWriter, r *http.Request) (*request, *Refusal) {
 	arrived := a.Clock.Now()
-	q := &request{Call: a.dialect.Describe(r.Header), http: r, arrived: arrived, splitDraw: a.Random.Fork().Float64()}
+	q := &request{Call: a.headerCodec.Describe(r.Header), http: r, arrived: arrived, splitDraw: a.Random.Fork().Float64()}
 	a.awaitConfiguration(r.Context())
 	if refusal := a.resolve(q); refusal != nil {
 		return q, refusal
--- a/pkg/ingress/controller.go
+++ b/pkg/ingress/controller.go
@@ -85,10 +85,10 @@
 
 // NewController returns a controller with its dependencies.
 func NewController(p Dependencies) *Controller {
-	a := &admission{Common: p.Common, view: p.View, dialect: p.HeaderCodec, meter: p.Meter, entries: p.Entries, tries: newFirstTries(), drain: newDrainAdmission()}
+	a := &admission{Common: p.Common, view: p.View, headerCodec: p.HeaderCodec, meter: p.Meter, entries: p.Entries, tries: newFirstTries(), drain: newDrainAdmission()}
 	a.setKeyGrace(p.Keys)
 	d := &delivery{
-		Common: p.Common, admission: a, dialect: p.HeaderCodec, scheduler: p.Scheduler,
+		Common: p.Common, admission: a, headerCodec: p.HeaderCodec, scheduler: p.Scheduler,
 		pool: p.Pool, retries: p.Retries, entries: p.Entries, guard: p.Guard, advice: p.Advice,
 		sampler: telemetry.NewSampler(p.Clock, p.Log, linesPerSecond),
 	}
--- a/pkg/ingress/delivery.go
+++ b/pkg/ingress/delivery.go
@@ -23,15 +23,15 @@
 // delivery sends an admitted request to a target and relays the answer.
 type delivery struct {
 	common.Common
-	admission *admission
-	dialect   HeaderCodec
-	scheduler schedule.Scheduler
-	pool      *forward.Pool
-	retries   *quota.RetryBudget
-	entries   Entries
-	guard     *quarantine.Guard
-	advice    *advisory.Tracker
-	sampler   *telemetry.Sampler
+	admission   *admission
+	headerCodec HeaderCodec
+	scheduler   schedule.Scheduler
+	pool        *forward.Pool
+	retries     *quota.RetryBudget
+	entries     Entries
+	guard       *quarantine.Guard
+	advice      *advisory.Tracker
+	sampler     *telemetry.Sampler
 }
 
 const (
--- a/pkg/ingress/exchange.go
+++ b/pkg/ingress/exchange.go
@@ -47,7 +47,7 @@
 	call := TargetCall{Target: target.ID, Account: q.accountName(), Remaining: q.deadline - d.Clock.Now(), LastEvent: q.resumeAfter()}
 	result := d.pool.Send(ctx, target, &forward.Request{
 		ID: q.ID, Method: q.http.Method, Path: q.http.RequestURI, Host: q.http.Host,
-		Header: d.dialect.TargetHeaders(q.http.Header, call), Body: q.body,
+		Header: d.headerCodec.TargetHeaders(q.http.Header, call), Body: q.body,
 	})
 	if _, isWithheld := result.(forward.Withheld); isWithheld {
 		q.addToTrail(d.Clock.Now(), "not sent, by its own report, to", target.ID)
--- a/pkg/ingress/reject.go
+++ b/pkg/ingress/reject.go
@@ -32,14 +32,14 @@
 	// Closing a connection with unread bytes resets it, which would lose the answer.
 	_, _ = io.Copy(io.Discard, io.LimitReader(r.Body, initialHeaderBytes))
 	retry := crowdedRetry + clock.Millis(c.Random.Fork().Float64()*float64(crowdedSpread))
-	q := &request{Call: c.admission.dialect.Describe(r.Header), http: r, arrived: c.Clock.Now()}
+	q := &request{Call: c.admission.headerCodec.Describe(r.Header), http: r, arrived: c.Clock.Now()}
 	c.conclude(q, notRun(CauseCrowded, retry), &answerWriter{writer: w})
 }
 
 // acquireExtra takes one of the maxExtra slots for requests beyond the callers' limit, and reports whether it
 // did: the request must be of a higher tier than one in progress, and a slot must be free.
 func (c *Controller) acquireExtra(r *http.Request) bool {
-	q := &request{Call: c.admission.dialect.Describe(r.Header), http: r, arrived: c.Clock.Now()}
+	q := &request{Call: c.admission.headerCodec.Describe(r.Header), http: r, arrived: c.Clock.Now()}
 	if c.admission.resolve(q) != nil || !c.inProgress.hasLower(q.tier()) {
 		return false
 	}
--- a/pkg/ingress/relay.go
+++ b/pkg/ingress/relay.go
@@ -89,7 +89,7 @@
 		assignment.Done(planner.Failed, planner.StreamStats{})
 		return lost{err: fmt.Errorf("resuming a stream: target answered with status %d", a.Status), answered: true}
 	}
-	out.head(d.dialect, a, a.Length)
+	out.head(d.headerCodec, a, a.Length)
 	if result := d.relayBody(q, out, a, body); result != nil {
 		assignment.Done(failureOutcome(w.exchangeCtx), planner.StreamStats{})
 		return result
@@ -164,7 +164,7 @@
 			q.addToTrail(d.Clock.Now(), "first event from", assignment.Target().ID)
 			assignment.Began(load(a))
 			if !out.started {
-				out.head(d.dialect, a, -1)
+				out.head(d.headerCodec, a, -1)
 			}
 		}
 		if err := d.relayEvent(q, out, e, complete || !events.buffered()); err != nil {
--- a/pkg/ingress/target_failure.go
+++ b/pkg/ingress/target_failure.go
@@ -28,7 +28,7 @@
 		return false
 	}
 	q.addToTrail(d.Clock.Now(), "passed on the failure kept from a target", "")
-	out.head(d.dialect, q.heldFailure.answer, q.heldFailure.answer.Length)
+	out.head(d.headerCodec, q.heldFailure.answer, q.heldFailure.answer.Length)
 	return out.body(q.heldFailure.body) == nil
 }
 
--- a/pkg/lifecycle/state.go
+++ b/pkg/lifecycle/state.go
@@ -38,8 +38,8 @@
 	Unknown:    {},
 }
 
-// MayBecome reports whether a request in state s may move to next.
-func (s State) MayBecome(next State) bool {
+// CanTransitionTo reports whether a request in state s may move to next.
+func (s State) CanTransitionTo(next State) bool {
 	for _, l := range transitions[s] {
 		if l == next {
 			return true
@@ -48,7 +48,7 @@
 	return false
 }
 
-// NotRunMayBeSaid reports whether a caller may be told "not run" in state s.
-func (s State) NotRunMayBeSaid() bool {
+// MayReportNotRun reports whether an entry may report "not run" to the caller in state s.
+func (s State) MayReportNotRun() bool {
 	return s == Waiting || s == Bound || s == Refused
 }
--- a/pkg/lifecycle/state_test.go
+++ b/pkg/lifecycle/state_test.go
@@ -7,12 +7,12 @@
 	"quaydock/pkg/lifecycle"
 )
 
-func ExampleState_NotRunMayBeSaid() {
-	fmt.Println(lifecycle.Bound.NotRunMayBeSaid(), lifecycle.Sent.NotRunMayBeSaid())
+func ExampleState_MayReportNotRun() {
+	fmt.Println(lifecycle.Bound.MayReportNotRun(), lifecycle.Sent.MayReportNotRun())
 	// Output: true false
 }
 
-func TestMayBecome(t *testing.T) {
+func TestCanTransitionTo(t *testing.T) {
 	scenarios := []struct {
 		name     string
 		from, to lifecycle.State
@@ -27,8 +27,8 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			if got := s.from.MayBecome(s.to); got != s.want {
-				t.Errorf("%v.MayBecome(%v) = %v, want %v", s.from, s.to, got, s.want)
+			if got := s.from.CanTransitionTo(s.to); got != s.want {
+				t.Errorf("%v.CanTransitionTo(%v) = %v, want %v", s.from, s.to, got, s.want)
 			}
 		})
 	}
--- a/pkg/loadmodel/simulation.go
+++ b/pkg/loadmodel/simulation.go
@@ -161,7 +161,7 @@
 			if c := s.waiting[d.ID]; c != nil {
 				s.run(now, c, s.byID[d.Incarnation.Target])
 			}
-		case planner.Refuse:
+		case planner.Refusal:
 			if c := s.waiting[d.ID]; c != nil {
 				s.refuse(now, c, d.RetryAfter)
 			}
--- a/pkg/metering/claims.go
+++ b/pkg/metering/claims.go
@@ -8,10 +8,10 @@
 )
 
 // sendClaim sends a claim to the owner of an account and waits for its reply, sending it again until the timeout.
-func (m *Meter) sendClaim(ctx context.Context, owner netip.AddrPort, c claim) (reply, bool) {
+func (m *Meter) sendClaim(ctx context.Context, owner netip.AddrPort, c claim) (claimReply, bool) {
 	answer, number, allowed := m.beginClaim(owner)
 	if !allowed {
-		return reply{}, false
+		return claimReply{}, false
 	}
 	c.Number = number
 	defer m.endClaim(number)
@@ -33,19 +33,19 @@
 		}
 		if waiting.Err() != nil {
 			m.recordTimeout(ctx, owner)
-			return reply{}, false
+			return claimReply{}, false
 		}
 	}
 }
 
-func (m *Meter) beginClaim(owner netip.AddrPort) (chan reply, uint64, bool) {
+func (m *Meter) beginClaim(owner netip.AddrPort) (chan claimReply, uint64, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.Clock.Now() < m.unresponsiveUntil[owner] {
 		return nil, 0, false
 	}
 	m.lastNumber++
-	answer := make(chan reply, 1)
+	answer := make(chan claimReply, 1)
 	m.pending[m.lastNumber] = answer
 	return answer, m.lastNumber, true
 }
@@ -66,7 +66,7 @@
 	m.unresponsiveUntil[owner] = m.Clock.Now() + unresponsiveFor
 }
 
-func (m *Meter) handleReply(_ netip.AddrPort, message *reply) {
+func (m *Meter) handleReply(_ netip.AddrPort, message *claimReply) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if answer := m.pending[message.Number]; answer != nil {
--- a/pkg/metering/meter.go
+++ b/pkg/metering/meter.go
@@ -100,8 +100,8 @@
 	Age clock.Millis
 }
 
-// reply is the owner's reply to a claim. Wait says when to come back if nothing was taken.
-type reply struct {
+// claimReply is the owner's reply to a claim. Wait says when to come back if nothing was taken.
+type claimReply struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
 	Taken  bool
@@ -147,9 +147,9 @@
 	lastFullAgreement clock.Millis
 	partition         partition
 	lastNumber        uint64
-	pending           map[uint64]chan reply
+	pending           map[uint64]chan claimReply
 	unresponsiveUntil map[netip.AddrPort]clock.Millis // when claims may be sent to an owner again
-	sentReplies       map[uint64]reply                // by claim number
+	sentReplies       map[uint64]claimReply           // by claim number
 	replyOrder        []uint64
 }
 
@@ -160,7 +160,7 @@
 		localAllowance: quota.NewAllowance(),
 		usage:          quota.NewLedger(), reports: reports{byAccount: make(map[ids.Account]map[reporter]report)},
 		incarnation: c.Random.Fork().Uint64(), lastNumber: c.Random.Fork().Uint64(),
-		pending: make(map[uint64]chan reply), unresponsiveUntil: make(map[netip.AddrPort]clock.Millis), sentReplies: make(map[uint64]reply),
+		pending: make(map[uint64]chan claimReply), unresponsiveUntil: make(map[netip.AddrPort]clock.Millis), sentReplies: make(map[uint64]claimReply),
 		lastFullAgreement: c.Clock.Now(),
 	}
 	m.ownerAllowance = quota.NewFilledAllowance(m.initialFill)
--- a/pkg/metering/owner.go
+++ b/pkg/metering/owner.go
@@ -105,18 +105,18 @@
 // answerClaim counts a claim at the owner. Entries send claims only for accounts with a limit, so an owner that has
 // no limit for an account does not know it. Admitting these claims let an account that had just been added use 4.7
 // times its limit in a window, in a simulation in virtual time.
-func (m *Meter) answerClaim(from netip.AddrPort, account *routing.Account, c *claim) reply {
+func (m *Meter) answerClaim(from netip.AddrPort, account *routing.Account, c *claim) claimReply {
 	used := m.usage.Sum(m.Clock.Now(), c.Account, m.window())
 	if account == nil || account.PerSecond <= 0 {
-		return reply{Number: c.Number, Used: used, Incarnation: m.incarnation, Unknown: true}
+		return claimReply{Number: c.Number, Used: used, Incarnation: m.incarnation, Unknown: true}
 	}
 	taken, wait := m.takeAsOwner(from, account, *c)
-	return reply{Number: c.Number, Taken: taken, Wait: wait, Used: used, Incarnation: m.incarnation}
+	return claimReply{Number: c.Number, Taken: taken, Wait: wait, Used: used, Incarnation: m.incarnation}
 }
 
 // storeReply keeps a reply for claims that are sent again. It needs no lock, as only the link's goroutine uses
 // sentReplies and replyOrder.
-func (m *Meter) storeReply(answer reply) {
+func (m *Meter) storeReply(answer claimReply) {
 	m.sentReplies[answer.Number] = answer
 	m.replyOrder = append(m.replyOrder, answer.Number)
 	if len(m.replyOrder) > maxStoredReplies {
--- a/pkg/planner/advice.go
+++ b/pkg/planner/advice.go
@@ -106,7 +106,7 @@
 	return max(0, shortest)
 }
 
-// backoffKept is how long a back-off is kept after its end, so that only one job is sent at first.
+// backoffRetention is how long a back-off is kept after its end, so that only one job is sent at first.
 const backoffRetention = 10 * clock.Second
 
 // pruneBackoffs removes all back-offs once the last has ended long ago.
--- a/pkg/planner/job.go
+++ b/pkg/planner/job.go
@@ -58,7 +58,7 @@
 	return j.Arrived - j.SinceFirstTry + j.Objective
 }
 
-// Decision is a result for one job: Grant, Refuse or Move.
+// Decision is a result for one job: Grant, Refusal or Move.
 type Decision interface{ decision() }
 
 // Grant assigns a job to a target, in the incarnation that the planner knows.
@@ -71,8 +71,8 @@
 	Counted   bool
 }
 
-// Refuse rejects a job. It has not run.
-type Refuse struct {
+// Refusal rejects a job. It has not run.
+type Refusal struct {
 	ID         JobID
 	RetryAfter clock.Millis
 	// Ahead and Wait are the grounds of the refusal: the number of jobs ahead of it and its estimated wait.
@@ -89,9 +89,9 @@
 	ID JobID
 }
 
-func (Grant) decision()  {}
-func (Refuse) decision() {}
-func (Move) decision()   {}
+func (Grant) decision()   {}
+func (Refusal) decision() {}
+func (Move) decision()    {}
 
 // StreamStats describes the events of a stream that has ended.
 type StreamStats struct {
--- a/pkg/planner/place.go
+++ b/pkg/planner/place.go
@@ -43,7 +43,7 @@
 	remaining := p.queue.jobs[:0]
 	for _, w := range p.queue.jobs {
 		var t *target
-		if len(c.available) > 0 && !p.heldBack(now, w) && !p.trial.closed(w) {
+		if len(c.available) > 0 && !p.mustWait(now, w) && !p.trial.closed(w) {
 			t = p.cheapest(now, &c, w)
 		}
 		if t == nil {
@@ -80,8 +80,8 @@
 	return t.hasFreeSlot(now, avoidFailing) && p.withinColdRate(now, t) && p.withinLimit(now, t)
 }
 
-// heldBack reports whether a job must wait because one that goes before it was refused recently.
-func (p *Planner) heldBack(now clock.Millis, w *queuedJob) bool {
+// mustWait reports whether a job must wait because one that goes before it was refused recently.
+func (p *Planner) mustWait(now clock.Millis, w *queuedJob) bool {
 	below := p.floor.below(now, w.Tier) && !p.off.Off(ablation.TierFloor)
 	return below || p.floor.behind(now, w) && !p.off.Off(ablation.LateFloor)
 }
@@ -95,7 +95,7 @@
 // candidates is the state of the targets in one round of placement.
 type candidates struct {
 	available    []*target // targets that can take a job
-	avoidFailing bool      // enough targets are healthy to avoid the failing ones
+	avoidFailing bool      // enough targets are healthy to do without the failing ones
 	// lowestFactor is the lowest factor of any target that is not ejected; valid if known is set.
 	lowestFactor float64
 	known        bool
--- a/pkg/planner/planner_test.go
+++ b/pkg/planner/planner_test.go
@@ -45,10 +45,10 @@
 	return numbers
 }
 
-func refused(list []planner.Decision) []planner.Refuse {
-	var all []planner.Refuse
+func refused(list []planner.Decision) []planner.Refusal {
+	var all []planner.Refusal
 	for _, d := range list {
-		if r, ok := d.(planner.Refuse); ok {
+		if r, ok := d.(planner.Refusal); ok {
 			all = append(all, r)
 		}
 	}
@@ -135,7 +135,7 @@
 func TestJobsThatCannotBeInTimeAreRefusedEarly(t *testing.T) {
 	p := newPlanner(1)
 	now := measure(p, 10, 200)
-	var refusals []planner.Refuse
+	var refusals []planner.Refusal
 	for i := range 30 {
 		j := job(uint64(i), 1)
 		j.Arrived, j.Deadline = now, now+10*clock.Second
--- a/pkg/planner/random_test.go
+++ b/pkg/planner/random_test.go
@@ -110,7 +110,7 @@
 			}
 			h.running[d.ID.Number] = d.Incarnation.Target
 			h.load[d.Incarnation.Target]++
-		case planner.Refuse:
+		case planner.Refusal:
 			delete(h.waiting, d.ID.Number)
 			h.refused[h.tiers[d.ID.Number]] = now
 		}
--- a/pkg/planner/refusal.go
+++ b/pkg/planner/refusal.go
@@ -32,7 +32,7 @@
 }
 
 func (p *Planner) refuseNoTarget(job *Job) {
-	p.addDecision(Refuse{ID: job.ID, RetryAfter: noTargetRetry, NoTargets: true})
+	p.addDecision(Refusal{ID: job.ID, RetryAfter: noTargetRetry, NoTargets: true})
 }
 
 // reviewQueue refuses the jobs that are unlikely to be in time, and those for which no target is left.
@@ -98,10 +98,10 @@
 	if backoff := p.backoffLeft(now, &w.Job); backoff > 0 {
 		// The tier floor is not raised: jobs of lower tiers from other entries may use slots that this job could not
 		// have got.
-		p.addDecision(Refuse{ID: w.ID, RetryAfter: max(retry, AfterBackoff(backoff, p.random.Float64())), Ahead: ahead, Wait: backoff, BackedOff: true})
+		p.addDecision(Refusal{ID: w.ID, RetryAfter: max(retry, AfterBackoff(backoff, p.random.Float64())), Ahead: ahead, Wait: backoff, BackedOff: true})
 		return
 	}
-	p.addDecision(Refuse{ID: w.ID, RetryAfter: retry, Ahead: ahead, Wait: wait})
+	p.addDecision(Refusal{ID: w.ID, RetryAfter: retry, Ahead: ahead, Wait: wait})
 	p.floor.raise(now, w, p.floorHold(now))
 }
 
--- a/pkg/planner/trial.go
+++ b/pkg/planner/trial.go
@@ -175,7 +175,7 @@
 	p.chooseFillTarget(now)
 	p.queue.sort(now)
 	p.queue.removeIf(func(w *queuedJob) bool {
-		if !w.Trial || p.heldBack(now, w) || !p.dueForCanary(now, w) {
+		if !w.Trial || p.mustWait(now, w) || !p.dueForCanary(now, w) {
 			return false
 		}
 		t := p.canaryTarget(now, w)
