--- a/pkg/advisory/limit.go
+++ b/pkg/advisory/limit.go
@@ -14,8 +14,8 @@
 
 // observeLimit takes what an answer reports of the limit, and reports whether the limit in force has changed; the caller
 // holds the lock.
-func (b *Tracker) observeLimit(now clock.Millis, r *incarnationState, a *Advice, at reportTime) (changed bool) {
-	before := b.limitOf(r.incarnation)
+func (tr *Tracker) observeLimit(now clock.Millis, r *incarnationState, a *Advice, at reportTime) (changed bool) {
+	before := tr.limitOf(r.incarnation)
 	if a.Limit.Unreadable() || !a.Limit.Given && !before.Known {
 		return false
 	}
@@ -27,9 +27,9 @@
 
 // limitOf returns the limit of an incarnation: its own report, or else those of former incarnations that may be its own.
 // The caller holds the lock.
-func (b *Tracker) limitOf(incarnation ids.TargetIncarnation) ratelimit.Report {
+func (tr *Tracker) limitOf(incarnation ids.TargetIncarnation) ratelimit.Report {
 	var inherited ratelimit.Report
-	for _, r := range b.states[incarnation.Target] {
+	for _, r := range tr.states[incarnation.Target] {
 		if r.incarnation.Same(incarnation) && r.limit.Known {
 			return r.limit
 		}
@@ -42,29 +42,29 @@
 
 // ObserveOwner takes the limit of an incarnation that the owner of its service knows from other entries, and returns the
 // status that is in force then.
-func (b *Tracker) ObserveOwner(incarnation ids.TargetIncarnation, w ratelimit.Report) Status {
-	s := b.Status(incarnation)
-	if b == nil || !w.Known || s.Limit.Merge(w) == s.Limit || !w.IsLimited() && !s.Limit.IsLimited() {
+func (tr *Tracker) ObserveOwner(incarnation ids.TargetIncarnation, w ratelimit.Report) Status {
+	s := tr.Status(incarnation)
+	if tr == nil || !w.Known || s.Limit.Merge(w) == s.Limit || !w.IsLimited() && !s.Limit.IsLimited() {
 		return s
 	}
-	now := b.Clock.Now()
-	b.mu.Lock()
-	r := b.stateFor(incarnation)
-	changed := r.mergeLimit(now, b.limitOf(incarnation), w)
+	now := tr.Clock.Now()
+	tr.mu.Lock()
+	r := tr.stateFor(incarnation)
+	changed := r.mergeLimit(now, tr.limitOf(incarnation), w)
 	r.listedAt = now
 	s.Limit = r.limit
-	b.mu.Unlock()
-	b.logLimit(logrus.Fields{"heard_from": "home"}, s, changed, false)
+	tr.mu.Unlock()
+	tr.logLimit(logrus.Fields{"heard_from": "home"}, s, changed, false)
 	return s
 }
 
 // hasReportedLimit reports whether an incarnation has reported a limit, so that an answer without one means something. It
 // stays true for a while after the first such answer: the owner may not have been able to tell that this report was the
 // later one.
-func (b *Tracker) hasReportedLimit(incarnation ids.TargetIncarnation) bool {
-	b.mu.RLock()
-	defer b.mu.RUnlock()
-	return b.limitOf(incarnation).Known
+func (tr *Tracker) hasReportedLimit(incarnation ids.TargetIncarnation) bool {
+	tr.mu.RLock()
+	defer tr.mu.RUnlock()
+	return tr.limitOf(incarnation).Known
 }
 
 // limitMayBeOf reports whether the limit that was taken for a former incarnation's may be that of an incarnation that this
--- a/pkg/advisory/report.go
+++ b/pkg/advisory/report.go
@@ -25,9 +25,9 @@
 }
 
 // Reports describes all targets that are leaving, backing off or limited by their own report, ordered by id.
-func (b *Tracker) Reports(listed *routing.Directory) []Report {
+func (tr *Tracker) Reports(listed *routing.Directory) []Report {
 	reports := []Report{}
-	for _, s := range b.All() {
+	for _, s := range tr.All() {
 		if !s.Blocks() && !s.Limit.IsLimited() {
 			continue
 		}
--- a/pkg/advisory/sender.go
+++ b/pkg/advisory/sender.go
@@ -35,23 +35,23 @@
 
 // senderOf returns whether the incarnation with a start has sent a report that was taken for its former incarnation's. The
 // answer's date is by the same clock as the start, so it takes precedence over times by the clocks of other VMs.
-func (w reportTime) senderOf(start ids.Start) sender {
+func (t reportTime) senderOf(start ids.Start) sender {
 	switch {
-	case w.sent > 0 && w.sent+dateResolution <= start:
+	case t.sent > 0 && t.sent+dateResolution <= start:
 		return formerIncarnation
-	case w.sent >= start:
+	case t.sent >= start:
 		return thisIncarnation
-	case w.sent > 0:
+	case t.sent > 0:
 		return unclearSender // within the same second
-	case w.connected+clockTolerance <= start:
+	case t.connected+clockTolerance <= start:
 		return formerIncarnation
-	case w.connected >= start+clockTolerance:
+	case t.connected >= start+clockTolerance:
 		return thisIncarnation
 	}
 	return unclearSender
 }
 
 // latest returns the later time of two reports.
-func (w reportTime) latest(other reportTime) reportTime {
-	return reportTime{connected: max(w.connected, other.connected), sent: max(w.sent, other.sent)}
+func (t reportTime) latest(other reportTime) reportTime {
+	return reportTime{connected: max(t.connected, other.connected), sent: max(t.sent, other.sent)}
 }
--- a/pkg/capacity/deployment_size.go
+++ b/pkg/capacity/deployment_size.go
@@ -30,16 +30,16 @@
 const secondsPerDay = 86_400
 
 // EntryRequests returns the mean number of requests per second at one entry.
-func (t DeploymentSize) EntryRequests() float64 { return t.RequestsPerSecond / float64(t.VMs) }
+func (s DeploymentSize) EntryRequests() float64 { return s.RequestsPerSecond / float64(s.VMs) }
 
 // AgentRequests returns the mean number of requests per second at one agent.
-func (t DeploymentSize) AgentRequests() float64 { return t.RequestsPerSecond / float64(t.Engines) }
+func (s DeploymentSize) AgentRequests() float64 { return s.RequestsPerSecond / float64(s.Engines) }
 
 // EntryTokens returns the mean number of tokens per second through one entry.
-func (t DeploymentSize) EntryTokens() float64 { return t.TokensPerSecond / float64(t.VMs) }
+func (s DeploymentSize) EntryTokens() float64 { return s.TokensPerSecond / float64(s.VMs) }
 
 // AgentTokens returns the mean number of tokens per second through one agent.
-func (t DeploymentSize) AgentTokens() float64 { return t.TokensPerSecond / float64(t.Engines) }
+func (s DeploymentSize) AgentTokens() float64 { return s.TokensPerSecond / float64(s.Engines) }
 
 // ChangesPerSecond returns the mean number of configuration changes per second.
-func (t DeploymentSize) ChangesPerSecond() float64 { return t.ChangesPerDay / secondsPerDay }
+func (s DeploymentSize) ChangesPerSecond() float64 { return s.ChangesPerDay / secondsPerDay }
--- a/pkg/declaration/index.go
+++ b/pkg/declaration/index.go
@@ -45,86 +45,86 @@
 	return b, nil
 }
 
-func (b *Index) index() {
-	for i, t := range b.set.Tiers {
-		b.ranks[t.Name] = ids.TierRank(i)
+func (x *Index) index() {
+	for i, t := range x.set.Tiers {
+		x.ranks[t.Name] = ids.TierRank(i)
 	}
-	for i := range b.set.Accounts {
-		b.indexKeys(&b.set.Accounts[i])
+	for i := range x.set.Accounts {
+		x.indexKeys(&x.set.Accounts[i])
 	}
-	for i := range b.set.Services {
-		s := &b.set.Services[i]
-		b.services[s.Name] = s
+	for i := range x.set.Services {
+		s := &x.set.Services[i]
+		x.services[s.Name] = s
 	}
-	for i := range b.set.Targets {
-		t := &b.set.Targets[i]
-		b.targets[t.Name] = t
+	for i := range x.set.Targets {
+		t := &x.set.Targets[i]
+		x.targets[t.Name] = t
 	}
-	for _, p := range b.set.Placements {
-		b.serving[p.Service] = append(b.serving[p.Service], b.targets[p.Target])
-		b.placed[p.Target] = append(b.placed[p.Target], p)
+	for _, p := range x.set.Placements {
+		x.serving[p.Service] = append(x.serving[p.Service], x.targets[p.Target])
+		x.placed[p.Target] = append(x.placed[p.Target], p)
 	}
 }
 
-func (b *Index) indexKeys(a *Account) {
+func (x *Index) indexKeys(a *Account) {
 	for _, h := range a.KeyHashes {
 		sum, _ := hex.DecodeString(h) // checked by Set.Check
-		b.accounts[[keySumBytes]byte(sum)] = a
+		x.accounts[[keySumBytes]byte(sum)] = a
 	}
 }
 
 // Set returns the declarations. The caller must not change them.
-func (b *Index) Set() Set {
-	return b.set
+func (x *Index) Set() Set {
+	return x.set
 }
 
 // Account returns the account that the API key belongs to, or nil.
-func (b *Index) Account(key string) *Account {
-	return b.accounts[sha256.Sum256([]byte(key))]
+func (x *Index) Account(key string) *Account {
+	return x.accounts[sha256.Sum256([]byte(key))]
 }
 
 // Service returns the service called name, or nil.
-func (b *Index) Service(name ids.Service) *Service {
-	return b.services[name]
+func (x *Index) Service(name ids.Service) *Service {
+	return x.services[name]
 }
 
 // Services returns the services in declared order. The caller must not change them.
-func (b *Index) Services() []Service {
-	return b.set.Services
+func (x *Index) Services() []Service {
+	return x.set.Services
 }
 
 // Target returns the target called name, or nil.
-func (b *Index) Target(name ids.Target) *Target {
-	return b.targets[name]
+func (x *Index) Target(name ids.Target) *Target {
+	return x.targets[name]
 }
 
 // Targets returns the targets in declared order. The caller must not change them.
-func (b *Index) Targets() []Target {
-	return b.set.Targets
+func (x *Index) Targets() []Target {
+	return x.set.Targets
 }
 
 // Serving returns the targets that service is placed on.
-func (b *Index) Serving(service ids.Service) []*Target {
-	return b.serving[service]
+func (x *Index) Serving(service ids.Service) []*Target {
+	return x.serving[service]
 }
 
 // Placements returns what is placed on target.
-func (b *Index) Placements(target ids.Target) []Placement {
-	return b.placed[target]
+func (x *Index) Placements(target ids.Target) []Placement {
+	return x.placed[target]
 }
 
 // Rank returns the rank of a tier, and whether the tier is known.
-func (b *Index) Rank(tier ids.Tier) (ids.TierRank, bool) {
-	rank, known := b.ranks[tier]
+func (x *Index) Rank(tier ids.Tier) (ids.TierRank, bool) {
+	rank, known := x.ranks[tier]
 	return rank, known
 }
 
 // Deadline returns the default time for an answer in a tier.
-func (b *Index) Deadline(rank ids.TierRank) clock.Millis {
-	return b.set.Tiers[rank].DeadlineMS
+func (x *Index) Deadline(rank ids.TierRank) clock.Millis {
+	return x.set.Tiers[rank].DeadlineMS
 }
 
 // TierCount returns how many tiers are declared.
-func (b *Index) TierCount() int {
-	return len(b.set.Tiers)
+func (x *Index) TierCount() int {
+	return len(x.set.Tiers)
 }
--- a/pkg/descriptors/limiter.go
+++ b/pkg/descriptors/limiter.go
@@ -93,55 +93,55 @@
 
 // Arrive decides on a new connection, and counts it. The parameter idle says whether an idle connection
 // can be closed in its place. It reports whether a shortage begins with it.
-func (b *Limiter) Arrive(now clock.Millis, idle bool) (step Step, begins bool) {
+func (l *Limiter) Arrive(now clock.Millis, idle bool) (step Step, begins bool) {
 	switch {
-	case !b.AtLimit():
-		b.taken++
+	case !l.AtLimit():
+		l.taken++
 		return StepTake, false
 	case idle:
-		begins = b.recordShortage(now)
-		b.shortage.Replaced++
+		begins = l.recordShortage(now)
+		l.shortage.Replaced++
 		return StepReplace, begins
-	case b.rejecting < b.limits.Rejecting:
-		begins = b.recordShortage(now)
-		b.rejecting++
-		b.shortage.Rejected++
+	case l.rejecting < l.limits.Rejecting:
+		begins = l.recordShortage(now)
+		l.rejecting++
+		l.shortage.Rejected++
 		return StepTurnAway, begins
 	}
-	return StepWait, b.recordShortage(now)
+	return StepWait, l.recordShortage(now)
 }
 
 // recordShortage records that the limit was reached, and reports whether a shortage begins.
-func (b *Limiter) recordShortage(now clock.Millis) bool {
-	begins := b.shortage == nil
+func (l *Limiter) recordShortage(now clock.Millis) bool {
+	begins := l.shortage == nil
 	if begins {
-		b.shortage = &Shortage{Began: now}
+		l.shortage = &Shortage{Began: now}
 	}
-	b.shortage.lastSeen = now
+	l.shortage.lastSeen = now
 	return begins
 }
 
 // Ended records that an accepted connection has ended.
-func (b *Limiter) Ended() { b.taken-- }
+func (l *Limiter) Ended() { l.taken-- }
 
 // RejectionEnded records that a rejected connection has ended.
-func (b *Limiter) RejectionEnded() { b.rejecting-- }
+func (l *Limiter) RejectionEnded() { l.rejecting-- }
 
 // EndedShortage returns the shortage that has ended by now, or nil. It returns each one once.
-func (b *Limiter) EndedShortage(now clock.Millis) *Shortage {
-	s := b.shortage
-	if s == nil || now-s.lastSeen < recoveredAfter || float64(b.taken) > recoveredFraction*float64(b.limits.Callers) {
+func (l *Limiter) EndedShortage(now clock.Millis) *Shortage {
+	s := l.shortage
+	if s == nil || now-s.lastSeen < recoveredAfter || float64(l.taken) > recoveredFraction*float64(l.limits.Callers) {
 		return nil
 	}
-	b.shortage = nil
+	l.shortage = nil
 	return s
 }
 
 // AtLimit reports whether callers hold all connections that they may.
-func (b *Limiter) AtLimit() bool { return b.taken >= b.limits.Callers }
+func (l *Limiter) AtLimit() bool { return l.taken >= l.limits.Callers }
 
 // Taken returns how many connections callers hold.
-func (b *Limiter) Taken() int { return b.taken }
+func (l *Limiter) Taken() int { return l.taken }
 
 // Rejecting returns how many connections are being rejected.
-func (b *Limiter) Rejecting() int { return b.rejecting }
+func (l *Limiter) Rejecting() int { return l.rejecting }
--- a/pkg/dispatch/advice.go
+++ b/pkg/dispatch/advice.go
@@ -34,24 +34,24 @@
 }
 
 // receiveAdvice applies the advice that an entry has received from targets.
-func (h *Owner) receiveAdvice(from netip.AddrPort, a *adviceMessage) {
-	now := h.Clock.Now()
-	h.withPlanner(now, a.Service, from, func(p *planner.Planner) {
+func (owner *Owner) receiveAdvice(from netip.AddrPort, a *adviceMessage) {
+	now := owner.Clock.Now()
+	owner.withPlanner(now, a.Service, from, func(p *planner.Planner) {
 		for _, it := range a.Items {
 			p.Advise(now, from.String(), it.Incarnation, it.Leaving, it.Backoff)
 			if limit, changed := p.SetLimit(now, it.Incarnation, it.Limit.Report(now)); changed {
-				h.logLimit(from, it.Incarnation, limit)
+				owner.logLimit(from, it.Incarnation, limit)
 			}
 		}
 	})
 }
 
 // logLimit logs that the planner now uses another rate limit for a target.
-func (h *Owner) logLimit(from netip.AddrPort, incarnation ids.TargetIncarnation, limit ratelimit.Report) {
-	if !h.sampler.Allow("limit") {
+func (owner *Owner) logLimit(from netip.AddrPort, incarnation ids.TargetIncarnation, limit ratelimit.Report) {
+	if !owner.sampler.Allow("limit") {
 		return
 	}
-	line := h.Log.WithFields(logrus.Fields{"target": string(incarnation.Target), "start": int64(incarnation.Start), "heard_from": from.String()})
+	line := owner.Log.WithFields(logrus.Fields{"target": string(incarnation.Target), "start": int64(incarnation.Start), "heard_from": from.String()})
 	if limit.IsLimited() {
 		line.WithField("per_second", float64(limit.Rate)).Info("planner applies the rate limit of a target")
 		return
--- a/pkg/dispatch/assignment.go
+++ b/pkg/dispatch/assignment.go
@@ -32,26 +32,26 @@
 	moveOnce     sync.Once
 }
 
-func (p *assignment) Target() *routing.Target { return p.target }
+func (a *assignment) Target() *routing.Target { return a.target }
 
-func (p *assignment) Redispatched() <-chan struct{} { return p.redispatched }
+func (a *assignment) Redispatched() <-chan struct{} { return a.redispatched }
 
-func (p *assignment) Began(load *planner.Load) {
-	p.dispatcher.mu.Lock()
-	p.begun = true
-	p.dispatcher.mu.Unlock()
-	p.dispatcher.trials.countReached(p)
-	p.dispatcher.sendProgress(progressMessage{Number: p.number, Service: p.request.Service, Progress: begun, Load: load})
+func (a *assignment) Began(load *planner.Load) {
+	a.dispatcher.mu.Lock()
+	a.begun = true
+	a.dispatcher.mu.Unlock()
+	a.dispatcher.trials.countReached(a)
+	a.dispatcher.sendProgress(progressMessage{Number: a.number, Service: a.request.Service, Progress: begun, Load: load})
 }
 
-func (p *assignment) Done(outcome planner.Outcome, flow planner.StreamStats) {
-	p.dispatcher.mu.Lock()
-	delete(p.dispatcher.running, p.number)
-	p.dispatcher.syncsLeft[p.request.Service] = finalSyncs
-	p.dispatcher.mu.Unlock()
-	if p.local != nil {
-		p.local.Done(outcome, flow)
+func (a *assignment) Done(outcome planner.Outcome, flow planner.StreamStats) {
+	a.dispatcher.mu.Lock()
+	delete(a.dispatcher.running, a.number)
+	a.dispatcher.syncsLeft[a.request.Service] = finalSyncs
+	a.dispatcher.mu.Unlock()
+	if a.local != nil {
+		a.local.Done(outcome, flow)
 	}
-	flow.Stalled = p.dispatcher.owner.stalls.Within(p.sentAt, p.dispatcher.Clock.Now())
-	p.dispatcher.sendProgress(progressMessage{Number: p.number, Service: p.request.Service, Progress: done, Outcome: outcome, Flow: flow})
+	flow.Stalled = a.dispatcher.owner.stalls.Within(a.sentAt, a.dispatcher.Clock.Now())
+	a.dispatcher.sendProgress(progressMessage{Number: a.number, Service: a.request.Service, Progress: done, Outcome: outcome, Flow: flow})
 }
--- a/pkg/dispatch/estimates.go
+++ b/pkg/dispatch/estimates.go
@@ -65,47 +65,47 @@
 }
 
 // receive stores the estimates that an owner has sent.
-func (m *estimateCache) receive(_ netip.AddrPort, l *estimatesMessage) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if before := m.received[l.Service]; before != nil && l.Page > 0 {
+func (c *estimateCache) receive(_ netip.AddrPort, l *estimatesMessage) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if before := c.received[l.Service]; before != nil && l.Page > 0 {
 		known := maps.Clone(before.Factors)
 		maps.Copy(known, l.Estimates.Factors)
 		l.Estimates.Factors = known
 	}
-	m.received[l.Service] = &l.Estimates
+	c.received[l.Service] = &l.Estimates
 }
 
 // get returns the estimates for a service, or nil.
-func (m *estimateCache) get(service ids.Service) *planner.Estimates {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.received[service]
+func (c *estimateCache) get(service ids.Service) *planner.Estimates {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.received[service]
 }
 
 // replicate sends the estimates for a service to the successor of this owner, and saves them in the store from time to time.
 // The traffic, one message per second for some two dozen targets, does not grow with the number of entries.
-func (m *estimateCache) replicate(ctx context.Context, now clock.Millis, service ids.Service, l *planner.Estimates) {
+func (c *estimateCache) replicate(ctx context.Context, now clock.Millis, service ids.Service, l *planner.Estimates) {
 	for id := range l.Factors {
 		if len(l.Factors) <= maxFactors {
 			break
 		}
 		delete(l.Factors, id)
 	}
-	if next, others := m.members.HeavySuccessor(plannerShard(service)); others {
+	if next, others := c.members.HeavySuccessor(plannerShard(service)); others {
 		for i, page := range splitPages(l) {
-			m.link.Send(next, packets.KindEstimates, estimatesMessage{Service: service, Page: i, Estimates: page})
+			c.link.Send(next, packets.KindEstimates, estimatesMessage{Service: service, Page: i, Estimates: page})
 		}
 	}
-	m.mu.Lock()
-	m.received[service] = l
-	due := now-m.savedAt[service] >= saveInterval
+	c.mu.Lock()
+	c.received[service] = l
+	due := now-c.savedAt[service] >= saveInterval
 	if due {
-		m.savedAt[service] = now
+		c.savedAt[service] = now
 	}
-	m.mu.Unlock()
+	c.mu.Unlock()
 	if due {
-		go m.save(ctx, service, l)
+		go c.save(ctx, service, l)
 	}
 }
 
@@ -127,26 +127,26 @@
 	return append(list, page)
 }
 
-func (m *estimateCache) save(ctx context.Context, service ids.Service, l *planner.Estimates) {
+func (c *estimateCache) save(ctx context.Context, service ids.Service, l *planner.Estimates) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout.Duration())
 	defer cancel()
 	value, err := cbor.Marshal(l)
 	if err == nil {
-		err = m.store.Put(ctx, string(service), value)
+		err = c.store.Put(ctx, string(service), value)
 	}
 	if err != nil {
-		m.Log.WithError(err).WithField("service", string(service)).Info("saving estimates to the store failed")
+		c.Log.WithError(err).WithField("service", string(service)).Info("saving estimates to the store failed")
 	}
 }
 
 // load reads the saved estimates for all services, for example after this entry has started, and
 // calls done for each valid row.
-func (m *estimateCache) load(ctx context.Context, done func(ids.Service, *planner.Estimates)) {
+func (c *estimateCache) load(ctx context.Context, done func(ids.Service, *planner.Estimates)) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout.Duration())
 	defer cancel()
-	batch, err := m.store.Snapshot(ctx)
+	batch, err := c.store.Snapshot(ctx)
 	if err != nil {
-		m.Log.WithError(err).Info("reading estimates from the store failed")
+		c.Log.WithError(err).Info("reading estimates from the store failed")
 		return
 	}
 	for _, row := range batch.Rows {
@@ -156,15 +156,15 @@
 			err = l.Check()
 		}
 		if err != nil {
-			m.faults.Add(row, err)
+			c.faults.Add(row, err)
 			continue
 		}
 		service := ids.Service(row.Key)
-		m.mu.Lock()
-		if m.received[service] == nil {
-			m.received[service] = l
+		c.mu.Lock()
+		if c.received[service] == nil {
+			c.received[service] = l
 		}
-		m.mu.Unlock()
+		c.mu.Unlock()
 		done(service, l)
 	}
 }
--- a/pkg/dispatch/messages.go
+++ b/pkg/dispatch/messages.go
@@ -27,11 +27,11 @@
 }
 
 // job returns the job with its times on this VM's clock.
-func (a *submitMessage) job(from netip.AddrPort, now clock.Millis) planner.Job {
-	j := a.Job
-	j.ID = planner.JobID{Entry: from.String(), Number: a.Number}
-	j.Arrived = now - a.Waited
-	j.Deadline = now + a.Remaining
+func (m *submitMessage) job(from netip.AddrPort, now clock.Millis) planner.Job {
+	j := m.Job
+	j.ID = planner.JobID{Entry: from.String(), Number: m.Number}
+	j.Arrived = now - m.Waited
+	j.Deadline = now + m.Remaining
 	return j
 }
 
--- a/pkg/dispatch/owner.go
+++ b/pkg/dispatch/owner.go
@@ -78,8 +78,8 @@
 
 // plannerForSender returns the up-to-date planner of a service and records that the sender is alive. It
 // returns nil if another entry is the owner of the service. The caller holds the lock.
-func (h *Owner) plannerForSender(now clock.Millis, service ids.Service, from netip.AddrPort) *servicePlanner {
-	g := h.plannerFor(now, service)
+func (owner *Owner) plannerForSender(now clock.Millis, service ids.Service, from netip.AddrPort) *servicePlanner {
+	g := owner.plannerFor(now, service)
 	if g != nil {
 		g.lastMessageAt[from.String()] = now
 	}
@@ -87,26 +87,26 @@
 }
 
 // plannerFor returns the up-to-date planner of a service, or nil if another entry is its owner; the caller holds the lock.
-func (h *Owner) plannerFor(now clock.Millis, service ids.Service) *servicePlanner {
-	directory := h.view.Directory()
-	if _, self := h.members.HeavyOwner(plannerShard(service)); !self || directory == nil {
+func (owner *Owner) plannerFor(now clock.Millis, service ids.Service) *servicePlanner {
+	directory := owner.view.Directory()
+	if _, self := owner.members.HeavyOwner(plannerShard(service)); !self || directory == nil {
 		return nil
 	}
-	g := h.planners[service]
+	g := owner.planners[service]
 	if g == nil {
-		g = &servicePlanner{planner: planner.New(h.Random.Fork()), lastMessageAt: make(map[string]clock.Millis), startedAt: now}
-		g.planner.Disable(h.Ablation)
-		h.planners[service] = g
-		h.updateLimits(now, g, service)
-		h.Log.WithField("service", string(service)).Info("this entry now plans for a service")
+		g = &servicePlanner{planner: planner.New(owner.Random.Fork()), lastMessageAt: make(map[string]clock.Millis), startedAt: now}
+		g.planner.Disable(owner.Ablation)
+		owner.planners[service] = g
+		owner.updateLimits(now, g, service)
+		owner.Log.WithField("service", string(service)).Info("this entry now plans for a service")
 	}
-	h.refresh(now, g, service, directory)
+	owner.refresh(now, g, service, directory)
 	return g
 }
 
 // refresh passes the current list of targets to a planner if it has changed; the caller holds the lock.
-func (h *Owner) refresh(now clock.Millis, g *servicePlanner, service ids.Service, directory *routing.Directory) {
-	rampingUp := h.rampingUp(now, service)
+func (owner *Owner) refresh(now clock.Millis, g *servicePlanner, service ids.Service, directory *routing.Directory) {
+	rampingUp := owner.rampingUp(now, service)
 	if g.directory == directory && g.rampingUp == rampingUp {
 		return
 	}
@@ -116,54 +116,54 @@
 		targets = asOnTrial(targets)
 	}
 	g.planner.SetTargets(now, targets)
-	h.adoptEstimates(g, service)
+	owner.adoptEstimates(g, service)
 }
 
 // updateLimits sets how many requests the planner may send to cold and rate-limited targets; the caller holds the lock. The
 // owner counts as just started for a while: a former owner that is partitioned may go on planning until it has received no
 // heartbeat from this entry for as long as an entry without a heartbeat still counts as alive.
-func (h *Owner) updateLimits(now clock.Millis, g *servicePlanner, service ids.Service) {
-	s := h.view.Catalog().Service(service)
+func (owner *Owner) updateLimits(now clock.Millis, g *servicePlanner, service ids.Service) {
+	s := owner.view.Catalog().Service(service)
 	limitsCold := s != nil && s.ColdPerSecond > 0
 	perSecond := 0.0
 	if limitsCold || g.planner.Limited() { // otherwise owners need not divide anything
-		agreement := planner.Agreement{Fraction: h.members.Agreement(), JustStarted: now < g.startedAt+2*h.members.SilenceLimit()}
+		agreement := planner.Agreement{Fraction: owner.members.Agreement(), JustStarted: now < g.startedAt+2*owner.members.SilenceLimit()}
 		g.planner.SetAgreement(agreement)
 		if limitsCold {
-			perSecond = h.coldBounds().Rate(s, agreement)
+			perSecond = owner.coldBounds().Rate(s, agreement)
 		}
 	}
 	g.planner.SetColdLimit(s, perSecond)
 }
 
 // run drives the planners until ctx ends.
-func (h *Owner) run(ctx context.Context) {
+func (owner *Owner) run(ctx context.Context) {
 	var lastReplicated clock.Millis
 	for ctx.Err() == nil {
-		due := h.Clock.Now() + tickInterval
-		h.stalls.Expect(due)
+		due := owner.Clock.Now() + tickInterval
+		owner.stalls.Expect(due)
 		clock.Pause(ctx, tickInterval)
-		now := h.Clock.Now()
-		h.stalls.Fired(now)
-		h.members.RecordLag(now - due)
-		h.sendDecisions(h.tick(ctx))
-		if now := h.Clock.Now(); now-lastReplicated >= replicateInterval {
+		now := owner.Clock.Now()
+		owner.stalls.Fired(now)
+		owner.members.RecordLag(now - due)
+		owner.sendDecisions(owner.tick(ctx))
+		if now := owner.Clock.Now(); now-lastReplicated >= replicateInterval {
 			lastReplicated = now
-			h.replicateEstimates(ctx, now)
+			owner.replicateEstimates(ctx, now)
 		}
 	}
 }
 
-func (h *Owner) tick(ctx context.Context) []planner.Decision {
-	now := h.Clock.Now()
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.planForOrders(now)
+func (owner *Owner) tick(ctx context.Context) []planner.Decision {
+	now := owner.Clock.Now()
+	owner.mu.Lock()
+	defer owner.mu.Unlock()
+	owner.planForOrders(now)
 	var decisions []planner.Decision
-	for service, g := range h.planners {
-		if _, self := h.members.HeavyOwner(plannerShard(service)); !self {
-			delete(h.planners, service)
-			h.Log.WithField("service", string(service)).Info("another entry now plans for a service")
+	for service, g := range owner.planners {
+		if _, self := owner.members.HeavyOwner(plannerShard(service)); !self {
+			delete(owner.planners, service)
+			owner.Log.WithField("service", string(service)).Info("another entry now plans for a service")
 			continue
 		}
 		for entry, at := range g.lastMessageAt {
@@ -172,11 +172,11 @@
 				g.planner.DropEntry(now, entry)
 			}
 		}
-		h.updateLimits(now, g, service)
-		h.refresh(now, g, service, h.view.Directory())
-		h.stepTrial(ctx, now, service, g)
+		owner.updateLimits(now, g, service)
+		owner.refresh(now, g, service, owner.view.Directory())
+		owner.stepTrial(ctx, now, service, g)
 		g.planner.Tick(now)
-		h.logSummary(now, service, g)
+		owner.logSummary(now, service, g)
 		decisions = append(decisions, g.planner.Decisions()...)
 	}
 	return decisions
--- a/pkg/dispatch/owner_messages.go
+++ b/pkg/dispatch/owner_messages.go
@@ -9,12 +9,12 @@
 )
 
 // receiveSubmit passes a request on to its planner and sends the decision, or that the request is queued.
-func (h *Owner) receiveSubmit(from netip.AddrPort, a *submitMessage) {
-	now := h.Clock.Now()
-	h.mu.Lock()
-	g := h.plannerForSender(now, a.Service, from)
+func (owner *Owner) receiveSubmit(from netip.AddrPort, a *submitMessage) {
+	now := owner.Clock.Now()
+	owner.mu.Lock()
+	g := owner.plannerForSender(now, a.Service, from)
 	if g == nil {
-		h.mu.Unlock()
+		owner.mu.Unlock()
 		return
 	}
 	job := a.job(from, now)
@@ -23,8 +23,8 @@
 	if !decides(decisions, job.ID) {
 		decisions = append(decisions, currentDecision(g.planner, job.ID))
 	}
-	h.mu.Unlock()
-	h.sendDecisions(decisions)
+	owner.mu.Unlock()
+	owner.sendDecisions(decisions)
 }
 
 // stillQueued is the decision for a job that was submitted again while it waits.
@@ -57,14 +57,14 @@
 	return false
 }
 
-func (h *Owner) sendDecisions(decisions []planner.Decision) {
+func (owner *Owner) sendDecisions(decisions []planner.Decision) {
 	for _, d := range decisions {
 		switch d := d.(type) {
 		case planner.Grant:
 			if d.Counted {
-				h.Metrics.Links.Add("grants_by_limits", 1)
+				owner.Metrics.Links.Add("grants_by_limits", 1)
 			}
-			h.sendDecision(d.ID, decisionMessage{Kind: granted, Incarnation: d.Incarnation, Limit: d.RateLimit.Aged(h.Clock.Now()), Counted: d.Counted})
+			owner.sendDecision(d.ID, decisionMessage{Kind: granted, Incarnation: d.Incarnation, Limit: d.RateLimit.Aged(owner.Clock.Now()), Counted: d.Counted})
 		case planner.Refusal:
 			kind := refused
 			switch {
@@ -73,30 +73,30 @@
 			case d.BackedOff:
 				kind = backedOff
 			}
-			h.sendDecision(d.ID, decisionMessage{Kind: kind, RetryAfter: d.RetryAfter, Ahead: d.Ahead, Wait: d.Wait})
+			owner.sendDecision(d.ID, decisionMessage{Kind: kind, RetryAfter: d.RetryAfter, Ahead: d.Ahead, Wait: d.Wait})
 		case planner.Move:
-			h.sendDecision(d.ID, decisionMessage{Kind: redispatch})
+			owner.sendDecision(d.ID, decisionMessage{Kind: redispatch})
 		case stillQueued:
-			h.sendDecision(d.id, decisionMessage{Kind: queued})
+			owner.sendDecision(d.id, decisionMessage{Kind: queued})
 		}
 	}
 }
 
-func (h *Owner) sendDecision(id planner.JobID, a decisionMessage) {
+func (owner *Owner) sendDecision(id planner.JobID, a decisionMessage) {
 	to, err := netip.ParseAddrPort(id.Entry)
 	if err != nil {
-		h.Log.WithError(err).Error("cannot answer an entry: its id is not an address")
+		owner.Log.WithError(err).Error("cannot answer an entry: its id is not an address")
 		return
 	}
 	a.Number = id.Number
-	h.sendMessage(to, a)
+	owner.sendMessage(to, a)
 }
 
 // receiveProgress passes the progress of a request on to its planner.
-func (h *Owner) receiveProgress(from netip.AddrPort, s *progressMessage) {
-	now := h.Clock.Now()
+func (owner *Owner) receiveProgress(from netip.AddrPort, s *progressMessage) {
+	now := owner.Clock.Now()
 	id := planner.JobID{Entry: from.String(), Number: s.Number}
-	h.withPlanner(now, s.Service, from, func(p *planner.Planner) {
+	owner.withPlanner(now, s.Service, from, func(p *planner.Planner) {
 		switch s.Progress {
 		case begun:
 			p.RecordFirstEvent(now, id, s.Load)
@@ -104,7 +104,7 @@
 			flow := s.Flow
 			if since, granted := p.GrantedAt(id); granted {
 				// If both processes stalled, the stalls mostly overlapped: take the longer, not the sum.
-				flow.Stalled = max(flow.Stalled, h.stalls.Within(since, now))
+				flow.Stalled = max(flow.Stalled, owner.stalls.Within(since, now))
 			}
 			p.Finish(now, id, s.Outcome, flow)
 		case withdrawn:
@@ -114,9 +114,9 @@
 }
 
 // receiveSync reconciles the planner with the list of an entry's running requests.
-func (h *Owner) receiveSync(from netip.AddrPort, s *syncMessage) {
-	now := h.Clock.Now()
-	h.withPlanner(now, s.Service, from, func(p *planner.Planner) {
+func (owner *Owner) receiveSync(from netip.AddrPort, s *syncMessage) {
+	now := owner.Clock.Now()
+	owner.withPlanner(now, s.Service, from, func(p *planner.Planner) {
 		listed := make(map[uint64]bool, len(s.Items))
 		for i := range s.Items {
 			it := &s.Items[i]
@@ -134,15 +134,15 @@
 }
 
 // withPlanner runs do on the planner of a service and sends the resulting decisions.
-func (h *Owner) withPlanner(now clock.Millis, service ids.Service, from netip.AddrPort, do func(*planner.Planner)) {
-	h.mu.Lock()
-	g := h.plannerForSender(now, service, from)
+func (owner *Owner) withPlanner(now clock.Millis, service ids.Service, from netip.AddrPort, do func(*planner.Planner)) {
+	owner.mu.Lock()
+	g := owner.plannerForSender(now, service, from)
 	if g == nil {
-		h.mu.Unlock()
+		owner.mu.Unlock()
 		return
 	}
 	do(g.planner)
 	decisions := g.planner.Decisions()
-	h.mu.Unlock()
-	h.sendDecisions(decisions)
+	owner.mu.Unlock()
+	owner.sendDecisions(decisions)
 }
--- a/pkg/dispatch/owner_summary.go
+++ b/pkg/dispatch/owner_summary.go
@@ -12,13 +12,13 @@
 // summaryInterval is the time between two log lines with a planner's estimates.
 const summaryInterval = 5 * clock.Second
 
-func (h *Owner) logSummary(now clock.Millis, service ids.Service, g *servicePlanner) {
+func (owner *Owner) logSummary(now clock.Millis, service ids.Service, g *servicePlanner) {
 	if now-g.lastLogged < summaryInterval {
 		return
 	}
 	g.lastLogged = now
 	s := g.planner.Summary(now)
-	h.Log.WithFields(logrus.Fields{
+	owner.Log.WithFields(logrus.Fields{
 		"service": string(service), "targets": s.Targets, "aside": s.Ejected, "slots": s.Slots, "running": s.Running,
 		"waiting": s.Waiting, "per_second": roundToTenth(s.PerSecond),
 		"limited": s.Limited, "limited_per_second": roundToTenth(s.LimitedPerSecond),
@@ -42,10 +42,10 @@
 }
 
 // plannedCounts returns the numbers of waiting and running requests in the planners of this entry.
-func (h *Owner) plannedCounts() (waiting, running int) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for _, g := range h.planners {
+func (owner *Owner) plannedCounts() (waiting, running int) {
+	owner.mu.Lock()
+	defer owner.mu.Unlock()
+	for _, g := range owner.planners {
 		waiting += g.planner.Waiting()
 		running += g.planner.Running()
 	}
--- a/pkg/dispatch/owner_trials.go
+++ b/pkg/dispatch/owner_trials.go
@@ -35,61 +35,61 @@
 
 // planForOrders starts planners for services that have a roll-out order but no request yet; the
 // caller holds the lock.
-func (h *Owner) planForOrders(now clock.Millis) {
-	if h.rollouts == nil {
+func (owner *Owner) planForOrders(now clock.Millis) {
+	if owner.rollouts == nil {
 		return
 	}
-	for _, service := range h.rollouts.Tracker.Services() {
-		if _, _, open := h.rollouts.Tracker.OpenOrder(service); open && h.planners[service] == nil {
-			h.plannerFor(now, service)
+	for _, service := range owner.rollouts.Tracker.Services() {
+		if _, _, open := owner.rollouts.Tracker.OpenOrder(service); open && owner.planners[service] == nil {
+			owner.plannerFor(now, service)
 		}
 	}
 }
 
 // stepTrial advances the roll-out of a service; the caller holds the lock.
-func (h *Owner) stepTrial(ctx context.Context, now clock.Millis, service ids.Service, g *servicePlanner) {
-	if h.rollouts == nil {
+func (owner *Owner) stepTrial(ctx context.Context, now clock.Millis, service ids.Service, g *servicePlanner) {
+	if owner.rollouts == nil {
 		return
 	}
-	order, record, open := h.rollouts.Tracker.OpenOrder(service)
+	order, record, open := owner.rollouts.Tracker.OpenOrder(service)
 	if !open {
 		if g.trial != nil {
-			h.Log.WithFields(rolloutFields(&record)).Info("roll-out ended")
+			owner.Log.WithFields(rolloutFields(&record)).Info("roll-out ended")
 		}
 		g.trial, g.plan = nil, rollout.Plan{}
-		opens, _ := h.rollouts.Tracker.OpensAt(service, h.id, now)
+		opens, _ := owner.rollouts.Tracker.OpensAt(service, owner.id, now)
 		g.planner.SetTrial(planner.Trial{OpensAt: opens}, false)
 		return
 	}
 	if g.trial == nil || g.trial.Order.Placed != order.Placed || g.trial.Order.Withdrawn() != order.Withdrawn() {
-		h.startTrial(now, g, order, &record)
+		owner.startTrial(now, g, order, &record)
 	}
-	h.takeEvidence(g, &record)
+	owner.takeEvidence(g, &record)
 	for _, o := range g.planner.Observations() {
 		g.trial.Evidence.Add(o.Trial, rollout.Observation{At: now, Incarnation: o.Incarnation, Route: o.Route, Failed: o.Failed, Ratio: o.Ratio, Factor: o.Factor, Loaded: o.Loaded})
 	}
-	if h.rollouts.Excused != nil {
-		g.trial.Evidence.Excuse(h.rollouts.Excused())
+	if owner.rollouts.Excused != nil {
+		g.trial.Evidence.Excuse(owner.rollouts.Excused())
 	}
-	plan := g.trial.Step(h.situation(now, g, record))
+	plan := g.trial.Step(owner.situation(now, g, record))
 	if plan.Fraction != g.plan.Fraction || plan.Write != g.plan.Write {
-		h.Log.WithFields(rolloutFields(&record)).WithFields(logrus.Fields{
-			"share": plan.Fraction, "write": plan.Write.String(), "why": plan.Why, "news_age_ms": int64(h.rollouts.Tracker.Age(now)),
+		owner.Log.WithFields(rolloutFields(&record)).WithFields(logrus.Fields{
+			"share": plan.Fraction, "write": plan.Write.String(), "why": plan.Why, "news_age_ms": int64(owner.rollouts.Tracker.Age(now)),
 		}).Info("roll-out: plan changed")
 	}
 	g.plan = plan
 	g.planner.SetTrial(planner.Trial{Fraction: plan.Fraction, UnrepeatableUntil: plan.UnrepeatableUntil, NoUnrepeatable: plan.NoUnrepeatable}, true)
-	h.writeTrialState(ctx, now, g, record)
+	owner.writeTrialState(ctx, now, g, record)
 }
 
 // takeEvidence takes the evidence from a record revision that is new here. Evidence that this owner wrote itself is not
 // added again, whether the store's answer or the row arrived first, or only the row did.
-func (h *Owner) takeEvidence(g *servicePlanner, record *rollout.Record) {
+func (owner *Owner) takeEvidence(g *servicePlanner, record *rollout.Record) {
 	if record.State != rollout.Running || record.Written <= g.writer.lastRevision {
 		return
 	}
 	g.writer.lastRevision = record.Written
-	if record.Owner == h.id {
+	if record.Owner == owner.id {
 		g.trial.SummarySaved(record.Evidence)
 		return
 	}
@@ -97,11 +97,11 @@
 }
 
 // rampingUp reports whether the new version of a completed roll-out does not get all requests yet.
-func (h *Owner) rampingUp(now clock.Millis, service ids.Service) bool {
-	if h.rollouts == nil {
+func (owner *Owner) rampingUp(now clock.Millis, service ids.Service) bool {
+	if owner.rollouts == nil {
 		return false
 	}
-	_, rampingUp := h.rollouts.Tracker.OpensAt(service, h.id, now)
+	_, rampingUp := owner.rollouts.Tracker.OpensAt(service, owner.id, now)
 	return rampingUp
 }
 
@@ -117,24 +117,24 @@
 }
 
 // startTrial begins the trial of an order at this owner, with the evidence that a former owner has written.
-func (h *Owner) startTrial(now clock.Millis, g *servicePlanner, order rollout.Order, record *rollout.Record) {
-	tracker := h.rollouts.Tracker
+func (owner *Owner) startTrial(now clock.Millis, g *servicePlanner, order rollout.Order, record *rollout.Record) {
+	tracker := owner.rollouts.Tracker
 	times := tracker.Times(order, *record)
 	g.writer.lastRevision = record.Written
-	g.trial = rollout.NewTrial(order, h.rollouts.Bounds(), record.Evidence, now, times)
-	h.Log.WithFields(rolloutFields(record)).WithFields(logrus.Fields{
+	g.trial = rollout.NewTrial(order, owner.rollouts.Bounds(), record.Evidence, now, times)
+	owner.Log.WithFields(rolloutFields(record)).WithFields(logrus.Fields{
 		"started_ms_ago": int64(now - times.Started), "ends_in_ms": int64(times.EarliestEnd - now), "over_in_ms": int64(times.LatestEnd - now), "withdrawn": order.Withdrawn(),
 	}).Info("this entry now runs the roll-out")
 }
 
 // situation returns the input of the next trial step.
-func (h *Owner) situation(now clock.Millis, g *servicePlanner, record rollout.Record) rollout.Situation {
+func (owner *Owner) situation(now clock.Millis, g *servicePlanner, record rollout.Record) rollout.Situation {
 	onTrial, others := g.planner.TrialTargets()
 	return rollout.Situation{
 		Now: now, Record: record, Targets: onTrial, Old: others, Factors: g.planner.Factors,
-		Fresh:        h.rollouts.Tracker.Age(now) <= h.rollouts.Bounds().Grace(),
-		Unrepeatable: g.planner.Unrepeatable(), Agreement: h.members.Agreement(),
-		AlreadyInUse: onTrial == 0 && allRun(g.directory.Serving(record.Service), record.Version) && h.rollouts.Tracker.AlreadyInUse(record.Service, record.Version),
+		Fresh:        owner.rollouts.Tracker.Age(now) <= owner.rollouts.Bounds().Grace(),
+		Unrepeatable: g.planner.Unrepeatable(), Agreement: owner.members.Agreement(),
+		AlreadyInUse: onTrial == 0 && allRun(g.directory.Serving(record.Service), record.Version) && owner.rollouts.Tracker.AlreadyInUse(record.Service, record.Version),
 	}
 }
 
@@ -149,7 +149,7 @@
 }
 
 // writeTrialState writes the record's next state if the plan has one, or else the evidence every evidenceInterval.
-func (h *Owner) writeTrialState(ctx context.Context, now clock.Millis, g *servicePlanner, record rollout.Record) {
+func (owner *Owner) writeTrialState(ctx context.Context, now clock.Millis, g *servicePlanner, record rollout.Record) {
 	state := g.plan.Write
 	if state == rollout.Pending && record.State == rollout.Running && now-g.writer.evidenceAt >= evidenceInterval {
 		state = rollout.Running
@@ -159,46 +159,46 @@
 	}
 	g.writer.busy = true
 	g.writer.evidenceAt = now
-	next := g.trial.Record(record, state, g.plan.Why, h.rollouts.Tracker.StoreTime)
-	next.Owner = h.id
+	next := g.trial.Record(record, state, g.plan.Why, owner.rollouts.Tracker.StoreTime)
+	next.Owner = owner.id
 	if record.State == rollout.Pending {
-		next.TimedByOwner = h.id
+		next.TimedByOwner = owner.id
 	}
-	go h.writeRecord(ctx, g, next, record.State != state)
+	go owner.writeRecord(ctx, g, next, record.State != state)
 }
 
 // writeRecord makes one call to the store. If its outcome is unknown, the row that is read later
 // shows it.
-func (h *Owner) writeRecord(ctx context.Context, g *servicePlanner, r rollout.Record, stateChanged bool) {
+func (owner *Owner) writeRecord(ctx context.Context, g *servicePlanner, r rollout.Record, stateChanged bool) {
 	limited, cancel := context.WithTimeout(ctx, recordTimeout.Duration())
 	defer cancel()
 	began := time.Now()
-	written, err := h.rollouts.Store.Write(limited, r)
+	written, err := owner.rollouts.Store.Write(limited, r)
 	switch {
 	case err == nil:
 		r.Written = written
-		h.rollouts.Tracker.PutRecords([]rollout.Record{r}, rollout.Freshness{})
-		h.rollouts.Changed()
+		owner.rollouts.Tracker.PutRecords([]rollout.Record{r}, rollout.Freshness{})
+		owner.rollouts.Changed()
 	case errors.Is(err, rollout.ErrOvertaken):
-		h.Log.WithError(err).WithFields(rolloutFields(&r)).Info("roll-out: record not written, another entry has written it since")
+		owner.Log.WithError(err).WithFields(rolloutFields(&r)).Info("roll-out: record not written, another entry has written it since")
 	default:
-		h.Log.WithError(err).WithFields(rolloutFields(&r)).Warn("roll-out: unknown whether the record was written")
+		owner.Log.WithError(err).WithFields(rolloutFields(&r)).Warn("roll-out: unknown whether the record was written")
 	}
 	if stateChanged && err == nil {
-		h.Metrics.Prometheus.Add("rollouts", "state", r.State.String())
-		h.Log.WithFields(rolloutFields(&r)).WithField("took_ms", time.Since(began).Milliseconds()).Info("roll-out: state written")
+		owner.Metrics.Prometheus.Add("rollouts", "state", r.State.String())
+		owner.Log.WithFields(rolloutFields(&r)).WithField("took_ms", time.Since(began).Milliseconds()).Info("roll-out: state written")
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
+	owner.mu.Lock()
+	defer owner.mu.Unlock()
 	g.writer.busy = false
-	g.writer.notBefore = h.Clock.Now() + recordInterval
+	g.writer.notBefore = owner.Clock.Now() + recordInterval
 }
 
 // describe adds to a report what only the owner of its service knows.
-func (h *Owner) describe(r *rollout.Report) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if g := h.planners[r.Service]; g != nil && g.trial != nil {
+func (owner *Owner) describe(r *rollout.Report) {
+	owner.mu.Lock()
+	defer owner.mu.Unlock()
+	if g := owner.planners[r.Service]; g != nil && g.trial != nil {
 		g.trial.Describe(r, g.plan)
 	}
 }
--- a/pkg/domains/filter.go
+++ b/pkg/domains/filter.go
@@ -35,11 +35,11 @@
 }
 
 // SetDirectory takes a new version of the directory.
-func (s *Filter) SetDirectory(d *routing.Directory) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.listed = d.All()
-	s.publish()
+func (f *Filter) SetDirectory(d *routing.Directory) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.listed = d.All()
+	f.publish()
 }
 
 // DrainOrder is an operators' order for a failure domain: to drain it, or to restore it.
@@ -49,83 +49,83 @@
 }
 
 // Replace takes all orders in force; domains without one are restored.
-func (s *Filter) Replace(inForce []DrainOrder) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (f *Filter) Replace(inForce []DrainOrder) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	hasOrder := make(map[ids.FailureDomain]bool, len(inForce))
 	for _, o := range inForce {
 		hasOrder[o.Domain] = true
 	}
 	orders := slices.Clone(inForce)
-	for domain := range s.drained {
+	for domain := range f.drained {
 		if !hasOrder[domain] {
 			orders = append(orders, DrainOrder{Domain: domain})
 		}
 	}
-	s.apply(orders)
+	f.apply(orders)
 }
 
 // Change applies new orders in sequence.
-func (s *Filter) Change(orders []DrainOrder) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.apply(orders)
+func (f *Filter) Change(orders []DrainOrder) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.apply(orders)
 }
 
 // apply applies orders, and publishes the directory if any of them changes something; the caller holds the lock.
-func (s *Filter) apply(orders []DrainOrder) {
+func (f *Filter) apply(orders []DrainOrder) {
 	changed := false
 	for _, o := range orders {
-		if s.drained[o.Domain] == o.Drained {
+		if f.drained[o.Domain] == o.Drained {
 			continue
 		}
 		changed = true
 		if o.Drained {
-			s.drained[o.Domain] = true
-			s.log(o.Domain).Info("failure domain drained: its targets get no new requests")
+			f.drained[o.Domain] = true
+			f.log(o.Domain).Info("failure domain drained: its targets get no new requests")
 			continue
 		}
-		delete(s.drained, o.Domain)
-		s.restoredAt[o.Domain] = s.Clock.Now()
-		s.log(o.Domain).Info("failure domain restored: its targets get new requests again")
+		delete(f.drained, o.Domain)
+		f.restoredAt[o.Domain] = f.Clock.Now()
+		f.log(o.Domain).Info("failure domain restored: its targets get new requests again")
 	}
-	if changed && s.listed != nil {
-		s.publish()
+	if changed && f.listed != nil {
+		f.publish()
 	}
 }
 
 // log returns a log entry for a domain, with the number of its targets.
-func (s *Filter) log(domain ids.FailureDomain) *logrus.Entry {
+func (f *Filter) log(domain ids.FailureDomain) *logrus.Entry {
 	targets := 0
-	for _, t := range s.listed {
+	for _, t := range f.listed {
 		if t.Domain == domain {
 			targets++
 		}
 	}
-	return s.Log.WithField("domain", string(domain)).WithField("targets", targets)
+	return f.Log.WithField("domain", string(domain)).WithField("targets", targets)
 }
 
 // publish passes on the directory with its marks. The caller holds the lock, so that an older directory never follows a
 // newer one.
-func (s *Filter) publish() {
-	list := make([]*routing.Target, 0, len(s.listed))
-	for _, t := range s.listed {
-		if drained, restored := s.drained[t.Domain], s.restoredAt[t.Domain]; drained || restored > 0 {
+func (f *Filter) publish() {
+	list := make([]*routing.Target, 0, len(f.listed))
+	for _, t := range f.listed {
+		if drained, restored := f.drained[t.Domain], f.restoredAt[t.Domain]; drained || restored > 0 {
 			copied := *t
 			copied.Drained, copied.RestoredAt = drained, restored
 			t = &copied
 		}
 		list = append(list, t)
 	}
-	s.onChange(routing.NewDirectory(list))
+	f.onChange(routing.NewDirectory(list))
 }
 
 // Drained lists the drained failure domains, in no particular order.
-func (s *Filter) Drained() []ids.FailureDomain {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (f *Filter) Drained() []ids.FailureDomain {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	var list []ids.FailureDomain
-	for domain := range s.drained {
+	for domain := range f.drained {
 		list = append(list, domain)
 	}
 	return list
--- a/pkg/feedrelay/feed_query.go
+++ b/pkg/feedrelay/feed_query.go
@@ -28,29 +28,29 @@
 
 // sendFeedQueries queries a few others about the tables without a feed state to rely on: an entry
 // that the feed reader reaches relays its state to those that it does not reach.
-func (b *Relay) sendFeedQueries() {
-	now := b.Clock.Now()
+func (r *Relay) sendFeedQueries() {
+	now := r.Clock.Now()
 	var query queryMessage
-	b.mu.Lock()
-	for name, t := range b.tables {
+	r.mu.Lock()
+	for name, t := range r.tables {
 		if t.replica.known && !t.readRecently(now) && t.unreliableFor(now) > 0 {
 			query.Tables = append(query.Tables, queriedTable{Table: name, StoreTime: max(t.replica.storeTime, t.received.StoreTime)})
 		}
 	}
-	b.mu.Unlock()
+	r.mu.Unlock()
 	if len(query.Tables) == 0 {
 		return
 	}
-	for _, to := range b.randomPeers(b.Random, peersPerQuery) {
-		b.link.Send(to, packets.KindFeedQuery, query)
+	for _, to := range r.randomPeers(r.Random, peersPerQuery) {
+		r.link.Send(to, packets.KindFeedQuery, query)
 	}
 }
 
 // randomPeers returns up to n of the other entries, chosen at random.
-func (b *Relay) randomPeers(by *random.Source, n int) []netip.AddrPort {
-	others := b.members.Others()
+func (r *Relay) randomPeers(by *random.Source, n int) []netip.AddrPort {
+	others := r.members.Others()
 	if len(others) == 0 {
-		others = b.members.UnlistedPeers()
+		others = r.members.UnlistedPeers()
 	}
 	return sample(by, others, n)
 }
@@ -63,18 +63,18 @@
 }
 
 // answerFeedQuery sends the feed state of the queried tables of which this entry knows more.
-func (b *Relay) answerFeedQuery(from netip.AddrPort, query *queryMessage) {
-	now := b.Clock.Now()
-	b.mu.Lock()
+func (r *Relay) answerFeedQuery(from netip.AddrPort, query *queryMessage) {
+	now := r.Clock.Now()
+	r.mu.Lock()
 	var messages []message
 	for _, queried := range query.Tables {
-		t := b.tables[queried.Table]
+		t := r.tables[queried.Table]
 		if t != nil && t.replica.known && t.replica.storeTime > queried.StoreTime {
 			messages = append(messages, t.message(queried.Table, now))
 		}
 	}
-	b.mu.Unlock()
+	r.mu.Unlock()
 	for _, m := range messages {
-		b.link.Send(from, packets.KindFeedState, m)
+		r.link.Send(from, packets.KindFeedState, m)
 	}
 }
--- a/pkg/feedrelay/peer_conn.go
+++ b/pkg/feedrelay/peer_conn.go
@@ -16,10 +16,10 @@
 	client *rpc.Client
 }
 
-func (b *Relay) dial(ctx context.Context, peer netip.AddrPort) (*peerConn, error) {
+func (r *Relay) dial(ctx context.Context, peer netip.AddrPort) (*peerConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout.Duration())
 	defer cancel()
-	conn, err := b.Network.Dial(ctx, peer.String())
+	conn, err := r.Network.Dial(ctx, peer.String())
 	if err != nil {
 		return nil, fmt.Errorf("connecting to peer: %w", err)
 	}
@@ -48,13 +48,13 @@
 }
 
 // batch unpacks the answer of a peer.
-func (n *FeedState) batch() (follow.Batch, error) {
-	rows, err := unpack(n.Rows)
+func (s *FeedState) batch() (follow.Batch, error) {
+	rows, err := unpack(s.Rows)
 	if err != nil {
 		return follow.Batch{}, err
 	}
-	age := n.Age
-	return follow.Batch{Rows: rows, Version: n.Version, StoreTime: n.StoreTime, Relayed: true, Age: &age}, nil
+	age := s.Age
+	return follow.Batch{Rows: rows, Version: s.Version, StoreTime: s.StoreTime, Relayed: true, Age: &age}, nil
 }
 
 // requestChanges requests the changes after a version from a peer.
--- a/pkg/feedrelay/peer_server.go
+++ b/pkg/feedrelay/peer_server.go
@@ -45,10 +45,10 @@
 
 // Serve answers peers that request changes too large for a datagram, or snapshots, until the
 // listener is closed.
-func (b *Relay) Serve(listener net.Listener) {
+func (r *Relay) Serve(listener net.Listener) {
 	server := rpc.NewServer()
-	if err := server.RegisterName(peerService, &peerServer{b}); err != nil {
-		b.Log.WithError(err).Error("feed state not served to peers: registering the rpc service failed")
+	if err := server.RegisterName(peerService, &peerServer{r}); err != nil {
+		r.Log.WithError(err).Error("feed state not served to peers: registering the rpc service failed")
 		return
 	}
 	slots := make(chan struct{}, maxServedPeers)
@@ -58,7 +58,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
-			b.Log.WithError(err).Warn("peer's connection not accepted")
+			r.Log.WithError(err).Warn("peer's connection not accepted")
 			clock.Pause(context.Background(), acceptPause)
 			continue
 		}
--- a/pkg/feedrelay/relay.go
+++ b/pkg/feedrelay/relay.go
@@ -105,40 +105,40 @@
 
 // Run sends the feed state to the others while this entry is the feed reader or acts as backup,
 // and queries a few of them while it receives none, until ctx ends.
-func (b *Relay) Run(ctx context.Context) {
+func (r *Relay) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Pause(ctx, relayInterval)
-		b.sendAll()
-		b.sendFeedQueries()
+		r.sendAll()
+		r.sendFeedQueries()
 	}
 }
 
 // isFeedReader reports whether this entry is the feed reader.
-func (b *Relay) isFeedReader() bool {
-	if b.Ablation.Off(ablation.OneReader) {
+func (r *Relay) isFeedReader() bool {
+	if r.Ablation.Off(ablation.OneReader) {
 		return true
 	}
-	rank, _ := b.members.FeedReaderRank(feedShard)
+	rank, _ := r.members.FeedReaderRank(feedShard)
 	return rank == 0
 }
 
 // recordStoreReply records whether the store has answered a query.
-func (b *Relay) recordStoreReply(answered bool) {
-	b.members.RecordStoreReply(answered)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if answered && b.storeFailing {
-		close(b.recovered)
-		b.recovered = make(chan struct{})
+func (r *Relay) recordStoreReply(answered bool) {
+	r.members.RecordStoreReply(answered)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if answered && r.storeFailing {
+		close(r.recovered)
+		r.recovered = make(chan struct{})
 	}
-	b.storeFailing = !answered
+	r.storeFailing = !answered
 }
 
-func (b *Relay) table(name string) *table {
-	t := b.tables[name]
+func (r *Relay) table(name string) *table {
+	t := r.tables[name]
 	if t == nil {
-		t = &table{updated: make(chan struct{}), createdAt: b.Clock.Now()}
-		b.tables[name] = t
+		t = &table{updated: make(chan struct{}), createdAt: r.Clock.Now()}
+		r.tables[name] = t
 	}
 	return t
 }
@@ -168,18 +168,18 @@
 	return t.readAt > 0 && now-t.readAt <= maxFeedAge
 }
 
-func (b *Relay) sendAll() {
-	reads := b.isFeedReader()
-	now := b.Clock.Now()
+func (r *Relay) sendAll() {
+	reads := r.isFeedReader()
+	now := r.Clock.Now()
 	var messages []message
-	b.mu.Lock()
-	for name, t := range b.tables {
+	r.mu.Lock()
+	for name, t := range r.tables {
 		if t.shouldSend(now, reads) {
 			messages = append(messages, t.message(name, now))
 		}
 	}
-	b.mu.Unlock()
-	b.send(messages)
+	r.mu.Unlock()
+	r.send(messages)
 }
 
 // message returns the feed state of the table as known here.
@@ -192,54 +192,54 @@
 	return m
 }
 
-func (b *Relay) send(messages []message) {
+func (r *Relay) send(messages []message) {
 	if len(messages) == 0 {
 		return
 	}
-	for _, to := range b.members.Others() {
+	for _, to := range r.members.Others() {
 		for _, m := range messages {
-			b.link.Send(to, packets.KindFeedState, m)
+			r.link.Send(to, packets.KindFeedState, m)
 		}
 	}
 }
 
-func (b *Relay) receiveState(from netip.AddrPort, m *message) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	t := b.table(m.Table)
+func (r *Relay) receiveState(from netip.AddrPort, m *message) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	t := r.table(m.Table)
 	if m.To < t.received.To || m.StoreTime < t.received.StoreTime {
 		return // arrived out of order, or the sender knows less
 	}
 	t.received = *m
-	t.receivedAt = b.Clock.Now()
+	t.receivedAt = r.Clock.Now()
 	t.receivedFrom = from
 	close(t.updated)
 	t.updated = make(chan struct{})
 }
 
 // publish applies an answer of the store, and sends a change to the others at once.
-func (b *Relay) publish(name string, after int64, batch follow.Batch) {
-	reads := b.isFeedReader()
-	now := b.Clock.Now()
-	b.mu.Lock()
-	t := b.table(name)
+func (r *Relay) publish(name string, after int64, batch follow.Batch) {
+	reads := r.isFeedReader()
+	now := r.Clock.Now()
+	r.mu.Lock()
+	t := r.table(name)
 	changed := t.replica.apply(after, batch)
 	messages := t.storeAnswered(name, now, changed, reads)
-	b.mu.Unlock()
-	b.send(messages)
+	r.mu.Unlock()
+	r.send(messages)
 }
 
 // publishSnapshot applies a snapshot read from the store, and sends a change to the others at once.
-func (b *Relay) publishSnapshot(name string, batch follow.Batch) {
-	reads := b.isFeedReader()
-	now := b.Clock.Now()
-	b.mu.Lock()
-	t := b.table(name)
+func (r *Relay) publishSnapshot(name string, batch follow.Batch) {
+	reads := r.isFeedReader()
+	now := r.Clock.Now()
+	r.mu.Lock()
+	t := r.table(name)
 	known := t.replica.complete
 	changed := t.replica.replace(batch) && known
 	messages := t.storeAnswered(name, now, changed, reads)
-	b.mu.Unlock()
-	b.send(messages)
+	r.mu.Unlock()
+	r.send(messages)
 }
 
 // storeAnswered records that the store has answered, and returns what is to be sent to the
@@ -258,19 +258,19 @@
 }
 
 // applyRelayed applies changes that another entry relayed, so that this entry can relay them too.
-func (b *Relay) applyRelayed(name string, after int64, batch follow.Batch, currentAt clock.Millis) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	t := b.table(name)
+func (r *Relay) applyRelayed(name string, after int64, batch follow.Batch, currentAt clock.Millis) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	t := r.table(name)
 	t.replica.apply(after, batch)
 	t.currentAt = max(t.currentAt, currentAt)
 }
 
 // applyRelayedSnapshot applies a snapshot that another entry relayed.
-func (b *Relay) applyRelayedSnapshot(name string, batch follow.Batch, currentAt clock.Millis) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	t := b.table(name)
+func (r *Relay) applyRelayedSnapshot(name string, batch follow.Batch, currentAt clock.Millis) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	t := r.table(name)
 	t.replica.replace(batch)
 	t.currentAt = max(t.currentAt, currentAt)
 }
--- a/pkg/feedrelay/source.go
+++ b/pkg/feedrelay/source.go
@@ -62,8 +62,8 @@
 var errNoFeedState = errors.New("no recent feed state of the store")
 
 // Source returns a source of a table that relays what direct reads from the store.
-func (b *Relay) Source(name string, direct follow.Source) *Source {
-	return &Source{relay: b, name: name, direct: direct, random: random.NewSource(b.Random.Fork().Uint64())}
+func (r *Relay) Source(name string, direct follow.Source) *Source {
+	return &Source{relay: r, name: name, direct: direct, random: random.NewSource(r.Random.Fork().Uint64())}
 }
 
 // Recovered returns a channel that is closed when the store answers a query for any table after
--- a/pkg/ids/target_incarnation.go
+++ b/pkg/ids/target_incarnation.go
@@ -22,14 +22,14 @@
 // Same reports whether both may be the same incarnation: two of one target are, unless both starts
 // are known and differ. Processes that have read different rows of a target, with and without its
 // start, thereby still agree.
-func (l TargetIncarnation) Same(other TargetIncarnation) bool {
-	return l.Target == other.Target && (l.Start == other.Start || l.Start == UnknownStart || other.Start == UnknownStart)
+func (t TargetIncarnation) Same(other TargetIncarnation) bool {
+	return t.Target == other.Target && (t.Start == other.Start || t.Start == UnknownStart || other.Start == UnknownStart)
 }
 
 // String returns the target, with its start if that is known.
-func (l TargetIncarnation) String() string {
-	if l.Start == UnknownStart {
-		return string(l.Target)
+func (t TargetIncarnation) String() string {
+	if t.Start == UnknownStart {
+		return string(t.Target)
 	}
-	return fmt.Sprintf("%s from %d", l.Target, l.Start)
+	return fmt.Sprintf("%s from %d", t.Target, t.Start)
 }
--- a/pkg/ingress/first_tries.go
+++ b/pkg/ingress/first_tries.go
@@ -61,16 +61,16 @@
 	return w.deadline - deadline
 }
 
-func (w *longestDeadline) record(deadline clock.Millis) {
-	w.total = w.total*waitDecay + 1
-	w.seen *= waitDecay
+func (d *longestDeadline) record(deadline clock.Millis) {
+	d.total = d.total*waitDecay + 1
+	d.seen *= waitDecay
 	switch {
-	case deadline > w.deadline+waitTolerance:
-		w.deadline, w.seen, w.total = deadline, 1, 1
-	case deadline >= w.deadline-waitTolerance:
-		w.seen++
-	case w.seen < minWeight:
-		w.deadline, w.seen, w.total = deadline, 1, 1
+	case deadline > d.deadline+waitTolerance:
+		d.deadline, d.seen, d.total = deadline, 1, 1
+	case deadline >= d.deadline-waitTolerance:
+		d.seen++
+	case d.seen < minWeight:
+		d.deadline, d.seen, d.total = deadline, 1, 1
 	}
 }
 
--- a/pkg/planner/estimates.go
+++ b/pkg/planner/estimates.go
@@ -29,18 +29,18 @@
 
 // Check returns an error for values that no planner produces, as in a row that another writer left: a target with a
 // NaN factor would get no job at all, or every job.
-func (l *Estimates) Check() error {
-	for _, f := range l.Factors {
+func (e *Estimates) Check() error {
+	for _, f := range e.Factors {
 		if !(f >= 1.0/maxLearnedFactor && f <= maxLearnedFactor) {
 			return errInvalidEstimates
 		}
 	}
-	for _, line := range []LineFit{l.First, l.Pause} {
+	for _, line := range []LineFit{e.First, e.Pause} {
 		if !line.valid() {
 			return errInvalidEstimates
 		}
 	}
-	if !(l.PrefillStall >= 0 && l.PrefillStall <= math.MaxInt32) {
+	if !(e.PrefillStall >= 0 && e.PrefillStall <= math.MaxInt32) {
 		return errInvalidEstimates
 	}
 	return nil
--- a/pkg/planner/limit.go
+++ b/pkg/planner/limit.go
@@ -34,17 +34,17 @@
 }
 
 // majority reports whether most entries agree, so that no other owner has as many.
-func (b Agreement) majority() bool { return b.Fraction > 0.5 }
+func (a Agreement) majority() bool { return a.Fraction > 0.5 }
 
 // Rate returns how many jobs per second a planner grants to a target with a rate limit.
-func (b Agreement) Rate(limit ratelimit.Rate) float64 {
-	fraction := b.Fraction
-	if b.JustStarted {
+func (a Agreement) Rate(limit ratelimit.Rate) float64 {
+	fraction := a.Fraction
+	if a.JustStarted {
 		fraction *= limitFreshFraction
 	}
 	rate := fraction * float64(limit)
 	switch {
-	case b.majority():
+	case a.majority():
 		return max(rate, minProbeRate)
 	case rate*limitWindow < minWindowJobs:
 		return 0
@@ -54,8 +54,8 @@
 }
 
 // burst returns how many jobs a limited target may get at once.
-func (b Agreement) burst() float64 {
-	if b.majority() {
+func (a Agreement) burst() float64 {
+	if a.majority() {
 		return limitBurst
 	}
 	return 1
--- a/pkg/planner/timings.go
+++ b/pkg/planner/timings.go
@@ -65,11 +65,11 @@
 	stallMinRatio = 1.2
 )
 
-func (h *prefillStall) get() float64 {
-	if h.estimate == 0 {
+func (s *prefillStall) get() float64 {
+	if s.estimate == 0 {
 		return defaultPrefillStall
 	}
-	return h.estimate
+	return s.estimate
 }
 
 // longestGap estimates the longest gap between events of a stream while so many prompt tokens are read
--- a/pkg/prefix/cache_estimate.go
+++ b/pkg/prefix/cache_estimate.go
@@ -27,17 +27,17 @@
 }
 
 // Record records that a prompt with this chain was sent to target.
-func (h *CacheEstimate) Record(target ids.Target, chain []Fingerprint) {
+func (c *CacheEstimate) Record(target ids.Target, chain []Fingerprint) {
 	if len(chain) == 0 {
 		return
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	cache := h.targets[target]
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	cache := c.targets[target]
 	if cache == nil {
 		// New fails only for sizes below 1.
 		cache, _ = lru.New[Fingerprint, struct{}](blocksPerTarget)
-		h.targets[target] = cache
+		c.targets[target] = cache
 	}
 	for _, f := range chain {
 		cache.Add(f, struct{}{})
@@ -46,10 +46,10 @@
 
 // CachedBlocks returns how many blocks at the beginning of a prompt the target is
 // likely to have in its cache.
-func (h *CacheEstimate) CachedBlocks(target ids.Target, chain []Fingerprint) int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	cache := h.targets[target]
+func (c *CacheEstimate) CachedBlocks(target ids.Target, chain []Fingerprint) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	cache := c.targets[target]
 	if cache == nil {
 		return 0
 	}
--- a/pkg/quarantine/accounts.go
+++ b/pkg/quarantine/accounts.go
@@ -38,14 +38,14 @@
 }
 
 // route returns the state of the account on a route, and creates it if necessary.
-func (h *accountState) route(route ids.Route) *routeState {
-	c := h.routes[route]
+func (a *accountState) route(route ids.Route) *routeState {
+	c := a.routes[route]
 	if c == nil {
 		c = &routeState{}
-		if h.routes == nil {
-			h.routes = make(map[ids.Route]*routeState)
+		if a.routes == nil {
+			a.routes = make(map[ids.Route]*routeState)
 		}
-		h.routes[route] = c
+		a.routes[route] = c
 	}
 	return c
 }
--- a/pkg/quarantine/exclusive_runs.go
+++ b/pkg/quarantine/exclusive_runs.go
@@ -91,27 +91,27 @@
 func shard(d Digest) string { return "quarantine/" + string(d[:]) }
 
 // newRun returns an exclusive run that has not been granted yet.
-func (t *exclusiveRuns) newRun(d Digest) *exclusiveRun {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.number++
-	return &exclusiveRun{digest: d, number: t.number, answers: make(chan bool, 1)}
+func (x *exclusiveRuns) newRun(d Digest) *exclusiveRun {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	x.number++
+	return &exclusiveRun{digest: d, number: x.number, answers: make(chan bool, 1)}
 }
 
 // acquire requests an exclusive run once and waits for the owner's answer.
-func (t *exclusiveRuns) acquire(ctx context.Context, run *exclusiveRun) bool {
-	if t.peers == nil || run.silences >= maxSilences {
-		return t.acquireLocal(run)
+func (x *exclusiveRuns) acquire(ctx context.Context, run *exclusiveRun) bool {
+	if x.peers == nil || run.silences >= maxSilences {
+		return x.acquireLocal(run)
 	}
-	owner, self := t.peers.Owner(shard(run.digest))
+	owner, self := x.peers.Owner(shard(run.digest))
 	run.queried = true
 	if self {
-		return t.grant(run.digest, runID{t.self, run.number})
+		return x.grant(run.digest, runID{x.self, run.number})
 	}
-	t.mu.Lock()
-	t.waiting[run.number] = run
-	t.mu.Unlock()
-	t.link.Send(owner, packets.KindRunAsk, runRequest{Digest: run.digest, Number: run.number})
+	x.mu.Lock()
+	x.waiting[run.number] = run
+	x.mu.Unlock()
+	x.link.Send(owner, packets.KindRunAsk, runRequest{Digest: run.digest, Number: run.number})
 	timer := time.NewTimer(ownerTimeout.Duration())
 	defer timer.Stop()
 	select {
@@ -126,18 +126,18 @@
 }
 
 // acquireLocal acquires an exclusive run among the runs of this entry.
-func (t *exclusiveRuns) acquireLocal(run *exclusiveRun) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	run.local = grantRun(t.local, t.Clock.Now(), run.digest, runID{t.self, run.number})
+func (x *exclusiveRuns) acquireLocal(run *exclusiveRun) bool {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	run.local = grantRun(x.local, x.Clock.Now(), run.digest, runID{x.self, run.number})
 	return run.local
 }
 
 // grant grants a digest's exclusive run unless another run holds it.
-func (t *exclusiveRuns) grant(d Digest, to runID) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return grantRun(t.granted, t.Clock.Now(), d, to)
+func (x *exclusiveRuns) grant(d Digest, to runID) bool {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	return grantRun(x.granted, x.Clock.Now(), d, to)
 }
 
 func grantRun(holders map[Digest]runHolder, now clock.Millis, d Digest, to runID) bool {
@@ -149,26 +149,26 @@
 }
 
 // release releases an exclusive run, whether granted or not; nil is allowed.
-func (t *exclusiveRuns) release(run *exclusiveRun) {
+func (x *exclusiveRuns) release(run *exclusiveRun) {
 	if run == nil {
 		return
 	}
-	t.mu.Lock()
-	delete(t.waiting, run.number)
+	x.mu.Lock()
+	delete(x.waiting, run.number)
 	if run.local {
-		freeRun(t.local, run.digest, runID{t.self, run.number})
+		freeRun(x.local, run.digest, runID{x.self, run.number})
 	}
-	t.mu.Unlock()
+	x.mu.Unlock()
 	if !run.queried {
 		return
 	}
 	done := runRelease{Digest: run.digest, Number: run.number}
-	owner, self := t.peers.Owner(shard(run.digest))
+	owner, self := x.peers.Owner(shard(run.digest))
 	if self {
-		t.receiveRelease(t.self, &done)
+		x.receiveRelease(x.self, &done)
 		return
 	}
-	t.link.Send(owner, packets.KindRunDone, done)
+	x.link.Send(owner, packets.KindRunDone, done)
 }
 
 func freeRun(holders map[Digest]runHolder, d Digest, from runID) {
@@ -178,16 +178,16 @@
 }
 
 // receiveRequest answers an entry that requests an exclusive run.
-func (t *exclusiveRuns) receiveRequest(from netip.AddrPort, a *runRequest) {
-	granted := t.grant(a.Digest, runID{from, a.Number})
-	t.link.Send(from, packets.KindRunAnswer, runAnswer{Number: a.Number, Granted: granted})
+func (x *exclusiveRuns) receiveRequest(from netip.AddrPort, a *runRequest) {
+	granted := x.grant(a.Digest, runID{from, a.Number})
+	x.link.Send(from, packets.KindRunAnswer, runAnswer{Number: a.Number, Granted: granted})
 }
 
 // receiveAnswer takes the owner's answer.
-func (t *exclusiveRuns) receiveAnswer(_ netip.AddrPort, a *runAnswer) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if run := t.waiting[a.Number]; run != nil {
+func (x *exclusiveRuns) receiveAnswer(_ netip.AddrPort, a *runAnswer) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	if run := x.waiting[a.Number]; run != nil {
 		select {
 		case run.answers <- a.Granted:
 		default: // an earlier answer has not been read yet
@@ -196,17 +196,17 @@
 }
 
 // receiveRelease releases an exclusive run.
-func (t *exclusiveRuns) receiveRelease(from netip.AddrPort, d *runRelease) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	freeRun(t.granted, d.Digest, runID{from, d.Number})
+func (x *exclusiveRuns) receiveRelease(from netip.AddrPort, d *runRelease) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	freeRun(x.granted, d.Digest, runID{from, d.Number})
 }
 
 // prune removes exclusive runs that have expired.
-func (t *exclusiveRuns) prune(now clock.Millis) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for _, holders := range []map[Digest]runHolder{t.granted, t.local} {
+func (x *exclusiveRuns) prune(now clock.Millis) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	for _, holders := range []map[Digest]runHolder{x.granted, x.local} {
 		for d, h := range holders {
 			if now >= h.until {
 				delete(holders, d)
--- a/pkg/ratelimit/report.go
+++ b/pkg/ratelimit/report.go
@@ -22,7 +22,7 @@
 }
 
 // Unreadable reports whether the answer names a limit that cannot be parsed, and so tells nothing new.
-func (n ParsedLimit) Unreadable() bool { return n.Given && !n.Readable }
+func (p ParsedLimit) Unreadable() bool { return p.Given && !p.Readable }
 
 // Report is the last known limit of a target, Unlimited if it named none.
 type Report struct {
--- a/pkg/resume/break_streak.go
+++ b/pkg/resume/break_streak.go
@@ -26,16 +26,16 @@
 // Broke records that the connection broke, with taken bytes of the answer received so far. Made is false if there
 // was no connection, or the other side refused to resume: the time spent on that does not count as a good
 // connection. Broke returns the number of breaks in the streak, and whether to resume once more.
-func (r *BreakStreak) Broke(now clock.Millis, taken int64, made bool) (breaks int, again bool) {
-	if taken > r.taken || made && now-r.began >= stableAfter {
-		r.breaks = 0
+func (s *BreakStreak) Broke(now clock.Millis, taken int64, made bool) (breaks int, again bool) {
+	if taken > s.taken || made && now-s.began >= stableAfter {
+		s.breaks = 0
 	}
-	r.taken = taken
-	r.breaks++
-	return r.breaks, r.breaks <= r.maxBreaks
+	s.taken = taken
+	s.breaks++
+	return s.breaks, s.breaks <= s.maxBreaks
 }
 
 // Begin records that the next connection begins.
-func (r *BreakStreak) Begin(now clock.Millis) {
-	r.began = now
+func (s *BreakStreak) Begin(now clock.Millis) {
+	s.began = now
 }
--- a/pkg/rollout/evidence.go
+++ b/pkg/rollout/evidence.go
@@ -109,30 +109,30 @@
 	return versionHistory{histories: make(map[historyKey]*history)}
 }
 
-func (g *versionHistory) add(o Observation, bad bool) {
+func (v *versionHistory) add(o Observation, bad bool) {
 	c := historyKey{o.Incarnation, o.Route, o.Loaded}
-	h := g.histories[c]
+	h := v.histories[c]
 	if h == nil {
 		h = &history{}
-		g.histories[c] = h
+		v.histories[c] = h
 	}
 	h.add(o.At, bad)
 }
 
-func (g *versionHistory) dropBefore(before clock.Millis) {
-	for _, h := range g.histories {
+func (v *versionHistory) dropBefore(before clock.Millis) {
+	for _, h := range v.histories {
 		h.dropBefore(before)
 	}
 }
 
 // byTarget sums the answers of a subset by target; each incarnation of a target counts separately.
-func (g *versionHistory) byTarget(sub subset, recent bool) map[ids.TargetIncarnation]tally {
-	return sumBy(g, sub, recent, func(c historyKey) ids.TargetIncarnation { return c.incarnation })
+func (v *versionHistory) byTarget(sub subset, recent bool) map[ids.TargetIncarnation]tally {
+	return sumBy(v, sub, recent, func(c historyKey) ids.TargetIncarnation { return c.incarnation })
 }
 
 // byRoute sums all answers by route.
-func (g *versionHistory) byRoute() map[ids.Route]tally {
-	return sumBy(g, subset{}, false, func(c historyKey) ids.Route { return c.route })
+func (v *versionHistory) byRoute() map[ids.Route]tally {
+	return sumBy(v, subset{}, false, func(c historyKey) ids.Route { return c.route })
 }
 
 // sumBy sums the answers of a subset, grouped by key.
--- a/pkg/rollout/filter.go
+++ b/pkg/rollout/filter.go
@@ -26,46 +26,46 @@
 }
 
 // SetDirectory replaces the target list.
-func (s *Filter) SetDirectory(d *routing.Directory) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.listed = d.All()
-	s.update()
+func (f *Filter) SetDirectory(d *routing.Directory) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.listed = d.All()
+	f.update()
 }
 
 // Changed evaluates the list again after orders or records have changed.
-func (s *Filter) Changed() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.listed != nil {
-		s.update()
+func (f *Filter) Changed() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.listed != nil {
+		f.update()
 	}
 }
 
 // Confirmed evaluates the list again if a target waits for the orders to be known up to its start.
-func (s *Filter) Confirmed() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.undecided {
-		s.update()
+func (f *Filter) Confirmed() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.undecided {
+		f.update()
 	}
 }
 
-func (s *Filter) update() {
+func (f *Filter) update() {
 	versions := make(map[ids.Service]ids.Version)
 	mixed := make(map[ids.Service]bool)
-	for _, t := range s.listed {
+	for _, t := range f.listed {
 		if other, seen := versions[t.Service]; seen && other != t.Version {
 			mixed[t.Service] = true
 		}
 		versions[t.Service] = t.Version
 	}
-	s.undecided = false
-	list := make([]*routing.Target, 0, len(s.listed))
-	for _, t := range s.listed {
-		admission := s.tracker.Admission(t, mixed[t.Service])
-		if admission == routing.Withheld && !s.tracker.withheldByDecision(t) {
-			s.undecided = true
+	f.undecided = false
+	list := make([]*routing.Target, 0, len(f.listed))
+	for _, t := range f.listed {
+		admission := f.tracker.Admission(t, mixed[t.Service])
+		if admission == routing.Withheld && !f.tracker.withheldByDecision(t) {
+			f.undecided = true
 		}
 		if admission != t.Admission {
 			sorted := *t
@@ -74,5 +74,5 @@
 		}
 		list = append(list, t)
 	}
-	s.onUpdate(routing.NewDirectory(list))
+	f.onUpdate(routing.NewDirectory(list))
 }
--- a/pkg/rollout/report.go
+++ b/pkg/rollout/report.go
@@ -31,19 +31,19 @@
 }
 
 // Report describes a service's roll-out. It returns false if there is none.
-func (b *Tracker) Report(now clock.Millis, service ids.Service) (Report, bool) {
-	order, r, open := b.OpenOrder(service)
+func (tr *Tracker) Report(now clock.Millis, service ids.Service) (Report, bool) {
+	order, r, open := tr.OpenOrder(service)
 	if !open {
-		if r, open = b.Record(service); !open {
+		if r, open = tr.Record(service); !open {
 			return Report{}, false
 		}
 	}
 	report := Report{
 		Service: service, Version: r.Version, State: r.State.String(), Why: r.Why, Barred: r.Barred, Evidence: r.Evidence,
-		FeedAge: b.Age(now),
+		FeedAge: tr.Age(now),
 	}
 	if !r.State.Final() {
-		report.EndsIn = b.Times(order, r).EarliestEnd - now
+		report.EndsIn = tr.Times(order, r).EarliestEnd - now
 	}
 	return report, true
 }
--- a/pkg/rollout/tracker.go
+++ b/pkg/rollout/tracker.go
@@ -49,30 +49,30 @@
 }
 
 // PutOrders adds orders that were read and removes those in gone. With all, it replaces all known orders.
-func (b *Tracker) PutOrders(orders []Order, gone []ids.Service, all bool, freshness Freshness) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	known := b.orders
+func (tr *Tracker) PutOrders(orders []Order, gone []ids.Service, all bool, freshness Freshness) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	known := tr.orders
 	if all {
-		b.orders = make(map[ids.Service]Order)
+		tr.orders = make(map[ids.Service]Order)
 	}
 	for _, service := range gone {
-		delete(b.orders, service)
+		delete(tr.orders, service)
 	}
 	for _, o := range orders {
 		if known[o.Service].Placed != o.Placed {
-			b.placedBetween[o.Service] = interval{b.placedAfter(o, freshness), freshness.ReadAt + endMargin}
+			tr.placedBetween[o.Service] = interval{tr.placedAfter(o, freshness), freshness.ReadAt + endMargin}
 		}
-		b.orders[o.Service] = o
-		addVersion(b.ordered, o.Service, o.Version)
+		tr.orders[o.Service] = o
+		addVersion(tr.ordered, o.Service, o.Version)
 	}
-	if b.firstOrdersUpTo == 0 {
-		b.firstOrdersUpTo = freshness.Revision
+	if tr.firstOrdersUpTo == 0 {
+		tr.firstOrdersUpTo = freshness.Revision
 	}
-	b.ordersUpTo = max(b.ordersUpTo, freshness.Revision)
-	b.ordersAt = max(b.ordersAt, freshness.At)
+	tr.ordersUpTo = max(tr.ordersUpTo, freshness.Revision)
+	tr.ordersAt = max(tr.ordersAt, freshness.At)
 	if freshness.StoreTime > 0 {
-		b.clockOffset = freshness.At - freshness.StoreTime
+		tr.clockOffset = freshness.At - freshness.StoreTime
 	}
 }
 
@@ -90,27 +90,27 @@
 
 // placedAfter returns a moment before the order was written. If nothing was read before the order, it is taken to have
 // been written when it was read.
-func (b *Tracker) placedAfter(o Order, freshness Freshness) clock.Millis {
+func (tr *Tracker) placedAfter(o Order, freshness Freshness) clock.Millis {
 	switch {
-	case b.ordersAt == 0 || b.firstOrdersUpTo >= o.Placed:
+	case tr.ordersAt == 0 || tr.firstOrdersUpTo >= o.Placed:
 		return freshness.ReadAt
-	case freshness.At-b.ordersAt <= steadyReadInterval:
-		return max(b.ordersAt, freshness.At-promptReadDelay)
+	case freshness.At-tr.ordersAt <= steadyReadInterval:
+		return max(tr.ordersAt, freshness.At-promptReadDelay)
 	}
-	return b.ordersAt
+	return tr.ordersAt
 }
 
 // interval is the time between two moments.
 type interval struct{ from, to clock.Millis }
 
 // Times returns the start and end times of an open order, by this process's clock.
-func (b *Tracker) Times(o Order, r Record) Times {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (tr *Tracker) Times(o Order, r Record) Times {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
 	if r.State != Pending {
-		return Times{r.Started + b.clockOffset, r.EarliestEnd + b.clockOffset, r.LatestEnd + b.clockOffset}
+		return Times{r.Started + tr.clockOffset, r.EarliestEnd + tr.clockOffset, r.LatestEnd + tr.clockOffset}
 	}
-	placed := b.placedBetween[o.Service]
+	placed := tr.placedBetween[o.Service]
 	return Times{placed.from, placed.from + o.Within, placed.to + o.Within}
 }
 
@@ -121,11 +121,11 @@
 // OpensAt returns when a completed version of a service starts to receive all requests, and whether that moment is
 // still ahead. The owner that recorded the order's times knows the moment by its own clock; any other owner adds
 // maxClockSkew.
-func (b *Tracker) OpensAt(service ids.Service, owner uint64, now clock.Millis) (clock.Millis, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := b.records[service]
-	at := r.LatestEnd + b.clockOffset
+func (tr *Tracker) OpensAt(service ids.Service, owner uint64, now clock.Millis) (clock.Millis, bool) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	r := tr.records[service]
+	at := r.LatestEnd + tr.clockOffset
 	if r.TimedByOwner != owner {
 		at += maxClockSkew
 	}
@@ -140,33 +140,33 @@
 }
 
 // PutRecords adds records that were read. Records older than the known ones are ignored.
-func (b *Tracker) PutRecords(records []Record, freshness Freshness) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (tr *Tracker) PutRecords(records []Record, freshness Freshness) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
 	for _, r := range records {
-		if known, has := b.records[r.Service]; !has || r.Written >= known.Written {
-			b.records[r.Service] = r
+		if known, has := tr.records[r.Service]; !has || r.Written >= known.Written {
+			tr.records[r.Service] = r
 		}
 		if r.State == Completed {
-			addVersion(b.alreadyInUse, r.Service, r.Version) // it stays in use while the next version is on trial
+			addVersion(tr.alreadyInUse, r.Service, r.Version) // it stays in use while the next version is on trial
 		}
 	}
-	b.recordsAt = max(b.recordsAt, freshness.At)
+	tr.recordsAt = max(tr.recordsAt, freshness.At)
 }
 
 // OpenOrder returns a service's order that awaits a decision, and its record, which is Pending if none has been
 // written yet.
-func (b *Tracker) OpenOrder(service ids.Service) (Order, Record, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.open(service)
+func (tr *Tracker) OpenOrder(service ids.Service) (Order, Record, bool) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	return tr.open(service)
 }
 
-func (b *Tracker) open(service ids.Service) (Order, Record, bool) {
-	o, ordered := b.orders[service]
-	r := b.records[service]
+func (tr *Tracker) open(service ids.Service) (Order, Record, bool) {
+	o, ordered := tr.orders[service]
+	r := tr.records[service]
 	switch {
-	case !ordered && r.State == Running && b.ordersUpTo >= r.Written:
+	case !ordered && r.State == Running && tr.ordersUpTo >= r.Written:
 		// The order was removed before its end: the version is no longer wanted.
 		return Order{Service: service, Version: r.Version, Placed: r.Order}, r, true
 	case !ordered, o.Placed < r.Order: // the record belongs to an order that this process has not read yet
@@ -178,41 +178,41 @@
 }
 
 // Knows reports whether an order has already been read.
-func (b *Tracker) Knows(o Order) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.orders[o.Service].Placed == o.Placed
+func (tr *Tracker) Knows(o Order) bool {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	return tr.orders[o.Service].Placed == o.Placed
 }
 
 // Withdrawn reports whether the row of an open order has been removed.
 func (o *Order) Withdrawn() bool { return o.Within == 0 }
 
 // Order returns the known order of a service, if any.
-func (b *Tracker) Order(service ids.Service) (Order, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	o, known := b.orders[service]
+func (tr *Tracker) Order(service ids.Service) (Order, bool) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	o, known := tr.orders[service]
 	return o, known
 }
 
 // Record returns the record of a service's newest order, if any.
-func (b *Tracker) Record(service ids.Service) (Record, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r, known := b.records[service]
+func (tr *Tracker) Record(service ids.Service) (Record, bool) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	r, known := tr.records[service]
 	return r, known
 }
 
 // Services lists the services that have an order or a record.
-func (b *Tracker) Services() []ids.Service {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (tr *Tracker) Services() []ids.Service {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
 	var list []ids.Service
-	for service := range b.records {
+	for service := range tr.records {
 		list = append(list, service)
 	}
-	for service := range b.orders {
-		if _, has := b.records[service]; !has {
+	for service := range tr.orders {
+		if _, has := tr.records[service]; !has {
 			list = append(list, service)
 		}
 	}
@@ -221,35 +221,35 @@
 
 // ObservedFromStart reports whether this process had read the orders before this one was written. In that case it has
 // certainly sent nothing to the order's version yet.
-func (b *Tracker) ObservedFromStart(o Order) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.firstOrdersUpTo > 0 && b.firstOrdersUpTo < o.Placed
+func (tr *Tracker) ObservedFromStart(o Order) bool {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	return tr.firstOrdersUpTo > 0 && tr.firstOrdersUpTo < o.Placed
 }
 
 // Age returns the time since orders and records were last known to be current.
-func (b *Tracker) Age(now clock.Millis) clock.Millis {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return now - min(b.ordersAt, b.recordsAt)
+func (tr *Tracker) Age(now clock.Millis) clock.Millis {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	return now - min(tr.ordersAt, tr.recordsAt)
 }
 
 // StoreTime converts a moment to the store's clock.
-func (b *Tracker) StoreTime(at clock.Millis) clock.Millis {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return at - b.clockOffset
+func (tr *Tracker) StoreTime(at clock.Millis) clock.Millis {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	return at - tr.clockOffset
 }
 
 // Admission reports whether a target may receive work; mixed says that its service has targets of several versions. If
 // the service ran only the ordered version before the order, there is nothing to try and the target is admitted.
-func (b *Tracker) Admission(t *routing.Target, mixed bool) routing.Admission {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r, decided := b.records[t.Service]
-	o, current, open := b.open(t.Service)
+func (tr *Tracker) Admission(t *routing.Target, mixed bool) routing.Admission {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	r, decided := tr.records[t.Service]
+	o, current, open := tr.open(t.Service)
 	switch {
-	case open && o.Version == t.Version && !mixed && b.alreadyInUse[t.Service][t.Version]:
+	case open && o.Version == t.Version && !mixed && tr.alreadyInUse[t.Service][t.Version]:
 		return routing.Admitted
 	case open && o.Version == t.Version:
 		if current.State == Running && !o.Withdrawn() {
@@ -262,10 +262,10 @@
 		return routing.Admitted
 	case decided && r.State == Completed && Revision(t.ListedRevision) < r.Written:
 		return routing.Withheld // it stopped when the other version had taken over
-	case b.alreadyInUse[t.Service][t.Version]:
+	case tr.alreadyInUse[t.Service][t.Version]:
 		return routing.Admitted
-	case Revision(t.ListedRevision) <= b.ordersUpTo && !b.ordered[t.Service][t.Version]:
-		b.markInUse(t)
+	case Revision(t.ListedRevision) <= tr.ordersUpTo && !tr.ordered[t.Service][t.Version]:
+		tr.markInUse(t)
 		return routing.Admitted
 	}
 	return routing.Withheld
@@ -280,24 +280,24 @@
 )
 
 // markInUse records that a target's version is in use. The caller holds the lock.
-func (b *Tracker) markInUse(t *routing.Target) {
-	if len(b.alreadyInUse) < maxServices && len(b.alreadyInUse[t.Service]) < maxVersions {
-		addVersion(b.alreadyInUse, t.Service, t.Version)
+func (tr *Tracker) markInUse(t *routing.Target) {
+	if len(tr.alreadyInUse) < maxServices && len(tr.alreadyInUse[t.Service]) < maxVersions {
+		addVersion(tr.alreadyInUse, t.Service, t.Version)
 	}
 }
 
 // AlreadyInUse reports whether a version of a service was in use before an order named it, or was completed.
-func (b *Tracker) AlreadyInUse(service ids.Service, version ids.Version) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.alreadyInUse[service][version]
+func (tr *Tracker) AlreadyInUse(service ids.Service, version ids.Version) bool {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	return tr.alreadyInUse[service][version]
 }
 
 // withheldByDecision reports whether a target is withheld because of an order or a record, and not because it is
 // unknown whether an order exists.
-func (b *Tracker) withheldByDecision(t *routing.Target) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r, has := b.records[t.Service]
-	return b.ordered[t.Service][t.Version] || has && (r.blocks(t.Version) || r.State == Completed && Revision(t.ListedRevision) < r.Written)
+func (tr *Tracker) withheldByDecision(t *routing.Target) bool {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	r, has := tr.records[t.Service]
+	return tr.ordered[t.Service][t.Version] || has && (r.blocks(t.Version) || r.State == Completed && Revision(t.ListedRevision) < r.Written)
 }
--- a/pkg/schedule/baselines.go
+++ b/pkg/schedule/baselines.go
@@ -108,17 +108,17 @@
 	target   *routing.Target
 }
 
-func (p *baselineAssignment) Target() *routing.Target { return p.target }
+func (a *baselineAssignment) Target() *routing.Target { return a.target }
 
-func (p *baselineAssignment) Began(load *planner.Load) {
+func (a *baselineAssignment) Began(load *planner.Load) {
 	if load == nil {
 		return
 	}
-	p.baseline.mu.Lock()
-	defer p.baseline.mu.Unlock()
-	p.baseline.reports[p.target.Incarnation()] = report{load: load.Running + load.Waiting, at: p.baseline.Clock.Now()}
+	a.baseline.mu.Lock()
+	defer a.baseline.mu.Unlock()
+	a.baseline.reports[a.target.Incarnation()] = report{load: load.Running + load.Waiting, at: a.baseline.Clock.Now()}
 }
 
-func (p *baselineAssignment) Redispatched() <-chan struct{} { return nil }
+func (a *baselineAssignment) Redispatched() <-chan struct{} { return nil }
 
-func (p *baselineAssignment) Done(planner.Outcome, planner.StreamStats) {}
+func (a *baselineAssignment) Done(planner.Outcome, planner.StreamStats) {}
--- a/pkg/schedule/local.go
+++ b/pkg/schedule/local.go
@@ -106,17 +106,17 @@
 	target *routing.Target
 }
 
-func (p *localAssignment) Target() *routing.Target { return p.target }
+func (a *localAssignment) Target() *routing.Target { return a.target }
 
-func (p *localAssignment) Began(*planner.Load) {}
+func (a *localAssignment) Began(*planner.Load) {}
 
-func (p *localAssignment) Redispatched() <-chan struct{} { return nil }
+func (a *localAssignment) Redispatched() <-chan struct{} { return nil }
 
-func (p *localAssignment) Done(o planner.Outcome, _ planner.StreamStats) {
-	l := p.local
+func (a *localAssignment) Done(o planner.Outcome, _ planner.StreamStats) {
+	l := a.local
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.stateOf(p.target.Incarnation())
+	r := l.stateOf(a.target.Incarnation())
 	r.running--
 	r.health.Record(l.Clock.Now(), o)
 }
--- a/pkg/targetlist/list.go
+++ b/pkg/targetlist/list.go
@@ -56,76 +56,76 @@
 }
 
 // Snapshot replaces the list.
-func (r *List) Snapshot(rows []follow.Row, freshness follow.Freshness) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.recordContact(freshness)
+func (l *List) Snapshot(rows []follow.Row, freshness follow.Freshness) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.recordContact(freshness)
 	// The first list takes one log line: when all entries start together, each would log a line for every target
 	// while its callers wait.
-	r.starting = len(r.targets) == 0
+	l.starting = len(l.targets) == 0
 	for _, row := range rows {
-		r.applyRow(row)
+		l.applyRow(row)
 	}
-	if r.starting {
-		r.Log.WithField("targets", len(r.targets)).Info("first list of targets")
-		r.starting = false
+	if l.starting {
+		l.Log.WithField("targets", len(l.targets)).Info("first list of targets")
+		l.starting = false
 	}
-	r.removeUnlisted(now, rows)
-	r.publish()
+	l.removeUnlisted(now, rows)
+	l.publish()
 }
 
 // removeUnlisted drops the targets that have no row in a snapshot of the table.
-func (r *List) removeUnlisted(now clock.Millis, all []follow.Row) {
+func (l *List) removeUnlisted(now clock.Millis, all []follow.Row) {
 	present := make(map[ids.Target]bool, len(all))
 	for _, row := range all {
 		present[ids.Target(row.Key)] = true
 	}
-	for id := range r.targets {
+	for id := range l.targets {
 		if !present[id] {
-			r.drop(now, id)
+			l.drop(now, id)
 		}
 	}
-	for id := range r.lastValid {
+	for id := range l.lastValid {
 		if !present[id] {
-			delete(r.lastValid, id)
+			delete(l.lastValid, id)
 		}
 	}
-	r.faults.Retain(all)
+	l.faults.Retain(all)
 }
 
 // Changed applies changed and deleted rows.
-func (r *List) Changed(rows []follow.Row, freshness follow.Freshness) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := r.recordContact(freshness)
+func (l *List) Changed(rows []follow.Row, freshness follow.Freshness) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := l.recordContact(freshness)
 	for _, row := range rows {
 		if row.Gone {
-			r.faults.Clear(row.Key)
-			delete(r.lastValid, ids.Target(row.Key))
-			r.drop(now, ids.Target(row.Key))
+			l.faults.Clear(row.Key)
+			delete(l.lastValid, ids.Target(row.Key))
+			l.drop(now, ids.Target(row.Key))
 			continue
 		}
-		r.applyRow(row)
+		l.applyRow(row)
 	}
 	if len(rows) > 0 {
-		r.publish()
+		l.publish()
 	}
 }
 
 // ReadFailed records that the store is unreachable; the list is kept as it is.
-func (r *List) ReadFailed(error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.storeUnreachable = true
+func (l *List) ReadFailed(error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.storeUnreachable = true
 }
 
 // recordContact records that the store has answered. After an outage, the store was back by the time of the query.
-func (r *List) recordContact(freshness follow.Freshness) clock.Millis {
-	if r.storeUnreachable {
-		r.graceUntil = freshness.RequestedAt + restoreGrace
+func (l *List) recordContact(freshness follow.Freshness) clock.Millis {
+	if l.storeUnreachable {
+		l.graceUntil = freshness.RequestedAt + restoreGrace
 	}
-	r.storeUnreachable = false
-	return r.Clock.Now()
+	l.storeUnreachable = false
+	return l.Clock.Now()
 }
 
 // WaitForChanges is for how long the store may hold a query for changes of targets.
@@ -133,38 +133,38 @@
 
 // drop takes a target off the list, or keeps it for a while if its row may have expired because of an outage of the
 // store.
-func (r *List) drop(now clock.Millis, id ids.Target) {
-	if r.targets[id] == nil || r.expired[id] > 0 {
+func (l *List) drop(now clock.Millis, id ids.Target) {
+	if l.targets[id] == nil || l.expired[id] > 0 {
 		return
 	}
-	if now >= r.graceUntil {
-		delete(r.targets, id)
-		r.logGone(id, "target gone")
+	if now >= l.graceUntil {
+		delete(l.targets, id)
+		l.logGone(id, "target gone")
 		return
 	}
-	r.expired[id] = r.graceUntil
-	until := r.graceUntil
-	time.AfterFunc((until - now).Duration(), func() { r.dropExpired(id, until) })
+	l.expired[id] = l.graceUntil
+	until := l.graceUntil
+	time.AfterFunc((until - now).Duration(), func() { l.dropExpired(id, until) })
 }
 
 // dropExpired drops a target whose expired row has not come back by the given time. If the row came back and expired
 // again since, another time applies.
-func (r *List) dropExpired(id ids.Target, until clock.Millis) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.expired[id] != until {
+func (l *List) dropExpired(id ids.Target, until clock.Millis) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.expired[id] != until {
 		return
 	}
-	delete(r.expired, id)
-	delete(r.targets, id)
-	r.logGone(id, "target gone: its row did not come back")
-	r.publish()
+	delete(l.expired, id)
+	delete(l.targets, id)
+	l.logGone(id, "target gone: its row did not come back")
+	l.publish()
 }
 
-func (r *List) publish() {
-	list := make([]*routing.Target, 0, len(r.targets))
-	for _, t := range r.targets {
+func (l *List) publish() {
+	list := make([]*routing.Target, 0, len(l.targets))
+	for _, t := range l.targets {
 		list = append(list, t)
 	}
-	r.onChange(routing.NewDirectory(list))
+	l.onChange(routing.NewDirectory(list))
 }
--- a/pkg/targetlist/rows.go
+++ b/pkg/targetlist/rows.go
@@ -10,52 +10,52 @@
 )
 
 // applyRow applies a target's row.
-func (r *List) applyRow(row follow.Row) {
-	before := r.lastKnown(ids.Target(row.Key))
+func (l *List) applyRow(row follow.Row) {
+	before := l.lastKnown(ids.Target(row.Key))
 	if before != nil && row.Version > 0 && row.Version < before.Revision {
 		return // read before a change that is already applied: it would bring back a former incarnation
 	}
-	target, err := r.parse(row.Key, row.Value)
+	target, err := l.parse(row.Key, row.Value)
 	if err != nil {
-		r.excludeInvalid(row, err)
+		l.excludeInvalid(row, err)
 		return
 	}
 	target.Revision = row.Version
 	inherit(before, target)
-	target.ColdUntil = r.coldUntil(before, target)
-	if !r.starting && (r.targets[target.ID] == nil || before.Leaving != target.Leaving || before.Incarnation() != target.Incarnation()) {
-		r.logListed(before, target)
+	target.ColdUntil = l.coldUntil(before, target)
+	if !l.starting && (l.targets[target.ID] == nil || before.Leaving != target.Leaving || before.Incarnation() != target.Incarnation()) {
+		l.logListed(before, target)
 	}
-	r.targets[target.ID] = target
-	delete(r.lastValid, target.ID)
-	delete(r.expired, target.ID)
-	r.faults.Clear(row.Key)
+	l.targets[target.ID] = target
+	delete(l.lastValid, target.ID)
+	delete(l.expired, target.ID)
+	l.faults.Clear(row.Key)
 }
 
 // lastKnown returns the last valid data of a target, or nil.
-func (r *List) lastKnown(id ids.Target) *routing.Target {
-	if t := r.targets[id]; t != nil {
+func (l *List) lastKnown(id ids.Target) *routing.Target {
+	if t := l.targets[id]; t != nil {
 		return t
 	}
-	return r.lastValid[id]
+	return l.lastValid[id]
 }
 
 // excludeInvalid takes a target with an invalid row off the list: another writer may have written the row, and the
 // target may have been replaced. The row exists, so it has not expired in an outage. Requests that run on the target
 // continue, as when it is leaving.
-func (r *List) excludeInvalid(row follow.Row, err error) {
-	r.faults.Add(row, err)
+func (l *List) excludeInvalid(row follow.Row, err error) {
+	l.faults.Add(row, err)
 	id := ids.Target(row.Key)
-	if r.targets[id] != nil {
-		r.Log.WithField("target", string(id)).Info("target removed: its row cannot be used")
+	if l.targets[id] != nil {
+		l.Log.WithField("target", string(id)).Info("target removed: its row cannot be used")
 	}
-	if before := r.lastKnown(id); before != nil {
+	if before := l.lastKnown(id); before != nil {
 		excluded := *before
 		excluded.Revision = max(excluded.Revision, row.Version)
-		r.lastValid[id] = &excluded
+		l.lastValid[id] = &excluded
 	}
-	delete(r.targets, id)
-	delete(r.expired, id)
+	delete(l.targets, id)
+	delete(l.expired, id)
 }
 
 // inherit carries over what earlier rows reported about the same incarnation of a target. A row without a start time
@@ -79,14 +79,14 @@
 
 // coldUntil returns when a target is no longer cold. Reading the same row again must not extend that time, and a row
 // relayed by another process may have been read a while ago.
-func (r *List) coldUntil(before, target *routing.Target) clock.Millis {
+func (l *List) coldUntil(before, target *routing.Target) clock.Millis {
 	switch {
 	case target.ColdFor == 0:
 		return 0
 	case before != nil && before.Incarnation() == target.Incarnation() && before.ColdFor == target.ColdFor:
 		return before.ColdUntil
 	default:
-		return r.Clock.Now() + target.ColdFor
+		return l.Clock.Now() + target.ColdFor
 	}
 }
 
@@ -98,13 +98,13 @@
 	kindGone      = "target gone"
 )
 
-func (r *List) logGone(id ids.Target, line string) {
-	if r.sampler.Allow(kindGone) {
-		r.Log.WithField("target", string(id)).Info(line)
+func (l *List) logGone(id ids.Target, line string) {
+	if l.sampler.Allow(kindGone) {
+		l.Log.WithField("target", string(id)).Info(line)
 	}
 }
 
-func (r *List) logListed(before, target *routing.Target) {
+func (l *List) logListed(before, target *routing.Target) {
 	restarted := before != nil && before.Incarnation() != target.Incarnation()
 	kind := kindListed
 	switch {
@@ -113,10 +113,10 @@
 	case target.Leaving:
 		kind = kindLeaving
 	}
-	if !r.sampler.Allow(kind) {
+	if !l.sampler.Allow(kind) {
 		return
 	}
-	line := r.Log.WithFields(logrus.Fields{
+	line := l.Log.WithFields(logrus.Fields{
 		"target": string(target.ID), "leaving": target.Leaving, "version": string(target.Version), "start": int64(target.Start), "revision": target.Revision,
 	})
 	if !restarted {
--- a/pkg/telemetry/prometheus.go
+++ b/pkg/telemetry/prometheus.go
@@ -34,35 +34,35 @@
 }
 
 // Count adds a request to the metrics.
-func (f *PrometheusMetrics) Count(r Request) {
-	f.set.GetOrCreateCounter(fmt.Sprintf(
+func (m *PrometheusMetrics) Count(r Request) {
+	m.set.GetOrCreateCounter(fmt.Sprintf(
 		`quaydock_requests_total{service=%q,account=%q,tier="%d",outcome=%q}`, r.Service, r.Account, r.Tier, r.Outcome)).Inc()
-	f.set.GetOrCreateHistogram(fmt.Sprintf(
+	m.set.GetOrCreateHistogram(fmt.Sprintf(
 		`quaydock_held_seconds{service=%q,tier="%d",outcome=%q}`, r.Service, r.Tier, r.Outcome)).Update(r.Held.Duration().Seconds())
 	if r.First > 0 {
-		f.set.GetOrCreateHistogram(fmt.Sprintf(
+		m.set.GetOrCreateHistogram(fmt.Sprintf(
 			`quaydock_first_event_seconds{service=%q,tier="%d"}`, r.Service, r.Tier)).Update(r.First.Duration().Seconds())
 	}
 }
 
 // Add increments the counter of a name and one label value.
-func (f *PrometheusMetrics) Add(name, label, value string) {
-	f.set.GetOrCreateCounter(fmt.Sprintf("quaydock_%s_total{%s=%q}", name, label, value)).Inc()
+func (m *PrometheusMetrics) Add(name, label, value string) {
+	m.set.GetOrCreateCounter(fmt.Sprintf("quaydock_%s_total{%s=%q}", name, label, value)).Inc()
 }
 
 // Gauge registers a function that is called for the value on each read of the metrics.
-func (f *PrometheusMetrics) Gauge(name string, value func() float64) {
-	f.set.NewGauge("quaydock_"+name, value)
+func (m *PrometheusMetrics) Gauge(name string, value func() float64) {
+	m.set.NewGauge("quaydock_"+name, value)
 }
 
 // LabelledGauge registers a function that is called for the value of a name and one label value on
 // each read of the metrics. A second function for the same name and label value is ignored.
-func (f *PrometheusMetrics) LabelledGauge(name, label, labelled string, value func() float64) {
-	f.set.GetOrCreateGauge(fmt.Sprintf("quaydock_%s{%s=%q}", name, label, labelled), value)
+func (m *PrometheusMetrics) LabelledGauge(name, label, labelled string, value func() float64) {
+	m.set.GetOrCreateGauge(fmt.Sprintf("quaydock_%s{%s=%q}", name, label, labelled), value)
 }
 
 // ServeHTTP writes all metrics in the text format of Prometheus.
-func (f *PrometheusMetrics) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
+func (m *PrometheusMetrics) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-	f.set.WritePrometheus(w)
+	m.set.WritePrometheus(w)
 }
