--- a/pkg/advisory/tracker_test.go
+++ b/pkg/advisory/tracker_test.go
@@ -64,7 +64,7 @@
 }
 
 // An entry took a restarted target for its former incarnation, and then read of the new one. Which of them has sent the
-// advice is told by the date of the answer, which is by the same clock as the start; or, without a date, by the time of the
+// advice is recognized by the date of the answer, which is by the same clock as the start; or, without a date, by the time of the
 // connection, which is by the clock of another VM. If it remains unclear, the advice counts for 4 s after the new
 // incarnation is listed.
 func TestAdviceOfAnIncarnationThatWasNotReadYet(t *testing.T) {
--- a/pkg/dispatch/advice_test.go
+++ b/pkg/dispatch/advice_test.go
@@ -28,7 +28,7 @@
 		name    string
 		disrupt func(b *cluster, owner, requester int)
 		// most is how many grants the requester may return: one for each target and each owner that lacks the advice.
-		most int64
+		max int64
 	}{
 		{"the owner receives the advice", func(*cluster, int, int) {}, 0},
 		{"the owner receives no advice", func(b *cluster, _, _ int) {
@@ -58,8 +58,8 @@
 					if b.served != 40 || b.total["t3"] != 40 {
 						t.Errorf("%d of 40 served, %d of them at the target without advice", b.served, b.total["t3"])
 					}
-					if n := b.withheld(); n > s.most {
-						t.Errorf("%d grants returned, want at most %d", n, s.most)
+					if n := b.withheld(); n > s.max {
+						t.Errorf("%d grants returned, want at most %d", n, s.max)
 					}
 				})
 			})
--- a/pkg/ingress/reject_test.go
+++ b/pkg/ingress/reject_test.go
@@ -76,7 +76,7 @@
 }
 
 // A request of a higher tier that is served beyond the limit takes three times as long as a rejected caller has.
-func TestRequestServedBeyondLimitIsNotCutShort(t *testing.T) {
+func TestRequestServedBeyondLimitIsNotBrokenOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestbed(t, fakeMeter{}, func(c net.Conn, r *http.Request) bool {
 			time.Sleep(3 * time.Second)
--- a/pkg/membership/heavy_test.go
+++ b/pkg/membership/heavy_test.go
@@ -41,10 +41,10 @@
 // alone, one shard in twelve fell on an entry with 0.144 of a core, whose grants came late under load.
 func TestHeavyShardsGoToCapableVMs(t *testing.T) {
 	scenarios := []struct {
-		name    string
-		weights []float64
-		least   float64 // the least weight of an owner
-		most    float64 // the largest fraction of the shards on one entry
+		name        string
+		weights     []float64
+		minWeight   float64 // the least weight of an owner
+		maxFraction float64 // the largest fraction of the shards on one entry
 	}{
 		{"a quarter strong", quarterStrong(), 0.8, 0.25},
 		{"all weak", repeatedWeight(12, 0.144), 0.144, 0.2},
@@ -60,10 +60,10 @@
 				time.Sleep(2 * time.Second)
 				const shards = 400
 				for i, n := range b.heavyOwnerCounts(0, shards) {
-					if s.weights[i] < s.least {
+					if s.weights[i] < s.minWeight {
 						t.Errorf("%d of %d heavy shards on an entry of weight %v", n, shards, s.weights[i])
 					}
-					if float64(n) > s.most*shards {
+					if float64(n) > s.maxFraction*shards {
 						t.Errorf("%d of %d heavy shards on a single entry of weight %v", n, shards, s.weights[i])
 					}
 				}
--- a/pkg/membership/registration_test.go
+++ b/pkg/membership/registration_test.go
@@ -32,10 +32,10 @@
 // them writes to one table.
 func TestRowsOfManyEntriesAreWrittenInBatches(t *testing.T) {
 	scenarios := []struct {
-		name    string
-		disturb func(b *bed)
-		most    int  // upper limit of write calls
-		written bool // by a registrar
+		name      string
+		disturb   func(b *bed)
+		maxWrites int  // upper limit of write calls
+		written   bool // by a registrar
 	}{
 		{"the longest-listed entry writes them", nil, 6, true},
 		{"the first registrar is gone, the second writes them", func(b *bed) { b.partition(0) }, 6, true},
@@ -69,7 +69,7 @@
 				}
 				time.Sleep(1200 * time.Millisecond) // the lists are not updated here, so the entries would register again later
 				writes := b.rows.writes()
-				if writes > s.most {
+				if writes > s.maxWrites {
 					t.Errorf("%d writes for %d entries", writes, all-there)
 				}
 				for i := there; i < all; i++ {
--- a/pkg/membership/size_test.go
+++ b/pkg/membership/size_test.go
@@ -62,9 +62,9 @@
 }
 
 // awaitAgreement waits until all agree, and returns how long that took.
-func (f *fleet) awaitAgreement(most time.Duration) time.Duration {
+func (f *fleet) awaitAgreement(timeout time.Duration) time.Duration {
 	began := time.Now()
-	for time.Since(began) < most && !f.agree() {
+	for time.Since(began) < timeout && !f.agree() {
 		time.Sleep(50 * time.Millisecond)
 	}
 	return time.Since(began)
--- a/pkg/membership/starting_test.go
+++ b/pkg/membership/starting_test.go
@@ -47,12 +47,12 @@
 					time.Sleep(300 * time.Millisecond / time.Duration(n))
 				}
 				time.Sleep(60 * time.Millisecond)
-				least := 1.0
+				lowest := 1.0
 				for _, m := range b.members {
-					least = min(least, m.Agreement())
+					lowest = min(lowest, m.Agreement())
 				}
-				if least < 1 {
-					t.Errorf("least agreement %.2f, want 1", least)
+				if lowest < 1 {
+					t.Errorf("least agreement %.2f, want 1", lowest)
 				}
 			})
 		})
@@ -82,15 +82,15 @@
 				time.Sleep(700 * time.Millisecond)
 				mu.Lock()
 				defer mu.Unlock()
-				most := 0
+				highest := 0
 				for _, count := range sent {
-					most = max(most, count)
+					highest = max(highest, count)
 				}
 				// A second of regular heartbeats, one round to all, and one answer to each.
-				if limit := 55 + 8*n; most > limit {
-					t.Errorf("an entry sent %d datagrams in a second, want at most %d", most, limit)
+				if limit := 55 + 8*n; highest > limit {
+					t.Errorf("an entry sent %d datagrams in a second, want at most %d", highest, limit)
 				} else {
-					t.Log(most, "datagrams")
+					t.Log(highest, "datagrams")
 				}
 				for i, m := range b.members {
 					if m.Agreement() < 1 {
--- a/pkg/metering/deployment_test.go
+++ b/pkg/metering/deployment_test.go
@@ -140,7 +140,7 @@
 
 // maxInWindow is the most units taken in any window.
 func maxInWindow(all []take) float64 {
-	most := 0.0
+	highest := 0.0
 	for _, from := range all {
 		sum := 0.0
 		for _, x := range all {
@@ -148,9 +148,9 @@
 				sum += x.units
 			}
 		}
-		most = max(most, sum)
+		highest = max(highest, sum)
 	}
-	return most
+	return highest
 }
 
 func accountLimit() float64 {
@@ -178,10 +178,10 @@
 func largeUnits() float64 { return largeRequest }
 
 // checkMaxInWindow checks the most that was taken in any window.
-func checkMaxInWindow(t *testing.T, all []take, most float64) {
+func checkMaxInWindow(t *testing.T, all []take, limit float64) {
 	t.Helper()
-	if got := maxInWindow(all); got > most {
-		t.Errorf("%.0f taken in a window, want at most %.0f", got, most)
+	if got := maxInWindow(all); got > limit {
+		t.Errorf("%.0f taken in a window, want at most %.0f", got, limit)
 	}
 }
 
@@ -196,7 +196,7 @@
 
 // isolateFirst cuts the first few entries off from one another and from the others.
 func (d *deployment) isolateFirst(n int) {
-	isCut := func(a netip.AddrPort) bool {
+	isPartitioned := func(a netip.AddrPort) bool {
 		for i := range n {
 			if a == address(i) {
 				return true
@@ -204,5 +204,5 @@
 		}
 		return false
 	}
-	d.net.Lose(func(from, to netip.AddrPort, _ packets.Kind) bool { return isCut(from) || isCut(to) })
+	d.net.Lose(func(from, to netip.AddrPort, _ packets.Kind) bool { return isPartitioned(from) || isPartitioned(to) })
 }
--- a/pkg/metering/meter_test.go
+++ b/pkg/metering/meter_test.go
@@ -17,7 +17,7 @@
 		lose func(from, to netip.AddrPort, kind packets.Kind) bool
 		// least is what must be taken in some window, as a fraction of the allowance: an entry that refuses
 		// everything stays within any limit.
-		least float64
+		minFraction float64
 	}{
 		{"no loss", nil, 0.90}, // a new bucket is nearly empty: a little over 8 of 9 s of the rate
 		{"partition into two halves", func(from, to netip.AddrPort, _ packets.Kind) bool { return inFirstHalf(from) != inFirstHalf(to) }, 0.5},
@@ -42,8 +42,8 @@
 				if got > accountLimit() {
 					t.Errorf("%.0f taken in a window, limit %.0f", got, accountLimit())
 				}
-				if least := s.least * (perSecond*8 + burst); got < least {
-					t.Errorf("%.0f taken in the fullest window, want at least %.0f", got, least)
+				if lowest := s.minFraction * (perSecond*8 + burst); got < lowest {
+					t.Errorf("%.0f taken in the fullest window, want at least %.0f", got, lowest)
 				}
 			})
 		})
@@ -64,8 +64,8 @@
 			return kind == packets.KindQuotaReply && replies.Add(1)%2 == 1
 		})
 		all := d.demand(ctx, 5*time.Second)
-		if got, least := maxInWindow(all), 0.9*(perSecond*5); got < least {
-			t.Errorf("%.0f taken, want at least %.0f: claims are counted more than once", got, least)
+		if got, lowest := maxInWindow(all), 0.9*(perSecond*5); got < lowest {
+			t.Errorf("%.0f taken, want at least %.0f: claims are counted more than once", got, lowest)
 		}
 	})
 }
@@ -95,8 +95,8 @@
 		d.demand(ctx, 10*time.Second) // the first burst is over
 		all := d.demand(ctx, 8*time.Second)
 		got := total(all)
-		if least := 0.97 * (perSecond*8 + burst); got < least {
-			t.Errorf("%.0f taken in a window after the first burst, want at least %.0f", got, least)
+		if lowest := 0.97 * (perSecond*8 + burst); got < lowest {
+			t.Errorf("%.0f taken in a window after the first burst, want at least %.0f", got, lowest)
 		}
 	})
 }
@@ -121,8 +121,8 @@
 				d.net.Lose(s.lose)
 				all := d.demandUnits(ctx, 9*time.Second, largeUnits)
 				// Each entry may exceed its fraction by one request.
-				const most = largeRate*8 + largeRate + 2*entries*largeRequest
-				checkMaxInWindow(t, all, most)
+				const limit = largeRate*8 + largeRate + 2*entries*largeRequest
+				checkMaxInWindow(t, all, limit)
 			})
 		})
 	}
@@ -139,8 +139,8 @@
 		d := deployMany(ctx, entries, account, largeBounds)
 		all := d.demandUnits(ctx, 12*time.Second, largeUnits)
 		got := maxInWindow(all)
-		if least := 0.95 * largeRate * 8; got < least {
-			t.Errorf("%.0f taken in the fullest window, want at least %.0f", got, least)
+		if lowest := 0.95 * largeRate * 8; got < lowest {
+			t.Errorf("%.0f taken in the fullest window, want at least %.0f", got, lowest)
 		}
 		checkMaxInWindow(t, all, 0.95*(largeRate*8*(1+largeBounds.Over)+largeBounds.Slack))
 	})
--- a/pkg/metering/owner_restarts_test.go
+++ b/pkg/metering/owner_restarts_test.go
@@ -115,14 +115,14 @@
 	}
 	for _, stop := range stops {
 		t.Run(stop.name, func(t *testing.T) {
-			least, most := 1.0, 0.0
+			lowest, highest := 1.0, 0.0
 			for _, demand := range []float64{0.5, 0.9} {
 				refused := refusedFractionAt(t, demand, stop.which)
-				least, most = min(least, refused), max(most, refused)
+				lowest, highest = min(lowest, refused), max(highest, refused)
 			}
 			const noise = 0.02
-			if t.Logf("refused fractions from %.3f to %.3f", least, most); most > least+noise {
-				t.Errorf("the largest refused fraction is %.3f, the smallest %.3f", most, least)
+			if t.Logf("refused fractions from %.3f to %.3f", lowest, highest); highest > lowest+noise {
+				t.Errorf("the largest refused fraction is %.3f, the smallest %.3f", highest, lowest)
 			}
 		})
 	}
--- a/pkg/metering/series_deployment_test.go
+++ b/pkg/metering/series_deployment_test.go
@@ -73,8 +73,8 @@
 	weight           float64 // the probability that its callers send a request at all
 	account          atomic.Pointer[routing.Account]
 	idle             atomic.Bool  // no callers come to it
-	storeCut         atomic.Bool  // it does not reach the store
-	lastStoreContact atomic.Int64 // when it last reached the store, while it is cut off
+	storePartitioned atomic.Bool  // it does not reach the store
+	lastStoreContact atomic.Int64 // when it last reached the store, while it is partitioned
 	current          atomic.Pointer[incarnation]
 }
 
@@ -130,7 +130,7 @@
 }
 
 func (s storeClient) change(row follow.Row) error {
-	if s.entry.storeCut.Load() {
+	if s.entry.storePartitioned.Load() {
 		return errStoreUnavailable
 	}
 	s.store.mu.Lock()
@@ -214,7 +214,7 @@
 	s.mu.Unlock()
 	for _, e := range entries {
 		l := e.current.Load()
-		if l == nil || e.storeCut.Load() {
+		if l == nil || e.storePartitioned.Load() {
 			continue
 		}
 		time.AfterFunc(5*time.Millisecond, func() {
@@ -225,12 +225,12 @@
 	}
 }
 
-// setStoreCut cuts an entry off from the store, or restores the connection.
-func (s *series) setStoreCut(e *seriesEntry, cut bool) {
-	if cut && !e.storeCut.Load() {
+// setStorePartitioned partitions an entry from the store, or restores the connection.
+func (s *series) setStorePartitioned(e *seriesEntry, partitioned bool) {
+	if partitioned && !e.storePartitioned.Load() {
 		e.lastStoreContact.Store(int64(s.Clock.Now()))
 	}
-	e.storeCut.Store(cut)
+	e.storePartitioned.Store(partitioned)
 }
 
 // maxOutageWithMajority is how long an entry that most others take for alive goes on without the store, and
@@ -243,7 +243,7 @@
 // canAdmit reports whether an entry has callers and knows enough to admit requests.
 func (s *series) canAdmit(e *seriesEntry, l *incarnation) bool {
 	lastContact := clock.Millis(e.lastStoreContact.Load())
-	return !e.idle.Load() && (!e.storeCut.Load() || s.Clock.Now()-lastContact <= maxOutageAlone || l.members.HoldsLease(lastContact))
+	return !e.idle.Load() && (!e.storePartitioned.Load() || s.Clock.Now()-lastContact <= maxOutageAlone || l.members.HoldsLease(lastContact))
 }
 
 // start starts a process of an entry. It reads a list after a while: the given one, or the store's if nil.
@@ -271,7 +271,7 @@
 	case l.ctx.Err() != nil:
 	case list != nil:
 		l.members.Snapshot(list, follow.Freshness{})
-	case !e.storeCut.Load():
+	case !e.storePartitioned.Load():
 		l.members.Snapshot(s.store.list(), follow.Freshness{})
 	default:
 		time.AfterFunc(50*time.Millisecond, func() { s.readList(l, e, nil) })
@@ -331,14 +331,14 @@
 
 // limitAt is the limit of a window that begins at a moment.
 func (s *series) limitAt(from clock.Millis) float64 {
-	most := 0.0
+	highest := 0.0
 	for _, l := range s.limits {
 		if l.from <= from+window && from <= l.to+lowerAfter {
 			const seconds = float64(window) / float64(clock.Second)
-			most = max(most, (l.account.PerSecond*seconds+l.account.Burst)*(1+s.bounds.Over)+s.bounds.Slack)
+			highest = max(highest, (l.account.PerSecond*seconds+l.account.Burst)*(1+s.bounds.Over)+s.bounds.Slack)
 		}
 	}
-	return most
+	return highest
 }
 
 // maxLimitFraction is the largest fraction of its limit that any window used, by when requests were sent and by when
@@ -352,16 +352,16 @@
 func (s *series) maxFractionBy(at func(run) clock.Millis) float64 {
 	all := slices.Clone(s.ran)
 	slices.SortFunc(all, func(a, b run) int { return int(at(a) - at(b)) })
-	most, sum, end := 0.0, 0.0, 0
+	highest, sum, end := 0.0, 0.0, 0
 	for _, first := range all {
 		for end < len(all) && at(all[end]) < at(first)+window {
 			sum += all[end].units
 			end++
 		}
-		most = max(most, sum/s.limitAt(at(first)))
+		highest = max(highest, sum/s.limitAt(at(first)))
 		sum -= first.units
 	}
-	return most
+	return highest
 }
 
 // owner is the entry that most living ones take for the account's owner.
@@ -381,12 +381,12 @@
 }
 
 // pause sleeps for a drawn time between two limits, in ms.
-func (s *series) pause(least, most int) {
-	time.Sleep(s.randomDuration(least, most))
+func (s *series) pause(shortest, longest int) {
+	time.Sleep(s.randomDuration(shortest, longest))
 }
 
-func (s *series) randomDuration(least, most int) time.Duration {
-	return time.Duration(least+s.random.IntN(most-least+1)) * time.Millisecond
+func (s *series) randomDuration(shortest, longest int) time.Duration {
+	return time.Duration(shortest+s.random.IntN(longest-shortest+1)) * time.Millisecond
 }
 
 // resetCounts drops what has run and what was refused.
--- a/pkg/metering/series_test.go
+++ b/pkg/metering/series_test.go
@@ -252,7 +252,7 @@
 func joinDuringPartition(s *series) {
 	old := s.all()
 	for _, e := range s.entries {
-		s.setStoreCut(e, true)
+		s.setStorePartitioned(e, true)
 	}
 	joining := 1 + s.random.IntN(2)
 	for range joining {
@@ -268,7 +268,7 @@
 	s.net.Lose(nil)
 	s.pause(0, 2000)
 	for _, e := range s.entries {
-		s.setStoreCut(e, false)
+		s.setStorePartitioned(e, false)
 	}
 	for _, i := range old {
 		if l := s.entries[i].current.Load(); l != nil {
@@ -281,18 +281,18 @@
 func flapStore(s *series) {
 	for range 2 + s.random.IntN(3) {
 		for _, e := range s.entries {
-			s.setStoreCut(e, true)
+			s.setStorePartitioned(e, true)
 		}
 		s.restart(300+s.random.IntN(500), 100, s.all()...)
 		for range 1 + s.random.IntN(3) {
 			s.pause(0, 600)
 			for _, e := range s.entries {
-				s.setStoreCut(e, s.random.IntN(2) == 0)
+				s.setStorePartitioned(e, s.random.IntN(2) == 0)
 			}
 			s.pause(20, 300)
 		}
 		for _, e := range s.entries {
-			s.setStoreCut(e, false)
+			s.setStorePartitioned(e, false)
 		}
 		s.pause(100, 2000)
 	}
--- a/pkg/metering/starting_test.go
+++ b/pkg/metering/starting_test.go
@@ -45,8 +45,8 @@
 		all = append(all, known...)
 		checkMaxInWindow(t, all, largeMax)
 		served := total(known)
-		if least := 0.9 * 2 * largeRate; served < least {
-			t.Errorf("%.0f taken in 2 s once the list is known, want at least %.0f", served, least)
+		if lowest := 0.9 * 2 * largeRate; served < lowest {
+			t.Errorf("%.0f taken in 2 s once the list is known, want at least %.0f", served, lowest)
 		}
 	})
 }
--- a/pkg/planner/advice_test.go
+++ b/pkg/planner/advice_test.go
@@ -120,7 +120,7 @@
 
 // TestAllTargetsBackOffFromOneEntry: its jobs wait for the end of the back-off if they can be in time then, and are
 // refused at once if not, with times to retry that are not before the end and not the same for all. Jobs of other
-// entries are not held back.
+// entries do not wait.
 func TestAllTargetsBackOffFromOneEntry(t *testing.T) {
 	scenarios := []struct {
 		name    string
--- a/pkg/planner/cold_test.go
+++ b/pkg/planner/cold_test.go
@@ -29,9 +29,9 @@
 			if got := s.bounds.Rate(service, planner.Agreement{Fraction: 1}); math.Abs(got-s.rate) > 1e-9 {
 				t.Errorf("%.3f per second, want %.3f", got, s.rate)
 			}
-			most := max(1, s.bounds.Over)*s.perSecond + s.bounds.Slack
-			if both := s.bounds.Rate(service, planner.Agreement{Fraction: 1}) + s.bounds.Rate(service, planner.Agreement{Fraction: 1, JustStarted: true}); both > 0.9*most {
-				t.Errorf("two owners grant %.1f per second, limit %.1f", both, most)
+			limit := max(1, s.bounds.Over)*s.perSecond + s.bounds.Slack
+			if both := s.bounds.Rate(service, planner.Agreement{Fraction: 1}) + s.bounds.Rate(service, planner.Agreement{Fraction: 1, JustStarted: true}); both > 0.9*limit {
+				t.Errorf("two owners grant %.1f per second, limit %.1f", both, limit)
 			}
 			if half := s.bounds.Rate(service, planner.Agreement{Fraction: 0.5}); half > s.rate/2+1e-9 {
 				t.Errorf("%.3f per second with the agreement of half the entries", half)
--- a/pkg/planner/load_test.go
+++ b/pkg/planner/load_test.go
@@ -80,10 +80,10 @@
 					t.Errorf("%s: fraction served %.2f of the largest tenth, %.2f of all", o.Kind, o.LargestServed, o.Served)
 				}
 			}
-			all, most := got.All(), bound.All()
-			t.Logf("earned %.3f, upper bound %.3f", all.EarnedFraction(), most.EarnedFraction())
-			if all.EarnedFraction() < s.ofBound*most.EarnedFraction() || all.EarnedFraction() > most.EarnedFraction()+0.005 {
-				t.Errorf("earned %.3f with an upper bound of %.3f", all.EarnedFraction(), most.EarnedFraction())
+			all, upper := got.All(), bound.All()
+			t.Logf("earned %.3f, upper bound %.3f", all.EarnedFraction(), upper.EarnedFraction())
+			if all.EarnedFraction() < s.ofBound*upper.EarnedFraction() || all.EarnedFraction() > upper.EarnedFraction()+0.005 {
+				t.Errorf("earned %.3f with an upper bound of %.3f", all.EarnedFraction(), upper.EarnedFraction())
 			}
 		})
 	}
--- a/pkg/planner/planner_test.go
+++ b/pkg/planner/planner_test.go
@@ -347,9 +347,9 @@
 	}
 }
 
-// TestLateJobsHeldBackAfterRefusal has jobs of a tier refused on their first attempt: one that is late by its first
+// TestLateJobsWaitAfterRefusal has jobs of a tier refused on their first attempt: one that is late by its first
 // attempt waits, although a slot is free and no other job waits.
-func TestLateJobsHeldBackAfterRefusal(t *testing.T) {
+func TestLateJobsWaitAfterRefusal(t *testing.T) {
 	p := newPlanner(1)
 	now := measure(p, 10, 500)
 	at := func(number uint64) planner.Job {
--- a/pkg/planner/summary.go
+++ b/pkg/planner/summary.go
@@ -14,9 +14,9 @@
 	// they may get.
 	Limited          int
 	LimitedPerSecond float64
-	// FirstBase is the time to a first event in ms and FirstPerThousand the increase per 1,000 prompt tokens;
-	// PauseBase is the time between events in ms and PausePerRun the increase per concurrent run.
-	FirstBase, FirstPerThousand, PauseBase, PausePerRun float64
+	// FirstEventBase is the time to a first event in ms and FirstEventPerThousand the increase per 1,000 prompt tokens;
+	// IntervalBase is the time between events in ms and IntervalPerRun the increase per concurrent run.
+	FirstEventBase, FirstEventPerThousand, IntervalBase, IntervalPerRun float64
 	// PrefillStall is the longest delay that prompts being read cause to one event, in ms.
 	PrefillStall float64
 	// Factors holds by how much each target is slower than the others.
@@ -29,9 +29,9 @@
 		Targets: len(p.eligible), Slots: p.slots, Running: len(p.runs), Waiting: len(p.queue.jobs),
 		PerSecond: p.releases.perSecond(now), Factors: make(map[ids.Target]float64, len(p.eligible)),
 	}
-	s.FirstBase, s.FirstPerThousand = p.timings.firstEvent.fit()
-	s.FirstPerThousand *= 1000
-	s.PauseBase, s.PausePerRun = p.timings.interval.fit()
+	s.FirstEventBase, s.FirstEventPerThousand = p.timings.firstEvent.fit()
+	s.FirstEventPerThousand *= 1000
+	s.IntervalBase, s.IntervalPerRun = p.timings.interval.fit()
 	s.PrefillStall = p.timings.prefillStall.get()
 	for _, t := range p.eligible {
 		s.Factors[t.ID] = t.factor.get()
--- a/pkg/planner/trial_test.go
+++ b/pkg/planner/trial_test.go
@@ -31,13 +31,13 @@
 }
 
 func newTrialBed(olds int) *trialBed {
-	const news = 4
+	const canaries = 4
 	b := &trialBed{Planner: planner.New(rand.New(rand.NewPCG(1, 1))), now: 1000, runningNew: make(map[ids.Target]int), routes: make(map[ids.Route]int)}
 	var targets []*routing.Target
 	for i := range olds {
 		targets = append(targets, &routing.Target{ID: ids.Target(fmt.Sprint("old", i)), Service: "s", Slots: 10})
 	}
-	for i := range news {
+	for i := range canaries {
 		targets = append(targets, &routing.Target{ID: ids.Target(fmt.Sprint("new", i)), Service: "s", Slots: 10, Admission: routing.OnTrial})
 	}
 	b.SetTargets(b.now, targets)
--- a/pkg/quarantine/guard_test.go
+++ b/pkg/quarantine/guard_test.go
@@ -130,9 +130,9 @@
 func TestSuspectedRequestsRunExclusively(t *testing.T) {
 	var asks atomic.Int64
 	scenarios := []struct {
-		name  string
-		loses func(from, to netip.AddrPort, kind packets.Kind) bool
-		most  int64 // runs at a time
+		name    string
+		loses   func(from, to netip.AddrPort, kind packets.Kind) bool
+		maxRuns int64 // runs at a time
 	}{
 		{"all messages arrive", nil, 1},
 		{"owner does not answer", func(_, _ netip.AddrPort, kind packets.Kind) bool { return kind == packets.KindRunAnswer }, 3},
@@ -147,7 +147,7 @@
 				b.guards[1].Ended(run(1, false))
 				time.Sleep(time.Second)
 				b.net.Lose(s.loses)
-				var running, most, ran atomic.Int64
+				var running, highest, ran atomic.Int64
 				var all sync.WaitGroup
 				for n := range 9 {
 					all.Go(func() {
@@ -159,15 +159,15 @@
 							return
 						}
 						ran.Add(1)
-						most.Store(max(most.Load(), running.Add(1)))
+						highest.Store(max(highest.Load(), running.Add(1)))
 						time.Sleep(50 * time.Millisecond)
 						running.Add(-1)
 						pass.Release(true)
 					})
 				}
 				all.Wait()
-				if most.Load() > s.most || ran.Load() == 0 {
-					t.Errorf("%d runs, %d at a time", ran.Load(), most.Load())
+				if highest.Load() > s.maxRuns || ran.Load() == 0 {
+					t.Errorf("%d runs, %d at a time", ran.Load(), highest.Load())
 				}
 			})
 		})
--- a/pkg/quota/ledger_test.go
+++ b/pkg/quota/ledger_test.go
@@ -25,17 +25,17 @@
 			e := entry{at: now, units: rapid.Float64Range(1, 100).Draw(t, "units")}
 			l.Add(now, "a", window, e.units)
 			all = append(all, e)
-			least, most := 0.0, 0.0
+			lowest, highest := 0.0, 0.0
 			for _, e := range all {
 				if now-e.at < window {
-					least += e.units
+					lowest += e.units
 				}
 				if now-e.at <= window+window/16 {
-					most += e.units
+					highest += e.units
 				}
 			}
-			if got := l.Sum(now, "a", window); got < least-1e-6 || got > most+1e-6 {
-				t.Fatalf("sum %.3f, want between %.3f and %.3f", got, least, most)
+			if got := l.Sum(now, "a", window); got < lowest-1e-6 || got > highest+1e-6 {
+				t.Fatalf("sum %.3f, want between %.3f and %.3f", got, lowest, highest)
 			}
 		}
 		if got := l.Sum(now, "b", window); got != 0 {
--- a/pkg/rollout/evidence_test.go
+++ b/pkg/rollout/evidence_test.go
@@ -98,8 +98,8 @@
 	scenarios := []struct {
 		name       string
 		simulation simulation
-		// The fraction of draws judged bad must be between least and most.
-		least, most float64
+		// The fraction of draws judged bad must be between min and max.
+		min, max float64
 	}{
 		{"good", established, 0, 0.01},
 		{"good, a tenth fails on all versions", with(func(p *simulation) { p.errors = 0.14 }), 0, 0.02},
@@ -125,8 +125,8 @@
 			}
 			part := float64(bad) / draws
 			t.Logf("fraction judged bad: %.3f", part)
-			if part < s.least || part > s.most {
-				t.Errorf("fraction of draws judged bad: %.3f, want %.2f to %.2f", part, s.least, s.most)
+			if part < s.min || part > s.max {
+				t.Errorf("fraction of draws judged bad: %.3f, want %.2f to %.2f", part, s.min, s.max)
 			}
 		})
 	}
@@ -161,10 +161,10 @@
 // or after, and that the number of excused incarnations is limited: a version whose targets end by themselves is not
 // excused.
 func TestExcusedIncarnations(t *testing.T) {
-	const most = 6 // number of excused incarnations
+	const maxExcused = 6 // number of excused incarnations
 	e := rollout.NewEvidence(rollout.Summary{})
 	var incarnations []ids.TargetIncarnation
-	for n := range 2 * most {
+	for n := range 2 * maxExcused {
 		incarnation := ids.TargetIncarnation{Target: ids.Target(fmt.Sprint("t", n))}
 		incarnations = append(incarnations, incarnation)
 		e.Add(true, rollout.Observation{Incarnation: incarnation, Route: "r", Failed: true})
@@ -173,16 +173,16 @@
 	e.Excuse(incarnations)
 	e.Excuse(incarnations)
 	e.Add(true, rollout.Observation{Incarnation: incarnations[0], Route: "r", Failed: true})
-	if s := e.Summary(); s.Bad != most || s.Requests != 3*most {
-		t.Errorf("%d of %d answers bad, want %d of %d", s.Bad, s.Requests, most, 3*most)
+	if s := e.Summary(); s.Bad != maxExcused || s.Requests != 3*maxExcused {
+		t.Errorf("%d of %d answers bad, want %d of %d", s.Bad, s.Requests, maxExcused, 3*maxExcused)
 	}
 }
 
-// TestAnswersCutShortDontMakeOthersSlow guards against the roll-back of good versions beside a request that ends its
+// TestBrokenOffAnswersDontMakeOthersSlow guards against the roll-back of good versions beside a request that ends its
 // targets: 8 of 240 were rolled back. The failures at a target end were excused, but these answers, cut short after a
 // tenth of their time, still counted in the target's typical duration. In comparison the complete answers given before
 // looked slow: 3 to 9 bad answers a roll-out on routes of which hardly any fail.
-func TestAnswersCutShortDontMakeOthersSlow(t *testing.T) {
+func TestBrokenOffAnswersDontMakeOthersSlow(t *testing.T) {
 	const normal, truncated = 1.0, 0.1
 	for _, onTrial := range []bool{true, false} {
 		t.Run(fmt.Sprint("on trial ", onTrial), func(t *testing.T) {
--- a/pkg/rollout/tracker_test.go
+++ b/pkg/rollout/tracker_test.go
@@ -15,8 +15,8 @@
 	return rollout.Order{Service: service, Version: version, Within: 30000, Placed: placed}
 }
 
-func proof(up rollout.Revision) rollout.Freshness {
-	return rollout.Freshness{At: 1000 + 10*int64ToMillis(up), StoreTime: 10 * int64ToMillis(up), ReadAt: 1000 + 10*int64ToMillis(up), Revision: up}
+func upTo(revision rollout.Revision) rollout.Freshness {
+	return rollout.Freshness{At: 1000 + 10*int64ToMillis(revision), StoreTime: 10 * int64ToMillis(revision), ReadAt: 1000 + 10*int64ToMillis(revision), Revision: revision}
 }
 
 // TestAdmission checks which targets may receive work, depending on the orders and records that a process has read so
@@ -57,8 +57,8 @@
 		t.Run(s.name, func(t *testing.T) {
 			b := rollout.NewTracker()
 			for _, r := range s.reads {
-				b.PutOrders(r.orders, nil, true, proof(r.up))
-				b.PutRecords(r.records, proof(r.up))
+				b.PutOrders(r.orders, nil, true, upTo(r.up))
+				b.PutRecords(r.records, upTo(r.up))
 			}
 			old := &routing.Target{ID: "a", Service: service, Version: "v1", ListedRevision: 1}
 			fresh := &routing.Target{ID: "b", Service: service, Version: "v2", ListedRevision: 12}
@@ -80,13 +80,13 @@
 	completed := rollout.Record{Service: service, Version: "v2", Order: 10, State: rollout.Completed, Written: 15}
 	trial := rollout.Record{Service: service, Version: "v3", Order: 30, State: rollout.Running, Written: 35}
 	seen := rollout.NewTracker()
-	seen.PutOrders(nil, nil, true, proof(5))
-	seen.PutOrders([]rollout.Order{order("v2", 10)}, nil, false, proof(12))
-	seen.PutRecords([]rollout.Record{completed}, proof(15))
+	seen.PutOrders(nil, nil, true, upTo(5))
+	seen.PutOrders([]rollout.Order{order("v2", 10)}, nil, false, upTo(12))
+	seen.PutRecords([]rollout.Record{completed}, upTo(15))
 	started := rollout.NewTracker()
 	for name, b := range map[string]*rollout.Tracker{"entry that has read everything": seen, "entry that has just started": started} {
-		b.PutOrders([]rollout.Order{order("v3", 30)}, nil, true, proof(33))
-		b.PutRecords([]rollout.Record{trial}, proof(35))
+		b.PutOrders([]rollout.Order{order("v3", 30)}, nil, true, upTo(33))
+		b.PutRecords([]rollout.Record{trial}, upTo(35))
 		if got := b.Admission(second, true); got != routing.Admitted {
 			t.Errorf("%s: admission of the completed version is %v", name, got)
 		}
@@ -100,9 +100,9 @@
 func TestVersionInUseNeedsNoTrial(t *testing.T) {
 	b := rollout.NewTracker()
 	target := &routing.Target{ID: "a", Service: service, Version: "v1", ListedRevision: 1}
-	b.PutOrders(nil, nil, true, proof(5))
+	b.PutOrders(nil, nil, true, upTo(5))
 	b.Admission(target, false)
-	b.PutOrders([]rollout.Order{order("v1", 10)}, nil, false, proof(10))
+	b.PutOrders([]rollout.Order{order("v1", 10)}, nil, false, upTo(10))
 	if got := b.Admission(target, false); got != routing.Admitted || !b.AlreadyInUse(service, "v1") {
 		t.Errorf("admission of a version in use: %v", got)
 	}
@@ -115,8 +115,8 @@
 // requests it gets count towards the limits.
 func TestCompletedVersionOpensAtOrdersEnd(t *testing.T) {
 	b := rollout.NewTracker()
-	b.PutOrders([]rollout.Order{order("v2", 10)}, nil, true, proof(20)) // the store's clock is 1000 behind
-	b.PutRecords([]rollout.Record{{Service: service, Version: "v2", Order: 10, State: rollout.Completed, Written: 15, LatestEnd: 500, Owner: 8, TimedByOwner: 7}}, proof(20))
+	b.PutOrders([]rollout.Order{order("v2", 10)}, nil, true, upTo(20)) // the store's clock is 1000 behind
+	b.PutRecords([]rollout.Record{{Service: service, Version: "v2", Order: 10, State: rollout.Completed, Written: 15, LatestEnd: 500, Owner: 8, TimedByOwner: 7}}, upTo(20))
 	if opens, closed := b.OpensAt(service, 8, 1700); !closed || opens != 1750 {
 		t.Errorf("at an owner that did not record the times: closed %t until %d", closed, opens)
 	}
@@ -130,10 +130,10 @@
 // TestOlderRecordIsIgnored reads records in the wrong order, which happens when they are relayed by other entries.
 func TestOlderRecordIsIgnored(t *testing.T) {
 	b := rollout.NewTracker()
-	b.PutOrders([]rollout.Order{order("v2", 10)}, nil, true, proof(20))
+	b.PutOrders([]rollout.Order{order("v2", 10)}, nil, true, upTo(20))
 	final := rollout.Record{Service: service, Version: "v2", Order: 10, State: rollout.RolledBack, Written: 17}
-	b.PutRecords([]rollout.Record{final}, proof(20))
-	b.PutRecords([]rollout.Record{{Service: service, Version: "v2", Order: 10, State: rollout.Running, Written: 15}}, proof(20))
+	b.PutRecords([]rollout.Record{final}, upTo(20))
+	b.PutRecords([]rollout.Record{{Service: service, Version: "v2", Order: 10, State: rollout.Running, Written: 15}}, upTo(20))
 	if r, _ := b.Record(service); r.State != rollout.RolledBack {
 		t.Errorf("an older record replaced the final one: state %v", r.State)
 	}
@@ -193,7 +193,7 @@
 		},
 	} {
 		b := rollout.NewTracker()
-		b.PutOrders(nil, nil, true, proof(12))
+		b.PutOrders(nil, nil, true, upTo(12))
 		remembered := 0
 		for i := range many {
 			one := target(i)
--- a/pkg/rollout/trial_test.go
+++ b/pkg/rollout/trial_test.go
@@ -165,22 +165,22 @@
 // TestRecordsOfConsecutiveOrders follows the record of a service through several orders.
 func TestRecordsOfConsecutiveOrders(t *testing.T) {
 	b := rollout.NewTracker()
-	b.PutOrders([]rollout.Order{order("v2", 10)}, nil, true, proof(12))
+	b.PutOrders([]rollout.Order{order("v2", 10)}, nil, true, upTo(12))
 	_, r, open := b.OpenOrder(service)
 	if !open || r.State != rollout.Pending || r.Version != "v2" {
 		t.Fatalf("record of the first order: %+v, open %t", r, open)
 	}
 	r.State = rollout.Running
 	r.Written = 13
-	b.PutRecords([]rollout.Record{r}, proof(13))
-	b.PutOrders([]rollout.Order{order("v3", 20)}, nil, false, proof(20))
+	b.PutRecords([]rollout.Record{r}, upTo(13))
+	b.PutOrders([]rollout.Order{order("v3", 20)}, nil, false, upTo(20))
 	_, r, open = b.OpenOrder(service)
 	if !open || r.State != rollout.Pending || r.Version != "v3" || len(r.Barred) != 1 || r.Barred[0] != "v2" || r.Written != 13 {
 		t.Fatalf("record of the second order: %+v, open %t", r, open)
 	}
 	r.State, r.Written = rollout.Completed, 25
-	b.PutRecords([]rollout.Record{r}, proof(25))
-	b.PutOrders([]rollout.Order{order("v2", 30)}, nil, false, proof(30))
+	b.PutRecords([]rollout.Record{r}, upTo(25))
+	b.PutOrders([]rollout.Order{order("v2", 30)}, nil, false, upTo(30))
 	if _, r, open = b.OpenOrder(service); !open || len(r.Barred) != 0 {
 		t.Fatalf("a version that was ordered again is still barred: %+v", r)
 	}
