--- a/pkg/app/rollout_bed_test.go
+++ b/pkg/app/rollout_bed_test.go
@@ -173,7 +173,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
 	defer cancel()
 	request := schedule.Request{Service: bedService, Job: planner.Job{
-		Arrived: now, Objective: clock.Second, Deadline: now + 15*clock.Second, Events: estimate, Gap: 400, Movable: route.repeatable, Route: route.name, Tier: ids.TierRank(n),
+		Arrived: now, Objective: clock.Second, Deadline: now + 15*clock.Second, Events: estimate, MaxEventGap: 400, Movable: route.repeatable, Route: route.name, Tier: ids.TierRank(n),
 	}}
 	assignment, refused, err := p.dispatcher.Acquire(ctx, request)
 	if err != nil || refused != nil {
--- a/pkg/declaration/index.go
+++ b/pkg/declaration/index.go
@@ -31,7 +31,7 @@
 	if err := set.Check(); err != nil {
 		return nil, err
 	}
-	b := &Index{
+	x := &Index{
 		Revision: revision,
 		set:      set,
 		ranks:    make(map[ids.Tier]ids.TierRank),
@@ -41,8 +41,8 @@
 		serving:  make(map[ids.Service][]*Target),
 		placed:   make(map[ids.Target][]Placement),
 	}
-	b.index()
-	return b, nil
+	x.index()
+	return x, nil
 }
 
 func (x *Index) index() {
--- a/pkg/dispatch/advice_test.go
+++ b/pkg/dispatch/advice_test.go
@@ -27,7 +27,7 @@
 	scenarios := []struct {
 		name    string
 		disrupt func(b *cluster, owner, requester int)
-		// most is how many grants the requester may return: one for each target and each owner that lacks the advice.
+		// max is how many grants the requester may return: one for each target and each owner that lacks the advice.
 		max int64
 	}{
 		{"the owner receives the advice", func(*cluster, int, int) {}, 0},
--- a/pkg/dispatch/trials.go
+++ b/pkg/dispatch/trials.go
@@ -65,7 +65,7 @@
 		t.exposure.End(service)
 		return false
 	}
-	if t.exposure.Placed(service) != order.Placed {
+	if t.exposure.CurrentOrder(service) != order.Placed {
 		t.exposure.Begin(order, t.slackCredit(order))
 	}
 	return record.State == rollout.Running
@@ -131,12 +131,12 @@
 		return 0
 	}
 	t.refreshOrder(service)
-	return t.exposure.Placed(service)
+	return t.exposure.CurrentOrder(service)
 }
 
 // countReached counts a request that has reached its service during an order.
 func (t *trials) countReached(p *assignment) {
 	if p.order > 0 {
-		t.exposure.Reached(p.request.Service, p.order)
+		t.exposure.CountReached(p.request.Service, p.order)
 	}
 }
--- a/pkg/domains/filter.go
+++ b/pkg/domains/filter.go
@@ -29,9 +29,9 @@
 
 // NewFilter returns a filter without targets. It calls onChange, with its lock held, with each new directory.
 func NewFilter(c common.Common, onChange func(*routing.Directory)) *Filter {
-	s := &Filter{Common: c, onChange: onChange, drained: make(map[ids.FailureDomain]bool), restoredAt: make(map[ids.FailureDomain]clock.Millis)}
-	c.Metrics.Prometheus.Gauge("failure_domains_drained", func() float64 { return float64(len(s.Drained())) })
-	return s
+	f := &Filter{Common: c, onChange: onChange, drained: make(map[ids.FailureDomain]bool), restoredAt: make(map[ids.FailureDomain]clock.Millis)}
+	c.Metrics.Prometheus.Gauge("failure_domains_drained", func() float64 { return float64(len(f.Drained())) })
+	return f
 }
 
 // SetDirectory takes a new version of the directory.
--- a/pkg/feedrelay/listen.go
+++ b/pkg/feedrelay/listen.go
@@ -25,14 +25,14 @@
 // listen waits for a newer feed state, until this entry is to read the store itself, or until
 // there has been no feed state to rely on for storeLostAfter.
 func (s *Source) listen(ctx context.Context, after int64) (follow.Batch, listenResult) {
-	b := s.relay
+	relay := s.relay
 	again := time.NewTicker(minReadPause.Duration())
 	defer again.Stop()
 	for {
-		b.mu.Lock()
-		t := b.table(s.name)
-		received, updated, silence, freshnessAge := t.received, t.updated, t.unreliableFor(b.Clock.Now()), b.Clock.Now()-t.currentAt
-		b.mu.Unlock()
+		relay.mu.Lock()
+		t := relay.table(s.name)
+		received, updated, silence, freshnessAge := t.received, t.updated, t.unreliableFor(relay.Clock.Now()), relay.Clock.Now()-t.currentAt
+		relay.mu.Unlock()
 		if silence <= 0 {
 			if batch, found := received.since(after, s.confirmedAt); found != nothingNew {
 				return batch, found
--- a/pkg/feedrelay/peers.go
+++ b/pkg/feedrelay/peers.go
@@ -118,14 +118,14 @@
 // queries the sender of the last message; the others query that one only from the second round
 // on.
 func (s *Source) candidatePeers(round int) []netip.AddrPort {
-	b := s.relay
-	if b.Ablation.Off(ablation.PeerNews) {
+	relay := s.relay
+	if relay.Ablation.Off(ablation.PeerNews) {
 		return nil
 	}
-	b.mu.Lock()
-	from := b.table(s.name).receivedFrom
-	b.mu.Unlock()
-	owner, self := b.members.DomainOwner(feedShard)
+	relay.mu.Lock()
+	from := relay.table(s.name).receivedFrom
+	relay.mu.Unlock()
+	owner, self := relay.members.DomainOwner(feedShard)
 	var peers []netip.AddrPort
 	add := func(list ...netip.AddrPort) {
 		for _, peer := range list {
@@ -142,9 +142,9 @@
 	default:
 		add(owner)
 	}
-	add(sample(s.random, b.members.DomainPeers(), 1)...)
+	add(sample(s.random, relay.members.DomainPeers(), 1)...)
 	if self || round > 0 {
-		add(b.randomPeers(s.random, maxPeers)...)
+		add(relay.randomPeers(s.random, maxPeers)...)
 	}
 	return peers
 }
--- a/pkg/feedrelay/relay.go
+++ b/pkg/feedrelay/relay.go
@@ -97,10 +97,10 @@
 
 // NewRelay returns a relay without any feed state and registers its handlers on the link.
 func NewRelay(c common.Common, members *membership.Members, link *packets.Link) *Relay {
-	b := &Relay{Common: c, members: members, link: link, tables: make(map[string]*table), recovered: make(chan struct{})}
-	link.Handle(packets.KindFeedState, packets.Receive(link, b.receiveState))
-	link.Handle(packets.KindFeedQuery, packets.Receive(link, b.answerFeedQuery))
-	return b
+	r := &Relay{Common: c, members: members, link: link, tables: make(map[string]*table), recovered: make(chan struct{})}
+	link.Handle(packets.KindFeedState, packets.Receive(link, r.receiveState))
+	link.Handle(packets.KindFeedQuery, packets.Receive(link, r.answerFeedQuery))
+	return r
 }
 
 // Run sends the feed state to the others while this entry is the feed reader or acts as backup,
--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -19,7 +19,7 @@
 	GrantLifetime clock.Millis
 	// FloorHold is how long lower tiers are refused after a tier was refused.
 	FloorHold clock.Millis
-	// Remember is how long a grant outcome is kept after the grant's end.
+	// FateRetention is how long a grant outcome is kept after the grant's end.
 	FateRetention clock.Millis
 }
 
--- a/pkg/ingress/delivery.go
+++ b/pkg/ingress/delivery.go
@@ -143,9 +143,9 @@
 	defer span.End()
 	assignment, refused, err := d.scheduler.Acquire(ctx, schedule.Request{Service: q.service, Job: planner.Job{
 		Account: q.accountName(), Tier: q.tier(),
-		Prompt: q.Prompt, Events: d.admission.estimateEvents(q), Gap: q.route.EventGap,
+		Prompt: q.Prompt, Events: d.admission.estimateEvents(q), MaxEventGap: q.route.EventGap,
 		Arrived: q.arrived, SinceFirstTry: q.sinceFirstTry, Objective: q.route.Objective, Deadline: q.deadline, Patience: q.patience(),
-		Returned: q.returned(), Movable: d.movable(q), Exclude: q.tried,
+		Retried: q.returned(), Movable: d.movable(q), Exclude: q.tried,
 		Route: ids.Route(q.route.Name),
 	}})
 	now := d.Clock.Now()
--- a/pkg/ingress/relay.go
+++ b/pkg/ingress/relay.go
@@ -157,7 +157,7 @@
 		now := d.Clock.Now()
 		q.recordArrival(now)
 		if flow.Events > 0 {
-			flow.Longest = max(flow.Longest, now-last)
+			flow.LongestGap = max(flow.LongestGap, now-last)
 		}
 		last = now
 		if flow.Events == 0 {
--- a/pkg/ingress/request.go
+++ b/pkg/ingress/request.go
@@ -28,7 +28,7 @@
 	sends    int // all exchanges that reached a target
 	withheld int // assignments that were not used, by their targets' own reports
 	tried    []ids.TargetIncarnation
-	// held is a failure that a target answered; the caller gets it if no other target does better.
+	// heldFailure is a failure that a target answered; the caller gets it if no other target does better.
 	heldFailure *targetFailure
 	lastEvent   int64
 	hasEvent    bool
@@ -38,7 +38,7 @@
 	lostErr error
 	// digest identifies what is requested; it is computed once a target breaks off.
 	digest quarantine.Digest
-	// ended lists the targets whose processes ended while they ran the request.
+	// endedTargets lists the targets whose processes ended while they ran the request.
 	endedTargets []ids.Target
 
 	placedAt     clock.Millis // when it was last sent to a target
--- a/pkg/loadmodel/caller.go
+++ b/pkg/loadmodel/caller.go
@@ -42,7 +42,7 @@
 	return planner.Job{
 		ID: c.id, Tier: c.kind.Tier, Prompt: c.prompt, Events: c.events,
 		Arrived: c.triedAt, Objective: c.kind.Objective, Deadline: c.firstTryAt + c.kind.Deadline,
-		Patience: c.kind.Patience, SinceFirstTry: c.triedAt - c.firstTryAt, Returned: c.tries > 1,
+		Patience: c.kind.Patience, SinceFirstTry: c.triedAt - c.firstTryAt, Retried: c.tries > 1,
 	}
 }
 
--- a/pkg/metering/meter_test.go
+++ b/pkg/metering/meter_test.go
@@ -15,7 +15,7 @@
 	scenarios := []struct {
 		name string
 		lose func(from, to netip.AddrPort, kind packets.Kind) bool
-		// least is what must be taken in some window, as a fraction of the allowance: an entry that refuses
+		// minFraction is what must be taken in some window, as a fraction of the allowance: an entry that refuses
 		// everything stays within any limit.
 		minFraction float64
 	}{
--- a/pkg/planner/benchmark_test.go
+++ b/pkg/planner/benchmark_test.go
@@ -26,7 +26,7 @@
 		number++
 		return planner.Job{
 			ID: planner.JobID{Entry: fmt.Sprint("10.0.0.", number%30), Number: number}, Tier: ids.TierRank(number % 3),
-			Prompt: ids.Tokens(600 + 100*(number%40)), Events: int(5 + number%60), Returned: true,
+			Prompt: ids.Tokens(600 + 100*(number%40)), Events: int(5 + number%60), Retried: true,
 			Arrived: now, Objective: 800, Deadline: now + 10*clock.Minute,
 		}
 	}
--- a/pkg/planner/floor.go
+++ b/pkg/planner/floor.go
@@ -40,7 +40,7 @@
 	}
 	until := now + hold
 	f.until[w.Tier] = until
-	if !w.Returned {
+	if !w.Retried {
 		f.freshUntil[w.Tier] = until
 	}
 }
--- a/pkg/planner/job.go
+++ b/pkg/planner/job.go
@@ -27,8 +27,8 @@
 	// for other calls.
 	Prompt ids.Tokens
 	Events int
-	// Gap is the longest pause between events with which the answer still counts as in time; 0 if unbounded.
-	Gap clock.Millis
+	// MaxEventGap is the longest pause between events with which the answer still counts as in time; 0 if unbounded.
+	MaxEventGap clock.Millis
 	// Arrived is when the request reached its entry. Objective is the time within which the answer, or its first
 	// event, counts as in time. Deadline is the moment after which the answer is useless.
 	Arrived   clock.Millis
@@ -39,8 +39,8 @@
 	// SinceFirstTry is the time between the caller's first attempt and Arrived: a request that was refused and
 	// retried is in time by its first attempt. 0 if this is the first attempt.
 	SinceFirstTry clock.Millis
-	// Returned is set if the request was refused once and has been retried.
-	Returned bool
+	// Retried is set if the request was refused once and has been retried.
+	Retried bool
 	// Movable is set if the request may be sent to a second target even though the first may have run it.
 	Movable bool
 	// Domain is the failure domain of the entry: traffic to other failure domains is charged for.
@@ -97,8 +97,8 @@
 type StreamStats struct {
 	_      struct{} `cbor:",toarray"`
 	Events int
-	// Longest is the longest time between two events.
-	Longest clock.Millis
+	// LongestGap is the longest time between two events.
+	LongestGap clock.Millis
 	// Stalled is how long the entry or the owner was not running while the request ran. It is not charged to the
 	// target.
 	Stalled clock.Millis
--- a/pkg/planner/limit.go
+++ b/pkg/planner/limit.go
@@ -29,7 +29,7 @@
 type Agreement struct {
 	// Fraction is the fraction of entries that certainly take no other entry for the owner.
 	Fraction float64
-	// Fresh is set if the planner has just started.
+	// JustStarted is set if the planner has just started.
 	JustStarted bool
 }
 
--- a/pkg/planner/place.go
+++ b/pkg/planner/place.go
@@ -140,11 +140,11 @@
 // stallsStreams reports whether reading a job's prompt would probably delay the streams of a target for longer than
 // their allowed gap.
 func (p *Planner) stallsStreams(t *target, w *queuedJob) bool {
-	if w.Gap == 0 || len(t.runs) == 0 || p.off.Off(ablation.Disturbance) {
+	if w.MaxEventGap == 0 || len(t.runs) == 0 || p.off.Off(ablation.Disturbance) {
 		return false
 	}
 	gap := t.factor.get() * p.timings.longestGap(len(t.runs)+1, t.pendingPrompt+w.Prompt)
-	return gap > gapFraction*float64(w.Gap)
+	return gap > gapFraction*float64(w.MaxEventGap)
 }
 
 // wouldBeInTime reports whether a job's first event would be in time, and its answer probably complete by its
@@ -184,7 +184,7 @@
 	if weighPrefill {
 		cost += prefillWeight * prefill * float64(running)
 	}
-	if weighPrefill && job.Gap > 0 && f*p.timings.longestGap(running+1, t.pendingPrompt+job.Prompt) > gapFraction*float64(job.Gap) {
+	if weighPrefill && job.MaxEventGap > 0 && f*p.timings.longestGap(running+1, t.pendingPrompt+job.Prompt) > gapFraction*float64(job.MaxEventGap) {
 		cost += lateCost * float64(running)
 	}
 	if now < p.backoffUntil && t.backsOffAny(now) {
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -58,7 +58,7 @@
 		p.refuseNoTarget(&job)
 		return
 	}
-	w := &queuedJob{Job: job, committed: job.Returned, lastPoll: now, size: p.estimateSize(&job)}
+	w := &queuedJob{Job: job, committed: job.Retried, lastPoll: now, size: p.estimateSize(&job)}
 	w.latestStart = job.due() - p.minFirstEventTime(&job)
 	p.queue.jobs = append(p.queue.jobs, w)
 	p.place(now)
--- a/pkg/planner/planner_test.go
+++ b/pkg/planner/planner_test.go
@@ -58,11 +58,11 @@
 func TestQueueOrder(t *testing.T) {
 	late := func(j planner.Job) planner.Job {
 		j.Arrived -= 2 * clock.Second
-		j.Returned = true // so that it is not refused
+		j.Retried = true // so that it is not refused
 		return j
 	}
 	returned := func(j planner.Job, before clock.Millis) planner.Job {
-		j.Returned, j.SinceFirstTry = true, before
+		j.Retried, j.SinceFirstTry = true, before
 		return j
 	}
 	events := func(j planner.Job, n int) planner.Job {
@@ -183,7 +183,7 @@
 	block.Arrived, block.Deadline = now, now+20*clock.Second
 	p.Submit(now, block)
 	back = job(2, 0)
-	back.Arrived, back.Deadline, back.Returned = now, now+10*clock.Second, true
+	back.Arrived, back.Deadline, back.Retried = now, now+10*clock.Second, true
 	return p, now, back
 }
 
@@ -297,7 +297,7 @@
 	block.Arrived, block.Deadline = now, now+60*clock.Second
 	p.Submit(now, block)
 	back := job(2, 0)
-	back.Arrived, back.Deadline, back.Returned, back.Patience = now, now+15*clock.Second, true, 3200
+	back.Arrived, back.Deadline, back.Retried, back.Patience = now, now+15*clock.Second, true, 3200
 	p.Submit(now, back)
 	p.Decisions()
 	for at := now; at < now+10*clock.Second; at += 50 {
@@ -331,7 +331,7 @@
 		t.Fatal("nothing of the tier was refused")
 	}
 	low := at(9, 2)
-	low.Returned, low.Objective = true, 8*clock.Second // it may wait
+	low.Retried, low.Objective = true, 8*clock.Second // it may wait
 	p.Submit(now, low)
 	for _, number := range []uint64{1, 2, 3, 4} {
 		p.Withdraw(now, planner.JobID{Entry: "e", Number: number})
@@ -368,7 +368,7 @@
 		p.Withdraw(now, planner.JobID{Entry: "e", Number: number})
 	}
 	late := at(9)
-	late.Returned, late.SinceFirstTry = true, 5*clock.Second
+	late.Retried, late.SinceFirstTry = true, 5*clock.Second
 	p.Submit(now, late)
 	p.Withdraw(now, planner.JobID{Entry: "e", Number: 1})
 	if got := granted(p.Decisions()); len(got) != 0 {
--- a/pkg/planner/prefill_stall_test.go
+++ b/pkg/planner/prefill_stall_test.go
@@ -28,7 +28,7 @@
 func (e *engines) stream(prompt ids.Tokens) (planner.JobID, ids.Target) {
 	e.next++
 	j := job(e.next, 0)
-	j.Prompt, j.Events, j.Gap = prompt, 20, 400
+	j.Prompt, j.Events, j.MaxEventGap = prompt, 20, 400
 	j.Arrived, j.Objective, j.Deadline = e.now, 2*clock.Second, e.now+20*clock.Second
 	e.p.Submit(e.now, j)
 	for _, d := range e.p.Decisions() {
@@ -47,7 +47,7 @@
 func (e *engines) finish(id planner.JobID, at ids.Target, delayedBy ids.Tokens) {
 	longest := e.factors[at] * (simulatedEvent + min(simulatedMaxStall, simulatedRead*float64(delayedBy)))
 	e.now += clock.Millis(20 * simulatedEvent * e.factors[at])
-	e.p.Finish(e.now, id, planner.Served, planner.StreamStats{Events: 20, Longest: clock.Millis(longest)})
+	e.p.Finish(e.now, id, planner.Served, planner.StreamStats{Events: 20, LongestGap: clock.Millis(longest)})
 }
 
 // learn has each engine serve pairs of streams, the second of which delays the first with its prompt.
--- a/pkg/planner/targets_test.go
+++ b/pkg/planner/targets_test.go
@@ -146,7 +146,7 @@
 	p.Submit(start, other)
 	none, one := job(3, 0), job(4, 0)
 	none.Exclude = []ids.TargetIncarnation{{Target: "t0"}, {Target: "t1"}}
-	one.Exclude, one.Returned = []ids.TargetIncarnation{{Target: "t1"}}, true
+	one.Exclude, one.Retried = []ids.TargetIncarnation{{Target: "t1"}}, true
 	p.Decisions()
 	p.Submit(start, none)
 	if got := refused(p.Decisions()); len(got) != 1 || !got[0].NoTargets || got[0].ID.Number != 3 {
--- a/pkg/planner/trial.go
+++ b/pkg/planner/trial.go
@@ -18,7 +18,7 @@
 	// UnrepeatableUntil, if set, is when the other targets must run no job that could not be re-dispatched to another target:
 	// such jobs go to the canary version unless they will certainly have ended by then.
 	UnrepeatableUntil clock.Millis
-	// Close is set if no such job is given to the other targets any more.
+	// NoUnrepeatable is set if no such job is given to the other targets any more.
 	NoUnrepeatable bool
 	// OpensAt, if set, is when the canary targets get all jobs: their version has taken over, and jobs wait for
 	// that moment.
@@ -44,7 +44,7 @@
 	observations []Observation
 }
 
-// Observation is the result of a job at a target, for judging versions.
+// Observation is the result of a job at a target, for evaluating versions.
 type Observation struct {
 	Incarnation ids.TargetIncarnation
 	Route       ids.Route
@@ -166,8 +166,8 @@
 	return t.NoUnrepeatable && !w.Movable
 }
 
-// placeOnCanary assigns jobs that are due to canary targets. The order of the queue holds, and jobs that are held
-// back for a higher tier get nothing here either.
+// placeOnCanary assigns jobs that are due to canary targets. The order of the queue holds, and jobs that must
+// wait for a higher tier get nothing here either.
 func (p *Planner) placeOnCanary(now clock.Millis) {
 	if p.trial.Fraction <= 0 || len(p.trial.targets) == 0 {
 		return
--- a/pkg/rollout/exposure.go
+++ b/pkg/rollout/exposure.go
@@ -103,8 +103,8 @@
 	return true
 }
 
-// Placed returns the revision of the order in force when a request is sent to a service, or 0.
-func (e *Exposure) Placed(service ids.Service) Revision {
+// CurrentOrder returns the revision of the order in force when a request is sent to a service, or 0.
+func (e *Exposure) CurrentOrder(service ids.Service) Revision {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if x := e.services[service]; x != nil {
@@ -113,8 +113,8 @@
 	return 0
 }
 
-// Reached counts a request that was sent during an order and has reached the service.
-func (e *Exposure) Reached(service ids.Service, placed Revision) {
+// CountReached counts a request that was sent during an order and has reached the service.
+func (e *Exposure) CountReached(service ids.Service, placed Revision) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if x := e.services[service]; x != nil && placed > 0 && x.order.Placed == placed {
--- a/pkg/rollout/exposure_test.go
+++ b/pkg/rollout/exposure_test.go
@@ -39,7 +39,7 @@
 				}
 			}
 			if random.IntN(10) > 0 {
-				e.Reached(service, o.Placed)
+				e.CountReached(service, o.Placed)
 				reached++
 			}
 			if float64(sent) > bounds.Fraction*float64(reached)+bounds.Slack {
@@ -61,7 +61,7 @@
 		t.Fatal("no request could be reserved")
 	}
 	e.Begin(next, 0)
-	e.Reached(service, first.Placed)
+	e.CountReached(service, first.Placed)
 	if e.Commit(service, "v2") || e.Reserve(service, bounds) {
 		t.Error("a request was sent to the replaced version")
 	}
@@ -69,7 +69,7 @@
 		t.Errorf("%d reached, %d sent, want none", reached, sent)
 	}
 	e.End(service)
-	if e.Placed(service) != 0 {
+	if e.CurrentOrder(service) != 0 {
 		t.Error("the service is still counted after End")
 	}
 }
--- a/pkg/rollout/trial.go
+++ b/pkg/rollout/trial.go
@@ -124,7 +124,7 @@
 	// UnrepeatableUntil, if set, is the moment from which on the old version's targets are to run nothing that could not be
 	// re-dispatched: requests that would not certainly end by then go to the canary if they may.
 	UnrepeatableUntil clock.Millis
-	// Close says that no such request starts on the old version's targets any more.
+	// NoUnrepeatable says that no such request starts on the old version's targets any more.
 	NoUnrepeatable bool
 	// Write is the state to be written, Pending if none.
 	Write State
