--- a/pkg/dispatch/owner_trials.go
+++ b/pkg/dispatch/owner_trials.go
@@ -179,7 +179,7 @@
 		r.Written = written
 		owner.rollouts.Tracker.PutRecords([]rollout.Record{r}, rollout.Freshness{})
 		owner.rollouts.Changed()
-	case errors.Is(err, rollout.ErrOvertaken):
+	case errors.Is(err, rollout.ErrRecordChanged):
 		owner.Log.WithError(err).WithFields(rolloutFields(&r)).Info("roll-out: record not written, another entry has written it since")
 	default:
 		owner.Log.WithError(err).WithFields(rolloutFields(&r)).Warn("roll-out: unknown whether the record was written")
--- a/pkg/dispatch/trials.go
+++ b/pkg/dispatch/trials.go
@@ -29,7 +29,7 @@
 type RolloutStore interface {
 	// Write replaces a service's record if the stored one is still at the record's revision, and
 	// informs the operators. It returns the new revision. After an error other than
-	// rollout.ErrOvertaken the record may or may not have been written.
+	// rollout.ErrRecordChanged the record may or may not have been written.
 	Write(ctx context.Context, r rollout.Record) (rollout.Revision, error)
 }
 
--- a/pkg/quarantine/guard.go
+++ b/pkg/quarantine/guard.go
@@ -39,7 +39,7 @@
 // Store holds what must outlast all entries.
 type Store interface {
 	// Write replaces or removes a row if it still has the version given in the write, and returns the new version.
-	// After any error but ErrOvertaken it is unknown whether the row was written.
+	// After any error but ErrRecordChanged it is unknown whether the row was written.
 	Write(ctx context.Context, w Write) (int64, error)
 }
 
--- a/pkg/quarantine/persistence.go
+++ b/pkg/quarantine/persistence.go
@@ -7,8 +7,8 @@
 	"quaydock/pkg/clock"
 )
 
-// ErrOvertaken says that a row had another version than expected: nothing was written.
-var ErrOvertaken = errors.New("quarantine record has changed since it was read")
+// ErrRecordChanged says that a row had another version than expected: nothing was written.
+var ErrRecordChanged = errors.New("quarantine record has changed since it was read")
 
 const (
 	// persistInterval is how often an entry looks for records to be written to the store. It writes at most one each
--- a/pkg/rollout/order.go
+++ b/pkg/rollout/order.go
@@ -70,7 +70,7 @@
 // Enabled reports whether the deployment uses roll-outs.
 func (b Bounds) Enabled() bool { return b.Fraction > 0 }
 
-// graceFraction is the fraction of Limits.Stop for which an entry relies on the roll-out state it received last. The
+// graceFraction is the fraction of Bounds.Stop for which an entry relies on the roll-out state it received last. The
 // rest is for detecting that a version is bad and for propagating the decision.
 const graceFraction = 0.5
 
@@ -79,5 +79,5 @@
 	return clock.Millis(graceFraction * float64(b.Stop))
 }
 
-// ErrOvertaken is returned by a store if the record has changed since it was read.
-var ErrOvertaken = errors.New("roll-out record has changed since it was read")
+// ErrRecordChanged is returned by a store if the record has changed since it was read.
+var ErrRecordChanged = errors.New("roll-out record has changed since it was read")
