--- a/pkg/dispatch/assignment.go
+++ b/pkg/dispatch/assignment.go
@@ -11,7 +11,7 @@
 )
 
 func (d *Dispatcher) startAssignment(number uint64, request *schedule.Request, t *routing.Target, local schedule.Assignment) *assignment {
-	p := &assignment{dispatcher: d, number: number, target: t, request: request, local: local, sentAt: d.Clock.Now(), moved: make(chan struct{}), order: d.trials.currentOrder(request.Service)}
+	p := &assignment{dispatcher: d, number: number, target: t, request: request, local: local, sentAt: d.Clock.Now(), redispatched: make(chan struct{}), order: d.trials.currentOrder(request.Service)}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.running[number] = p
@@ -20,38 +20,38 @@
 
 // assignment is one request given to one target. It implements schedule.Assignment.
 type assignment struct {
-	dispatcher *Dispatcher
-	number     uint64
-	target     *routing.Target
-	request    *schedule.Request
-	local      schedule.Assignment // set if the entry chose the target by its own counts
-	order      rollout.Revision    // the roll-out during which it was sent, or 0
-	sentAt     clock.Millis
-	begun      bool // guarded by the dispatcher's lock
-	moved      chan struct{}
-	moveOnce   sync.Once
+	dispatcher   *Dispatcher
+	number       uint64
+	target       *routing.Target
+	request      *schedule.Request
+	local        schedule.Assignment // set if the entry chose the target by its own counts
+	order        rollout.Revision    // the roll-out during which it was sent, or 0
+	sentAt       clock.Millis
+	begun        bool // guarded by the dispatcher's lock
+	redispatched chan struct{}
+	moveOnce     sync.Once
 }
 
-func (p *assignment) Target() *routing.Target { return p.target }
+func (a *assignment) Target() *routing.Target { return a.target }
 
-func (p *assignment) Moved() <-chan struct{} { return p.moved }
+func (a *assignment) Redispatched() <-chan struct{} { return a.redispatched }
 
-func (p *assignment) Began(load *planner.Load) {
-	p.dispatcher.mu.Lock()
-	p.begun = true
-	p.dispatcher.mu.Unlock()
-	p.dispatcher.trials.countReached(p)
-	p.dispatcher.sendProgress(progressMessage{Number: p.number, Service: p.request.Service, Progress: begun, Load: load})
+func (a *assignment) Began(load *planner.Load) {
+	a.dispatcher.mu.Lock()
+	a.begun = true
+	a.dispatcher.mu.Unlock()
+	a.dispatcher.trials.countReached(a)
+	a.dispatcher.sendProgress(progressMessage{Number: a.number, Service: a.request.Service, Progress: begun, Load: load})
 }
 
-func (p *assignment) Done(outcome planner.Outcome, flow planner.StreamStats) {
-	p.dispatcher.mu.Lock()
-	delete(p.dispatcher.running, p.number)
-	p.dispatcher.syncsLeft[p.request.Service] = finalSyncs
-	p.dispatcher.mu.Unlock()
-	if p.local != nil {
-		p.local.Done(outcome, flow)
+func (a *assignment) Done(outcome planner.Outcome, flow planner.StreamStats) {
+	a.dispatcher.mu.Lock()
+	delete(a.dispatcher.running, a.number)
+	a.dispatcher.syncsLeft[a.request.Service] = finalSyncs
+	a.dispatcher.mu.Unlock()
+	if a.local != nil {
+		a.local.Done(outcome, flow)
 	}
-	flow.Stalled = p.dispatcher.owner.stalls.Within(p.sentAt, p.dispatcher.Clock.Now())
-	p.dispatcher.sendProgress(progressMessage{Number: p.number, Service: p.request.Service, Progress: done, Outcome: outcome, Flow: flow})
+	flow.Stalled = a.dispatcher.owner.stalls.Within(a.sentAt, a.dispatcher.Clock.Now())
+	a.dispatcher.sendProgress(progressMessage{Number: a.number, Service: a.request.Service, Progress: done, Outcome: outcome, Flow: flow})
 }
--- a/pkg/dispatch/trials.go
+++ b/pkg/dispatch/trials.go
@@ -29,7 +29,7 @@
 type RolloutStore interface {
 	// Write replaces a service's record if the stored one is still at the record's revision, and
 	// informs the operators. It returns the new revision. After an error other than
-	// rollout.ErrOvertaken the record may or may not have been written.
+	// rollout.ErrRecordChanged the record may or may not have been written.
 	Write(ctx context.Context, r rollout.Record) (rollout.Revision, error)
 }
 
@@ -65,7 +65,7 @@
 		t.exposure.End(service)
 		return false
 	}
-	if t.exposure.Placed(service) != order.Placed {
+	if t.exposure.CurrentOrder(service) != order.Placed {
 		t.exposure.Begin(order, t.slackCredit(order))
 	}
 	return record.State == rollout.Running
@@ -131,12 +131,12 @@
 		return 0
 	}
 	t.refreshOrder(service)
-	return t.exposure.Placed(service)
+	return t.exposure.CurrentOrder(service)
 }
 
 // countReached counts a request that has reached its service during an order.
 func (t *trials) countReached(p *assignment) {
 	if p.order > 0 {
-		t.exposure.Reached(p.request.Service, p.order)
+		t.exposure.CountReached(p.request.Service, p.order)
 	}
 }
--- a/pkg/feedrelay/peer_conn.go
+++ b/pkg/feedrelay/peer_conn.go
@@ -16,10 +16,10 @@
 	client *rpc.Client
 }
 
-func (b *Relay) dial(ctx context.Context, peer netip.AddrPort) (*peerConn, error) {
+func (r *Relay) dial(ctx context.Context, peer netip.AddrPort) (*peerConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout.Duration())
 	defer cancel()
-	conn, err := b.Network.Dial(ctx, peer.String())
+	conn, err := r.Network.Dial(ctx, peer.String())
 	if err != nil {
 		return nil, fmt.Errorf("connecting to peer: %w", err)
 	}
@@ -48,18 +48,18 @@
 }
 
 // batch unpacks the answer of a peer.
-func (n *FeedState) batch() (follow.Batch, error) {
-	rows, err := unpack(n.Rows)
+func (s *FeedState) batch() (follow.Batch, error) {
+	rows, err := unpack(s.Rows)
 	if err != nil {
 		return follow.Batch{}, err
 	}
-	age := n.Age
-	return follow.Batch{Rows: rows, Version: n.Version, StoreTime: n.StoreTime, Relayed: true, Age: &age}, nil
+	age := s.Age
+	return follow.Batch{Rows: rows, Version: s.Version, StoreTime: s.StoreTime, Relayed: true, Age: &age}, nil
 }
 
 // requestChanges requests the changes after a version from a peer.
 func (s *Source) requestChanges(ctx context.Context, peer netip.AddrPort, after int64) (follow.Batch, error) {
-	c, err := s.board.dial(ctx, peer)
+	c, err := s.relay.dial(ctx, peer)
 	if err != nil {
 		return follow.Batch{}, err
 	}
@@ -77,7 +77,7 @@
 // requestSnapshot requests a snapshot from a peer: first whether the peer has one, which it
 // answers at once, then the rows, which may take long.
 func (s *Source) requestSnapshot(ctx context.Context, peer netip.AddrPort, atLeast int64) (follow.Batch, error) {
-	c, err := s.board.dial(ctx, peer)
+	c, err := s.relay.dial(ctx, peer)
 	if err != nil {
 		return follow.Batch{}, err
 	}
--- a/pkg/feedrelay/peer_server.go
+++ b/pkg/feedrelay/peer_server.go
@@ -12,7 +12,7 @@
 )
 
 // peerServer answers the feed queries of peers. Its method names go over the wire.
-type peerServer struct{ board *Relay }
+type peerServer struct{ relay *Relay }
 
 // Changes returns the changes after a version, if this entry holds all of them.
 func (s *peerServer) Changes(q *FeedQuery, state *FeedState) error {
@@ -32,12 +32,12 @@
 }
 
 func (s *peerServer) answer(q *FeedQuery, state *FeedState, read func(*table) (follow.Batch, bool)) error {
-	now := s.board.Clock.Now()
-	s.board.mu.Lock()
-	t := s.board.table(q.Table)
+	now := s.relay.Clock.Now()
+	s.relay.mu.Lock()
+	t := s.relay.table(q.Table)
 	batch, known := read(t)
 	*state = FeedState{Known: known, Version: batch.Version, StoreTime: batch.StoreTime, Age: now - t.currentAt}
-	s.board.mu.Unlock()
+	s.relay.mu.Unlock()
 	packed, err := pack(batch.Rows)
 	state.Rows = packed
 	return err
@@ -45,10 +45,10 @@
 
 // Serve answers peers that request changes too large for a datagram, or snapshots, until the
 // listener is closed.
-func (b *Relay) Serve(listener net.Listener) {
+func (r *Relay) Serve(listener net.Listener) {
 	server := rpc.NewServer()
-	if err := server.RegisterName(peerService, &peerServer{b}); err != nil {
-		b.Log.WithError(err).Error("feed state not served to peers: registering the rpc service failed")
+	if err := server.RegisterName(peerService, &peerServer{r}); err != nil {
+		r.Log.WithError(err).Error("feed state not served to peers: registering the rpc service failed")
 		return
 	}
 	slots := make(chan struct{}, maxServedPeers)
@@ -58,7 +58,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
-			b.Log.WithError(err).Warn("peer's connection not accepted")
+			r.Log.WithError(err).Warn("peer's connection not accepted")
 			clock.Pause(context.Background(), acceptPause)
 			continue
 		}
--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -15,11 +15,11 @@
 	QueueTime clock.Millis
 	// QueueMin is the work that may always wait, also before a drain rate is measured.
 	QueueMin ids.Tokens
-	// GrantLife is the time within which a grant must be used.
+	// GrantLifetime is the time within which a grant must be used.
 	GrantLifetime clock.Millis
 	// FloorHold is how long lower tiers are refused after a tier was refused.
 	FloorHold clock.Millis
-	// Remember is how long a grant outcome is kept after the grant's end.
+	// FateRetention is how long a grant outcome is kept after the grant's end.
 	FateRetention clock.Millis
 }
 
--- a/pkg/ingress/delivery.go
+++ b/pkg/ingress/delivery.go
@@ -23,15 +23,15 @@
 // delivery sends an admitted request to a target and relays the answer.
 type delivery struct {
 	common.Common
-	admission *admission
-	dialect   HeaderCodec
-	scheduler schedule.Scheduler
-	pool      *forward.Pool
-	retries   *quota.RetryBudget
-	entries   Entries
-	guard     *quarantine.Guard
-	advice    *advisory.Tracker
-	sampler   *telemetry.Sampler
+	admission   *admission
+	headerCodec HeaderCodec
+	scheduler   schedule.Scheduler
+	pool        *forward.Pool
+	retries     *quota.RetryBudget
+	entries     Entries
+	guard       *quarantine.Guard
+	advice      *advisory.Tracker
+	sampler     *telemetry.Sampler
 }
 
 const (
@@ -129,7 +129,7 @@
 			}
 		case lost:
 			q.sent++
-			q.lostBy = result.err
+			q.lostErr = result.err
 			if ctx.Err() != nil || result.final || !result.retryTaken && (!d.repeatable(q, out) || !d.takeRetry(q)) {
 				return d.finalRefusal(ctx, q, &Refusal{Status: http.StatusBadGateway, Cause: CauseLost, Err: result.err})
 			}
@@ -143,9 +143,9 @@
 	defer span.End()
 	assignment, refused, err := d.scheduler.Acquire(ctx, schedule.Request{Service: q.service, Job: planner.Job{
 		Account: q.accountName(), Tier: q.tier(),
-		Prompt: q.Prompt, Events: d.admission.estimateEvents(q), Gap: q.route.EventGap,
+		Prompt: q.Prompt, Events: d.admission.estimateEvents(q), MaxEventGap: q.route.EventGap,
 		Arrived: q.arrived, SinceFirstTry: q.sinceFirstTry, Objective: q.route.Objective, Deadline: q.deadline, Patience: q.patience(),
-		Returned: q.returned(), Movable: d.movable(q), Exclude: q.tried,
+		Retried: q.returned(), Movable: d.movable(q), Exclude: q.tried,
 		Route: ids.Route(q.route.Name),
 	}})
 	now := d.Clock.Now()
--- a/pkg/ingress/first_tries.go
+++ b/pkg/ingress/first_tries.go
@@ -19,7 +19,7 @@
 	return &firstTries{routes: make(map[string]*longestDeadline)}
 }
 
-// longestWait is the longest deadline seen on a route, and how common it is.
+// longestDeadline is the longest deadline seen on a route, and how common it is.
 type longestDeadline struct {
 	deadline    clock.Millis
 	seen, total float64 // decayed counts of requests with that deadline, and of all requests
@@ -61,16 +61,16 @@
 	return w.deadline - deadline
 }
 
-func (w *longestDeadline) record(deadline clock.Millis) {
-	w.total = w.total*waitDecay + 1
-	w.seen *= waitDecay
+func (d *longestDeadline) record(deadline clock.Millis) {
+	d.total = d.total*waitDecay + 1
+	d.seen *= waitDecay
 	switch {
-	case deadline > w.deadline+waitTolerance:
-		w.deadline, w.seen, w.total = deadline, 1, 1
-	case deadline >= w.deadline-waitTolerance:
-		w.seen++
-	case w.seen < minWeight:
-		w.deadline, w.seen, w.total = deadline, 1, 1
+	case deadline > d.deadline+waitTolerance:
+		d.deadline, d.seen, d.total = deadline, 1, 1
+	case deadline >= d.deadline-waitTolerance:
+		d.seen++
+	case d.seen < minWeight:
+		d.deadline, d.seen, d.total = deadline, 1, 1
 	}
 }
 
--- a/pkg/planner/job.go
+++ b/pkg/planner/job.go
@@ -27,8 +27,8 @@
 	// for other calls.
 	Prompt ids.Tokens
 	Events int
-	// Gap is the longest pause between events with which the answer still counts as in time; 0 if unbounded.
-	Gap clock.Millis
+	// MaxEventGap is the longest pause between events with which the answer still counts as in time; 0 if unbounded.
+	MaxEventGap clock.Millis
 	// Arrived is when the request reached its entry. Objective is the time within which the answer, or its first
 	// event, counts as in time. Deadline is the moment after which the answer is useless.
 	Arrived   clock.Millis
@@ -39,8 +39,8 @@
 	// SinceFirstTry is the time between the caller's first attempt and Arrived: a request that was refused and
 	// retried is in time by its first attempt. 0 if this is the first attempt.
 	SinceFirstTry clock.Millis
-	// Returned is set if the request was refused once and has been retried.
-	Returned bool
+	// Retried is set if the request was refused once and has been retried.
+	Retried bool
 	// Movable is set if the request may be sent to a second target even though the first may have run it.
 	Movable bool
 	// Domain is the failure domain of the entry: traffic to other failure domains is charged for.
@@ -58,7 +58,7 @@
 	return j.Arrived - j.SinceFirstTry + j.Objective
 }
 
-// Decision is a result for one job: Grant, Refuse or Move.
+// Decision is a result for one job: Grant, Refusal or Move.
 type Decision interface{ decision() }
 
 // Grant assigns a job to a target, in the incarnation that the planner knows.
@@ -71,8 +71,8 @@
 	Counted   bool
 }
 
-// Refuse rejects a job. It has not run.
-type Refuse struct {
+// Refusal rejects a job. It has not run.
+type Refusal struct {
 	ID         JobID
 	RetryAfter clock.Millis
 	// Ahead and Wait are the grounds of the refusal: the number of jobs ahead of it and its estimated wait.
@@ -89,16 +89,16 @@
 	ID JobID
 }
 
-func (Grant) decision()  {}
-func (Refuse) decision() {}
-func (Move) decision()   {}
+func (Grant) decision()   {}
+func (Refusal) decision() {}
+func (Move) decision()    {}
 
 // StreamStats describes the events of a stream that has ended.
 type StreamStats struct {
 	_      struct{} `cbor:",toarray"`
 	Events int
-	// Longest is the longest time between two events.
-	Longest clock.Millis
+	// LongestGap is the longest time between two events.
+	LongestGap clock.Millis
 	// Stalled is how long the entry or the owner was not running while the request ran. It is not charged to the
 	// target.
 	Stalled clock.Millis
--- a/pkg/planner/place.go
+++ b/pkg/planner/place.go
@@ -43,7 +43,7 @@
 	remaining := p.queue.jobs[:0]
 	for _, w := range p.queue.jobs {
 		var t *target
-		if len(c.available) > 0 && !p.heldBack(now, w) && !p.trial.closed(w) {
+		if len(c.available) > 0 && !p.mustWait(now, w) && !p.trial.closed(w) {
 			t = p.cheapest(now, &c, w)
 		}
 		if t == nil {
@@ -53,7 +53,7 @@
 		p.grant(now, w, t)
 		p.countGrant(now, w)
 		p.trial.addCredit(w.Route)
-		c.available = slices.DeleteFunc(c.available, func(t *target) bool { return !p.hasRoom(now, t, c.spareFailing) })
+		c.available = slices.DeleteFunc(c.available, func(t *target) bool { return !p.hasFreeSlot(now, t, c.avoidFailing) })
 	}
 	clear(p.queue.jobs[len(remaining):])
 	p.queue.jobs = remaining
@@ -75,13 +75,13 @@
 	return r
 }
 
-// hasRoom reports whether a target can take a job now, also by its rate limits.
-func (p *Planner) hasRoom(now clock.Millis, t *target, spareFailing bool) bool {
-	return t.hasRoom(now, spareFailing) && p.withinColdRate(now, t) && p.withinLimit(now, t)
+// hasFreeSlot reports whether a target can take a job now, also by its rate limits.
+func (p *Planner) hasFreeSlot(now clock.Millis, t *target, avoidFailing bool) bool {
+	return t.hasFreeSlot(now, avoidFailing) && p.withinColdRate(now, t) && p.withinLimit(now, t)
 }
 
-// heldBack reports whether a job must wait because one that goes before it was refused recently.
-func (p *Planner) heldBack(now clock.Millis, w *queuedJob) bool {
+// mustWait reports whether a job must wait because one that goes before it was refused recently.
+func (p *Planner) mustWait(now clock.Millis, w *queuedJob) bool {
 	below := p.floor.below(now, w.Tier) && !p.off.Off(ablation.TierFloor)
 	return below || p.floor.behind(now, w) && !p.off.Off(ablation.LateFloor)
 }
@@ -95,7 +95,7 @@
 // candidates is the state of the targets in one round of placement.
 type candidates struct {
 	available    []*target // targets that can take a job
-	spareFailing bool      // enough targets are healthy to spare the failing ones
+	avoidFailing bool      // enough targets are healthy to do without the failing ones
 	// lowestFactor is the lowest factor of any target that is not ejected; valid if known is set.
 	lowestFactor float64
 	known        bool
@@ -103,14 +103,14 @@
 
 // findCandidates examines all targets. Those ejected are left out while enough others are healthy.
 func (p *Planner) findCandidates(now clock.Millis) candidates {
-	c := candidates{spareFailing: p.halfHealthy(now), lowestFactor: factorMax}
+	c := candidates{avoidFailing: p.halfHealthy(now), lowestFactor: factorMax}
 	for _, t := range p.eligible {
 		ejected := t.health.Ejected(now)
 		if !ejected {
 			c.lowestFactor = min(c.lowestFactor, t.factor.get())
 			c.known = true
 		}
-		if p.hasRoom(now, t, c.spareFailing) && (!c.spareFailing || !ejected) {
+		if p.hasFreeSlot(now, t, c.avoidFailing) && (!c.avoidFailing || !ejected) {
 			c.available = append(c.available, t)
 		}
 	}
@@ -121,15 +121,15 @@
 func (p *Planner) cheapest(now clock.Millis, c *candidates, w *queuedJob) *target {
 	inTimeOnly := c.known && !p.off.Off(ablation.InTime) && p.wouldBeInTime(now, w, c.lowestFactor, 0, 1)
 	var best *target
-	var least float64
+	var minCost float64
 	for _, t := range c.available {
 		if slices.Contains(w.Exclude, t.Incarnation()) || !t.admits(now, w.ID.Entry) || inTimeOnly && (!p.wouldBeInTime(now, w, t.factor.get(), t.pendingPrompt, len(t.runs)+1) || p.stallsStreams(t, w)) {
 			continue
 		}
 		// Random jitter spreads jobs over targets of equal cost.
 		cost := p.cost(now, t, &w.Job) * (1 + jitter*p.random.Float64())
-		if best == nil || cost < least {
-			best, least = t, cost
+		if best == nil || cost < minCost {
+			best, minCost = t, cost
 		}
 	}
 	return best
@@ -140,11 +140,11 @@
 // stallsStreams reports whether reading a job's prompt would probably delay the streams of a target for longer than
 // their allowed gap.
 func (p *Planner) stallsStreams(t *target, w *queuedJob) bool {
-	if w.Gap == 0 || len(t.runs) == 0 || p.off.Off(ablation.Disturbance) {
+	if w.MaxEventGap == 0 || len(t.runs) == 0 || p.off.Off(ablation.Disturbance) {
 		return false
 	}
 	gap := t.factor.get() * p.timings.longestGap(len(t.runs)+1, t.pendingPrompt+w.Prompt)
-	return gap > gapFraction*float64(w.Gap)
+	return gap > gapFraction*float64(w.MaxEventGap)
 }
 
 // wouldBeInTime reports whether a job's first event would be in time, and its answer probably complete by its
@@ -184,7 +184,7 @@
 	if weighPrefill {
 		cost += prefillWeight * prefill * float64(running)
 	}
-	if weighPrefill && job.Gap > 0 && f*p.timings.longestGap(running+1, t.pendingPrompt+job.Prompt) > gapFraction*float64(job.Gap) {
+	if weighPrefill && job.MaxEventGap > 0 && f*p.timings.longestGap(running+1, t.pendingPrompt+job.Prompt) > gapFraction*float64(job.MaxEventGap) {
 		cost += lateCost * float64(running)
 	}
 	if now < p.backoffUntil && t.backsOffAny(now) {
@@ -198,12 +198,12 @@
 
 // minFirstEventTime estimates the time to a job's first event on the fastest target.
 func (p *Planner) minFirstEventTime(job *Job) clock.Millis {
-	least := float64(factorMax)
+	minFactor := float64(factorMax)
 	if len(p.eligible) == 0 {
-		least = 1
+		minFactor = 1
 	}
 	for _, t := range p.eligible {
-		least = min(least, t.factor.get())
+		minFactor = min(minFactor, t.factor.get())
 	}
-	return clock.Millis(least * p.timings.firstEventTime(job.Prompt))
+	return clock.Millis(minFactor * p.timings.firstEventTime(job.Prompt))
 }
--- a/pkg/planner/trial.go
+++ b/pkg/planner/trial.go
@@ -18,7 +18,7 @@
 	// UnrepeatableUntil, if set, is when the other targets must run no job that could not be re-dispatched to another target:
 	// such jobs go to the canary version unless they will certainly have ended by then.
 	UnrepeatableUntil clock.Millis
-	// Close is set if no such job is given to the other targets any more.
+	// NoUnrepeatable is set if no such job is given to the other targets any more.
 	NoUnrepeatable bool
 	// OpensAt, if set, is when the canary targets get all jobs: their version has taken over, and jobs wait for
 	// that moment.
@@ -44,7 +44,7 @@
 	observations []Observation
 }
 
-// Observation is the result of a job at a target, for judging versions.
+// Observation is the result of a job at a target, for evaluating versions.
 type Observation struct {
 	Incarnation ids.TargetIncarnation
 	Route       ids.Route
@@ -166,8 +166,8 @@
 	return t.NoUnrepeatable && !w.Movable
 }
 
-// placeOnCanary assigns jobs that are due to canary targets. The order of the queue holds, and jobs that are held
-// back for a higher tier get nothing here either.
+// placeOnCanary assigns jobs that are due to canary targets. The order of the queue holds, and jobs that must
+// wait for a higher tier get nothing here either.
 func (p *Planner) placeOnCanary(now clock.Millis) {
 	if p.trial.Fraction <= 0 || len(p.trial.targets) == 0 {
 		return
@@ -175,7 +175,7 @@
 	p.chooseFillTarget(now)
 	p.queue.sort(now)
 	p.queue.removeIf(func(w *queuedJob) bool {
-		if !w.Trial || p.heldBack(now, w) || !p.dueForCanary(now, w) {
+		if !w.Trial || p.mustWait(now, w) || !p.dueForCanary(now, w) {
 			return false
 		}
 		t := p.canaryTarget(now, w)
@@ -231,7 +231,7 @@
 	var best *target
 	for _, t := range p.trial.targets {
 		switch {
-		case !p.hasRoom(now, t, true) || t.health.Ejected(now) || slices.Contains(w.Exclude, t.Incarnation()) || !t.admits(now, w.ID.Entry):
+		case !p.hasFreeSlot(now, t, true) || t.health.Ejected(now) || slices.Contains(w.Exclude, t.Incarnation()) || !t.admits(now, w.ID.Entry):
 		case p.trial.UnrepeatableUntil == 0 && t.Incarnation() != p.trial.filling:
 		case best == nil || p.cost(now, t, &w.Job) < p.cost(now, best, &w.Job):
 			best = t
--- a/pkg/rollout/trial_test.go
+++ b/pkg/rollout/trial_test.go
@@ -102,15 +102,15 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			trial := rollout.NewTrial(order("v2", 10), bounds, rollout.Summary{}, placed, rollout.Times{Started: placed, EarliestEnd: ends, LatestEnd: over})
-			note := func(onTrial bool, n, loaded int, route ids.Route) {
+			add := func(onTrial bool, n, loaded int, route ids.Route) {
 				for i := range n {
 					trial.Evidence.Add(onTrial, rollout.Observation{At: placed, Incarnation: ids.TargetIncarnation{Target: "a"}, Route: route, Ratio: 1, Factor: 1, Loaded: i < loaded})
 				}
 			}
-			note(false, s.old, s.oldLoaded, "r")
-			note(false, s.old, 0, "r2")
-			note(true, s.requests, s.loaded, "r")
-			note(true, s.route, 0, "r2")
+			add(false, s.old, s.oldLoaded, "r")
+			add(false, s.old, 0, "r2")
+			add(true, s.requests, s.loaded, "r")
+			add(true, s.route, 0, "r2")
 			missing := strings.Join(trial.Missing(), "; ")
 			if s.want == "" && missing != "" || !strings.Contains(missing, s.want) {
 				t.Errorf("missing evidence: %q, want %q", missing, s.want)
@@ -165,22 +165,22 @@
 // TestRecordsOfConsecutiveOrders follows the record of a service through several orders.
 func TestRecordsOfConsecutiveOrders(t *testing.T) {
 	b := rollout.NewTracker()
-	b.PutOrders([]rollout.Order{order("v2", 10)}, nil, true, proof(12))
+	b.PutOrders([]rollout.Order{order("v2", 10)}, nil, true, upTo(12))
 	_, r, open := b.OpenOrder(service)
 	if !open || r.State != rollout.Pending || r.Version != "v2" {
 		t.Fatalf("record of the first order: %+v, open %t", r, open)
 	}
 	r.State = rollout.Running
 	r.Written = 13
-	b.PutRecords([]rollout.Record{r}, proof(13))
-	b.PutOrders([]rollout.Order{order("v3", 20)}, nil, false, proof(20))
+	b.PutRecords([]rollout.Record{r}, upTo(13))
+	b.PutOrders([]rollout.Order{order("v3", 20)}, nil, false, upTo(20))
 	_, r, open = b.OpenOrder(service)
 	if !open || r.State != rollout.Pending || r.Version != "v3" || len(r.Barred) != 1 || r.Barred[0] != "v2" || r.Written != 13 {
 		t.Fatalf("record of the second order: %+v, open %t", r, open)
 	}
 	r.State, r.Written = rollout.Completed, 25
-	b.PutRecords([]rollout.Record{r}, proof(25))
-	b.PutOrders([]rollout.Order{order("v2", 30)}, nil, false, proof(30))
+	b.PutRecords([]rollout.Record{r}, upTo(25))
+	b.PutOrders([]rollout.Order{order("v2", 30)}, nil, false, upTo(30))
 	if _, r, open = b.OpenOrder(service); !open || len(r.Barred) != 0 {
 		t.Fatalf("a version that was ordered again is still barred: %+v", r)
 	}
@@ -209,12 +209,12 @@
 	bad := good
 	bad.Bad, bad.Routes = 40, []rollout.RouteSummary{{Route: "r", Requests: 150, Bad: 40, Old: 2000, OldBad: 50}}
 	scenarios := []struct {
-		name    string
-		began   clock.Millis
-		backing float64
-		carried rollout.Summary
-		now     clock.Millis
-		want    rollout.State
+		name      string
+		began     clock.Millis
+		agreement float64
+		carried   rollout.Summary
+		now       clock.Millis
+		want      rollout.State
 	}{
 		{"just taken over", closing, 1, good, closing, rollout.Pending},
 		{"hardly any entry agrees", placed, 0.25, good, closing, rollout.Pending},
@@ -228,7 +228,7 @@
 			for range 400 {
 				trial.Evidence.Add(false, rollout.Observation{At: s.began, Incarnation: ids.TargetIncarnation{Target: "old"}, Route: "r", Ratio: 1, Factor: 1})
 			}
-			p := trial.Step(rollout.Situation{Now: s.now, Record: running(rollout.Running), Fresh: true, Targets: 8, Old: 8, Agreement: s.backing})
+			p := trial.Step(rollout.Situation{Now: s.now, Record: running(rollout.Running), Fresh: true, Targets: 8, Old: 8, Agreement: s.agreement})
 			if p.Write != s.want {
 				t.Errorf("plan %+v, want state %v", p, s.want)
 			}
--- a/pkg/schedule/local.go
+++ b/pkg/schedule/local.go
@@ -78,7 +78,7 @@
 	random := l.Random.Fork()
 	service := l.view.Catalog().Service(request.Service)
 	var best *routing.Target
-	var least float64
+	var minCost float64
 	for _, t := range l.view.Directory().Serving(request.Service) {
 		status := l.advice.Status(t.Incarnation())
 		if status.Blocks() || status.Limit.IsLimited() || t.Cold(now, service) {
@@ -94,8 +94,8 @@
 			const triedCost = 2000
 			cost += triedCost
 		}
-		if best == nil || cost < least {
-			best, least = t, cost
+		if best == nil || cost < minCost {
+			best, minCost = t, cost
 		}
 	}
 	return best
@@ -106,17 +106,17 @@
 	target *routing.Target
 }
 
-func (p *localAssignment) Target() *routing.Target { return p.target }
+func (a *localAssignment) Target() *routing.Target { return a.target }
 
-func (p *localAssignment) Began(*planner.Load) {}
+func (a *localAssignment) Began(*planner.Load) {}
 
-func (p *localAssignment) Moved() <-chan struct{} { return nil }
+func (a *localAssignment) Redispatched() <-chan struct{} { return nil }
 
-func (p *localAssignment) Done(o planner.Outcome, _ planner.StreamStats) {
-	l := p.local
+func (a *localAssignment) Done(o planner.Outcome, _ planner.StreamStats) {
+	l := a.local
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.stateOf(p.target.Incarnation())
+	r := l.stateOf(a.target.Incarnation())
 	r.running--
 	r.health.Record(l.Clock.Now(), o)
 }
