--- a/pkg/ingress/admission.go
+++ b/pkg/ingress/admission.go
@@ -28,9 +28,7 @@
 	// the travel time of the store's answers, by which a confirmation may seem too recent.
 	revokeFraction = 0.85
 	// redistributionMargin is how long before the other entries redistribute the share of an entry without a
-	// heartbeat that entry stops using its keys, where operators prefer service to strictness. The worth was
-	// 0.6091 against 0.6045 with the strict limit, as the mean of 30 simulated days, measured with a grace of
-	// 20 s, which gains no more than 7.5 s.
+	// heartbeat that entry stops using its keys, where operators prefer service to strictness.
 	redistributionMargin = 500 * clock.Millisecond
 	// startupWait is how long a request waits at an entry that has just started and has no configuration yet;
 	// reading it takes 20 to 100 ms. A caller that is told to come back instead has used up its only retry:
--- a/pkg/ingress/caller_conns.go
+++ b/pkg/ingress/caller_conns.go
@@ -13,8 +13,7 @@
 
 // callerConns tracks callers' connections and keeps them within their limit of descriptors. An idle connection is
 // closed only when a new one needs its descriptor. Closing connections with their answers from 7/8 of the limit on
-// makes returning callers open a new connection each, which costs the entry processor time: the worth of six days
-// of such a load was 0.239 against 0.253.
+// makes returning callers open a new connection each, which costs the entry processor time.
 type callerConns struct {
 	common.Common
 	// freed gets a token when a rejected connection has ended.
--- a/pkg/ingress/controller.go
+++ b/pkg/ingress/controller.go
@@ -118,8 +118,7 @@
 }
 
 // Ready reports whether callers should be routed to this entry. An entry whose configuration is no longer
-// fresh enough for keys stays ready: its callers would otherwise displace others at other entries, as measured
-// on days of high load.
+// fresh enough for keys stays ready: its callers would otherwise displace others at other entries under high load.
 func (c *Controller) Ready() bool {
 	return !c.leaving.Load() && c.admission.hasConfiguration()
 }
--- a/pkg/ingress/first_tries.go
+++ b/pkg/ingress/first_tries.go
@@ -8,8 +8,7 @@
 )
 
 // firstTries learns the deadline of first tries on each route, so that the shorter deadline of a request that comes back
-// shows how long ago its first try was. A late request then does not take the slot of one that can be in time: 0.6005 of
-// the worth against 0.5943 without, mean of 15 simulated days.
+// shows how long ago its first try was. A late request then does not take the slot of one that can be in time.
 type firstTries struct {
 	mu     sync.Mutex
 	routes map[string]*longestDeadline
--- a/pkg/membership/heartbeats.go
+++ b/pkg/membership/heartbeats.go
@@ -21,8 +21,6 @@
 	// minHeartbeatGap is the least time between two rounds of heartbeats to all; it grows with heartbeatInterval. An
 	// entry that has just started, or whose set of alive entries has changed, sends early instead of waiting for
 	// heartbeatInterval: until entries agree on who is alive, each plans by itself and gives out only a fraction.
-	// Measured on simulated days that end with a loss of power (mean of 6 each): 0.66 of the worth against 0.61 among
-	// 27 entries, no difference among four.
 	minHeartbeatGap = 20 * clock.Millisecond
 	// aliveHeartbeats is for how many heartbeat intervals an entry counts as alive: two heartbeats may be lost.
 	aliveHeartbeats = 3
--- a/pkg/membership/members.go
+++ b/pkg/membership/members.go
@@ -172,9 +172,9 @@
 
 // hasShare reports whether this entry has a share of what all may spend: it has read a list that includes itself, and
 // most other entries have it on theirs. Otherwise it does not know among how many to divide, or the others have
-// already divided the whole among themselves. In a simulation four entries that started while the store was
-// unreachable each took itself for the only one, and together gave out 1.7 times an account's limit in a window. The
-// lock is held.
+// already divided the whole among themselves. Without this, four entries that start while the store is
+// unreachable each take themselves for the only one, and together give out 1.7 times an account's limit in a window.
+// The lock is held.
 func (m *Members) hasShare() bool { return m.list[m.self] != nil && m.countedByMajority() }
 
 // entryCount returns the number of listed entries, plus one if this entry is not listed.
--- a/pkg/membership/registration_test.go
+++ b/pkg/membership/registration_test.go
@@ -27,9 +27,7 @@
 }
 
 // TestRowsOfManyEntriesAreWrittenInBatches guards against each starting entry writing its own row: when 385 entries
-// started within 0.3 s, the store accepted 200 writes a second, rejected 565, and each of these was retried. This was
-// found on a simulated day without disruption, where all calls to the store came before the first request, most of
-// them writes to one table.
+// started within 0.3 s, the store accepted 200 writes a second, rejected 565, and each of these was retried.
 func TestRowsOfManyEntriesAreWrittenInBatches(t *testing.T) {
 	scenarios := []struct {
 		name      string
--- a/pkg/metering/owner.go
+++ b/pkg/metering/owner.go
@@ -76,8 +76,7 @@
 // maxDebt is how far one request may overdraw an entry's fraction of an account's allowance. Only one owner can
 // have the agreement of most entries, so a request of any size exceeds the limit there once at most. Owners with
 // smaller fractions, as on the sides of network partitions, may be many, and one request is large compared with such a
-// fraction: without a limit on the debt, thirty of them gave out 1.75 times the limit of a small account in a window,
-// in a simulation in virtual time.
+// fraction: without a limit on the debt, thirty of them give out 1.75 times the limit of a small account in a window.
 func maxDebt(fraction, margin float64) float64 {
 	if fraction > majority {
 		return math.Inf(1)
@@ -103,8 +102,8 @@
 }
 
 // answerClaim counts a claim at the owner. Entries send claims only for accounts with a limit, so an owner that has
-// no limit for an account does not know it. Admitting these claims let an account that had just been added use 4.7
-// times its limit in a window, in a simulation in virtual time.
+// no limit for an account does not know it. Admitting these claims lets an account that has just been added use 4.7
+// times its limit in a window.
 func (m *Meter) answerClaim(from netip.AddrPort, account *routing.Account, c *claim) claimReply {
 	used := m.usage.Sum(m.Clock.Now(), c.Account, m.window())
 	if account == nil || account.PerSecond <= 0 {
--- a/pkg/targetlist/list_test.go
+++ b/pkg/targetlist/list_test.go
@@ -210,8 +210,8 @@
 	})
 }
 
-// TestLogLinesOfManyTargetsAreSampled guards against a flood of lines at a common start: on a simulated day of 50 s,
-// 411 processes logged 244,465 lines about listed targets, most of them in the seconds in which all targets started.
+// TestLogLinesOfManyTargetsAreSampled guards against a flood of lines at a common start: 411 processes
+// logged 244,465 lines about listed targets, most of them in the seconds in which all targets started.
 // Single changes must still take a line each.
 func TestLogLinesOfManyTargetsAreSampled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
