--- a/pkg/capacity/deployment_size.go
+++ b/pkg/capacity/deployment_size.go
@@ -18,7 +18,7 @@
 	ControlMB    float64
 }
 
-// RequiredSize is the size that the users expect to reach in about two years, according to their first letter.
+// RequiredSize is the size that the users expect to reach in about two years.
 func RequiredSize() DeploymentSize {
 	return DeploymentSize{
 		VMs: 350, Engines: 3600, RequestsPerSecond: 68_000, TokensPerSecond: 17e6,
--- a/pkg/metering/meter.go
+++ b/pkg/metering/meter.go
@@ -59,8 +59,8 @@
 	// maxInitialFill and initialFillMarginFraction set how full the bucket of a new owner is: the one is the maximum,
 	// the other a fraction of the margin. A new owner learns from the entries what they have served recently; the
 	// initial fill matters only if all of them have lost it, and then nothing was served for as long as a start takes,
-	// while callers kept asking. With 0.28 of the margin, owners that change each second give out 0.03% more than is
-	// left for it; with 0.25 they do not.
+	// while callers kept asking. The fraction stays below 0.28, at which owners that change each second give out
+	// 0.03% more than is left for it.
 	maxInitialFill            = 0.5
 	initialFillMarginFraction = 0.25
 	// unlistedRetryAfter is when callers should come back to an entry that has no share of the allowance yet: it reads
