--- a/pkg/agent/target_client.go
+++ b/pkg/agent/target_client.go
@@ -88,8 +88,8 @@
 
 // attempt tracks one request on its connection.
 type attempt struct {
-	conn         *countingConn
-	writesBefore int64
+	conn         *countingConn // nil until the request has a connection
+	writesBefore int64         // the number of writes that had begun on it before the request
 }
 
 func (a *attempt) trace() *httptrace.ClientTrace {
--- a/pkg/balance/order.go
+++ b/pkg/balance/order.go
@@ -43,8 +43,10 @@
 }
 
 // expectedWait estimates in seconds how long new work of a tier waits, from the
-// work queued before it and the measured drain rate.
+// work queued before it, in tokens, the measured drain rate, and the back-off that
+// the target has asked for.
 func (c *Candidate) expectedWait(tier ids.TierRank) float64 {
+	// unknownDrain is the drain rate, in tokens per second, of a target that has not reported one.
 	const unknownDrain = 1000
 	drain := float64(c.Load.DrainPerSecond)
 	if drain <= 0 {
--- a/pkg/clock/boot_time.go
+++ b/pkg/clock/boot_time.go
@@ -86,6 +86,7 @@
 // Add simulates a suspension of the given length.
 func (s *Suspension) Add(length Millis) { s.total.Add(int64(length.Duration())) }
 
+// since returns the sum of the simulated suspensions, whatever the clocks show.
 func (s *Suspension) since(time.Duration, time.Duration) time.Duration {
 	return time.Duration(s.total.Load())
 }
--- a/pkg/ctl/history.go
+++ b/pkg/ctl/history.go
@@ -10,6 +10,7 @@
 	"quaydock/pkg/table"
 )
 
+// historyShown is how many changes are printed at most.
 const historyShown = 20
 
 // history prints the latest configuration changes, the newest first.
--- a/pkg/entry/ticketing.go
+++ b/pkg/entry/ticketing.go
@@ -80,7 +80,8 @@
 }
 
 // allFull reports whether all targets of the round are full of work that goes before the request. An agent that
-// declines admits no lower tier for a while; the first one's answer is valid as long as that while lasts.
+// declines admits no lower tier for a while. The request may be refused only while this holds at the first agent that
+// declined, as lower tiers could be served there in its place afterwards.
 func (t *ticketing) allFull(current *round) bool {
 	return len(current.full) > 0 && t.Clock.Now()-current.firstDeclineAt <= declineValidity
 }
--- a/pkg/feedrelay/relay.go
+++ b/pkg/feedrelay/relay.go
@@ -159,8 +159,8 @@
 
 // shouldSend reports whether this entry sends the feed state of the table to the others: as the
 // feed reader, or from its own reads of the store while no received state can be relied on.
-func (t *table) shouldSend(now clock.Millis, reads bool) bool {
-	return t.replica.known && t.readAt > 0 && (reads || t.readRecently(now) && t.unreliableFor(now) > 0)
+func (t *table) shouldSend(now clock.Millis, isFeedReader bool) bool {
+	return t.replica.known && t.readAt > 0 && (isFeedReader || t.readRecently(now) && t.unreliableFor(now) > 0)
 }
 
 // readRecently reports whether the store has answered this entry itself within maxFeedAge.
@@ -169,12 +169,12 @@
 }
 
 func (r *Relay) sendAll() {
-	reads := r.isFeedReader()
+	isFeedReader := r.isFeedReader()
 	now := r.Clock.Now()
 	var messages []message
 	r.mu.Lock()
 	for name, t := range r.tables {
-		if t.shouldSend(now, reads) {
+		if t.shouldSend(now, isFeedReader) {
 			messages = append(messages, t.message(name, now))
 		}
 	}
@@ -219,39 +219,39 @@
 
 // publish applies an answer of the store, and sends a change to the others at once.
 func (r *Relay) publish(name string, after int64, batch follow.Batch) {
-	reads := r.isFeedReader()
+	isFeedReader := r.isFeedReader()
 	now := r.Clock.Now()
 	r.mu.Lock()
 	t := r.table(name)
 	changed := t.replica.apply(after, batch)
-	messages := t.storeAnswered(name, now, changed, reads)
+	messages := t.storeAnswered(name, now, changed, isFeedReader)
 	r.mu.Unlock()
 	r.send(messages)
 }
 
 // publishSnapshot applies a snapshot read from the store, and sends a change to the others at once.
 func (r *Relay) publishSnapshot(name string, batch follow.Batch) {
-	reads := r.isFeedReader()
+	isFeedReader := r.isFeedReader()
 	now := r.Clock.Now()
 	r.mu.Lock()
 	t := r.table(name)
 	known := t.replica.complete
 	changed := t.replica.replace(batch) && known
-	messages := t.storeAnswered(name, now, changed, reads)
+	messages := t.storeAnswered(name, now, changed, isFeedReader)
 	r.mu.Unlock()
 	r.send(messages)
 }
 
 // storeAnswered records that the store has answered, and returns what is to be sent to the
 // others at once.
-func (t *table) storeAnswered(name string, now clock.Millis, changed, reads bool) []message {
+func (t *table) storeAnswered(name string, now clock.Millis, changed, isFeedReader bool) []message {
 	t.readAt = now
 	t.currentAt = now
 	if !changed {
 		return nil
 	}
 	t.changedAt = now
-	if !t.shouldSend(now, reads) {
+	if !t.shouldSend(now, isFeedReader) {
 		return nil
 	}
 	return []message{t.message(name, now)}
--- a/pkg/forward/incarnations_test.go
+++ b/pkg/forward/incarnations_test.go
@@ -15,7 +15,8 @@
 	"quaydock/pkg/routing"
 )
 
-// Two incarnations of one target, at one address.
+// Two incarnations of one target, at one address. The later one has the lower start, as starts cannot be ordered: the
+// clock of the target's VM may have been stepped back between them.
 var (
 	former    = &routing.Target{ID: "t", Start: 5000, Address: at}
 	restarted = &routing.Target{ID: "t", Start: 4000, Address: at}
--- a/pkg/membership/owners.go
+++ b/pkg/membership/owners.go
@@ -13,8 +13,9 @@
 // stale as aliveUntil means that the set of alive entries must be recomputed.
 const stale clock.Millis = -1
 
-// maxAliveCacheAge is the longest time for which the set of alive entries is used without a check. An entry without
-// others learns of new ones by their messages.
+// maxAliveCacheAge is the longest time for which the set of alive entries is used before it is recomputed. It is
+// recomputed earlier when one of them falls silent or a message changes it. An entry without others learns of new ones
+// by their messages.
 const maxAliveCacheAge = clock.Second
 
 // refresh recomputes the set of alive entries if it is no longer valid. The lock is held.
--- a/pkg/metering/claims.go
+++ b/pkg/metering/claims.go
@@ -66,6 +66,8 @@
 	m.unresponsiveUntil[owner] = m.Clock.Now() + unresponsiveFor
 }
 
+// handleReply passes a reply on to the claim that waits for it, and drops it if none does any more. The channel has
+// room for the one reply that is passed on, so that the lock is not held for long.
 func (m *Meter) handleReply(_ netip.AddrPort, message *claimReply) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/metering/series_deployment_test.go
+++ b/pkg/metering/series_deployment_test.go
@@ -329,7 +329,8 @@
 // it within 300 ms, and it takes effect a window later.
 const lowerAfter = window + 300*clock.Millisecond
 
-// limitAt is the limit of a window that begins at a moment.
+// limitAt is how many units may be used in a window that begins at a moment, by the highest of the limits that may
+// still, or already, hold in it.
 func (s *series) limitAt(from clock.Millis) float64 {
 	highest := 0.0
 	for _, l := range s.limits {
--- a/pkg/planner/limit_test.go
+++ b/pkg/planner/limit_test.go
@@ -129,9 +129,9 @@
 func TestUnusableSlotsAreNoCapacity(t *testing.T) {
 	scenarios := []struct {
 		name    string
-		targets int
-		takes   ratelimit.Rate
-		load    float64
+		targets int            // how many of the twelve report a limit
+		takes   ratelimit.Rate // the limit that each of them reports
+		load    float64        // as a multiple of the normal rate of heavy
 		// inTime is the lowest fraction in time, by tier, and ofLimit the fraction of the limits that must be used.
 		inTime  [3]float64
 		ofLimit float64
--- a/pkg/planner/target.go
+++ b/pkg/planner/target.go
@@ -72,6 +72,8 @@
 	return max(1, t.Slots)
 }
 
+// start records a job that is granted now as a run on the target. Until its first event its prompt delays the streams
+// that the target already runs.
 func (t *target) start(now clock.Millis, job Job) *run {
 	t.pendingPrompt += job.Prompt
 	for _, other := range t.runs {
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -97,6 +97,7 @@
 	)
 }
 
+// compareFlags sorts false before true.
 func compareFlags(a, b bool) int {
 	switch {
 	case a == b:
--- a/pkg/quarantine/register.go
+++ b/pkg/quarantine/register.go
@@ -103,7 +103,9 @@
 	return e == nil || now-e.endedAt >= settleTime
 }
 
-// verdict returns the verdict on a record. The caller holds the lock.
+// verdict returns the verdict on a record. It is strict, so that one target end is enough for quarantine, until the
+// store has been read, for an account with many quarantined requests, and for a request that is quarantined already.
+// The caller holds the lock.
 func (r *Register) verdict(e *trackedRecord) Verdict {
 	strict := !r.storeRead
 	if h := r.accounts[e.Account]; h != nil && e.heldAt == 0 {
--- a/pkg/quota/ledger.go
+++ b/pkg/quota/ledger.go
@@ -17,10 +17,11 @@
 	accounts map[ids.Account]*accountUsage
 }
 
-// accountUsage is a ring of the steps of one account.
+// accountUsage is what one account has used in each of the last steps. A step is numbered by its start divided by the
+// length of a step.
 type accountUsage struct {
-	steps      [ledgerSteps + 1]float64
-	newestStep clock.Millis // counted in steps of the clock
+	steps      [ledgerSteps + 1]float64 // a ring: the units of step n are at n modulo its length
+	newestStep clock.Millis             // the number of the newest step, not a time
 }
 
 // NewLedger returns a ledger without usage.
--- a/pkg/rollout/tracker.go
+++ b/pkg/rollout/tracker.go
@@ -103,7 +103,8 @@
 // interval is the time between two moments.
 type interval struct{ from, to clock.Millis }
 
-// Times returns the start and end times of an open order, by this process's clock.
+// Times returns the start and end times of an open order, by this process's clock: those in its record, or while the
+// record has none, those that follow from when the order was written.
 func (tr *Tracker) Times(o Order, r Record) Times {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
--- a/pkg/rollout/trial_test.go
+++ b/pkg/rollout/trial_test.go
@@ -51,8 +51,8 @@
 		situation
 		want  rollout.State // to be written
 		share bool          // the canary receives requests
-		close bool
-		why   string
+		close bool          // the old version's targets start nothing unrepeatable any more
+		why   string        // part of the reason given
 	}{
 		{"ordered", trialAt(placed, true), with(func(s *situation) { s.Record = running(rollout.Pending) }), rollout.Running, false, false, "ordered"},
 		{"observed", trialAt(placed, true), usual, rollout.Pending, true, false, ""},
