--- a/pkg/app/entry_drain_test.go
+++ b/pkg/app/entry_drain_test.go
@@ -123,7 +123,7 @@
 		Common: c, View: p.view, HeaderCodec: drainHeaderCodec{}, Scheduler: b, Pool: p.pool, Meter: unlimitedMeter{}, Entries: p.members,
 		Retries: quota.NewRetryBudget(quota.RetryBounds{Ratio: 0.2, Slack: 100, Window: 10 * clock.Second}, c.Clock.Now()-10*clock.Second), Keys: ingress.KeyGrace{Limit: clock.Minute},
 	})
-	p.callers = ingress.NewServer(c, ingress.Handlers{Serve: p.controller, Context: p.controller.Context()}, descriptors.Divide(1024))
+	p.callers = ingress.NewServer(c, ingress.Handlers{Serve: p.controller, Context: p.controller.Context()}, descriptors.LimitsFor(1024))
 	b.process = p
 	go p.callers.Serve(b.listen(drainCallers))
 	target := &http.Server{Handler: http.HandlerFunc(b.work)}
--- a/pkg/app/entry_process.go
+++ b/pkg/app/entry_process.go
@@ -214,7 +214,7 @@
 	p.retries = quota.NewRetryBudget(retryBounds(s.Bounds), c.Clock.Now())
 	p.grace.Store(int64(seconds(s.Bounds.GraceSeconds)))
 	p.descriptors = descriptorLimit(c, s.Limits)
-	limits := descriptors.Divide(p.descriptors)
+	limits := descriptors.LimitsFor(p.descriptors)
 	p.controller = ingress.NewController(ingress.Dependencies{
 		Common: c, View: p.view, HeaderCodec: platform.HeaderCodec{}, Scheduler: p.scheduler(o.policy),
 		Pool: p.pool, Meter: p.meter, Entries: p.members, Keys: p.keyGrace(s.Bounds),
--- a/pkg/clock/stalls.go
+++ b/pkg/clock/stalls.go
@@ -23,15 +23,15 @@
 	maxStalls = 256
 )
 
-// Expect records when the timer is to fire.
-func (s *Stalls) Expect(due Millis) {
+// ExpectTimer records when the timer is to fire.
+func (s *Stalls) ExpectTimer(due Millis) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.due = due
 }
 
-// Fired records that the timer has fired.
-func (s *Stalls) Fired(now Millis) {
+// TimerFired records that the timer has fired.
+func (s *Stalls) TimerFired(now Millis) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if now-s.due >= minStall {
--- a/pkg/clock/stalls_test.go
+++ b/pkg/clock/stalls_test.go
@@ -13,13 +13,13 @@
 	if got := s.Within(0, 1000); got != 0 {
 		t.Errorf("stalled for %d ms before the first timer", got)
 	}
-	s.Expect(100)
-	s.Fired(102) // the usual delay of a timer
-	s.Expect(200)
-	s.Fired(260)
-	s.Expect(300)
-	s.Fired(310)
-	s.Expect(400)
+	s.ExpectTimer(100)
+	s.TimerFired(102) // the usual delay of a timer
+	s.ExpectTimer(200)
+	s.TimerFired(260)
+	s.ExpectTimer(300)
+	s.TimerFired(310)
+	s.ExpectTimer(400)
 	scenarios := []struct {
 		name            string
 		from, now, want clock.Millis
--- a/pkg/descriptors/limiter.go
+++ b/pkg/descriptors/limiter.go
@@ -36,8 +36,8 @@
 	extraFraction = 1.0 / 2
 )
 
-// Divide divides the file descriptor limit of a process.
-func Divide(limit int) Limits {
+// LimitsFor divides the file descriptor limit of a process.
+func LimitsFor(limit int) Limits {
 	reserved := min(max(int(reservedFraction*float64(limit)), minReserved), maxReserved)
 	rejecting := max(int(rejectingFraction*float64(limit)), minRejecting)
 	return Limits{Callers: max(1, int(callersFraction*float64(limit-reserved-rejecting))), Rejecting: rejecting, Extra: int(extraFraction * float64(rejecting))}
--- a/pkg/descriptors/limiter_test.go
+++ b/pkg/descriptors/limiter_test.go
@@ -18,7 +18,7 @@
 		{10, descriptors.Limits{Callers: 1, Rejecting: 4, Extra: 2}},
 	}
 	for _, s := range scenarios {
-		if got := descriptors.Divide(s.limit); got != s.want {
+		if got := descriptors.LimitsFor(s.limit); got != s.want {
 			t.Errorf("limit %d: %+v, want %+v", s.limit, got, s.want)
 		}
 	}
--- a/pkg/dispatch/owner.go
+++ b/pkg/dispatch/owner.go
@@ -141,10 +141,10 @@
 	var lastReplicated clock.Millis
 	for ctx.Err() == nil {
 		due := owner.Clock.Now() + tickInterval
-		owner.stalls.Expect(due)
+		owner.stalls.ExpectTimer(due)
 		clock.Pause(ctx, tickInterval)
 		now := owner.Clock.Now()
-		owner.stalls.Fired(now)
+		owner.stalls.TimerFired(now)
 		owner.members.RecordLag(now - due)
 		owner.sendDecisions(owner.tick(ctx))
 		if now := owner.Clock.Now(); now-lastReplicated >= replicateInterval {
--- a/pkg/dispatch/owner_estimates.go
+++ b/pkg/dispatch/owner_estimates.go
@@ -12,7 +12,7 @@
 // former owner has sent any to this entry, they are read from the store, once.
 func (owner *Owner) adoptEstimates(g *servicePlanner, service ids.Service) {
 	if l := owner.estimates.get(service); l != nil {
-		g.planner.Adopt(l)
+		g.planner.AdoptEstimates(l)
 		return
 	}
 	owner.loadEstimates.Do(func() { go owner.estimates.load(context.Background(), owner.estimatesLoaded) })
--- a/pkg/dispatch/owner_messages.go
+++ b/pkg/dispatch/owner_messages.go
@@ -35,7 +35,7 @@
 
 // currentDecision returns the grant that a job has, or else that it is queued.
 func currentDecision(p *planner.Planner, id planner.JobID) planner.Decision {
-	if g, granted := p.GrantOf(id); granted {
+	if g, granted := p.RunningGrant(id); granted {
 		return g
 	}
 	return stillQueued{id: id}
--- a/pkg/entry/callers_controller.go
+++ b/pkg/entry/callers_controller.go
@@ -186,7 +186,7 @@
 	e.Metrics.Requests.Add(r.state.String(), 1)
 	switch {
 	case why != nil:
-		e.Check.That(why.Outcome != refusal.NotRun || r.state.MayReportNotRun(), invariant.NotRunIsTrue,
+		e.Check.Verify(why.Outcome != refusal.NotRun || r.state.MayReportNotRun(), invariant.NotRunIsTrue,
 			"request %s reported as not run in state %v", r.id, r.state)
 		e.refuse(out, r.id, why)
 	case r.state != lifecycle.Answered:
--- a/pkg/entry/exchange.go
+++ b/pkg/entry/exchange.go
@@ -119,7 +119,7 @@
 	defer func() { _ = response.Body.Close() }()
 	own := response.Header.Get(control.HeaderRequest) == string(r.id) &&
 		response.Header.Get(control.HeaderGrant) == bound.grant.String()
-	x.Check.That(own, invariant.OwnAnswer, "request %s got the answer of %q", r.id, response.Header.Get(control.HeaderRequest))
+	x.Check.Verify(own, invariant.OwnAnswer, "request %s got the answer of %q", r.id, response.Header.Get(control.HeaderRequest))
 	if !own {
 		return broken{jujuerrors.NotValidf("answer of another request or grant")}
 	}
--- a/pkg/entry/request.go
+++ b/pkg/entry/request.go
@@ -59,7 +59,7 @@
 
 // become moves the request to another state and checks that the transition is legal.
 func (r *request) become(next lifecycle.State) {
-	r.check.That(r.state.CanTransitionTo(next), invariant.LegalTransition,
+	r.check.Verify(r.state.CanTransitionTo(next), invariant.LegalTransition,
 		"request %s: from %v to %v", r.id, r.state, next)
 	r.state = next
 }
--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -186,7 +186,7 @@
 			return
 		}
 		w := g.queue.pop()
-		g.check.That(w.ticket.Tier == highest, invariant.TierOrder,
+		g.check.Verify(w.ticket.Tier == highest, invariant.TierOrder,
 			"granted tier %d while tier %d waits", w.ticket.Tier, highest)
 		if now+g.unit.minRunTime(w.ticket.Work()) >= w.deadline {
 			g.notify(w.session, control.Verdict{Request: w.ticket.Request, Turn: w.ticket.Turn, Kind: control.Declined, Reason: control.Late})
--- a/pkg/gate/grants.go
+++ b/pkg/gate/grants.go
@@ -38,7 +38,7 @@
 		return false
 	}
 	earlier, again := g.dispatched[request]
-	g.check.That(!again, invariant.DispatchedOnce, "request %s was dispatched on grant %v before %v", request, earlier, grant)
+	g.check.Verify(!again, invariant.DispatchedOnce, "request %s was dispatched on grant %v before %v", request, earlier, grant)
 	if again {
 		return false
 	}
--- a/pkg/ingress/descriptors_test.go
+++ b/pkg/ingress/descriptors_test.go
@@ -313,7 +313,7 @@
 
 func newLimitedServer(c common.Common, controller *ingress.Controller, limit int) *ingress.Server {
 	handlers := ingress.Handlers{Serve: controller, Reject: http.HandlerFunc(controller.Reject), Context: controller.Context()}
-	return ingress.NewServer(c, handlers, descriptors.Divide(limit))
+	return ingress.NewServer(c, handlers, descriptors.LimitsFor(limit))
 }
 
 // Requests reached targets after their callers had left. The callers had sent them and closed their connections before
--- a/pkg/ingress/server_test.go
+++ b/pkg/ingress/server_test.go
@@ -24,7 +24,7 @@
 	memory := network.NewMemory(nil)
 	s := ingress.NewServer(commontest.New(memory), ingress.Handlers{Serve: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "yes")
-	})}, descriptors.Divide(1024))
+	})}, descriptors.LimitsFor(1024))
 	listener, err := memory.Listen(serverAt)
 	if err != nil {
 		t.Fatal(err)
--- a/pkg/invariant/checker.go
+++ b/pkg/invariant/checker.go
@@ -22,9 +22,9 @@
 	return &Checker{log: log, counts: counts, strict: strict}
 }
 
-// That records a violation of the invariant name if holds is false. The detail is
+// Verify records a violation of the invariant name if holds is false. The detail is
 // formatted only then, so that a check on a hot path costs one branch.
-func (c *Checker) That(holds bool, name Name, detail string, args ...any) {
+func (c *Checker) Verify(holds bool, name Name, detail string, args ...any) {
 	if holds {
 		return
 	}
--- a/pkg/loadmodel/simulation.go
+++ b/pkg/loadmodel/simulation.go
@@ -214,7 +214,7 @@
 func (s *simulation) tick(now clock.Millis) {
 	if (now-startTime)%resubmitEvery < tickEvery {
 		for _, id := range sortedTries(s.waiting) {
-			if s.planner.Waits(id) {
+			if s.planner.IsQueued(id) {
 				s.planner.Submit(now, s.waiting[id].job())
 			}
 		}
--- a/pkg/planner/estimates.go
+++ b/pkg/planner/estimates.go
@@ -81,8 +81,8 @@
 	return l
 }
 
-// Adopt takes over estimates of another planner for those that are not known here yet.
-func (p *Planner) Adopt(l *Estimates) {
+// AdoptEstimates takes over estimates of another planner for those that are not known here yet.
+func (p *Planner) AdoptEstimates(l *Estimates) {
 	if p.off.Off(ablation.Learned) {
 		return
 	}
--- a/pkg/planner/export_test.go
+++ b/pkg/planner/export_test.go
@@ -17,7 +17,7 @@
 
 // Granted returns the target incarnation that a job was assigned to, if any.
 func (p *Planner) Granted(id JobID) (ids.TargetIncarnation, bool) {
-	g, granted := p.GrantOf(id)
+	g, granted := p.RunningGrant(id)
 	return g.Incarnation, granted
 }
 
--- a/pkg/planner/incarnations_test.go
+++ b/pkg/planner/incarnations_test.go
@@ -130,7 +130,7 @@
 func TestRestartClearsFactor(t *testing.T) {
 	p := newPlanner()
 	p.SetTargets(start, restarted(nextStart, 2, 2))
-	p.Adopt(&planner.Estimates{Factors: map[ids.TargetIncarnation]float64{{Target: "t0", Start: formerStart}: 8, {Target: "t1"}: 2}})
+	p.AdoptEstimates(&planner.Estimates{Factors: map[ids.TargetIncarnation]float64{{Target: "t0", Start: formerStart}: 8, {Target: "t1"}: 2}})
 	if got := p.Summary(start).Factors; got["t0"] != 1 || got["t1"] != 2 {
 		t.Errorf("factors %v", got)
 	}
--- a/pkg/planner/limit_test.go
+++ b/pkg/planner/limit_test.go
@@ -114,8 +114,8 @@
 		t.Error("the first limit is not reported as a change")
 	}
 	p.Submit(start+100, job(2, 0))
-	before, _ := p.GrantOf(job(1, 0).ID)
-	after, _ := p.GrantOf(job(2, 0).ID)
+	before, _ := p.RunningGrant(job(1, 0).ID)
+	after, _ := p.RunningGrant(job(2, 0).ID)
 	if before.Counted || before.RateLimit != takes {
 		t.Errorf("grant before the limit: %+v", before)
 	}
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -138,8 +138,8 @@
 	return taken
 }
 
-// Waits reports whether a job is queued.
-func (p *Planner) Waits(id JobID) bool {
+// IsQueued reports whether a job is queued.
+func (p *Planner) IsQueued(id JobID) bool {
 	return p.queue.find(id) >= 0
 }
 
--- a/pkg/planner/random_test.go
+++ b/pkg/planner/random_test.go
@@ -119,7 +119,7 @@
 
 // dropped reports whether the planner no longer holds a job, as its entry has stopped repeating the call.
 func (h *history) dropped(number uint64) bool {
-	return !h.p.Waits(planner.JobID{Entry: "e", Number: number})
+	return !h.p.IsQueued(planner.JobID{Entry: "e", Number: number})
 }
 
 func (h *history) check(slots []int) {
--- a/pkg/planner/runs.go
+++ b/pkg/planner/runs.go
@@ -7,8 +7,8 @@
 	"quaydock/pkg/routing"
 )
 
-// GrantOf returns the grant of a running job, with the currently known rate limit of its target.
-func (p *Planner) GrantOf(id JobID) (g Grant, granted bool) {
+// RunningGrant returns the grant of a running job, with the currently known rate limit of its target.
+func (p *Planner) RunningGrant(id JobID) (g Grant, granted bool) {
 	if r := p.runs[id]; r != nil {
 		return r.grant(), true
 	}
--- a/pkg/planner/targets_test.go
+++ b/pkg/planner/targets_test.go
@@ -153,7 +153,7 @@
 		t.Errorf("refused %+v", got)
 	}
 	p.Submit(start, one)
-	if got := refused(p.Decisions()); len(got) != 0 || !p.Waits(one.ID) {
+	if got := refused(p.Decisions()); len(got) != 0 || !p.IsQueued(one.ID) {
 		t.Errorf("refused %+v although a target is left", got)
 	}
 	p.SetTargets(start, targets(1, 1)[1:])
@@ -189,7 +189,7 @@
 			t.Error("a new planner has estimates")
 		}
 		if adopts {
-			p.Adopt(learned)
+			p.AdoptEstimates(learned)
 		}
 		slow := 0
 		for i := range uint64(6) {
--- a/pkg/planner/trial_test.go
+++ b/pkg/planner/trial_test.go
@@ -165,7 +165,7 @@
 		t.Error("a job that may not be repeated was assigned to the closed old version")
 	}
 	waiting := b.submit(func(j *planner.Job) { j.Trial = false })
-	if !b.Waits(waiting) {
+	if !b.IsQueued(waiting) {
 		t.Error("a job without a permitted target does not wait")
 	}
 	if n := b.Unrepeatable(); n != 1 {
@@ -194,11 +194,11 @@
 	b := newTrialBed(0)
 	b.SetTrial(planner.Trial{OpensAt: b.now + 400}, false)
 	id := b.submit(func(j *planner.Job) { j.Trial = false })
-	if !b.Waits(id) {
+	if !b.IsQueued(id) {
 		t.Fatal("the job was refused")
 	}
 	b.pass(200)
-	if !b.Waits(id) {
+	if !b.IsQueued(id) {
 		t.Fatal("the job was refused while it waited")
 	}
 	var targets []*routing.Target
@@ -207,7 +207,7 @@
 	}
 	b.now += 250
 	b.SetTargets(b.now, targets)
-	if b.Waits(id) {
+	if b.IsQueued(id) {
 		t.Error("the job still waits although the version is open")
 	}
 }
--- a/pkg/standin/engine.go
+++ b/pkg/standin/engine.go
@@ -139,9 +139,9 @@
 	} `json:"stream_options"`
 }
 
-// OwnToken returns the first token of the answer to a body, by which a test checks
+// ExpectedToken returns the first token of the answer to a body, by which a test checks
 // that it got the answer to its own request.
-func OwnToken(body []byte) string {
+func ExpectedToken(body []byte) string {
 	return strconv.FormatUint(xxhash.Sum64(body), 16)
 }
 
@@ -169,7 +169,7 @@
 		remaining: call.MaxTokens,
 		stream:    call.Stream,
 		usage:     call.Options.Usage,
-		text:      OwnToken(body),
+		text:      ExpectedToken(body),
 	}
 	s.changed.L = &s.mu
 	e.begin(s)
--- a/pkg/table/follower.go
+++ b/pkg/table/follower.go
@@ -95,7 +95,7 @@
 
 func (f *Follower) apply(index *declaration.Index) {
 	before := f.index.Swap(index)
-	f.Check.That(before == nil || before.Revision < index.Revision, invariant.RevisionUpward,
+	f.Check.Verify(before == nil || before.Revision < index.Revision, invariant.RevisionUpward,
 		"revision %d applied", index.Revision)
 	f.Log.WithField("revision", index.Revision).Info("configuration in force")
 	f.applied(index)
--- a/pkg/testbed/caller.go
+++ b/pkg/testbed/caller.go
@@ -127,7 +127,7 @@
 // checkContent tells a complete answer of the request's own from a truncated or misattributed one, as an
 // OpenAI client does, by the final event and the tokens.
 func (a *Answer) checkContent(sent string, stream bool, tokens int) {
-	own := standin.OwnToken([]byte(sent))
+	own := standin.ExpectedToken([]byte(sent))
 	if !stream {
 		a.Tokens = 1 + strings.Count(a.Body, " t")
 		if !strings.Contains(a.Body, own) || a.Tokens != tokens {
--- a/pkg/view/view.go
+++ b/pkg/view/view.go
@@ -48,7 +48,7 @@
 		return false
 	}
 	swapped := v.catalog.Swap(c)
-	v.check.That(swapped == nil || swapped.Revision < c.Revision, invariant.RevisionUpward, "revision %d", c.Revision)
+	v.check.Verify(swapped == nil || swapped.Revision < c.Revision, invariant.RevisionUpward, "revision %d", c.Revision)
 	v.closeKnown()
 	return true
 }
