--- a/pkg/ingress/admission.go
+++ b/pkg/ingress/admission.go
@@ -41,7 +41,10 @@
 // Meter limits what client accounts may have run over all entries together. A fraction of an account's burst may
 // be reserved, which is then not available to the request.
 type Meter interface {
+	// Take counts units against an account's allowance, of whose burst the fraction reserve is left to others. If they
+	// may not run, it returns false and how long the caller should wait.
 	Take(ctx context.Context, account *routing.Account, units, reserve float64) (bool, clock.Millis)
+	// Return gives back units that did not run; taken is when Take counted them.
 	Return(account *routing.Account, units float64, taken clock.Millis)
 }
 
@@ -68,6 +71,9 @@
 	leasedKeyGrace atomic.Int64
 }
 
+// setKeyGrace sets how long keys are used without a confirmation. Unless the limit is strict, this is at least until
+// shortly before the others may redistribute this entry's share, and up to keys.Max while it holds its membership
+// lease.
 func (a *admission) setKeyGrace(keys KeyGrace) {
 	grace := float64(keys.Limit) * revokeFraction
 	if !keys.Strict && !a.Ablation.Off(ablation.KeyTrust) {
@@ -110,7 +116,8 @@
 	}
 }
 
-// admit reads a request and checks its route, key, size and allowance.
+// admit reads a request and checks its route, key, size and allowance. The request that it returns is never nil, and is
+// admitted if there is no refusal.
 func (a *admission) admit(w http.ResponseWriter, r *http.Request) (*request, *Refusal) {
 	arrived := a.Clock.Now()
 	q := &request{Call: a.headerCodec.Describe(r.Header), http: r, arrived: arrived, splitDraw: a.Random.Fork().Float64()}
@@ -256,6 +263,7 @@
 	return nil
 }
 
+// readAll reads a body of the given length in bytes, -1 if it is not known. A shorter body is an error.
 func readAll(from io.Reader, length int64) ([]byte, error) {
 	if length < 0 {
 		return io.ReadAll(from)
--- a/pkg/ingress/answer_writer.go
+++ b/pkg/ingress/answer_writer.go
@@ -11,8 +11,8 @@
 // answerWriter writes one final answer to a caller.
 type answerWriter struct {
 	writer  http.ResponseWriter
-	control *http.ResponseController
-	started bool
+	control *http.ResponseController // nil if only a refusal is written
+	started bool                     // the status and headers of a target's answer are written
 }
 
 // head writes the status and headers of a target's answer. A length of -1 stands for a body whose end is marked
@@ -30,6 +30,7 @@
 	o.writer.WriteHeader(a.Status)
 }
 
+// body writes a part of the body; after an error the caller can't be written to any more.
 func (o *answerWriter) body(p []byte) error {
 	if _, err := o.writer.Write(p); err != nil {
 		return fmt.Errorf("writing to the caller: %w", err)
--- a/pkg/ingress/broken_off.go
+++ b/pkg/ingress/broken_off.go
@@ -8,7 +8,7 @@
 	"quaydock/pkg/forward"
 )
 
-// EndedBy is who ended an answer that had begun before it was complete.
+// EndedBy says who ended an answer that had begun but was not complete.
 type EndedBy int
 
 //go:generate stringer -type=EndedBy -trimprefix=Ender -output=ender_string.go
--- a/pkg/ingress/caller_conn.go
+++ b/pkg/ingress/caller_conn.go
@@ -38,7 +38,7 @@
 const (
 	peekNothing peeked = iota // also if there is no socket, as in tests
 	peekData
-	peekEnd
+	peekEnd // its caller has closed or reset it, or this entry has closed it
 )
 
 // peek inspects a connection without blocking or consuming data.
--- a/pkg/ingress/caller_conns.go
+++ b/pkg/ingress/caller_conns.go
@@ -16,19 +16,19 @@
 // makes returning callers open a new connection each, which costs the entry processor time.
 type callerConns struct {
 	common.Common
-	// freed gets a token when a rejected connection has ended.
+	// freed gets a token when a rejected connection has ended. It holds one token, and a send never blocks.
 	freed chan struct{}
 
-	mu      sync.Mutex
+	mu      sync.Mutex // guards the fields below
 	limiter *descriptors.Limiter
-	open    map[net.Conn]*callerConn
-	idle    *list.List // of net.Conn, longest idle first
+	open    map[net.Conn]*callerConn // accepted and rejected ones
+	idle    *list.List               // of net.Conn, longest idle first
 }
 
 // callerConn is the state of one connection.
 type callerConn struct {
-	rejected bool
-	idle     *list.Element // nil unless the connection is idle
+	rejected bool          // it is beyond the limit
+	idle     *list.Element // its place in callerConns.idle; nil unless the connection is idle
 }
 
 func newCallerConns(c common.Common, limits descriptors.Limits) *callerConns {
@@ -66,7 +66,8 @@
 	return step
 }
 
-// maxIdleChecks limits how many idle connections are checked for pending data.
+// maxIdleChecks limits how many idle connections are checked for pending data for a new one, as each check is a system
+// call under the lock.
 const maxIdleChecks = 8
 
 // longestIdle returns the connection that has been idle longest and has no unread request, or nil; the lock is
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// remove drops a connection; the lock is held.
+// remove drops a connection from open and idle, and leaves the limiter's counts as they are; the lock is held.
 func (cc *callerConns) remove(c net.Conn) {
 	known := cc.open[c]
 	if known.idle != nil {
@@ -92,7 +93,7 @@
 	delete(cc.open, c)
 }
 
-// setState follows net/http's state changes of a connection.
+// setState follows net/http's state changes of a connection, as ConnState of the http.Servers.
 func (cc *callerConns) setState(c net.Conn, state http.ConnState) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
--- a/pkg/ingress/controller.go
+++ b/pkg/ingress/controller.go
@@ -25,6 +25,7 @@
 // noDeadline clears a deadline of a connection.
 var noDeadline time.Time
 
+// Causes with which the context of a request is canceled. Any other cause means that its caller has left.
 var (
 	errDeadline = errors.New("request deadline exceeded")
 	errEnded    = errors.New("entry shut down")
@@ -59,7 +60,8 @@
 	// report the removal. If false, such an entry goes on serving with the keys that it has until the
 	// others may count it as gone.
 	Strict bool
-	// Max limits how long it goes on while the others certainly do not count it as gone.
+	// Max limits how long it goes on while it holds its membership lease, that is, while the others certainly do not
+	// count it as gone.
 	Max clock.Millis
 }
 
@@ -68,8 +70,8 @@
 	common.Common
 	admission         *admission
 	delivery          *delivery
-	leaving           atomic.Bool
-	running           atomic.Int64
+	leaving           atomic.Bool  // set by Leave, for good
+	running           atomic.Int64 // requests being served, admitted or not
 	runningRestricted atomic.Int64 // of these, those that arrived in the drain's restriction
 	answers           atomic.Int64 // answers completed
 	sampler           *telemetry.Sampler
@@ -152,6 +154,8 @@
 	return int(c.running.Load())
 }
 
+// ServeHTTP serves a request until its final answer. If that cannot be completed, it panics with http.ErrAbortHandler,
+// by which net/http closes the connection.
 func (c *Controller) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	c.running.Add(1)
 	defer c.running.Add(-1)
@@ -170,6 +174,7 @@
 	c.conclude(q, refusal, out)
 }
 
+// deliver runs an admitted request, at most until its deadline, and counts it as in progress meanwhile.
 func (c *Controller) deliver(r *http.Request, q *request, out *answerWriter) *Refusal {
 	tier := q.tier()
 	c.inProgress.add(tier, 1)
@@ -204,7 +209,7 @@
 // those beyond are only counted.
 const linesPerSecond = 40
 
-// count adds a request to the metrics.
+// count adds a request to the metrics, with tier -1 if no route was found for it.
 func (c *Controller) count(q *request, outcome string) {
 	now := c.Clock.Now()
 	r := telemetry.Request{Service: string(q.service), Account: string(q.accountName()), Tier: -1, Outcome: outcome, Held: now - q.arrived}
--- a/pkg/ingress/delivery.go
+++ b/pkg/ingress/delivery.go
@@ -54,7 +54,8 @@
 	completed struct{}
 	// withheld: nothing was sent, as the target had asked this entry not to.
 	withheld struct{}
-	// declined: the target surely did not run the request.
+	// declined: the target surely did not run the request. The error says why it could not be reached; it is nil if the
+	// target itself declined.
 	declined struct{ err error }
 	// lost: the target may have run the request. retryTaken says that a retry has already been taken from the budget,
 	// answered that the target did answer, final that no other target can continue what the caller has.
@@ -95,6 +96,8 @@
 	return refusal
 }
 
+// runAttempts sends the request to one target after another until the caller has a complete answer or no further
+// exchange is permitted.
 func (d *delivery) runAttempts(ctx context.Context, q *request, out *answerWriter) *Refusal {
 	var permit *quarantine.Permit
 	defer func() { permit.Release(false) }()
@@ -137,7 +140,8 @@
 	}
 }
 
-// acquire waits for an assignment to a target. It then checks again the configuration that the request was admitted under.
+// acquire waits for an assignment to a target. It then checks again the configuration that the request was admitted
+// under.
 func (d *delivery) acquire(ctx context.Context, q *request) (schedule.Assignment, *Refusal) {
 	ctx, span := d.Tracer.Start(ctx, "entry.place")
 	defer span.End()
@@ -254,15 +258,15 @@
 }
 
 const (
-	// callerLead is how much earlier than this entry a caller may begin to count its time, as the connection has to be made
-	// and the request to arrive. It is at most 1/callerLeadDivisor of the caller's time, so that a caller with little time
-	// can still be seen to leave early.
+	// callerLead is how much earlier than this entry a caller may begin to count its time, as the connection has to be
+	// made and the request to arrive. It is at most 1/callerLeadDivisor of the caller's time, so that a caller with little
+	// time can still be seen to leave early.
 	callerLead        = 100 * clock.Millisecond
 	callerLeadDivisor = 20
 )
 
-// callerTimeOver reports whether a caller that closes its connection now does so because its time is over. Without this it
-// would be chance whether the caller's close or this entry's timer is seen first.
+// callerTimeOver reports whether a caller that closes its connection now does so because its time is over. Without this
+// it would be chance whether the caller's close or this entry's timer is seen first.
 func (d *delivery) callerTimeOver(q *request) bool {
 	lead := min(callerLead, q.Deadline/callerLeadDivisor)
 	return q.Deadline > 0 && d.Clock.Now() >= q.arrived+q.Deadline-lead
--- a/pkg/ingress/drain.go
+++ b/pkg/ingress/drain.go
@@ -22,14 +22,14 @@
 type drainAdmission struct {
 	stop atomic.Pointer[Stop] // nil unless the entry drains
 
-	mu      sync.Mutex
+	mu      sync.Mutex            // guards longest
 	longest map[string]*recentMax // by route: how long answers took
 }
 
 const (
 	// durationFactor is how many times the longest recent answer has to fit into the time left.
 	durationFactor = 2
-	// endMargin is subtracted from the time left.
+	// endMargin is subtracted from the time left before the longest recent answers are fitted into it.
 	endMargin = 200 * clock.Millisecond
 	// deadlineMargin is kept between a request's deadline and the process's end, to answer its caller.
 	deadlineMargin = 50 * clock.Millisecond
@@ -85,7 +85,8 @@
 	return stop == nil || deadline+deadlineMargin <= stop.EndsAt || c.fits(now, route, stop, 1)
 }
 
-// fits reports whether the longest recent answer of a route fits the given number of times into the time left.
+// fits reports whether the longest recent answer of a route fits the given number of times into the time left. It is
+// false for a route that has had no answer yet.
 func (c *drainAdmission) fits(now clock.Millis, route *routing.Route, stop *Stop, times int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,15 +116,17 @@
 	}
 }
 
-// recentMax is the maximum of recent values; older ones decay by halves.
+// recentMax is the maximum of recent durations; older ones decay by halves. drainAdmission.mu guards it.
 type recentMax struct {
-	span              clock.Millis // number of the current span
-	current, previous clock.Millis
+	span              clock.Millis // number of the current span, counted from the Unix epoch
+	current, previous clock.Millis // maximum of the current span; that of earlier ones, after the decay
 }
 
 // recentSpan is the length of a span.
 const recentSpan = 10 * clock.Second
 
+// advance begins the span that now falls into, if it is a new one. The maximum of earlier spans decays by one step if
+// the last span had a value or if spans were skipped, however many, and else not at all.
 func (m *recentMax) advance(now clock.Millis) {
 	span := now / recentSpan
 	if span == m.span {
@@ -141,6 +144,7 @@
 	m.current = max(m.current, value)
 }
 
+// get returns the maximum, 0 if there was no value.
 func (m *recentMax) get(now clock.Millis) clock.Millis {
 	m.advance(now)
 	return max(m.previous, m.current)
--- a/pkg/ingress/events.go
+++ b/pkg/ingress/events.go
@@ -26,6 +26,7 @@
 	err   error
 }
 
+// eventBuffer is the size in bytes of the buffer through which answers are read. An event may be larger.
 const eventBuffer = 4 << 10
 
 func newEventReader(from io.Reader) *eventReader {
@@ -34,13 +35,13 @@
 
 // event is the bytes of one event, with the number of its id line.
 type event struct {
-	raw   []byte
+	raw   []byte // as received, with the empty line that ends it, if it was terminated
 	id    int64
 	hasID bool // the event has a numeric id
 }
 
-// next returns the next complete event. After the last one it returns io.EOF if the stream ended properly, together with
-// the bytes of an event that was not terminated.
+// next returns the next complete event. After the last one it returns io.EOF if the stream ended properly, together
+// with the bytes of an event that was not terminated.
 func (r *eventReader) next() (event, error) {
 	if ahead := r.peeked; ahead != nil {
 		r.peeked = nil
@@ -78,6 +79,7 @@
 	return nil
 }
 
+// parseLine takes the id from an id line with a number, and ignores all other lines.
 func (e *event) parseLine(line []byte) {
 	value, found := bytes.CutPrefix(line, []byte("id:"))
 	if !found {
--- a/pkg/ingress/exchange.go
+++ b/pkg/ingress/exchange.go
@@ -10,8 +10,8 @@
 	"quaydock/pkg/schedule"
 )
 
-// exchange sends the request to the target of an assignment and relays the answer. If the target is silent for too long,
-// another one may take over.
+// exchange sends the request to the target of an assignment and relays the answer. If the target is silent for too
+// long, another one may take over.
 func (d *delivery) exchange(ctx context.Context, q *request, out *answerWriter, assignment schedule.Assignment) attempt {
 	q.placedAt = d.Clock.Now()
 	ctx, span := d.Tracer.Start(ctx, "entry.exchange")
@@ -40,8 +40,8 @@
 	return w.awaitReplacement(wrapGivenUp(w.exchangeCtx, result))
 }
 
-// send sends the request to the target of an assignment. It returns the answer once its head has arrived, or else how the
-// exchange ended; the assignment has been returned in that case.
+// send sends the request to the target of an assignment. It returns the answer once its head has arrived, or else how
+// the exchange ended; in that case it has called Done on the assignment.
 func (d *delivery) send(ctx context.Context, q *request, assignment schedule.Assignment) (*forward.Answer, attempt) {
 	target := assignment.Target()
 	call := TargetCall{Target: target.ID, Account: q.accountName(), Remaining: q.deadline - d.Clock.Now(), LastEvent: q.resumeAfter()}
@@ -80,8 +80,8 @@
 	}
 }
 
-// failureOutcome returns Failed for a failure of the target, and Abandoned if the request's time is over or the exchange
-// was a second run that is not needed.
+// failureOutcome returns Failed for a failure of the target, also if this entry gave it up as silent, and Abandoned if
+// the request's time is over or the exchange was a second run that is not needed. The context is that of the exchange.
 func failureOutcome(ctx context.Context) planner.Outcome {
 	if ctx.Err() != nil && !errors.Is(context.Cause(ctx), errRedispatched) {
 		return planner.Abandoned
@@ -89,7 +89,8 @@
 	return planner.Failed
 }
 
-// unreachedOutcome returns Unreached for a target that could not be reached, and Abandoned if the attempt was cancelled.
+// unreachedOutcome returns Unreached for a target that could not be reached, and Abandoned if the attempt was
+// cancelled.
 func unreachedOutcome(ctx context.Context) planner.Outcome {
 	if ctx.Err() != nil {
 		return planner.Abandoned
--- a/pkg/ingress/header_codec.go
+++ b/pkg/ingress/header_codec.go
@@ -18,12 +18,12 @@
 	// Prompt and MaxOutput are the prompt's size and the output limit of a generation; 0 if they are not declared.
 	Prompt    ids.Tokens
 	MaxOutput ids.Tokens
-	// OutputEstimate is the caller's estimate of the output's length.
+	// OutputEstimate is the caller's estimate of the output's length; 0 if it is not declared.
 	OutputEstimate ids.Tokens
 	// PromptParts are the parts of the prompt in order. A target that has all parts up to one in its cache need not
 	// process those again.
 	PromptParts []PromptPart
-	// LastEvent is the id of the last event of a stream that the caller has.
+	// LastEvent is the id of the last event of a stream that the caller has; empty if it has none.
 	LastEvent string
 }
 
@@ -36,16 +36,16 @@
 // TargetCall is what this entry sets in the headers that a target gets.
 type TargetCall struct {
 	Target    ids.Target
-	Account   ids.Account // empty on routes without keys
-	Remaining clock.Millis
-	LastEvent string
+	Account   ids.Account  // empty on routes without keys
+	Remaining clock.Millis // time until the request's deadline
+	LastEvent string       // id of the event after which a stream is to go on; empty at its beginning
 }
 
 // HeaderCodec reads and writes the headers that callers and targets use.
 type HeaderCodec interface {
 	// Describe reads a caller's request.
 	Describe(h http.Header) Call
-	// TargetHeaders returns the headers that a target gets.
+	// TargetHeaders returns the headers that a target gets, given those of the caller's request.
 	TargetHeaders(h http.Header, to TargetCall) http.Header
 	// AnswerMetadata reads the head of a target's answer.
 	AnswerMetadata(h http.Header) forward.AnswerMetadata
--- a/pkg/ingress/quarantined.go
+++ b/pkg/ingress/quarantined.go
@@ -15,8 +15,8 @@
 )
 
 // enter takes a permit of the quarantine and an assignment. A permit costs nothing while no target has ended under a
-// request of the account, and a permit that was not used yet stays valid. The permit is taken first: what acquire checks
-// must still hold when the request is sent, and the request may have to wait for an exclusive run.
+// request of the account, and a permit that was not used yet stays valid. The permit is taken first: what acquire
+// checks must still hold when the request is sent, and the request may have to wait for an exclusive run.
 func (d *delivery) enter(ctx context.Context, q *request, permit *quarantine.Permit) (schedule.Assignment, *quarantine.Permit, *Refusal) {
 	for {
 		var refusal *Refusal
@@ -96,9 +96,9 @@
 // brokenRun is a run that its target broke off.
 type brokenRun struct {
 	quarantine.Run
-	id     string
+	id     string // of the request
 	target *routing.Target
-	began  clock.Millis
+	began  clock.Millis // when the request was sent to the target
 }
 
 // possibleEnd returns the run that a target broke off, nil if the break is no evidence against the request.
--- a/pkg/ingress/refusal.go
+++ b/pkg/ingress/refusal.go
@@ -14,22 +14,22 @@
 
 // Causes of refusals.
 const (
-	CauseNone Cause = iota
-	CauseStarting
-	CauseNoRoute
+	CauseNone     Cause = iota // a search is not needed any more; no caller gets it
+	CauseStarting              // this entry has no configuration yet
+	CauseNoRoute               // there is no route, or the request may not be sent any more by the route in force
 	CauseUnknownKey
-	CauseStaleKeys
+	CauseStaleKeys // the configuration was not confirmed recently enough to use its keys
 	CauseTooLarge
-	CauseBadBody
-	CauseOverQuota
-	CauseUnlisted // this entry has no share of the allowances: the list of entries was not read
-	CauseOverloaded
+	CauseBadBody    // the body could not be read
+	CauseOverQuota  // the account's allowance is spent
+	CauseUnlisted   // this entry has no share of the allowances: the list of entries was not read
+	CauseOverloaded // the scheduler refused the request because of those ahead of it
 	CauseNoTarget
-	CauseDeclined
+	CauseDeclined // the last target that was tried surely did not run it
 	CauseDeadline
-	CauseLost
-	CauseLeft
-	CauseLeaving
+	CauseLost     // a target may have run it, and there is no complete answer
+	CauseLeft     // its caller left
+	CauseLeaving  // this entry drains, or its process ends
 	CauseCrowded  // callers' connections are at their limit
 	CauseHeldBack // targets have ended while they ran the request
 	CauseNoTurn   // it is a suspected request, and got no exclusive run in time
@@ -38,13 +38,14 @@
 
 // Refusal is an answer that the entry gives itself, instead of a target's.
 type Refusal struct {
-	Status int
+	Status int // 0 if nothing is sent: the caller has left, or a search ends
 	Cause  Cause
 	// RetryAfter is when the caller should come back; 0 sends no such header.
 	RetryAfter clock.Millis
-	Err        error
+	Err        error // for the log; may be nil
 }
 
+// refuse returns a refusal without a time to come back.
 func refuse(status int, cause Cause) *Refusal {
 	return &Refusal{Status: status, Cause: cause}
 }
@@ -54,6 +55,7 @@
 	return &Refusal{Status: http.StatusServiceUnavailable, Cause: cause, RetryAfter: retryAfter}
 }
 
+// write sends the refusal, with the name of its cause as the body and the Retry-After in seconds to the millisecond.
 func (r *Refusal) write(w http.ResponseWriter) {
 	h := w.Header()
 	if r.RetryAfter > 0 {
--- a/pkg/ingress/reject.go
+++ b/pkg/ingress/reject.go
@@ -53,7 +53,7 @@
 // tierCounts counts requests by tier.
 type tierCounts struct {
 	mu     sync.Mutex
-	counts map[ids.TierRank]int
+	counts map[ids.TierRank]int // without tiers that have none
 }
 
 func newTierCounts() *tierCounts { return &tierCounts{counts: make(map[ids.TierRank]int)} }
--- a/pkg/ingress/relay.go
+++ b/pkg/ingress/relay.go
@@ -27,7 +27,7 @@
 	return r.LastEvent
 }
 
-// relay relays a target's answer to the caller.
+// relay relays a target's answer to the caller, closes it, and calls Done on the assignment.
 func (d *delivery) relay(w *watch, q *request, out *answerWriter, assignment schedule.Assignment, a *forward.Answer) attempt {
 	defer a.Close()
 	if isEncoded(a) {
@@ -103,7 +103,7 @@
 	return completed{}
 }
 
-// load converts a target's report of its load to the planner's type.
+// load converts a target's report of its load to the planner's type; nil if the target gave none.
 func load(a *forward.Answer) *planner.Load {
 	if a.Load == nil {
 		return nil
@@ -181,7 +181,7 @@
 	}
 }
 
-// relayEvent relays one event, unless the caller has it already.
+// relayEvent relays one event, unless the caller has it already: one whose id is not above that of the last event.
 func (d *delivery) relayEvent(q *request, out *answerWriter, e event, flush bool) error {
 	if e.hasID && q.hasEvent && e.id <= q.lastEvent {
 		return nil
--- a/pkg/ingress/request.go
+++ b/pkg/ingress/request.go
@@ -9,28 +9,29 @@
 	"quaydock/pkg/routing"
 )
 
-// request is an admitted request.
+// request is a caller's request, with what this entry has found out and decided about it. It has no lock: searches work
+// on copies.
 type request struct {
 	Call
 	http          *http.Request
-	body          []byte
-	route         *routing.Route
+	body          []byte           // complete; nil if there is none
+	route         *routing.Route   // nil if none was found
 	account       *routing.Account // nil on routes without keys
-	service       ids.Service
+	service       ids.Service      // of the route's split, by splitDraw
 	arrived       clock.Millis
-	sinceFirstTry clock.Millis // time from the caller's first try to this arrival
-	deadline      clock.Millis
+	sinceFirstTry clock.Millis // time from the caller's first try to this arrival; 0 for a first try, or if not known
+	deadline      clock.Millis // point in time: arrived plus the shorter of the route's timeout and the caller's
 	chargedAt     clock.Millis // when it was charged to its account's allowance
 	splitDraw     float64      // random number that picks the service of a split route, the same at each look-up
 
-	sent     int // exchanges that may have run at a target
-	declines int // exchanges that surely did not
-	sends    int // all exchanges that reached a target
-	withheld int // assignments that were not used, by their targets' own reports
-	tried    []ids.TargetIncarnation
+	sent     int                     // exchanges that may have run at a target
+	declines int                     // exchanges that surely did not
+	sends    int                     // all exchanges that reached a target
+	withheld int                     // assignments that were not used, by their targets' own reports
+	tried    []ids.TargetIncarnation // excluded from further assignments: it was sent to them, or withheld too often
 	// heldFailure is a failure that a target answered; the caller gets it if no other target does better.
 	heldFailure *targetFailure
-	lastEvent   int64
+	lastEvent   int64 // id of the last event that was relayed to the caller, if hasEvent
 	hasEvent    bool
 
 	trail []trailEntry
@@ -42,16 +43,16 @@
 	endedTargets []ids.Target
 
 	placedAt     clock.Millis // when it was last sent to a target
-	firstAt      clock.Millis // when its answer, or the first event, arrived
-	eventAt      clock.Millis // when the last event, or part of an answer, arrived
-	longestPause clock.Millis // the longest pause between two events
+	firstAt      clock.Millis // when its answer, or the first event, arrived; 0 before
+	eventAt      clock.Millis // when the last event, or part of an answer, arrived; 0 before
+	longestPause clock.Millis // the longest pause between two events that arrived
 }
 
 // Callers give up a stream that is silent for the longest of these, also before its first event.
 const (
 	minPatience        = 2 * clock.Second
-	patienceObjectives = 4
-	patienceGaps       = 8
+	patienceObjectives = 4 // times the route's objective
+	patienceGaps       = 8 // times the route's event gap
 )
 
 // patience is how long a caller waits for the next event, 0 if until the deadline.
@@ -75,6 +76,7 @@
 // tierStep is the number of route tiers within one account tier: the account's tier takes precedence over the route's.
 const tierStep = 16
 
+// tier combines the tiers of the account and the route into one rank; 0 is the highest. The route must be known.
 func (r *request) tier() ids.TierRank {
 	tier := min(r.route.Tier, tierStep-1)
 	if r.account != nil {
@@ -96,6 +98,7 @@
 	return r.sinceFirstTry > 0
 }
 
+// accountName returns the name of the request's account, empty if it has none.
 func (r *request) accountName() ids.Account {
 	if r.account == nil {
 		return ""
@@ -103,7 +106,8 @@
 	return r.account.Name
 }
 
-// estimateEvents estimates the number of events of a request's answer.
+// estimateEvents estimates the number of events of a request's answer, from the caller's estimate of its output or else
+// the limit on it. It returns 0 if the answer is not a stream.
 func (a *admission) estimateEvents(q *request) int {
 	if q.route.Kind != routing.Stream {
 		return 0
@@ -119,8 +123,8 @@
 	return int(tokens)/perEvent + 1
 }
 
-// recordWithheld records that an assignment to a target was not used, by the target's own report. It excludes the target
-// after maxWithheld of them.
+// recordWithheld records that an assignment to a target was not used, by the target's own report. It excludes the
+// target after maxWithheld of them.
 func (r *request) recordWithheld(incarnation ids.TargetIncarnation) {
 	if r.withheld++; r.withheld > maxWithheld {
 		r.tried = append(r.tried, incarnation)
--- a/pkg/ingress/search.go
+++ b/pkg/ingress/search.go
@@ -23,6 +23,7 @@
 // run it for more than 0.4 s; the difference is for the cancellation to reach the target.
 const maxOverlap = 350 * clock.Millisecond
 
+// Causes with which a search, or the exchange that it makes, is canceled.
 var (
 	errNotNeeded = errors.New("first target has responded")
 	errTooSlow   = errors.New("no first response within the time for two concurrent runs")
@@ -59,12 +60,12 @@
 	beganAt  clock.Millis
 	silence  clock.Millis // of the first target when the search began
 	ctx      context.Context
-	cancel   context.CancelCauseFunc
-	finished chan struct{}
+	cancel   context.CancelCauseFunc // with errNotNeeded once the search is not needed
+	finished chan struct{}           // closed when run returns
 	// firstGone says that the first target has failed, has ended, or can't be reached. maxOverlap then no longer applies
 	// to the other target.
 	firstGone atomic.Bool
-	end       SearchEnd
+	end       SearchEnd // used by run alone
 
 	// takeover is the answer of the target that has taken over, and relayed says that it is being relayed. Both are read
 	// only after finished is closed.
@@ -126,14 +127,15 @@
 	s.cancel(nil)
 }
 
-// mayTry reports whether the request may be sent to one more target, and takes a retry from the budget for it. A suspected
-// request runs at one target at a time.
+// mayTry reports whether the request may be sent to one more target, and takes a retry from the budget for it. A
+// suspected request runs at one target at a time.
 func (s *search) mayTry() bool {
 	d := s.delivery
 	return s.q.sent < s.q.route.Attempts && !d.guard.HasRecord(s.q.accountName()) && d.takeRetry(s.q)
 }
 
-// tryOne tries one other target, and reports whether the request has reached it. An unused retry goes back to the budget.
+// tryOne tries one other target, and reports whether the request has reached it. An unused retry goes back to the
+// budget.
 func (s *search) tryOne() bool {
 	d := s.delivery
 	retryAt, service := d.Clock.Now(), s.q.service
@@ -208,8 +210,8 @@
 	return lost{err: errNotNeeded}
 }
 
-// followOwner ends an attempt once the owner of the service reports that its target gives no response, if the first target
-// is gone. While the first target may still respond, maxOverlap is the limit.
+// followOwner ends an attempt once the owner of the service reports that its target gives no response, if the first
+// target is gone. While the first target may still respond, maxOverlap is the limit.
 func (s *search) followOwner(assignment schedule.Assignment, opened <-chan struct{}, end context.CancelCauseFunc) {
 	redispatched := assignment.Redispatched()
 	if redispatched == nil {
@@ -224,8 +226,8 @@
 	}
 }
 
-// read waits for the first response that lets another target take over. A failed answer doesn't count, as the first target
-// may still give a good one.
+// read waits for the first response that lets another target take over. A failed answer doesn't count, as the first
+// target may still give a good one.
 func (s *search) read(t *takeover) attempt {
 	a := t.answer
 	var err error
@@ -249,7 +251,8 @@
 	return lost{err: err}
 }
 
-// overlapLimitReached ends the attempt at the other target after maxOverlap, or the first exchange if that target is gone.
+// overlapLimitReached ends the attempt at the other target after maxOverlap, or the first exchange if that target is
+// gone.
 func (s *search) overlapLimitReached(end context.CancelCauseFunc) {
 	w := s.watch
 	w.mu.Lock()
@@ -263,12 +266,13 @@
 	}
 }
 
-// reprobeAfter is after which time the first target is probed a second time, together with the other one.
+// reprobeAfter is how long the first target has to answer a probe before it is probed again, together with the other
+// one.
 const reprobeAfter = 60 * clock.Millisecond
 
-// probeFirst checks whether the first target can still be reached. A target that refuses connections has ended. A target
-// that doesn't answer counts as gone only if a second probe fails too, as a packet may have been lost, and if the other
-// target answers a probe, as otherwise this entry itself may be disconnected.
+// probeFirst checks whether the first target can still be reached. A target that refuses connections has ended. A
+// target that doesn't answer counts as gone only if a second probe fails too, as a packet may have been lost, and if
+// the other target answers a probe, as otherwise this entry itself may be disconnected.
 func (s *search) probeFirst(other *routing.Target, opened <-chan struct{}) {
 	first := s.probe(s.watch.target)
 	select {
@@ -303,7 +307,7 @@
 	}
 }
 
-// probe tries to connect to a target.
+// probe tries to connect to a target. The channel gets one result, and is buffered, so that the result may go unread.
 func (s *search) probe(t *routing.Target) <-chan forward.Reachability {
 	answer := make(chan forward.Reachability, 1)
 	go func() { answer <- s.delivery.pool.Probe(s.watch.requestCtx, t) }()
--- a/pkg/ingress/server.go
+++ b/pkg/ingress/server.go
@@ -14,7 +14,7 @@
 	"quaydock/pkg/routing"
 )
 
-// Limits that apply until a configuration is known.
+// Limits that apply until a configuration is known. initialHeaderBytes also applies to rejected requests.
 const (
 	initialHeaderTime  = 5 * clock.Second
 	initialIdleTime    = 60 * clock.Second
@@ -25,7 +25,7 @@
 type Handlers struct {
 	// Serve handles requests; Reject handles those on connections beyond the callers' limit.
 	Serve, Reject http.Handler
-	// Context is the parent of all requests' contexts.
+	// Context is the parent of all requests' contexts; nil stands for context.Background().
 	Context context.Context
 }
 
@@ -44,15 +44,15 @@
 	handlers Handlers
 	conns    *callerConns
 	log      *serverLog
-	accepted chan net.Conn
+	accepted chan net.Conn // connections within the limit, for the http.Server with the present limits
 	rejected chan net.Conn // connections beyond the limit
-	closed   chan struct{}
+	closed   chan struct{} // closed by Shutdown
 
-	mu       sync.Mutex
+	mu       sync.Mutex // guards the fields below
 	listener net.Listener
-	limits   routing.Limits
-	current  *queueListener
-	servers  []*http.Server
+	limits   routing.Limits // those of SetLimits, with BodyBytes 0
+	current  *queueListener // feeds the http.Server with the present limits
+	servers  []*http.Server // all that were started: those with earlier limits still serve their connections
 }
 
 // NewServer returns a server that does not accept connections yet.
@@ -93,7 +93,8 @@
 // acceptRetryDelay is the delay after an accept that failed, for example for lack of descriptors.
 const acceptRetryDelay = 10 * clock.Millisecond
 
-// handleConn hands a new connection to the http.Server that serves or rejects it.
+// handleConn hands a new connection to the http.Server that serves or rejects it. It blocks while the limit of rejected
+// connections is reached too, so that further callers wait in the listener's backlog.
 func (s *Server) handleConn(c net.Conn) {
 	step := s.conns.admit(c)
 	for step == descriptors.StepWait {
@@ -142,7 +143,7 @@
 	}()
 }
 
-// SetLimits changes the limits of future connections.
+// SetLimits changes the limits of future connections, which go to a new http.Server; the previous one takes no more.
 func (s *Server) SetLimits(l routing.Limits) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,7 +164,8 @@
 	s.run(server, s.current)
 }
 
-// Shutdown stops accepting connections, closes idle ones, and waits for the requests in progress.
+// Shutdown stops accepting connections, closes idle ones, and waits for the requests in progress. It may be called only
+// once.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.mu.Lock()
 	servers := s.servers
@@ -187,11 +189,13 @@
 // queueListener is the net.Listener of one http.Server, fed with accepted connections.
 type queueListener struct {
 	server  *Server
-	from    <-chan net.Conn
-	stopped chan struct{}
+	from    <-chan net.Conn // the server's accepted or rejected
+	stopped chan struct{}   // closed by stop
 	once    sync.Once
 }
 
+// Accept returns the next connection. Once stopped it returns net.ErrClosed even if a connection is ready: its
+// successor takes that one.
 func (l *queueListener) Accept() (net.Conn, error) {
 	select {
 	case <-l.stopped:
@@ -214,6 +218,7 @@
 	return nil
 }
 
+// stop ends Accept with net.ErrClosed. It may be called more than once.
 func (l *queueListener) stop() {
 	l.once.Do(func() { close(l.stopped) })
 }
--- a/pkg/ingress/target_failure.go
+++ b/pkg/ingress/target_failure.go
@@ -22,7 +22,7 @@
 }
 
 // writeHeldFailure passes on a target's kept failure answer if no other target has answered: a target's answer is
-// preferred to a refusal by this entry. It reports whether it did.
+// preferred to a refusal by this entry. It reports whether it did, and false if writing failed.
 func (d *delivery) writeHeldFailure(ctx context.Context, q *request, out *answerWriter, refusal *Refusal) bool {
 	if q.heldFailure == nil || out.started || refusal.Cause == CauseLeft || callerHasLeft(ctx) {
 		return false
--- a/pkg/ingress/trail.go
+++ b/pkg/ingress/trail.go
@@ -7,11 +7,11 @@
 	"quaydock/pkg/ids"
 )
 
-// trailEntry is one decision about a request.
+// trailEntry is one decision about a request, or one event in its course.
 type trailEntry struct {
 	at     clock.Millis
-	what   string
-	target ids.Target
+	what   string     // ends so that the target's id may follow
+	target ids.Target // empty if none is concerned
 }
 
 // addToTrail adds a decision to a request's trail, which is logged if the request fails or is answered late.
@@ -19,7 +19,7 @@
 	r.trail = append(r.trail, trailEntry{at: now, what: what, target: target})
 }
 
-// triedTargets returns the ids of the targets that a request was sent to.
+// triedTargets returns the ids of the targets in tried.
 func (r *request) triedTargets() []ids.Target {
 	list := make([]ids.Target, 0, len(r.tried))
 	for _, incarnation := range r.tried {
--- a/pkg/ingress/watch.go
+++ b/pkg/ingress/watch.go
@@ -16,7 +16,8 @@
 
 const (
 	// minStallTime and stallEventGaps give the silence in the middle of a stream after which another target is
-	// searched for. The answer is late by then, but can still be complete before the caller gives up.
+	// searched for: the longer of minStallTime and stallEventGaps times the route's event gap. The answer is late by
+	// then, but can still be complete before the caller gives up.
 	minStallTime   = clock.Second
 	stallEventGaps = 2
 )
@@ -24,6 +25,7 @@
 // errRedispatched ends an exchange whose target is given up for another one.
 var errRedispatched = errors.New("re-dispatched: another target takes over from a silent one")
 
+// stallTime returns the silence in the middle of a stream after which another target is searched for.
 func stallTime(q *request) clock.Millis {
 	return max(minStallTime, stallEventGaps*q.route.EventGap)
 }
@@ -51,24 +53,25 @@
 	// movable is false if the request may not be sent to another target. Of the fields below only exchangeCtx and
 	// endExchange are used then.
 	movable     bool
-	requestCtx  context.Context
+	requestCtx  context.Context // of the whole request, over all its exchanges
 	exchangeCtx context.Context
-	endExchange context.CancelCauseFunc
-	closed      chan struct{}
+	endExchange context.CancelCauseFunc // cancels exchangeCtx
+	closed      chan struct{}           // closed by close
 
-	mu    sync.Mutex
+	mu    sync.Mutex // guards the fields below
 	state watchState
 	// began is the request as searches see it, with the present exchange counted.
 	began       request
-	lastEvent   int64
+	lastEvent   int64 // id of the last event from this target, if hasEvent
 	hasEvent    bool
 	silentSince clock.Millis // when the target last sent an event, or got the request
-	timer       *time.Timer
-	search      *search // the newest one, nil before the first
-	usage       searchUsage
+	timer       *time.Timer  // starts the next search; nil until first armed
+	search      *search      // the newest one, nil before the first
+	usage       searchUsage  // of searches that failed or took over, since the last settle
 }
 
-// searchUsage is what searches have used of the request's limits.
+// searchUsage is what searches have used of the request's limits. Its fields are added to those of the same names of
+// the request.
 type searchUsage struct {
 	sends, sent, declines int
 	tried                 []ids.TargetIncarnation
@@ -98,6 +101,7 @@
 	return d.newWatch(ctx, t.ctx, t.endExchange, q, t.assignment)
 }
 
+// newWatch returns a watch of a movable request, which counts the exchange as one that may have run.
 func (d *delivery) newWatch(requestCtx, exchangeCtx context.Context, end context.CancelCauseFunc, q *request, assignment schedule.Assignment) *watch {
 	w := &watch{
 		delivery: d, target: assignment.Target(), movable: true, requestCtx: requestCtx, exchangeCtx: exchangeCtx, endExchange: end,
@@ -118,8 +122,9 @@
 	}
 }
 
-// recordEvent records an event of a stream, which ends a search under way. It reports false if the target has been given
-// up. The target's silence doesn't count until restartTimer is called, as the caller may be slow to read the event.
+// recordEvent records an event of a stream, which ends a search under way. It reports false if the target has been
+// given up. The target's silence doesn't count until restartTimer is called, as the caller may be slow to read the
+// event.
 func (w *watch) recordEvent(e event) bool {
 	if !w.movable {
 		return true
@@ -199,8 +204,8 @@
 	}
 }
 
-// replaceTarget gives the target up for another one that has responded. It reports false if the first target has responded
-// just before.
+// replaceTarget gives the target up for another one that has responded. It reports false if the first target has
+// responded just before.
 func (w *watch) replaceTarget(s *search, t *takeover) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -284,8 +289,8 @@
 	return "broken off"
 }
 
-// answerComplete ends the watch when a complete answer has arrived, and counts what searches have used. It reports false
-// if the target has been given up.
+// answerComplete ends the watch when a complete answer has arrived, and counts what searches have used. It reports
+// false if the target has been given up.
 func (w *watch) answerComplete(q *request) bool {
 	if !w.movable {
 		return true
@@ -302,7 +307,8 @@
 	return true
 }
 
-// close ends the watch and its exchange, and counts what searches have used.
+// close ends the watch and its exchange, and counts what searches have used. It must be called once, by the goroutine
+// that serves the request.
 func (w *watch) close(q *request) {
 	defer w.endExchange(nil)
 	if !w.movable {
@@ -313,7 +319,7 @@
 		s.cancel(errNotNeeded)
 		<-s.finished
 		if s.drop() {
-			w.usage.sent++
+			w.usage.sent++ // the target that had taken over may have run it
 		}
 	}
 	w.settle(q)
