--- a/pkg/clock/boot_time.go
+++ b/pkg/clock/boot_time.go
@@ -30,6 +30,7 @@
 	lastCheck atomic.Int64  // time of the last check by the monotonic clock, in ns
 }
 
+// newBootTime returns a bootTime that counts suspensions from now on.
 func newBootTime(read func() (time.Duration, error)) *bootTime {
 	b := &bootTime{read: read}
 	if ahead, err := read(); err == nil {
@@ -38,6 +39,8 @@
 	return b
 }
 
+// since returns the time suspended since the clock was created. It checks the boot-time clock only after a step of the
+// time of day, or once in checkInterval. It has no lock: two callers may check at once.
 func (b *bootTime) since(wall, monotonic time.Duration) time.Duration {
 	gap := wall - monotonic
 	if (gap-time.Duration(b.lastGap.Load())).Abs() > stepThreshold || monotonic-time.Duration(b.lastCheck.Load()) > checkInterval {
@@ -48,7 +51,8 @@
 	return time.Duration(b.total.Load())
 }
 
-// check reads the clocks. On a system without a boot-time clock no suspension is counted.
+// check reads the clocks and raises total, which is never lowered. On a system without a boot-time clock no suspension
+// is counted.
 func (b *bootTime) check() {
 	ahead, err := b.read()
 	if err != nil {
@@ -75,7 +79,7 @@
 }
 
 // Suspension simulates the suspensions of a VM in tests.
-type Suspension struct{ total atomic.Int64 }
+type Suspension struct{ total atomic.Int64 } // in ns
 
 // NewSuspendable returns a clock for tests, and the Suspension that moves it ahead of the monotonic clock.
 func NewSuspendable() (Clock, *Suspension) {
--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -30,7 +30,7 @@
 // connection deadlines follow the monotonic clock and so end late after a suspension: what depends
 // on them must be decided by this clock. Under testing/synctest it runs in virtual time.
 type Clock struct {
-	start     time.Time
+	start     time.Time // when the clock was created, by both the time of day and the monotonic clock
 	suspended suspensionMeter
 }
 
--- a/pkg/clock/stalls.go
+++ b/pkg/clock/stalls.go
@@ -13,7 +13,7 @@
 	past []span // oldest first
 }
 
-// span is a time during which the process was stalled.
+// span is a time during which the process was stalled: from when the timer was due until it fired.
 type span struct{ from, to Millis }
 
 const (
--- a/pkg/descriptors/limiter.go
+++ b/pkg/descriptors/limiter.go
@@ -5,7 +5,8 @@
 
 import "quaydock/pkg/clock"
 
-// Limits is how the descriptors of a process are divided.
+// Limits is how the descriptors of a process are divided. Those that it does not name are for connections to targets,
+// and reserved.
 type Limits struct {
 	// Callers is how many connections callers may hold.
 	Callers int
@@ -81,9 +82,9 @@
 // Limiter counts callers' connections against their limit. It is not safe for concurrent use.
 type Limiter struct {
 	limits    Limits
-	taken     int
-	rejecting int
-	shortage  *Shortage
+	taken     int       // connections that callers hold
+	rejecting int       // connections that are being rejected
+	shortage  *Shortage // nil unless one goes on
 }
 
 // NewLimiter returns a limiter without connections.
@@ -92,7 +93,8 @@
 }
 
 // Arrive decides on a new connection, and counts it. The parameter idle says whether an idle connection
-// can be closed in its place. It reports whether a shortage begins with it.
+// can be closed in its place. It reports whether a shortage begins with it. After StepWait the connection
+// is not counted, and Arrive must be called again for it.
 func (l *Limiter) Arrive(now clock.Millis, idle bool) (step Step, begins bool) {
 	switch {
 	case !l.AtLimit():
@@ -121,7 +123,8 @@
 	return begins
 }
 
-// Ended records that an accepted connection has ended.
+// Ended records that an accepted connection has ended. It must not be called for one that was replaced,
+// as the new connection has taken its place in the count.
 func (l *Limiter) Ended() { l.taken-- }
 
 // RejectionEnded records that a rejected connection has ended.
--- a/pkg/descriptors/limiter_test.go
+++ b/pkg/descriptors/limiter_test.go
@@ -7,7 +7,7 @@
 	"quaydock/pkg/descriptors"
 )
 
-func TestDivide(t *testing.T) {
+func TestLimitsFor(t *testing.T) {
 	scenarios := []struct {
 		limit int
 		want  descriptors.Limits
--- a/pkg/fields/object.go
+++ b/pkg/fields/object.go
@@ -17,8 +17,8 @@
 // Object is a JSON object. Its methods return zero for an invalid field, and Err then returns the error
 // of the first such field.
 type Object struct {
-	values map[string]json.RawMessage
-	err    error
+	values map[string]json.RawMessage // by field name, undecoded
+	err    error                      // of the first invalid field
 }
 
 // Errors of objects and fields.
@@ -38,7 +38,8 @@
 // fields.
 const typicalFields = 16
 
-// Parse reads the fields of a JSON object.
+// Parse reads the fields of a JSON object, and decodes none of them. It returns an error if the document is not one
+// object in UTF-8, or if two of its fields have the same name.
 func Parse(document []byte) (*Object, error) {
 	switch {
 	case len(document) == 0:
@@ -95,7 +96,7 @@
 	}
 }
 
-// raw returns a field's value, or records that it is missing.
+// raw returns a field's undecoded value, or records that it is missing and returns false.
 func (o *Object) raw(name string) (json.RawMessage, bool) {
 	value, has := o.values[name]
 	if !has {
@@ -104,7 +105,8 @@
 	return value, has
 }
 
-// Into decodes a field into a value, as encoding/json does.
+// Into decodes a field into a value, as encoding/json does. Missing fields and null are invalid, and leave the value as
+// it is.
 func (o *Object) Into(name string, into any) {
 	value, has := o.raw(name)
 	if has && (string(value) == "null" || json.Unmarshal(value, into) != nil) {
--- a/pkg/openai/body.go
+++ b/pkg/openai/body.go
@@ -21,7 +21,7 @@
 type Call struct {
 	Model  ids.Service
 	Stream bool
-	// Prefill estimates the prompt, Decode the answer, in tokens.
+	// Prefill estimates the prompt from its bytes, Decode the answer from the caller's limit on it, in tokens.
 	Prefill ids.Tokens
 	Decode  ids.Tokens
 	// Prefix is the chain of fingerprints of the prompt's blocks.
@@ -43,10 +43,11 @@
 	bytesPerToken = 4
 	// defaultDecode is the estimate for a call that does not limit its answer.
 	defaultDecode = 256
-	maxDecode     = 1 << 20
+	// maxDecode bounds the estimate if the call's own limit is higher.
+	maxDecode = 1 << 20
 )
 
-// ReadChat reads the body of a chat completion.
+// ReadChat reads the body of a chat completion. A body that it can't read gives a refusal, and an empty Call.
 func ReadChat(document []byte) (Call, *refusal.Refusal) {
 	b, bad := read(document)
 	if bad != nil {
@@ -58,7 +59,7 @@
 	return b.call(b.Messages)
 }
 
-// ReadCompletion reads the body of a completion.
+// ReadCompletion reads the body of a completion. A body that it can't read gives a refusal, and an empty Call.
 func ReadCompletion(document []byte) (Call, *refusal.Refusal) {
 	b, bad := read(document)
 	if bad != nil {
@@ -70,6 +71,7 @@
 	return b.call(b.Prompt)
 }
 
+// read decodes the fields that all calls have, and refuses a body without a model.
 func read(document []byte) (*body, *refusal.Refusal) {
 	var b body
 	if err := json.Unmarshal(document, &b); err != nil {
@@ -81,10 +83,14 @@
 	return &b, nil
 }
 
+// startsWith reports whether a JSON value is of the kind that begins with the given byte. Decoding has removed white
+// space before it.
 func startsWith(value json.RawMessage, first byte) bool {
 	return len(value) > 0 && value[0] == first
 }
 
+// call returns what routing needs, given the undecoded JSON of the prompt. Of the two limits on the answer
+// max_completion_tokens takes precedence; one below 1 is refused.
 func (b *body) call(prompt []byte) (Call, *refusal.Refusal) {
 	decode := int64(defaultDecode)
 	for _, limit := range []*int64{b.MaxTokens, b.MaxCompletionTokens} {
--- a/pkg/openai/models.go
+++ b/pkg/openai/models.go
@@ -16,7 +16,7 @@
 	OwnedBy string      `json:"owned_by"`
 }
 
-// NewModelList lists models in the order given.
+// NewModelList lists models in the order given. Their Created is 0.
 func NewModelList(names []ids.Service) ModelList {
 	list := ModelList{Object: "list", Data: []Model{}}
 	for _, n := range names {
--- a/pkg/refusal/codes.go
+++ b/pkg/refusal/codes.go
@@ -7,7 +7,7 @@
 	"quaydock/pkg/clock"
 )
 
-// The codes, as listed in docs/CALLERS.md.
+// The codes, as listed in docs/CALLERS.md. The functions below say when each is used.
 const (
 	CodeMalformed      Code = "malformed_request"
 	CodeBodyTooLarge   Code = "body_too_large"
@@ -28,6 +28,7 @@
 	CodeKeyInUse       Code = "idempotency_key_in_use"
 )
 
+// notRun returns a refusal of a request that did not run anywhere.
 func notRun(status int, code Code, message string, args ...any) *Refusal {
 	return &Refusal{Status: status, Code: code, Outcome: NotRun, Message: fmt.Sprintf(message, args...)}
 }
@@ -142,6 +143,7 @@
 	return unknown(http.StatusBadGateway, CodeOutcomeUnknown, "the target's outcome could not be learned; the request may have run")
 }
 
+// unknown returns a refusal of a request that may have run.
 func unknown(status int, code Code, message string) *Refusal {
 	return &Refusal{Status: status, Code: code, Outcome: OutcomeUnknown, Message: message}
 }
--- a/pkg/refusal/refusal.go
+++ b/pkg/refusal/refusal.go
@@ -50,10 +50,11 @@
 	Error detail `json:"error"`
 }
 
+// detail has the fields of the OpenAI error form, and the outcome besides.
 type detail struct {
 	Message string  `json:"message"`
 	Type    string  `json:"type"`
-	Param   *string `json:"param"`
+	Param   *string `json:"param"` // nil, and then null, if no field is at fault
 	Code    Code    `json:"code"`
 	Outcome Outcome `json:"quaydock_outcome"`
 }
@@ -69,6 +70,7 @@
 	return body
 }
 
+// kind returns the error type of the OpenAI form, which follows from the status.
 func (r *Refusal) kind() string {
 	switch {
 	case r.Status == http.StatusTooManyRequests:
@@ -84,7 +86,7 @@
 	}
 }
 
-// Write sends the refusal as an HTTP response.
+// Write sends the refusal as an HTTP response, with Retry-After rounded up to full seconds.
 func (r *Refusal) Write(w http.ResponseWriter) {
 	body := r.Body()
 	h := w.Header()
--- a/pkg/requestlog/requestlog.go
+++ b/pkg/requestlog/requestlog.go
@@ -18,8 +18,8 @@
 	// Prefix is the text before the JSON, such as the time and process name that a log collector adds.
 	Prefix string
 	Fields map[string]any
-	time   time.Time
-	index  int
+	time   time.Time // zero if the line has none, or one that can't be parsed
+	index  int       // among the lines of one call of Read; orders those of equal time
 }
 
 // Fields that all lines have: the process that wrote the line, and its message.
@@ -29,22 +29,22 @@
 )
 
 const (
-	fieldRequest = "request"
-	fieldTargets = "targets"
-	fieldTarget  = "target"
-	fieldTime    = "time"
+	fieldRequest = "request" // id of the request that the line is about
+	fieldTargets = "targets" // list of the ids of the targets that the request was sent to
+	fieldTarget  = "target"  // id of the one target that the line is about
+	fieldTime    = "time"    // in RFC 3339
 )
 
-// Time returns when the line was written, or the zero time if the line has none.
+// Time returns when the line was written, or the zero time if the line has none that can be parsed.
 func (l *Line) Time() time.Time { return l.time }
 
-// Text returns a field's string value, or "" if there is none.
+// Text returns a field's string value, or "" if there is none or it is no string.
 func (l *Line) Text(field string) string {
 	text, _ := l.Fields[field].(string)
 	return text
 }
 
-// Number returns a field's numeric value and whether there is one.
+// Number returns a field's numeric value and whether there is one; a string of digits is none.
 func (l *Line) Number(field string) (float64, bool) {
 	n, ok := l.Fields[field].(float64)
 	return n, ok
@@ -88,9 +88,9 @@
 // contextWindow is how far, in time, a line may be from a request's own lines to be included as context.
 const contextWindow = 5 * time.Second
 
-// ForRequest returns the log lines of a request and those that may explain its outcome, sorted by time. The
-// latter belong to no request and were written within 5 s of its own lines: by any process about a target that it was sent
-// to, or by one of its own processes without naming a target.
+// ForRequest returns the log lines of a request and those that may explain its outcome, sorted by time. The latter
+// belong to no request and were written within 5 s of its own lines: by any process about a target that it was sent to,
+// or by one of its own processes without naming a target.
 func ForRequest(request string, lines []Line) []Line {
 	var own []Line
 	targets := make(map[string]bool)
@@ -123,6 +123,7 @@
 	return selected
 }
 
+// textList returns the strings in a field that is a list, and nil for any other field.
 func textList(field any) []string {
 	var texts []string
 	values, _ := field.([]any)
@@ -134,6 +135,8 @@
 	return texts
 }
 
+// withinWindow reports whether a line was written within contextWindow, before or after, of one of a request's own
+// lines.
 func withinWindow(l Line, own []Line) bool {
 	for _, o := range own {
 		if l.time.Sub(o.time).Abs() <= contextWindow {
@@ -143,6 +146,8 @@
 	return false
 }
 
+// mayExplain reports whether a line may explain a request's outcome: one that names a target if the request was sent to
+// that target, any other one if its process wrote lines of the request.
 func mayExplain(l Line, targets map[string]bool, processes map[any]bool) bool {
 	if target, ok := l.Fields[fieldTarget].(string); ok {
 		return targets[target]
--- a/pkg/resume/break_streak.go
+++ b/pkg/resume/break_streak.go
@@ -12,9 +12,9 @@
 // source makes progress.
 type BreakStreak struct {
 	maxBreaks int
-	breaks    int
-	began     clock.Millis
-	taken     int64
+	breaks    int          // in the present streak
+	began     clock.Millis // when the latest connection began
+	taken     int64        // bytes of the answer received when the latest connection broke
 }
 
 // NewBreakStreak returns a streak for an answer's first connection; maxBreaks is how many breaks in a row are
