--- a/pkg/ingress/delivery.go
+++ b/pkg/ingress/delivery.go
@@ -52,7 +52,7 @@
 type (
 	// completed: the caller has a complete answer.
 	completed struct{}
-	// withheld: nothing was sent, as the target had asked this entry not to.
+	// withheld: nothing was sent, as the target had asked this entry not to, or its failure domain is drained.
 	withheld struct{}
 	// declined: the target surely did not run the request. The error says why it could not be reached; it is nil if the
 	// target itself declined.
@@ -82,7 +82,8 @@
 func (handedOver) attempt() {}
 func (callerGone) attempt() {}
 
-// run serves a request. It returns nil, or why there is no complete answer.
+// run serves an admitted request, and returns its allowance if it surely did not run. It returns nil if the caller has
+// an answer, or why there is no complete one.
 func (d *delivery) run(ctx context.Context, q *request, out *answerWriter) *Refusal {
 	admitted := q.account
 	d.retries.CountRequest(d.Clock.Now(), q.service)
@@ -181,7 +182,8 @@
 	return assignment, nil
 }
 
-// recheck looks up the route, the key and the limits of a drain again before a request is sent.
+// recheck looks up the route, the key and the limits of a drain again before a request is sent. It puts the route,
+// service and account in force into the request, and returns nil if the request may be sent.
 func (d *delivery) recheck(q *request, assignment schedule.Assignment) *Refusal {
 	account := q.account
 	if refusal := d.admission.resolve(q); refusal != nil {
@@ -213,17 +215,20 @@
 	return !out.started || q.route.Resumable && !d.Ablation.Off(ablation.Resumption)
 }
 
-// mayRepeat reports whether the route in force allows one more target for a request that may have run.
+// mayRepeat reports whether the route in force allows one more target for a request that may have run, once all its
+// exchanges are counted in sent.
 func (d *delivery) mayRepeat(q *request) bool {
 	return q.route.Idempotent() && q.sent < q.route.Attempts
 }
 
-// movable reports whether a request could be sent to one more target after it may have run at the present one.
+// movable reports whether a request could be sent to one more target after it may have run at the present one, which is
+// not counted in sent yet.
 func (d *delivery) movable(q *request) bool {
 	return q.route.Idempotent() && q.sent+1 < q.route.Attempts
 }
 
-// takeRetry reports whether one more exchange is within the limits, and takes it from the retry budget.
+// takeRetry reports whether one more exchange is possible and within the limits, and if so takes it from the retry
+// budget.
 func (d *delivery) takeRetry(q *request) bool {
 	now := d.Clock.Now()
 	if q.sends >= maxSends || q.deadline-now < minRemaining || d.Ablation.Off(ablation.Retries) {
@@ -249,7 +254,8 @@
 	return max(declinedRetryAfter, planner.AfterBackoff(rest, d.Random.Fork().Float64()))
 }
 
-// callerGoneRefusal returns the refusal of a request whose caller can't be written to.
+// callerGoneRefusal returns the refusal of a request whose caller can't be written to: it has left, unless its time is
+// over.
 func (d *delivery) callerGoneRefusal(q *request, err error) *Refusal {
 	if d.callerTimeOver(q) {
 		return &Refusal{Status: http.StatusGatewayTimeout, Cause: CauseDeadline, Err: err}
@@ -272,7 +278,8 @@
 	return q.Deadline > 0 && d.Clock.Now() >= q.arrived+q.Deadline-lead
 }
 
-// finalRefusal returns the refusal that the caller gets, given how far the request got.
+// finalRefusal returns the refusal that the caller gets, given how far the request got. A request that may have run is
+// not refused as one that has not.
 func (d *delivery) finalRefusal(ctx context.Context, q *request, refusal *Refusal) *Refusal {
 	ended := ctx.Err() != nil
 	switch {
--- a/pkg/ingress/first_tries.go
+++ b/pkg/ingress/first_tries.go
@@ -31,7 +31,7 @@
 	// minCommonFraction is the minimum fraction of a route's requests with the longest deadline for that to count as the
 	// deadline of all first tries. Where callers differ, a shorter deadline says nothing.
 	minCommonFraction = 0.25
-	// minSeen is the minimum decayed count of the longest deadline.
+	// minSeen is the minimum decayed count of requests with the longest deadline for the same.
 	minSeen = 3
 	// minWeight is the decayed count below which the longest deadline is dropped, as callers' deadlines have become
 	// shorter. A deadline that was seen once is kept for some 230 requests.
--- a/pkg/ingress/quarantined.go
+++ b/pkg/ingress/quarantined.go
@@ -38,7 +38,8 @@
 	}
 }
 
-// permit returns the permit to run a request, nil if it needs none.
+// permit returns the permit to run a request, nil if it needs none. It keeps a permit that is held already, and may
+// wait for an exclusive run otherwise.
 func (d *delivery) permit(ctx context.Context, q *request, permit *quarantine.Permit) (*quarantine.Permit, *Refusal) {
 	if permit != nil || !d.guard.HasRecord(q.accountName()) {
 		return permit, nil
@@ -51,7 +52,8 @@
 	return permit, nil
 }
 
-// permitted reports whether a request may still run under what permit returned.
+// permitted reports whether a request may still run with the permit that was taken for it, nil if it needed none:
+// targets may have ended under it since.
 func (d *delivery) permitted(q *request, permit *quarantine.Permit) bool {
 	return !d.guard.HasRecord(q.accountName()) || d.guard.Allows(q.quarantineRequest(), permit)
 }
@@ -70,7 +72,8 @@
 	return quarantine.Request{Digest: r.requestDigest(), Account: r.accountName(), Route: ids.Route(r.route.Name)}
 }
 
-// observe reports the outcome of a run to the quarantine, and returns the permit if there was no run.
+// observe reports the outcome of a run to the quarantine, and releases its permit. If there was no run, it returns the
+// permit for the next attempt instead.
 func (d *delivery) observe(ctx context.Context, q *request, target *routing.Target, permit *quarantine.Permit, result attempt) *quarantine.Permit {
 	switch result := result.(type) {
 	case declined, withheld:
--- a/pkg/ingress/reject.go
+++ b/pkg/ingress/reject.go
@@ -58,6 +58,7 @@
 
 func newTierCounts() *tierCounts { return &tierCounts{counts: make(map[ids.TierRank]int)} }
 
+// add adds n, which may be negative, to the count of a tier.
 func (t *tierCounts) add(tier ids.TierRank, n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/ingress/relay.go
+++ b/pkg/ingress/relay.go
@@ -19,7 +19,8 @@
 
 var errEncoded = errors.New("answer has a Content-Encoding that was not requested")
 
-// resumeAfter returns the id of the event after which a stream goes on, empty at its beginning.
+// resumeAfter returns the id of the event after which a stream goes on: the last one relayed, or else the one that the
+// caller named. It is empty at the beginning of the stream.
 func (r *request) resumeAfter() string {
 	if r.hasEvent {
 		return strconv.FormatInt(r.lastEvent, 10)
@@ -54,7 +55,7 @@
 	return r.route.Kind == routing.Stream && a.Status < http.StatusMultipleChoices
 }
 
-// readBuffered reads an answer that is not a stream, up to maxBuffered.
+// readBuffered reads an answer that is not a stream, up to maxBuffered. If it returns as many bytes, there may be more.
 func readBuffered(a *forward.Answer) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(a, maxBuffered))
 	if err != nil {
@@ -137,7 +138,7 @@
 }
 
 // relayStream relays a stream event by event. Only complete events are written, so that a resumable stream can go on at
-// another target after the last one.
+// another target after the last one, and unterminated bytes only at the proper end of the stream.
 func (d *delivery) relayStream(w *watch, q *request, out *answerWriter, assignment schedule.Assignment, a *forward.Answer, events *eventReader) attempt {
 	var flow planner.StreamStats
 	last := q.placedAt
--- a/pkg/ingress/search.go
+++ b/pkg/ingress/search.go
@@ -95,6 +95,7 @@
 	return s
 }
 
+// isDone reports whether run has returned.
 func (s *search) isDone() bool {
 	select {
 	case <-s.finished:
@@ -158,7 +159,7 @@
 	return reached
 }
 
-// countAttempt counts an attempt at a target, and reports whether the request has reached the target.
+// countAttempt counts an attempt at a target that does not take over, and reports whether the request has reached it.
 func (s *search) countAttempt(target *routing.Target, result attempt) bool {
 	switch result := result.(type) {
 	case declined:
@@ -300,7 +301,7 @@
 	}
 }
 
-// recordReach records the result of a probe that the first target answered.
+// recordReach records the result of a probe of the first target, which is gone if it refused the connection.
 func (s *search) recordReach(reach forward.Reachability) {
 	if reach == forward.Refused {
 		s.firstGone.Store(true)
--- a/pkg/ingress/watch.go
+++ b/pkg/ingress/watch.go
@@ -157,7 +157,7 @@
 	w.armTimer()
 }
 
-// armTimer schedules a search after a further silence. The caller holds the lock.
+// armTimer schedules a search after a further silence of stallTime. The caller holds the lock.
 func (w *watch) armTimer() {
 	wait := stallTime(&w.began).Duration()
 	if w.timer == nil {
@@ -167,7 +167,8 @@
 	w.timer.Reset(wait)
 }
 
-// startSearch starts a search for another target, unless one is under way.
+// startSearch starts a search for another target while the watch is running. If the previous search has not ended yet,
+// it is called again after a further silence.
 func (w *watch) startSearch() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -235,7 +236,7 @@
 	u.trail = append(u.trail, s.q.trail...)
 }
 
-// awaitReplacement returns the outcome of a request: the given result of the exchange, or that another target has
+// awaitReplacement returns the outcome of an exchange: the given result of the exchange, or that another target has
 // taken over. If the target has failed or declined during a search, it waits for the search to end.
 func (w *watch) awaitReplacement(result attempt) attempt {
 	s := w.newestSearch()
@@ -262,13 +263,14 @@
 	}
 }
 
+// newestSearch returns the newest search, which may have ended, or nil before the first.
 func (w *watch) newestSearch() *search {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.search
 }
 
-// isSearching reports whether a search is under way.
+// isSearching reports whether a search is under way and still needed.
 func (w *watch) isSearching() bool {
 	s := w.newestSearch()
 	return s != nil && !s.isDone() && s.ctx.Err() == nil
@@ -325,12 +327,12 @@
 	w.settle(q)
 }
 
-// stop prevents further searches, and returns the newest one. If the target has been given up and always is not set, it
-// does nothing and reports false.
-func (w *watch) stop(always bool) (*search, bool) {
+// stop prevents further searches, and returns the newest one, nil if there was none. If the target has been given up
+// and evenIfGivenUp is not set, it does nothing and reports false.
+func (w *watch) stop(evenIfGivenUp bool) (*search, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !always && (w.state == watchGivenUp || w.state == watchReplaced) {
+	if !evenIfGivenUp && (w.state == watchGivenUp || w.state == watchReplaced) {
 		return nil, false
 	}
 	w.state = watchClosed
@@ -340,13 +342,14 @@
 	return w.search, true
 }
 
-// settle adds what searches have used to the request, once. No search is running any more.
+// settle adds what searches have used to the request, once. It needs no lock, as it is called when no search is running
+// and none can start.
 func (w *watch) settle(q *request) {
 	q.addUsage(&w.usage)
 	w.usage = searchUsage{}
 }
 
-// addUsage adds what searches have used.
+// addUsage adds what searches have used, and sorts the trail by time.
 func (r *request) addUsage(u *searchUsage) {
 	r.sends += u.sends
 	r.sent += u.sent
