--- a/pkg/clock/boot_time_test.go
+++ b/pkg/clock/boot_time_test.go
@@ -13,11 +13,11 @@
 	const base = 90 * time.Second // suspended before the process started
 	scenarios := []struct {
 		name       string
-		suspended  time.Duration
+		suspended  time.Duration // how long the VM is suspended
 		step       time.Duration // of the time of day, in addition
 		monotonic  time.Duration // monotonic time from there to the reading
-		want       time.Duration
-		unreadable bool
+		want       time.Duration // suspension that the clock counts
+		unreadable bool          // the boot-time clock can't be read
 	}{
 		{"not suspended", 0, 0, time.Millisecond, 0, false},
 		{"suspended", 3 * time.Second, 0, time.Millisecond, 3 * time.Second, false},
@@ -53,6 +53,8 @@
 	}
 }
 
+// TestClockAgreesWithTimeOfDay guards against a clock that is off from the time of day, as one that counts suspensions
+// from before its creation.
 func TestClockAgreesWithTimeOfDay(t *testing.T) {
 	if _, err := readBootTime(); err != nil {
 		t.Fatal(err)
@@ -63,6 +65,8 @@
 	}
 }
 
+// TestPauseUntilEndsSoonAfterSuspension guards against a wait that lasts for its whole length of monotonic time
+// although the VM was suspended beyond its end.
 func TestPauseUntilEndsSoonAfterSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, s := NewSuspendable()
--- a/pkg/clock/stalls_test.go
+++ b/pkg/clock/stalls_test.go
@@ -22,7 +22,7 @@
 	s.ExpectTimer(400)
 	scenarios := []struct {
 		name            string
-		from, now, want clock.Millis
+		from, now, want clock.Millis // want is how long the process was stalled in between
 	}{
 		{"both stalls", 0, 400, 70},
 		{"after the first stall", 260, 400, 10},
--- a/pkg/descriptors/limiter_test.go
+++ b/pkg/descriptors/limiter_test.go
@@ -7,9 +7,11 @@
 	"quaydock/pkg/descriptors"
 )
 
+// TestLimitsFor guards against callers that get more than half of the descriptors that are left after the reserve, and
+// against none for them where the process has fewer than the reserve.
 func TestLimitsFor(t *testing.T) {
 	scenarios := []struct {
-		limit int
+		limit int // descriptors of the process
 		want  descriptors.Limits
 	}{
 		{64, descriptors.Limits{Callers: 20, Rejecting: 4, Extra: 2}},
@@ -24,11 +26,13 @@
 	}
 }
 
+// TestLimiter guards against callers that hold more connections than their limit, and against a shortage that begins
+// twice.
 func TestLimiter(t *testing.T) {
 	type arrival struct {
-		idle   bool
+		idle   bool // a connection is idle
 		want   descriptors.Step
-		begins bool
+		begins bool // a shortage begins
 	}
 	scenarios := []struct {
 		name     string
@@ -56,6 +60,8 @@
 	}
 }
 
+// TestEndedShortageIsReportedOnce guards against a shortage that ends while callers are at their limit or within a
+// second after, or that is reported again.
 func TestEndedShortageIsReportedOnce(t *testing.T) {
 	b := descriptors.NewLimiter(descriptors.Limits{Callers: 2, Rejecting: 1})
 	for range 2 {
--- a/pkg/fields/object_test.go
+++ b/pkg/fields/object_test.go
@@ -23,8 +23,10 @@
 	// field weight: missing
 }
 
+// TestParse guards against documents, some of them accepted by encoding/json, that are not one object with each field
+// once.
 func TestParse(t *testing.T) {
-	scenarios := []struct{ name, document, want string }{
+	scenarios := []struct{ name, document, want string }{ // want is part of the error, empty if there is none
 		{"empty document", "", "empty"},
 		{"truncated JSON", "{", "not JSON"},
 		{"an array", "[1]", "not a JSON object"},
@@ -46,13 +48,14 @@
 	}
 }
 
+// TestFields guards against values that are out of range, of another type or missing and are taken for valid ones.
 func TestFields(t *testing.T) {
 	const document = `{"text":"s\u00e4\"","long":"sssssssss","line":"a\nb","empty":"","whole":7,"half":7.5,"power":1e2,"huge":99999999999999999999,"null":null,"list":[1],"number":-0.5}`
 	scenarios := []struct {
 		name string
 		read func(o *fields.Object) any
 		want any
-		err  string
+		err  string // part of the error, empty if there is none
 	}{
 		{"a text", func(o *fields.Object) any { return o.Text("text", 5) }, `sä"`, ""},
 		{"a text that is too long", func(o *fields.Object) any { return o.Text("long", 8) }, "", "long: out of range"},
--- a/pkg/ingress/admission_test.go
+++ b/pkg/ingress/admission_test.go
@@ -8,6 +8,8 @@
 	"quaydock/pkg/routing"
 )
 
+// TestLowerTiersReservePartOfAllowance guards against requests of low tiers that use up an account's burst before its
+// higher tiers get any of it, and against cheap requests that reserve as much as large ones.
 func TestLowerTiersReservePartOfAllowance(t *testing.T) {
 	tokens := &routing.Account{CountsTokens: true, PlainTokens: 200}
 	requests := &routing.Account{}
@@ -16,7 +18,7 @@
 		account *routing.Account
 		tier    ids.TierRank
 		units   float64
-		want    float64
+		want    float64 // fraction of the account's burst
 	}{
 		{"highest tier reserves nothing", tokens, 0, 5000, 0},
 		{"next tier reserves half", tokens, 1, 5000, 0.075},
--- a/pkg/ingress/advice_test.go
+++ b/pkg/ingress/advice_test.go
@@ -41,7 +41,7 @@
 		advisor int // the target that has given the advice, from 1
 		placed  int // the number of assignments after which it does, 0 for before the first
 		status  int
-		body    string
+		body    string   // compared if the status is 200
 		arrived []string // the targets at which the request arrives
 	}{
 		{"first try, repeatable", "/safe/a", nil, []scriptedTarget{replies(200, "", "no"), replies(200, "", "yes")}, 1, 0, 200, "yes", []string{"t2"}},
@@ -118,7 +118,7 @@
 		name             string
 		path             string
 		first            scriptedTarget
-		leaving, backoff bool
+		leaving, backoff bool // which parts of the advice count
 	}{
 		{"200", "/unsafe/a", replies(200, both, "yes"), true, false},
 		{"404", "/unsafe/a", replies(404, both, ""), true, false},
@@ -186,7 +186,7 @@
 func TestAdviceOfIncarnationNotReadYet(t *testing.T) {
 	scenarios := []struct {
 		start time.Duration // of the new incarnation, relative to the connection's
-		sent  bool
+		sent  bool          // one more request may be sent at once
 	}{
 		{-4 * time.Second, false}, {-time.Second, false}, {time.Second, false}, {4 * time.Second, true},
 	}
--- a/pkg/ingress/broken_off_test.go
+++ b/pkg/ingress/broken_off_test.go
@@ -25,7 +25,7 @@
 // connection at its deadline, and the entry reads the close a few ms before its own timer. In virtual time the same
 // stream had `Left` or `Deadline` depending on whether the caller's clock started 1 ms before or after the entry's.
 
-// causeOf returns the cause in the log line of the request that was not answered.
+// causeOf returns the cause in the log line of the request that was not answered, "none" if there is no such line.
 func (b *testbed) causeOf() string {
 	synctest.Wait()
 	for _, line := range b.logs.AllEntries() {
@@ -68,6 +68,8 @@
 	}
 }
 
+// TestCauseLeftOnlyBeforeCallersDeadline has callers leave at moments around their deadline, at each stage of an
+// answer.
 func TestCauseLeftOnlyBeforeCallersDeadline(t *testing.T) {
 	const callerTime = 4 * time.Second // until the caller's deadline
 	cases := []struct {
@@ -116,16 +118,15 @@
 	}
 }
 
-// The test of the log line guards against answers that stop in the middle without a trace of who ended them: the
-// request's line had the cause `Lost` and "broken off" in the trail whether the target, its restart or the entry itself
-// had ended the answer, and no metric counted them by that.
-
 // breaksLater is a target that breaks off after 0.7 s without an event.
 func breaksLater(c net.Conn, r *http.Request) bool {
 	time.Sleep(700 * time.Millisecond)
 	return false
 }
 
+// TestBrokenOffAnswerIsLoggedAndCounted guards against answers that stop in the middle without a trace of who ended
+// them: the request's line had the cause `Lost` and "broken off" in the trail whether the target, its restart or the
+// entry itself had ended the answer, and no metric counted them by that.
 func TestBrokenOffAnswerIsLoggedAndCounted(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -168,7 +169,8 @@
 	}
 }
 
-// checkBrokenOff checks the log line and the metric of an answer that was broken off.
+// checkBrokenOff checks the log line and the metric of an answer that was broken off: who ended it, and how many ms
+// after its last event. If by is empty, there must be no such line.
 func (b *testbed) checkBrokenOff(by string, silence int64) {
 	b.t.Helper()
 	lines := 0
--- a/pkg/ingress/caller_conns_test.go
+++ b/pkg/ingress/caller_conns_test.go
@@ -15,7 +15,8 @@
 	"quaydock/pkg/network"
 )
 
-// connLimitTestbed is a server whose callers may hold two connections, and whose handler takes handlerDelay.
+// connLimitTestbed is a server whose callers may hold two connections, with one more being rejected, and whose handler
+// takes handlerDelay.
 type connLimitTestbed struct {
 	server       *ingress.Server
 	network      *network.Memory
@@ -45,6 +46,8 @@
 	return b
 }
 
+// TestLongestIdleConnectionIsReplaced guards against callers that are rejected while others hold idle connections, and
+// against the loss of any but the longest idle one.
 func TestLongestIdleConnectionIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newConnLimitTestbed(t, 0)
@@ -68,6 +71,8 @@
 	})
 }
 
+// TestCallersBeyondConnectionLimitAreRejected has a caller that sends nothing hold the one slot for rejected
+// connections. The next one must still be told to come back, once the first one's second is over.
 func TestCallersBeyondConnectionLimitAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newConnLimitTestbed(t, 3*time.Second)
--- a/pkg/ingress/controller_test.go
+++ b/pkg/ingress/controller_test.go
@@ -15,6 +15,8 @@
 	"quaydock/pkg/ingress"
 )
 
+// TestAnswers guards against the wrong final answer to what targets do: a retry of a request that may run only once, no
+// retry of one that may be repeated, or a broken stream that looks complete.
 func TestAnswers(t *testing.T) {
 	yes := replies(200, "", "yes")
 	failing := replies(500, "", "no")
@@ -67,6 +69,7 @@
 	}
 }
 
+// events returns the events of a stream from the first to the one numbered last.
 func events(last int) []string {
 	var list []string
 	for n := 1; n <= last; n++ {
@@ -75,6 +78,8 @@
 	return list
 }
 
+// TestResumedAnswerKeepsFirstHeaders: a stream goes on at a second target after its third event. The caller keeps the
+// seal of the first target's answer, and the second target is told after which event to go on.
 func TestResumedAnswerKeepsFirstHeaders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestbed(t, fakeMeter{}, streams(4), streams(0))
@@ -88,6 +93,8 @@
 	})
 }
 
+// TestRefusals guards against refusals with the wrong status, without the time to come back that they need, or after
+// the request has reached a target.
 func TestRefusals(t *testing.T) {
 	outdate := func(b *testbed) { time.Sleep(4400 * time.Millisecond) }
 	scenarios := []struct {
@@ -96,7 +103,7 @@
 		header  map[string]string
 		prepare func(b *testbed)
 		status  int
-		retry   bool
+		retry   bool // the answer has a Retry-After
 	}{
 		{"unknown route", "/none/a", nil, nil, 404, false},
 		{"unknown route, outdated configuration", "/none/a", nil, outdate, 503, true},
@@ -160,14 +167,16 @@
 	}
 }
 
+// TestSilentTargetEndsAtDeadline guards against callers who wait beyond the shorter of the route's time-out and their
+// own deadline, and against a target that is told another time.
 func TestSilentTargetEndsAtDeadline(t *testing.T) {
 	scenarios := []struct {
 		name   string
 		path   string
-		wait   string
+		wait   string // the caller's deadline, in ms
 		engine scriptedTarget
 		status int
-		took   time.Duration
+		took   time.Duration // at least, and at most 100 ms more
 	}{
 		{"silent target, up to the route's time-out", "/unsafe/a", "60000", silent, 504, 5 * time.Second},
 		{"silent target, up to the caller's deadline", "/unsafe/a", "1000", silent, 504, time.Second},
@@ -189,6 +198,8 @@
 	}
 }
 
+// TestCallerDisconnectCancelsTargetWork guards against targets that go on with a request whose caller has left, and
+// against a retry for such a caller.
 func TestCallerDisconnectCancelsTargetWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := make(chan time.Time, 1)
@@ -211,6 +222,8 @@
 	})
 }
 
+// TestAssignmentsAreReleasedWithOutcome guards against assignments that keep their slot, or that are released with an
+// outcome that is not the target's.
 func TestAssignmentsAreReleasedWithOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestbed(t, fakeMeter{}, nil, replies(503, "Not-Run: 1\r\n", ""), replies(421, "", ""), replies(200, "", "yes"))
@@ -222,6 +235,9 @@
 	})
 }
 
+// TestRequestIsRedispatchedFromUnresponsiveTarget: the owner of the service reports after 0.3 s that the first target
+// gives no response. A request that may be repeated goes to the second one, any other one stays where it is until its
+// deadline.
 func TestRequestIsRedispatchedFromUnresponsiveTarget(t *testing.T) {
 	stalls := func(c net.Conn, r *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nTransfer-Encoding: chunked\r\n\r\n10\r\nid: 1\ndata: e1\n\n\r\n", r.Header.Get("Id"))
@@ -261,6 +277,7 @@
 	}
 }
 
+// TestReadiness guards against callers who are routed to an entry that drains, or not to one that can serve them.
 func TestReadiness(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestbed(t, fakeMeter{}, replies(200, "", "yes"))
@@ -274,6 +291,8 @@
 	})
 }
 
+// TestSpanForEachHop guards against exchanges and waits for an assignment that are missing in a request's trace, or
+// that are in another trace.
 func TestSpanForEachHop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestbed(t, fakeMeter{}, replies(421, "", ""), replies(200, "", "yes"))
--- a/pkg/ingress/descriptors_test.go
+++ b/pkg/ingress/descriptors_test.go
@@ -44,6 +44,7 @@
 	storeVariable  = "QUAYDOCK_TEST_STORE"
 )
 
+// TestMain runs the entry's process instead of the tests if the environment names a target for it.
 func TestMain(m *testing.M) {
 	if target := os.Getenv(targetVariable); target != "" {
 		os.Exit(runEntryProcess(target, os.Getenv(storeVariable)))
@@ -51,8 +52,8 @@
 	os.Exit(m.Run())
 }
 
-// runEntryProcess is the main function of an entry with few descriptors. It prints its address, connects to a stand-in
-// of the store all the while, and prints how often that failed when its input ends.
+// runEntryProcess is the main function of an entry with few descriptors, and returns its exit code. It prints its
+// address, connects to a stand-in of the store all the while, and prints how often that failed when its input ends.
 func runEntryProcess(target, store string) int {
 	limit := syscall.Rlimit{Cur: descriptorLimit, Max: descriptorLimit}
 	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -126,6 +127,7 @@
 	logLines chan []string // its log, sent when it has ended
 }
 
+// startEntryProcess starts this test's binary as an entry, given the addresses of its target and its store.
 func startEntryProcess(t *testing.T, target, store string) *entryProcess {
 	e := &entryProcess{command: exec.CommandContext(t.Context(), os.Args[0]), logLines: make(chan []string, 1)}
 	// One processor, as most entries have, so that net/http's background readers may be scheduled late.
@@ -155,6 +157,7 @@
 	return e
 }
 
+// readLine returns the next line that the entry prints.
 func (e *entryProcess) readLine(t *testing.T) string {
 	text, err := e.stdout.ReadString('\n')
 	if err != nil {
@@ -174,7 +177,8 @@
 	return storeFailures, lines
 }
 
-// recordingTarget records when each request arrives, by the request's id.
+// recordingTarget records when each request arrives, by the request's id. It answers a call after 50 ms, and a stream
+// with 40 events within 2 s.
 type recordingTarget struct {
 	mu      sync.Mutex
 	arrived map[string]time.Time
@@ -212,7 +216,7 @@
 	id       string
 	status   int // 0 without an answer
 	complete bool
-	leftAt   time.Time
+	leftAt   time.Time // when the caller had closed its connection
 }
 
 // callOnce makes one request and keeps its connection open for the given time.
@@ -311,15 +315,16 @@
 	}
 }
 
+// newLimitedServer returns a server with the limits that a process with so many descriptors has.
 func newLimitedServer(c common.Common, controller *ingress.Controller, limit int) *ingress.Server {
 	handlers := ingress.Handlers{Serve: controller, Reject: http.HandlerFunc(controller.Reject), Context: controller.Context()}
 	return ingress.NewServer(c, handlers, descriptors.LimitsFor(limit))
 }
 
 // Requests reached targets after their callers had left. The callers had sent them and closed their connections before
-// the entry, which was busy or out of descriptors, accepted these from the backlog. A request was sent as soon as it was
-// read; net/http's background reader noticed the closed connection too late. In this test all connections are closed
-// before the entry accepts the first one, and no such request may arrive at the target.
+// the entry, which was busy or out of descriptors, accepted these from the backlog. A request was sent as soon as it
+// was read; net/http's background reader noticed the closed connection too late. In this test all connections are
+// closed before the entry accepts the first one, and no such request may arrive at the target.
 func TestRequestOfCallerGoneInBacklogIsNotSent(t *testing.T) {
 	target := &recordingTarget{arrived: make(map[string]time.Time)}
 	c := commontest.New(network.NewTCP())
--- a/pkg/ingress/endings_table_test.go
+++ b/pkg/ingress/endings_table_test.go
@@ -31,6 +31,7 @@
 // requestStep is how far a request has come.
 type requestStep int
 
+// The steps in their order, so that those from stepSent on are of a request that was sent; steps says what each is.
 const (
 	stepWaiting requestStep = iota
 	stepConnecting
@@ -38,7 +39,7 @@
 	stepHead
 	stepEvents
 	stepLastEvent
-	stepLongBody
+	stepLongBody // instead of events, in a call's answer that is longer than what is buffered
 )
 
 // steps lists all steps, with the paths of the requests that reach them.
@@ -80,6 +81,7 @@
 	}
 }
 
+// streamsWith streams ten events, from the one after the last that the caller has, and calls wait at each step.
 func streamsWith(c net.Conn, r *http.Request, head string, wait func(requestStep)) bool {
 	_, _ = io.WriteString(c, head+"Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n")
 	wait(stepHead)
@@ -135,6 +137,7 @@
 	return outcomeComplete
 }
 
+// alwaysComplete is the outcome of a disturbance after which any request gets a complete answer.
 func alwaysComplete(requestStep, string) callerOutcome { return outcomeComplete }
 
 // afterRestart is the outcome of requests whose target was restarted: nothing runs them any more.
@@ -164,7 +167,7 @@
 	b.configure(2)
 }
 
-// endTargets reports target ends under the request of the table to the quarantine.
+// endTargets reports that so many targets have ended under the request of the table to the quarantine.
 func (b *testbed) endTargets(path string, targets int) {
 	request := quarantine.Request{Digest: quarantine.Identify("acme", path, []byte("question")), Account: "acme", Route: ids.Route(strings.Split(path, "/")[1])}
 	for n := range targets {
@@ -172,6 +175,7 @@
 	}
 }
 
+// disturbances lists what may happen to an entry while a request is at a step.
 var disturbances = []disturbance{
 	{"nothing", nil, func(*testbed) {}, alwaysComplete},
 	{"settings with a shorter key grace", nil, func(b *testbed) { b.controller.SetKeyGrace(ingress.KeyGrace{Limit: 1, Strict: true}) }, refusedUnlessSent},
@@ -232,6 +236,8 @@
 	{"it is quarantined, as targets have ended under it", nil, func(b *testbed) { b.endTargets(b.path, 3) }, refusedUnlessSent},
 }
 
+// TestDisturbancesOfRequestInProgress applies each disturbance to a request at each step, with the target pausing
+// there.
 func TestDisturbancesOfRequestInProgress(t *testing.T) {
 	for _, s := range steps {
 		for _, path := range s.paths {
@@ -246,8 +252,8 @@
 	}
 }
 
-// pauses returns for how long a target pauses at a step: within a target's usual event gap, and so long that a search for
-// another one begins.
+// pauses returns for how long a target pauses at a step: within a target's usual event gap, and so long that a search
+// for another one begins.
 func pauses(at requestStep) []time.Duration {
 	switch at {
 	case stepWaiting, stepConnecting:
--- a/pkg/ingress/endings_test.go
+++ b/pkg/ingress/endings_test.go
@@ -29,8 +29,8 @@
 func TestTargetListInForceBeforeExchangesEnd(t *testing.T) {
 	cases := []struct {
 		name, path string
-		former     scriptedTarget
-		body, last string
+		former     scriptedTarget // the target's first incarnation
+		body, last string         // the whole body, and the id of the event after which the second incarnation goes on
 	}{
 		{"a call", "/safe/a", silent, "next", ""},
 		{"a stream before its first event", "/resume/a", silent, strings.Join(events(10), ""), ""},
--- a/pkg/ingress/first_tries_test.go
+++ b/pkg/ingress/first_tries_test.go
@@ -7,6 +7,8 @@
 	"quaydock/pkg/routing"
 )
 
+// TestSinceFirstTry guards against a request that comes back and is taken for a first try, and against a first try that
+// is taken for a later one, as callers have different deadlines or change them.
 func TestSinceFirstTry(t *testing.T) {
 	repeat := func(n int, deadlines ...clock.Millis) []clock.Millis {
 		var all []clock.Millis
@@ -17,7 +19,7 @@
 	}
 	scenarios := []struct {
 		name          string
-		seen          []clock.Millis
+		seen          []clock.Millis // deadlines of earlier requests, in order
 		deadline      clock.Millis
 		before, other clock.Millis // time since the first try: of deadline, and then of a deadline of 12 s
 	}{
@@ -49,6 +51,7 @@
 	}
 }
 
+// TestRemovedRoutesAreDropped guards against memory that grows with each route that ever existed.
 func TestRemovedRoutesAreDropped(t *testing.T) {
 	tries := newFirstTries()
 	for _, name := range []string{"kept", "gone"} {
--- a/pkg/ingress/incarnations_test.go
+++ b/pkg/ingress/incarnations_test.go
@@ -19,15 +19,15 @@
 	"quaydock/pkg/routing"
 )
 
-// The starts of the first target's two incarnations. The second one is lower, as if the clock of its VM had been set back
-// in between.
+// The starts of the first target's two incarnations. The second one is lower, as if the clock of its VM had been set
+// back in between.
 const (
 	firstStart  ids.Start = 5000
 	secondStart ids.Start = 4000
 )
 
-// restart lists the first target as restarted. Its connections stay open and silent, as those to a VM that was partitioned
-// and came back.
+// restart lists the first target as restarted. Its connections stay open and silent, as those to a VM that was
+// partitioned and came back.
 func (b *testbed) restart() {
 	b.updateFirst(func(t *routing.Target) { t.Start = secondStart })
 }
@@ -102,7 +102,7 @@
 		body     string // compared if the status is 200
 		complete bool
 		starts   []ids.Start // of the incarnations at which the request arrived, in order
-		last     string      // Last-Event-Id of the last arrival
+		last     string      // id of the event after which the last arrival was to go on
 	}{
 		{"sent", "/unsafe/a", silent, 502, "", true, []ids.Start{firstStart}, ""},
 		{"sent, and may be repeated", "/safe/a", silent, 200, "next", true, []ids.Start{firstStart, secondStart}, ""},
@@ -149,6 +149,8 @@
 	}
 }
 
+// checkIncarnations checks the starts of the incarnations at which requests arrived, in order, and the id of the event
+// after which the last of them was to go on.
 func (b *testbed) checkIncarnations(want []ids.Start, last string) {
 	b.t.Helper()
 	var starts []ids.Start
@@ -236,7 +238,7 @@
 func TestTargetRowExpiresAndReturns(t *testing.T) {
 	scenarios := []struct {
 		name   string
-		start  ids.Start
+		start  ids.Start // in the row that comes back
 		status int
 	}{
 		{"the same incarnation", firstStart, 200},
--- a/pkg/ingress/keys_test.go
+++ b/pkg/ingress/keys_test.go
@@ -13,6 +13,8 @@
 	"quaydock/pkg/routing"
 )
 
+// TestTargetGetsAccountInsteadOfKey guards against callers' keys that reach targets, and against an account that the
+// caller names itself.
 func TestTargetGetsAccountInsteadOfKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestbed(t, fakeMeter{}, replies(200, "", "yes"))
@@ -24,6 +26,8 @@
 	})
 }
 
+// TestKeyRemovedWhileRequestWaits guards against a request that is sent although its key was removed after its
+// admission.
 func TestKeyRemovedWhileRequestWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestbed(t, fakeMeter{}, replies(200, "", "yes"))
@@ -40,8 +44,8 @@
 	})
 }
 
-// A request waits 4.5 s at an entry whose configuration is not confirmed meanwhile, as when the entry is suspended, with
-// a strict limit of 5 s on removed keys. It must not run, as its key may have been removed.
+// A request waits 4.5 s at an entry whose configuration is not confirmed meanwhile, as when the entry is suspended,
+// with a strict limit of 5 s on removed keys. It must not run, as its key may have been removed.
 func TestStaleKeyIsNotUsedAfterWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestbed(t, fakeMeter{}, replies(200, "", "yes"))
@@ -59,9 +63,9 @@
 func TestKeysWithoutConfirmation(t *testing.T) {
 	scenarios := []struct {
 		strict bool
-		leased bool
-		after  time.Duration
-		want   int
+		leased bool          // the entry holds its membership lease
+		after  time.Duration // since the last confirmation
+		want   int           // status
 	}{
 		{true, false, 4 * time.Second, http.StatusOK},
 		{true, true, 4500 * time.Millisecond, http.StatusServiceUnavailable},
--- a/pkg/ingress/lateness_test.go
+++ b/pkg/ingress/lateness_test.go
@@ -7,12 +7,14 @@
 	"quaydock/pkg/routing"
 )
 
+// TestLatenessReason guards against late answers that are blamed on the target although they waited for an assignment,
+// or although their callers came back too late.
 func TestLatenessReason(t *testing.T) {
 	route := &routing.Route{Objective: 300, EventGap: 250}
 	scenarios := []struct {
 		name                  string
-		before, placed, first clock.Millis // placed and first since its arrival
-		pause                 clock.Millis
+		before, placed, first clock.Millis // before since the first try, placed and first since its arrival
+		pause                 clock.Millis // the longest between two events
 		want                  Lateness
 	}{
 		{"in time", 0, 10, 290, 250, LateNot},
--- a/pkg/ingress/redispatch_test.go
+++ b/pkg/ingress/redispatch_test.go
@@ -98,8 +98,8 @@
 		name, path   string
 		first        scriptedTarget
 		status       int
-		body         string
-		redispatched bool // the owner re-dispatches the request after 0.3 s
+		body         string // of the first target's answer
+		redispatched bool   // the owner re-dispatches the request after 0.3 s
 	}{
 		{"a stream", "/resume/a", streaming, 200, strings.Join(events(10), ""), false},
 		{"a stream that has not begun", "/resume/a", delayed(900*time.Millisecond, streams(0)), 200, strings.Join(events(10), ""), true},
@@ -179,7 +179,7 @@
 		name  string
 		other time.Duration // until its first event
 		ended bool          // nothing listens at the first one's address any more
-		limit time.Duration
+		limit time.Duration // for the whole answer
 	}{
 		{"the other is quick", 0, false, 1300 * time.Millisecond},
 		{"the other needs some time", 300 * time.Millisecond, false, 1600 * time.Millisecond},
@@ -238,7 +238,7 @@
 		name   string
 		first  scriptedTarget
 		status int
-		arrive int
+		arrive int // how many targets the request arrives at
 	}{
 		{"the first fails it", delayed(late, replies(500, "", "failed")), 500, 2},
 		{"the first breaks off", delayed(late, closesUnanswered), 502, 2},
--- a/pkg/ingress/search_test.go
+++ b/pkg/ingress/search_test.go
@@ -87,8 +87,8 @@
 	})
 }
 
-// streamsLargeEvents streams large events without a pause, from the one after the last that the caller has. It calls ended
-// when its connection has ended or all events are sent.
+// streamsLargeEvents streams large events without a pause, from the one after the last that the caller has. It calls
+// ended when its connection has ended or all events are sent.
 func streamsLargeEvents(count int, ended func()) scriptedTarget {
 	return func(c net.Conn, r *http.Request) bool {
 		defer ended()
@@ -105,6 +105,7 @@
 	}
 }
 
+// largeEvent returns the event numbered n, of a little more than 32 KiB.
 func largeEvent(n int) string {
 	return fmt.Sprintf("id: %d\ndata: %s\n\n", n, strings.Repeat("e", 32<<10))
 }
--- a/pkg/ingress/server_test.go
+++ b/pkg/ingress/server_test.go
@@ -18,8 +18,10 @@
 	"quaydock/pkg/routing"
 )
 
+// serverAt is the address of the listener of a Server under test.
 const serverAt = "10.0.0.2:80"
 
+// startServer starts a server that answers each request at once with 200.
 func startServer(t *testing.T) (*ingress.Server, *network.Memory) {
 	memory := network.NewMemory(nil)
 	s := ingress.NewServer(commontest.New(memory), ingress.Handlers{Serve: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -39,6 +41,7 @@
 	return s, memory
 }
 
+// dial connects a caller to the server under test; the connection is closed at the end of the test.
 func dial(t *testing.T, memory *network.Memory) net.Conn {
 	c, err := memory.Dial(context.Background(), serverAt)
 	if err != nil {
@@ -48,12 +51,13 @@
 	return c
 }
 
-// sendRequest sends a request with the given number of header bytes and returns the answer's status, 0 if the connection was
-// closed.
+// sendRequest sends a request with the given number of header bytes and returns the answer's status, 0 if the
+// connection was closed.
 func sendRequest(c net.Conn, headerBytes int) int {
 	return send(c, "GET / HTTP/1.1\r\nHost: h\r\nX: "+strings.Repeat("a", headerBytes)+"\r\n\r\n")
 }
 
+// send sends a request as it is and returns the answer's status, 0 if the connection was closed.
 func send(c net.Conn, text string) int {
 	go func() { _, _ = io.WriteString(c, text) }()
 	response, err := http.ReadResponse(bufio.NewReader(c), nil)
@@ -64,11 +68,13 @@
 	return response.StatusCode
 }
 
+// TestCallerLimits guards against callers that hold connections with headers that are too long, too slow or no HTTP, or
+// without sending requests. Other callers must be served as before.
 func TestCallerLimits(t *testing.T) {
 	scenarios := []struct {
 		name   string
 		limits routing.Limits
-		do     func(c net.Conn) int
+		do     func(c net.Conn) int // returns the status, 0 if the connection was closed
 		want   int
 	}{
 		{"request within the limits", routing.Limits{HeaderBytes: 4096, HeaderTime: 1000, IdleTime: 1000}, func(c net.Conn) int { return sendRequest(c, 100) }, 200},
@@ -113,6 +119,8 @@
 	}
 }
 
+// TestConnectionsSurviveLimitChange guards against a change of the limits that closes callers' connections or refuses
+// new ones.
 func TestConnectionsSurviveLimitChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server, memory := startServer(t)
--- a/pkg/ingress/starting_test.go
+++ b/pkg/ingress/starting_test.go
@@ -20,8 +20,8 @@
 func TestRequestWaitsForFirstConfiguration(t *testing.T) {
 	scenarios := []struct {
 		name  string
-		after time.Duration
-		want  int
+		after time.Duration // when the configuration is known, since the entry's start
+		want  int           // status
 		took  time.Duration // at most
 	}{
 		{"configuration known at once", 0, http.StatusOK, 5 * time.Millisecond},
--- a/pkg/ingress/stop_test.go
+++ b/pkg/ingress/stop_test.go
@@ -32,7 +32,7 @@
 		b.controller.Leave(ingress.Stop{RestrictsFrom: b.clock.Now(), EndsAt: b.clock.Now() + 6*clock.Second})
 		scenarios := []struct {
 			path string
-			want int
+			want int // status
 		}{
 			{"/resume/a", http.StatusServiceUnavailable},
 			{"/safe/a", http.StatusServiceUnavailable}, // none has been answered yet
@@ -69,8 +69,8 @@
 		b := newTestbed(t, fakeMeter{}, replies(200, "", "yes"))
 		b.controller.Leave(ingress.Stop{RestrictsFrom: b.clock.Now() + clock.Second, EndsAt: b.clock.Now() + 3*clock.Second})
 		scenarios := []struct {
-			after time.Duration
-			want  int
+			after time.Duration // since the request before
+			want  int           // status
 		}{{0, http.StatusOK}, {990 * time.Millisecond, http.StatusOK}, {20 * time.Millisecond, http.StatusServiceUnavailable}}
 		for _, s := range scenarios {
 			time.Sleep(s.after)
@@ -81,6 +81,7 @@
 	})
 }
 
+// TestLeavingEntryClosesConnections guards against callers that keep their connections to an entry that drains.
 func TestLeavingEntryClosesConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestbed(t, fakeMeter{}, replies(200, "", "yes"))
@@ -92,6 +93,8 @@
 	})
 }
 
+// TestRunningCountsRequestsInProgress guards against a drain that does not wait for a request, or waits for one that
+// has ended.
 func TestRunningCountsRequestsInProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestbed(t, fakeMeter{}, silent)
--- a/pkg/ingress/suspension_test.go
+++ b/pkg/ingress/suspension_test.go
@@ -22,7 +22,7 @@
 			path    string
 			place   time.Duration // how long the request waits for an assignment; the VM is suspended during that time
 			status  int
-			arrived int
+			arrived int // how many requests arrive at the target
 		}{
 			// Of the 5 s in which a removed key may still be used, 4.25 s are the grace without freshness.
 			{"before a request with a key", "/unsafe/a", 0, statusUnless(length > 4250, 503), arrivedUnless(length > 4250)},
@@ -50,6 +50,7 @@
 	}
 }
 
+// statusUnless returns the status of a request: the given one if it is refused, or else 200.
 func statusUnless(refused bool, status int) int {
 	if refused {
 		return status
@@ -57,6 +58,7 @@
 	return 200
 }
 
+// arrivedUnless returns how often a request arrives at the target: not at all if it is refused, or else once.
 func arrivedUnless(refused bool) int {
 	if refused {
 		return 0
--- a/pkg/ingress/testbed_test.go
+++ b/pkg/ingress/testbed_test.go
@@ -34,7 +34,8 @@
 	"quaydock/pkg/view"
 )
 
-// testCodec is a HeaderCodec with plain header names for tests.
+// testCodec is a HeaderCodec with plain header names for tests. Wait is the caller's deadline, Left the time that a
+// target is told to have, and Rest its back-off, all in ms; Last is the id of the last event that the caller has.
 type testCodec struct{}
 
 func (testCodec) Describe(h http.Header) ingress.Call {
@@ -67,7 +68,7 @@
 	}
 }
 
-// fakeMeter is a meter that refuses the accounts it names. It also implements Entries.
+// fakeMeter is a meter that refuses the accounts it names, with 1.5 s to wait. It also implements Entries.
 type fakeMeter map[ids.Account]bool
 
 func (f fakeMeter) Take(_ context.Context, a *routing.Account, _, _ float64) (bool, clock.Millis) {
@@ -92,15 +93,15 @@
 type orderedScheduler struct {
 	b            *testbed
 	delay        time.Duration // before each assignment
-	refuse       bool
-	redispatched ids.Target // the target whose requests are re-dispatched after 300 ms
-	placed       func()     // called before an assignment is returned
+	refuse       bool          // all requests
+	redispatched ids.Target    // the target whose requests are re-dispatched after 300 ms
+	placed       func()        // called before an assignment is returned
 	// refuseRepeats refuses all requests for an assignment but the first, and repeatDelay delays all but the first.
 	refuseRepeats bool
 	repeatDelay   time.Duration
-	mu            sync.Mutex
-	acquires      int
-	outcomes      []string // target and outcome of each assignment
+	mu            sync.Mutex // guards refuseRepeats, repeatDelay and the fields below
+	acquires      int        // calls of Acquire
+	outcomes      []string   // target and outcome of each assignment that has ended, in that order
 }
 
 func (s *orderedScheduler) Acquire(ctx context.Context, ask schedule.Request) (schedule.Assignment, *schedule.Refused, error) {
@@ -134,6 +135,7 @@
 	return nil, &schedule.Refused{RetryAfter: 500}, nil
 }
 
+// refuses reports whether to refuse a request for an assignment; later is false for the first one of the test.
 func (s *orderedScheduler) refuses(later bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,6 +149,7 @@
 	s.refuseRepeats, s.repeatDelay = refuse, delay
 }
 
+// orderedAssignment is an assignment of an orderedScheduler, which records its outcome there.
 type orderedAssignment struct {
 	s *orderedScheduler
 	t *routing.Target
@@ -174,7 +177,7 @@
 	start  ids.Start // of the incarnation that its connection was made to
 	header http.Header
 	body   string
-	at     time.Time
+	at     time.Time // when its body had arrived
 }
 
 // testbed is an entry's controller between callers and scripted targets.
@@ -238,11 +241,15 @@
 	return d.Memory.Dial(ctx, address)
 }
 
+// entryAt is the address of the entry's listener for callers.
 const entryAt = "10.0.0.1:80"
 
 // extraRequests is how many requests beyond the connection limit of callers are served at once.
 const extraRequests = 2
 
+// newTestbed starts an entry and the targets t1, t2 and so on, each with its script; nothing listens at a target whose
+// script is nil. Its routes are /unsafe/, /safe/, /stream/, /resume/ (a stream that may be resumed) and /open/ (safe, and
+// without keys), its accounts acme with the key "key" and full with "fullkey".
 func newTestbed(t *testing.T, meter fakeMeter, engines ...scriptedTarget) *testbed {
 	b := &testbed{t: t, network: network.NewMemory(nil), started: make(map[net.Conn]ids.Start)}
 	b.dialer = &slowDialer{Memory: b.network}
@@ -295,10 +302,12 @@
 	return b
 }
 
+// configure puts the testbed's routes and accounts into force, if the revision is above the present one.
 func (b *testbed) configure(revision routing.Revision) {
 	b.view.SetCatalog(routing.NewCatalog(revision, routing.Limits{BodyBytes: 1 << 16}, b.routes, nil, b.accounts))
 }
 
+// serve lists the target with index i, and lets it answer by its script, if it has one.
 func (b *testbed) serve(i int, e scriptedTarget) {
 	address := fmt.Sprintf("10.0.1.%d:80", i+1)
 	target := &routing.Target{ID: ids.Target(fmt.Sprint("t", i+1)), Service: "s", Address: address, Slots: 4}
@@ -327,6 +336,7 @@
 	}()
 }
 
+// serveConn records the requests on a connection and has them answered, until the script returns false.
 func (b *testbed) serveConn(c net.Conn, target string, e scriptedTarget) {
 	defer func() { _ = c.Close() }()
 	reader := bufio.NewReader(c)
@@ -345,6 +355,7 @@
 	}
 }
 
+// arrived returns the requests that have arrived at all targets so far, in that order.
 func (b *testbed) arrived() []arrival {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -360,9 +371,9 @@
 
 // reply is the answer that a caller got.
 type reply struct {
-	status   int
+	status   int // 0 if there was no answer
 	header   http.Header
-	body     string
+	body     string // as far as it arrived
 	complete bool
 	closes   bool // the answer closes the connection
 	took     time.Duration
@@ -398,6 +409,7 @@
 
 // Behaviours of scripted targets.
 
+// replies answers at once, with the given header lines, each with its line end.
 func replies(status int, header, body string) scriptedTarget {
 	return func(c net.Conn, r *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 %d X\r\nId: %s\r\nSeal: s\r\n%sContent-Length: %d\r\n\r\n%s", status, r.Header.Get("Id"), header, len(body), body)
@@ -405,15 +417,17 @@
 	}
 }
 
+// closesUnanswered closes the connection when it has read the request.
 func closesUnanswered(net.Conn, *http.Request) bool { return false }
 
+// silent sends nothing until the other end closes the connection.
 func silent(c net.Conn, _ *http.Request) bool {
 	_, _ = c.Read(make([]byte, 1)) // until the connection ends
 	return false
 }
 
 // streams sends the events after the last one that the caller has, up to the tenth. It breaks off in the middle of the
-// event numbered cut.
+// event numbered cut, and not at all if that is 0.
 func streams(cut int) scriptedTarget {
 	return func(c net.Conn, r *http.Request) bool {
 		_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nSeal: s%d\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"), cut)
--- a/pkg/requestlog/requestlog_test.go
+++ b/pkg/requestlog/requestlog_test.go
@@ -9,6 +9,7 @@
 	"quaydock/pkg/requestlog"
 )
 
+// logs has lines of two requests, of two targets of which one ran r1, and of a process 2 s before and 58 s after r1.
 const logs = `  1.0 front-a {"msg":"configuration in force","process":"front-a","revision":7,"time":"2026-05-10T10:00:00Z"}
 not a line
   2.0 front-b {"msg":"target gone","process":"front-b","target":"t1","time":"2026-05-10T10:00:03Z"}
@@ -18,6 +19,8 @@
   9.0 front-a {"msg":"configuration in force","process":"front-a","revision":8,"time":"2026-05-10T10:01:00Z"}
 `
 
+// TestRequestTimeline guards against a timeline with lines of other requests, of targets that did not run the request
+// or of another time, and against one without the lines that explain the outcome.
 func TestRequestTimeline(t *testing.T) {
 	lines, err := requestlog.Read(strings.NewReader(logs))
 	if err != nil {
--- a/pkg/resume/break_streak_test.go
+++ b/pkg/resume/break_streak_test.go
@@ -15,8 +15,8 @@
 		name    string
 		held    clock.Millis // by each connection
 		bytes   int64        // that each connection delivered
-		made    bool
-		resumes int // how often, of 20
+		made    bool         // a connection was made, and the answer was resumed on it
+		resumes int          // how often, of 20
 	}{
 		{"breaks at once, no bytes", 0, 0, true, maxBreaks},
 		{"breaks soon, no bytes", 100, 0, true, maxBreaks},
