--- a/pkg/ingress/endings_table_test.go
+++ b/pkg/ingress/endings_table_test.go
@@ -236,8 +236,7 @@
 	{"it is quarantined, as targets have ended under it", nil, func(b *testbed) { b.endTargets(b.path, 3) }, refusedUnlessSent},
 }
 
-// TestDisturbancesOfRequestInProgress applies each disturbance to a request at each step, with the target pausing
-// there.
+// TestDisturbancesOfRequestInProgress applies each disturbance to a request at each step.
 func TestDisturbancesOfRequestInProgress(t *testing.T) {
 	for _, s := range steps {
 		for _, path := range s.paths {
--- a/pkg/ingress/testbed_test.go
+++ b/pkg/ingress/testbed_test.go
@@ -248,8 +248,8 @@
 const extraRequests = 2
 
 // newTestbed starts an entry and the targets t1, t2 and so on, each with its script; nothing listens at a target whose
-// script is nil. Its routes are /unsafe/, /safe/, /stream/, /resume/ (a stream that may be resumed) and /open/ (safe, and
-// without keys), its accounts acme with the key "key" and full with "fullkey".
+// script is nil. Its routes are /unsafe/, /safe/, /stream/, /resume/ (a stream that may be resumed) and /open/ (safe,
+// and without keys), its accounts acme with the key "key" and full with "fullkey".
 func newTestbed(t *testing.T, meter fakeMeter, engines ...scriptedTarget) *testbed {
 	b := &testbed{t: t, network: network.NewMemory(nil), started: make(map[net.Conn]ids.Start)}
 	b.dialer = &slowDialer{Memory: b.network}
