--- a/pkg/fields/object.go
+++ b/pkg/fields/object.go
@@ -136,7 +136,7 @@
 const maxAddressLength = 64
 
 // Address returns the IP and port of one process: neither a multicast address, nor one that is valid on one
-// VM only (unspecified, or with an IPv6 scope).
+// VM only (unspecified, or with an IPv6 scope). An address that is refused for that is returned all the same.
 func (o *Object) Address(name string) netip.AddrPort {
 	text := o.Text(name, maxAddressLength)
 	if text == "" {
--- a/pkg/ingress/caller_conn.go
+++ b/pkg/ingress/caller_conn.go
@@ -59,7 +59,7 @@
 	return seen
 }
 
-// peekSocket peeks at one byte of a socket without blocking.
+// peekSocket peeks at one byte of a socket without blocking. Errors other than a reset count as nothing.
 func peekSocket(descriptor int) peeked {
 	var one [1]byte
 	n, _, err := syscall.Recvfrom(descriptor, one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/pkg/ingress/delivery.go
+++ b/pkg/ingress/delivery.go
@@ -37,8 +37,9 @@
 const (
 	// maxSends is the limit on exchanges of one request, including those that surely did not run.
 	maxSends = 4
-	// maxWithheld is how many assignments to a target a request may leave unused before the target is excluded. The
-	// planner soon learns what the target reported; until a back-off is over, the request may wait for the target.
+	// maxWithheld is how many assignments, to all targets together, a request may leave unused before it excludes each
+	// further target whose assignment it does not use. The planner soon learns what the target reported; until a back-off
+	// is over, the request may wait for the target.
 	maxWithheld = 3
 	// minRemaining is the minimum time that must remain before the deadline for another exchange.
 	minRemaining = 20 * clock.Millisecond
@@ -207,7 +208,8 @@
 	return nil
 }
 
-// repeatable reports whether a request that may have run may be sent again, given what the caller has received.
+// repeatable reports whether a request that may have run may be sent again, given what the caller has received: an
+// answer that has begun can only go on if the route's streams may be resumed.
 func (d *delivery) repeatable(q *request, out *answerWriter) bool {
 	if !d.mayRepeat(q) {
 		return false
--- a/pkg/ingress/relay.go
+++ b/pkg/ingress/relay.go
@@ -13,8 +13,8 @@
 	"quaydock/pkg/schedule"
 )
 
-// maxBuffered is the number of bytes of an answer that are read before any of it goes to the caller, so that a request
-// whose answer breaks off may be retried.
+// maxBuffered is the number of bytes of an answer, if it is not a stream, that are read before any of it goes to the
+// caller, so that a request whose answer breaks off may be retried.
 const maxBuffered = 1 << 20
 
 var errEncoded = errors.New("answer has a Content-Encoding that was not requested")
--- a/pkg/ingress/request.go
+++ b/pkg/ingress/request.go
@@ -74,6 +74,7 @@
 }
 
 // tierStep is the number of route tiers within one account tier: the account's tier takes precedence over the route's.
+// Routes of lower tiers than that count as of the lowest one.
 const tierStep = 16
 
 // tier combines the tiers of the account and the route into one rank; 0 is the highest. The route must be known.
@@ -124,7 +125,7 @@
 }
 
 // recordWithheld records that an assignment to a target was not used, by the target's own report. It excludes the
-// target after maxWithheld of them.
+// target if there were already maxWithheld of them, to whichever targets.
 func (r *request) recordWithheld(incarnation ids.TargetIncarnation) {
 	if r.withheld++; r.withheld > maxWithheld {
 		r.tried = append(r.tried, incarnation)
--- a/pkg/ingress/server.go
+++ b/pkg/ingress/server.go
@@ -134,7 +134,8 @@
 	s.run(server, &queueListener{server: s, from: s.rejected, stopped: make(chan struct{})})
 }
 
-// run runs an http.Server until the limits change or Shutdown; the lock is held.
+// run starts an http.Server, which takes connections until its listener is stopped and serves them to their end; the
+// lock is held.
 func (s *Server) run(server *http.Server, from *queueListener) {
 	s.servers = append(s.servers, server)
 	go func() {
--- a/pkg/ingress/watch.go
+++ b/pkg/ingress/watch.go
@@ -182,7 +182,8 @@
 	}
 }
 
-// copyRequest returns a copy of the request for a search. The caller holds the lock.
+// copyRequest returns a copy of the request for a search, with what earlier searches have used and the target's last
+// event. The caller holds the lock.
 func (w *watch) copyRequest() *request {
 	q := w.began
 	q.sends += w.usage.sends
