--- a/pkg/ingress/caller_conn.go
+++ b/pkg/ingress/caller_conn.go
@@ -38,7 +38,7 @@
 const (
 	peekNothing peeked = iota // also if there is no socket, as in tests
 	peekData
-	peekEnd
+	peekEnd // its caller has closed or reset it, or this entry has closed it
 )
 
 // peek inspects a connection without blocking or consuming data.
@@ -59,7 +59,7 @@
 	return seen
 }
 
-// peekSocket peeks at one byte of a socket without blocking.
+// peekSocket peeks at one byte of a socket without blocking. Errors other than a reset count as nothing.
 func peekSocket(descriptor int) peeked {
 	var one [1]byte
 	n, _, err := syscall.Recvfrom(descriptor, one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/pkg/ingress/delivery.go
+++ b/pkg/ingress/delivery.go
@@ -37,8 +37,9 @@
 const (
 	// maxSends is the limit on exchanges of one request, including those that surely did not run.
 	maxSends = 4
-	// maxWithheld is how many assignments to a target a request may leave unused before the target is excluded. The
-	// planner soon learns what the target reported; until a back-off is over, the request may wait for the target.
+	// maxWithheld is how many assignments, to all targets together, a request may leave unused before it excludes each
+	// further target whose assignment it does not use. The planner soon learns what the target reported; until a back-off
+	// is over, the request may wait for the target.
 	maxWithheld = 3
 	// minRemaining is the minimum time that must remain before the deadline for another exchange.
 	minRemaining = 20 * clock.Millisecond
@@ -52,9 +53,10 @@
 type (
 	// completed: the caller has a complete answer.
 	completed struct{}
-	// withheld: nothing was sent, as the target had asked this entry not to.
+	// withheld: nothing was sent, as the target had asked this entry not to, or its failure domain is drained.
 	withheld struct{}
-	// declined: the target surely did not run the request.
+	// declined: the target surely did not run the request. The error says why it could not be reached; it is nil if the
+	// target itself declined.
 	declined struct{ err error }
 	// lost: the target may have run the request. retryTaken says that a retry has already been taken from the budget,
 	// answered that the target did answer, final that no other target can continue what the caller has.
@@ -81,7 +83,8 @@
 func (handedOver) attempt() {}
 func (callerGone) attempt() {}
 
-// run serves a request. It returns nil, or why there is no complete answer.
+// run serves an admitted request, and returns its allowance if it surely did not run. It returns nil if the caller has
+// an answer, or why there is no complete one.
 func (d *delivery) run(ctx context.Context, q *request, out *answerWriter) *Refusal {
 	admitted := q.account
 	d.retries.CountRequest(d.Clock.Now(), q.service)
@@ -95,6 +98,8 @@
 	return refusal
 }
 
+// runAttempts sends the request to one target after another until the caller has a complete answer or no further
+// exchange is permitted.
 func (d *delivery) runAttempts(ctx context.Context, q *request, out *answerWriter) *Refusal {
 	var permit *quarantine.Permit
 	defer func() { permit.Release(false) }()
@@ -137,7 +142,8 @@
 	}
 }
 
-// acquire waits for an assignment to a target. It then checks again the configuration that the request was admitted under.
+// acquire waits for an assignment to a target. It then checks again the configuration that the request was admitted
+// under.
 func (d *delivery) acquire(ctx context.Context, q *request) (schedule.Assignment, *Refusal) {
 	ctx, span := d.Tracer.Start(ctx, "entry.place")
 	defer span.End()
@@ -177,7 +183,8 @@
 	return assignment, nil
 }
 
-// recheck looks up the route, the key and the limits of a drain again before a request is sent.
+// recheck looks up the route, the key and the limits of a drain again before a request is sent. It puts the route,
+// service and account in force into the request, and returns nil if the request may be sent.
 func (d *delivery) recheck(q *request, assignment schedule.Assignment) *Refusal {
 	account := q.account
 	if refusal := d.admission.resolve(q); refusal != nil {
@@ -201,7 +208,8 @@
 	return nil
 }
 
-// repeatable reports whether a request that may have run may be sent again, given what the caller has received.
+// repeatable reports whether a request that may have run may be sent again, given what the caller has received: an
+// answer that has begun can only go on if the route's streams may be resumed.
 func (d *delivery) repeatable(q *request, out *answerWriter) bool {
 	if !d.mayRepeat(q) {
 		return false
@@ -209,17 +217,20 @@
 	return !out.started || q.route.Resumable && !d.Ablation.Off(ablation.Resumption)
 }
 
-// mayRepeat reports whether the route in force allows one more target for a request that may have run.
+// mayRepeat reports whether the route in force allows one more target for a request that may have run, once all its
+// exchanges are counted in sent.
 func (d *delivery) mayRepeat(q *request) bool {
 	return q.route.Idempotent() && q.sent < q.route.Attempts
 }
 
-// movable reports whether a request could be sent to one more target after it may have run at the present one.
+// movable reports whether a request could be sent to one more target after it may have run at the present one, which is
+// not counted in sent yet.
 func (d *delivery) movable(q *request) bool {
 	return q.route.Idempotent() && q.sent+1 < q.route.Attempts
 }
 
-// takeRetry reports whether one more exchange is within the limits, and takes it from the retry budget.
+// takeRetry reports whether one more exchange is possible and within the limits, and if so takes it from the retry
+// budget.
 func (d *delivery) takeRetry(q *request) bool {
 	now := d.Clock.Now()
 	if q.sends >= maxSends || q.deadline-now < minRemaining || d.Ablation.Off(ablation.Retries) {
@@ -245,7 +256,8 @@
 	return max(declinedRetryAfter, planner.AfterBackoff(rest, d.Random.Fork().Float64()))
 }
 
-// callerGoneRefusal returns the refusal of a request whose caller can't be written to.
+// callerGoneRefusal returns the refusal of a request whose caller can't be written to: it has left, unless its time is
+// over.
 func (d *delivery) callerGoneRefusal(q *request, err error) *Refusal {
 	if d.callerTimeOver(q) {
 		return &Refusal{Status: http.StatusGatewayTimeout, Cause: CauseDeadline, Err: err}
@@ -254,21 +266,22 @@
 }
 
 const (
-	// callerLead is how much earlier than this entry a caller may begin to count its time, as the connection has to be made
-	// and the request to arrive. It is at most 1/callerLeadDivisor of the caller's time, so that a caller with little time
-	// can still be seen to leave early.
+	// callerLead is how much earlier than this entry a caller may begin to count its time, as the connection has to be
+	// made and the request to arrive. It is at most 1/callerLeadDivisor of the caller's time, so that a caller with little
+	// time can still be seen to leave early.
 	callerLead        = 100 * clock.Millisecond
 	callerLeadDivisor = 20
 )
 
-// callerTimeOver reports whether a caller that closes its connection now does so because its time is over. Without this it
-// would be chance whether the caller's close or this entry's timer is seen first.
+// callerTimeOver reports whether a caller that closes its connection now does so because its time is over. Without this
+// it would be chance whether the caller's close or this entry's timer is seen first.
 func (d *delivery) callerTimeOver(q *request) bool {
 	lead := min(callerLead, q.Deadline/callerLeadDivisor)
 	return q.Deadline > 0 && d.Clock.Now() >= q.arrived+q.Deadline-lead
 }
 
-// finalRefusal returns the refusal that the caller gets, given how far the request got.
+// finalRefusal returns the refusal that the caller gets, given how far the request got. A request that may have run is
+// not refused as one that has not.
 func (d *delivery) finalRefusal(ctx context.Context, q *request, refusal *Refusal) *Refusal {
 	ended := ctx.Err() != nil
 	switch {
--- a/pkg/ingress/quarantined.go
+++ b/pkg/ingress/quarantined.go
@@ -15,8 +15,8 @@
 )
 
 // enter takes a permit of the quarantine and an assignment. A permit costs nothing while no target has ended under a
-// request of the account, and a permit that was not used yet stays valid. The permit is taken first: what acquire checks
-// must still hold when the request is sent, and the request may have to wait for an exclusive run.
+// request of the account, and a permit that was not used yet stays valid. The permit is taken first: what acquire
+// checks must still hold when the request is sent, and the request may have to wait for an exclusive run.
 func (d *delivery) enter(ctx context.Context, q *request, permit *quarantine.Permit) (schedule.Assignment, *quarantine.Permit, *Refusal) {
 	for {
 		var refusal *Refusal
@@ -38,7 +38,8 @@
 	}
 }
 
-// permit returns the permit to run a request, nil if it needs none.
+// permit returns the permit to run a request, nil if it needs none. It keeps a permit that is held already, and may
+// wait for an exclusive run otherwise.
 func (d *delivery) permit(ctx context.Context, q *request, permit *quarantine.Permit) (*quarantine.Permit, *Refusal) {
 	if permit != nil || !d.guard.HasRecord(q.accountName()) {
 		return permit, nil
@@ -51,7 +52,8 @@
 	return permit, nil
 }
 
-// permitted reports whether a request may still run under what permit returned.
+// permitted reports whether a request may still run with the permit that was taken for it, nil if it needed none:
+// targets may have ended under it since.
 func (d *delivery) permitted(q *request, permit *quarantine.Permit) bool {
 	return !d.guard.HasRecord(q.accountName()) || d.guard.Allows(q.quarantineRequest(), permit)
 }
@@ -70,7 +72,8 @@
 	return quarantine.Request{Digest: r.requestDigest(), Account: r.accountName(), Route: ids.Route(r.route.Name)}
 }
 
-// observe reports the outcome of a run to the quarantine, and returns the permit if there was no run.
+// observe reports the outcome of a run to the quarantine, and releases its permit. If there was no run, it returns the
+// permit for the next attempt instead.
 func (d *delivery) observe(ctx context.Context, q *request, target *routing.Target, permit *quarantine.Permit, result attempt) *quarantine.Permit {
 	switch result := result.(type) {
 	case declined, withheld:
@@ -96,9 +99,9 @@
 // brokenRun is a run that its target broke off.
 type brokenRun struct {
 	quarantine.Run
-	id     string
+	id     string // of the request
 	target *routing.Target
-	began  clock.Millis
+	began  clock.Millis // when the request was sent to the target
 }
 
 // possibleEnd returns the run that a target broke off, nil if the break is no evidence against the request.
--- a/pkg/ingress/reject.go
+++ b/pkg/ingress/reject.go
@@ -53,11 +53,12 @@
 // tierCounts counts requests by tier.
 type tierCounts struct {
 	mu     sync.Mutex
-	counts map[ids.TierRank]int
+	counts map[ids.TierRank]int // without tiers that have none
 }
 
 func newTierCounts() *tierCounts { return &tierCounts{counts: make(map[ids.TierRank]int)} }
 
+// add adds n, which may be negative, to the count of a tier.
 func (t *tierCounts) add(tier ids.TierRank, n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/ingress/relay.go
+++ b/pkg/ingress/relay.go
@@ -13,13 +13,14 @@
 	"quaydock/pkg/schedule"
 )
 
-// maxBuffered is the number of bytes of an answer that are read before any of it goes to the caller, so that a request
-// whose answer breaks off may be retried.
+// maxBuffered is the number of bytes of an answer, if it is not a stream, that are read before any of it goes to the
+// caller, so that a request whose answer breaks off may be retried.
 const maxBuffered = 1 << 20
 
 var errEncoded = errors.New("answer has a Content-Encoding that was not requested")
 
-// resumeAfter returns the id of the event after which a stream goes on, empty at its beginning.
+// resumeAfter returns the id of the event after which a stream goes on: the last one relayed, or else the one that the
+// caller named. It is empty at the beginning of the stream.
 func (r *request) resumeAfter() string {
 	if r.hasEvent {
 		return strconv.FormatInt(r.lastEvent, 10)
@@ -27,7 +28,7 @@
 	return r.LastEvent
 }
 
-// relay relays a target's answer to the caller.
+// relay relays a target's answer to the caller, closes it, and calls Done on the assignment.
 func (d *delivery) relay(w *watch, q *request, out *answerWriter, assignment schedule.Assignment, a *forward.Answer) attempt {
 	defer a.Close()
 	if isEncoded(a) {
@@ -54,7 +55,7 @@
 	return r.route.Kind == routing.Stream && a.Status < http.StatusMultipleChoices
 }
 
-// readBuffered reads an answer that is not a stream, up to maxBuffered.
+// readBuffered reads an answer that is not a stream, up to maxBuffered. If it returns as many bytes, there may be more.
 func readBuffered(a *forward.Answer) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(a, maxBuffered))
 	if err != nil {
@@ -103,7 +104,7 @@
 	return completed{}
 }
 
-// load converts a target's report of its load to the planner's type.
+// load converts a target's report of its load to the planner's type; nil if the target gave none.
 func load(a *forward.Answer) *planner.Load {
 	if a.Load == nil {
 		return nil
@@ -137,7 +138,7 @@
 }
 
 // relayStream relays a stream event by event. Only complete events are written, so that a resumable stream can go on at
-// another target after the last one.
+// another target after the last one, and unterminated bytes only at the proper end of the stream.
 func (d *delivery) relayStream(w *watch, q *request, out *answerWriter, assignment schedule.Assignment, a *forward.Answer, events *eventReader) attempt {
 	var flow planner.StreamStats
 	last := q.placedAt
@@ -181,7 +182,7 @@
 	}
 }
 
-// relayEvent relays one event, unless the caller has it already.
+// relayEvent relays one event, unless the caller has it already: one whose id is not above that of the last event.
 func (d *delivery) relayEvent(q *request, out *answerWriter, e event, flush bool) error {
 	if e.hasID && q.hasEvent && e.id <= q.lastEvent {
 		return nil
--- a/pkg/ingress/watch.go
+++ b/pkg/ingress/watch.go
@@ -16,7 +16,8 @@
 
 const (
 	// minStallTime and stallEventGaps give the silence in the middle of a stream after which another target is
-	// searched for. The answer is late by then, but can still be complete before the caller gives up.
+	// searched for: the longer of minStallTime and stallEventGaps times the route's event gap. The answer is late by
+	// then, but can still be complete before the caller gives up.
 	minStallTime   = clock.Second
 	stallEventGaps = 2
 )
@@ -24,6 +25,7 @@
 // errRedispatched ends an exchange whose target is given up for another one.
 var errRedispatched = errors.New("re-dispatched: another target takes over from a silent one")
 
+// stallTime returns the silence in the middle of a stream after which another target is searched for.
 func stallTime(q *request) clock.Millis {
 	return max(minStallTime, stallEventGaps*q.route.EventGap)
 }
@@ -51,24 +53,25 @@
 	// movable is false if the request may not be sent to another target. Of the fields below only exchangeCtx and
 	// endExchange are used then.
 	movable     bool
-	requestCtx  context.Context
+	requestCtx  context.Context // of the whole request, over all its exchanges
 	exchangeCtx context.Context
-	endExchange context.CancelCauseFunc
-	closed      chan struct{}
+	endExchange context.CancelCauseFunc // cancels exchangeCtx
+	closed      chan struct{}           // closed by close
 
-	mu    sync.Mutex
+	mu    sync.Mutex // guards the fields below
 	state watchState
 	// began is the request as searches see it, with the present exchange counted.
 	began       request
-	lastEvent   int64
+	lastEvent   int64 // id of the last event from this target, if hasEvent
 	hasEvent    bool
 	silentSince clock.Millis // when the target last sent an event, or got the request
-	timer       *time.Timer
-	search      *search // the newest one, nil before the first
-	usage       searchUsage
+	timer       *time.Timer  // starts the next search; nil until first armed
+	search      *search      // the newest one, nil before the first
+	usage       searchUsage  // of searches that failed or took over, since the last settle
 }
 
-// searchUsage is what searches have used of the request's limits.
+// searchUsage is what searches have used of the request's limits. Its fields are added to those of the same names of
+// the request.
 type searchUsage struct {
 	sends, sent, declines int
 	tried                 []ids.TargetIncarnation
@@ -98,6 +101,7 @@
 	return d.newWatch(ctx, t.ctx, t.endExchange, q, t.assignment)
 }
 
+// newWatch returns a watch of a movable request, which counts the exchange as one that may have run.
 func (d *delivery) newWatch(requestCtx, exchangeCtx context.Context, end context.CancelCauseFunc, q *request, assignment schedule.Assignment) *watch {
 	w := &watch{
 		delivery: d, target: assignment.Target(), movable: true, requestCtx: requestCtx, exchangeCtx: exchangeCtx, endExchange: end,
@@ -118,8 +122,9 @@
 	}
 }
 
-// recordEvent records an event of a stream, which ends a search under way. It reports false if the target has been given
-// up. The target's silence doesn't count until restartTimer is called, as the caller may be slow to read the event.
+// recordEvent records an event of a stream, which ends a search under way. It reports false if the target has been
+// given up. The target's silence doesn't count until restartTimer is called, as the caller may be slow to read the
+// event.
 func (w *watch) recordEvent(e event) bool {
 	if !w.movable {
 		return true
@@ -152,7 +157,7 @@
 	w.armTimer()
 }
 
-// armTimer schedules a search after a further silence. The caller holds the lock.
+// armTimer schedules a search after a further silence of stallTime. The caller holds the lock.
 func (w *watch) armTimer() {
 	wait := stallTime(&w.began).Duration()
 	if w.timer == nil {
@@ -162,7 +167,8 @@
 	w.timer.Reset(wait)
 }
 
-// startSearch starts a search for another target, unless one is under way.
+// startSearch starts a search for another target while the watch is running. If the previous search has not ended yet,
+// it is called again after a further silence.
 func (w *watch) startSearch() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -176,7 +182,8 @@
 	}
 }
 
-// copyRequest returns a copy of the request for a search. The caller holds the lock.
+// copyRequest returns a copy of the request for a search, with what earlier searches have used and the target's last
+// event. The caller holds the lock.
 func (w *watch) copyRequest() *request {
 	q := w.began
 	q.sends += w.usage.sends
@@ -199,8 +206,8 @@
 	}
 }
 
-// replaceTarget gives the target up for another one that has responded. It reports false if the first target has responded
-// just before.
+// replaceTarget gives the target up for another one that has responded. It reports false if the first target has
+// responded just before.
 func (w *watch) replaceTarget(s *search, t *takeover) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -230,7 +237,7 @@
 	u.trail = append(u.trail, s.q.trail...)
 }
 
-// awaitReplacement returns the outcome of a request: the given result of the exchange, or that another target has
+// awaitReplacement returns the outcome of an exchange: the given result of the exchange, or that another target has
 // taken over. If the target has failed or declined during a search, it waits for the search to end.
 func (w *watch) awaitReplacement(result attempt) attempt {
 	s := w.newestSearch()
@@ -257,13 +264,14 @@
 	}
 }
 
+// newestSearch returns the newest search, which may have ended, or nil before the first.
 func (w *watch) newestSearch() *search {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.search
 }
 
-// isSearching reports whether a search is under way.
+// isSearching reports whether a search is under way and still needed.
 func (w *watch) isSearching() bool {
 	s := w.newestSearch()
 	return s != nil && !s.isDone() && s.ctx.Err() == nil
@@ -284,8 +292,8 @@
 	return "broken off"
 }
 
-// answerComplete ends the watch when a complete answer has arrived, and counts what searches have used. It reports false
-// if the target has been given up.
+// answerComplete ends the watch when a complete answer has arrived, and counts what searches have used. It reports
+// false if the target has been given up.
 func (w *watch) answerComplete(q *request) bool {
 	if !w.movable {
 		return true
@@ -302,7 +310,8 @@
 	return true
 }
 
-// close ends the watch and its exchange, and counts what searches have used.
+// close ends the watch and its exchange, and counts what searches have used. It must be called once, by the goroutine
+// that serves the request.
 func (w *watch) close(q *request) {
 	defer w.endExchange(nil)
 	if !w.movable {
@@ -313,18 +322,18 @@
 		s.cancel(errNotNeeded)
 		<-s.finished
 		if s.drop() {
-			w.usage.sent++
+			w.usage.sent++ // the target that had taken over may have run it
 		}
 	}
 	w.settle(q)
 }
 
-// stop prevents further searches, and returns the newest one. If the target has been given up and always is not set, it
-// does nothing and reports false.
-func (w *watch) stop(always bool) (*search, bool) {
+// stop prevents further searches, and returns the newest one, nil if there was none. If the target has been given up
+// and evenIfGivenUp is not set, it does nothing and reports false.
+func (w *watch) stop(evenIfGivenUp bool) (*search, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !always && (w.state == watchGivenUp || w.state == watchReplaced) {
+	if !evenIfGivenUp && (w.state == watchGivenUp || w.state == watchReplaced) {
 		return nil, false
 	}
 	w.state = watchClosed
@@ -334,13 +343,14 @@
 	return w.search, true
 }
 
-// settle adds what searches have used to the request, once. No search is running any more.
+// settle adds what searches have used to the request, once. It needs no lock, as it is called when no search is running
+// and none can start.
 func (w *watch) settle(q *request) {
 	q.addUsage(&w.usage)
 	w.usage = searchUsage{}
 }
 
-// addUsage adds what searches have used.
+// addUsage adds what searches have used, and sorts the trail by time.
 func (r *request) addUsage(u *searchUsage) {
 	r.sends += u.sends
 	r.sent += u.sent
