--- a/pkg/agent/agent.go
+++ b/pkg/agent/agent.go
@@ -40,7 +40,7 @@
 	gate          *gate.Gate
 	sessions      map[gate.Session]*controlSession
 	conns         map[gate.Session]net.Conn
-	nextID        gate.Session
+	lastSession   gate.Session
 	executions    map[ids.Grant]*execution
 	finished      []keptAnswer // oldest first
 	dropScheduled bool         // a timer for the oldest is set
@@ -155,8 +155,8 @@
 func (a *Agent) openSession(ctx context.Context, conn net.Conn) *controlSession {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.nextID++
-	s := newControlSession(ctx, a, a.nextID)
+	a.lastSession++
+	s := newControlSession(ctx, a, a.lastSession)
 	a.sessions[s.id] = s
 	a.conns[s.id] = conn
 	if a.closed {
--- a/pkg/agent/answer_log.go
+++ b/pkg/agent/answer_log.go
@@ -195,8 +195,8 @@
 	return l.failure == nil && !l.delivered
 }
 
-// isRead reports whether a reader is attached.
-func (l *answerLog) isRead() bool {
+// hasReader reports whether a reader is attached.
+func (l *answerLog) hasReader() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.reading
--- a/pkg/agent/execution.go
+++ b/pkg/agent/execution.go
@@ -31,8 +31,8 @@
 	neededAt clock.Millis // when the last reader left, or an entry last asked for it; guarded by the agent's lock
 }
 
-// start turns a grant into a dispatch. It returns nil and the grant's outcome if the grant may not be used.
-func (a *Agent) start(ctx context.Context, grant ids.Grant, c call) (*execution, control.Fate) {
+// startExecution turns a grant into a dispatch. It returns nil and the grant's outcome if the grant may not be used.
+func (a *Agent) startExecution(ctx context.Context, grant ids.Grant, c call) (*execution, control.Fate) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.Clock.Now()
--- a/pkg/agent/kept_answers.go
+++ b/pkg/agent/kept_answers.go
@@ -40,9 +40,9 @@
 // resume them. The lock must be held.
 func (a *Agent) dropAboveLimit() {
 	for a.keptSize > maxKeptBytes && len(a.finished) > 1 {
-		i := slices.IndexFunc(a.finished, func(k keptAnswer) bool { return !k.execution.answer.isRead() && !k.execution.answer.undelivered() })
+		i := slices.IndexFunc(a.finished, func(k keptAnswer) bool { return !k.execution.answer.hasReader() && !k.execution.answer.undelivered() })
 		if i < 0 {
-			i = slices.IndexFunc(a.finished, func(k keptAnswer) bool { return !k.execution.answer.isRead() })
+			i = slices.IndexFunc(a.finished, func(k keptAnswer) bool { return !k.execution.answer.hasReader() })
 		}
 		if i < 0 {
 			return
@@ -87,7 +87,7 @@
 // since a slow reader takes it long after the target has finished it, or when an entry last asked for it. The lock
 // must be held.
 func (a *Agent) neededUntil(now clock.Millis, e *execution) clock.Millis {
-	if e.answer.isRead() {
+	if e.answer.hasReader() {
 		return now + a.settings.ResumeWaitMS
 	}
 	return e.neededAt + a.settings.ResumeWaitMS
--- a/pkg/agent/streams_controller.go
+++ b/pkg/agent/streams_controller.go
@@ -46,7 +46,7 @@
 		return
 	}
 	ctx := telemetry.WithTraceParent(r.Context(), r.Header.Get(control.HeaderTrace))
-	started, fate := a.start(ctx, grant, c)
+	started, fate := a.startExecution(ctx, grant, c)
 	if started == nil {
 		a.refuse(w, grant, fate)
 		return
--- a/pkg/entry/admission.go
+++ b/pkg/entry/admission.go
@@ -17,11 +17,15 @@
 	"quaydock/pkg/settings"
 )
 
-// Headers of the callers' interface.
+// Headers of the callers' interface. All but HeaderRequestID, which each answer carries, are optional options of a
+// request.
 const (
-	HeaderRequestID   = "Quaydock-Request-Id"
-	HeaderTier        = "Quaydock-Tier"
-	HeaderDeadline    = "Quaydock-Deadline-Ms"
+	HeaderRequestID = "Quaydock-Request-Id"
+	HeaderTier      = "Quaydock-Tier"
+	// HeaderDeadline is the time from the request's arrival to its deadline, in milliseconds.
+	HeaderDeadline = "Quaydock-Deadline-Ms"
+	// HeaderNoRepeat must be true or false; the value has no effect here, as a dispatched request is never sent
+	// again.
 	HeaderNoRepeat    = "Quaydock-No-Repeat"
 	HeaderIdempotency = "Idempotency-Key"
 	headerPrefix      = "Quaydock-"
@@ -32,7 +36,8 @@
 	// firstBodyBytes is how much buffer is allocated on the strength of Content-Length alone; the rest is
 	// allocated as data arrives, so that a caller who announces much and sends nothing holds little memory.
 	firstBodyBytes = 16 << 10
-	maxKeyBytes    = 255
+	// maxKeyBytes limits the length of an idempotency key.
+	maxKeyBytes = 255
 )
 
 // callOptions are the options in a caller's headers.
@@ -43,7 +48,8 @@
 	key      string       // idempotency key, empty if none
 }
 
-// readOptions checks the API key and the headers against the configuration.
+// readOptions reads the options in a caller's headers and checks them, and the API key, against the configuration. It
+// returns the refusal that the caller gets if one is not valid.
 func readOptions(index *declaration.Index, h http.Header, limits settings.EntryLimits) (callOptions, *refusal.Refusal) {
 	account, bad := identify(index, h.Get("Authorization"))
 	if bad != nil {
@@ -69,6 +75,7 @@
 	return callOptions{account: account, tier: tier, deadline: deadline, key: key}, nil
 }
 
+// identify returns the client account of the API key in an Authorization header.
 func identify(index *declaration.Index, authorization string) (*declaration.Account, *refusal.Refusal) {
 	if authorization == "" {
 		return nil, refusal.NoKey()
@@ -84,6 +91,8 @@
 	return account, nil
 }
 
+// readTier returns the rank of the requested tier, or of the account's default tier if none is requested. It refuses
+// a tier above the highest one of the account.
 func readTier(index *declaration.Index, account *declaration.Account, requested ids.Tier) (ids.TierRank, *refusal.Refusal) {
 	if requested == "" {
 		requested = account.DefaultTier
@@ -99,6 +108,8 @@
 	return rank, nil
 }
 
+// readDeadline returns the time from the arrival to the deadline: the requested one in milliseconds, or byDefault if
+// none is requested, but no more than maximum.
 func readDeadline(requested string, byDefault, maximum clock.Millis) (clock.Millis, *refusal.Refusal) {
 	if requested == "" {
 		return min(byDefault, maximum), nil
@@ -110,7 +121,8 @@
 	return min(clock.Millis(n), maximum), nil
 }
 
-// readBody reads a caller's body within the limits of size and time.
+// readBody reads a caller's body within the limits of size and of time, which setBodyDeadline has set. It lifts the
+// limit of time once the body is read.
 func readBody(w http.ResponseWriter, r *http.Request, limits settings.EntryLimits) ([]byte, *refusal.Refusal) {
 	if r.ContentLength > limits.BodyBytes {
 		return nil, refusal.BodyTooLarge(limits.BodyBytes)
@@ -137,12 +149,14 @@
 	setReadDeadline(w, time.Now().Add(limits.BodyTimeoutMS.Duration()))
 }
 
+// setReadDeadline limits reading from the caller's connection; the zero time means no limit.
 func setReadDeadline(w http.ResponseWriter, at time.Time) {
-	// Writers of tests may have no deadlines, and no slow sender either.
+	// The error is ignored: writers of tests may have no deadlines, and no slow sender either.
 	_ = http.NewResponseController(w).SetReadDeadline(at)
 }
 
-// readAll reads to the end. The length is the announced one, or -1.
+// readAll reads to the end. The length is the announced one, or -1 if there is none; it only determines the size of
+// the first buffer.
 func readAll(from io.Reader, length int64) ([]byte, error) {
 	if length < 0 || length > firstBodyBytes {
 		length = firstBodyBytes
@@ -166,8 +180,8 @@
 // accountUse counts each client account's running requests at this entry and holds their idempotency keys.
 type accountUse struct {
 	mu      sync.Mutex
-	running map[ids.Account]int
-	keys    map[accountKey]bool
+	running map[ids.Account]int // accounts without a running request have no element
+	keys    map[accountKey]bool // the idempotency keys of running requests
 }
 
 type accountKey struct {
@@ -198,7 +212,7 @@
 	return nil
 }
 
-// leave counts a request out and frees its idempotency key.
+// leave counts out a request that enter has counted in, and frees its idempotency key.
 func (u *accountUse) leave(t callOptions) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/pkg/entry/answer_writer.go
+++ b/pkg/entry/answer_writer.go
@@ -17,21 +17,21 @@
 // complete one.
 type answerWriter struct {
 	response http.ResponseWriter
-	control  *http.ResponseController
-	limit    clock.Millis // for one write
+	control  *http.ResponseController // of response, for flushes and write deadlines
+	limit    clock.Millis             // for one write
 	// received counts the answer's bytes received from the agent; a resume continues from there.
 	received int64
 	relay    relay // nil before the answer has begun
-	// State for isSlow: since when a write has been waiting for the caller (0 if none is), and whether one had to
-	// wait since the last call.
-	writingSince atomic.Int64 // clock.Millis
+	// State for isSlow, which another goroutine calls: since when a write has been under way (0 if none is), and
+	// whether one took slowWrite or longer since the last call.
+	writingSince atomic.Int64 // clock.Millis, in Unix time
 	wasSlow      atomic.Bool
 }
 
-// slowWrite is the time from which a write counts as slowed down by its caller.
+// slowWrite is how long a write must take to count as slowed down by its caller.
 const slowWrite = 100 * clock.Millisecond
 
-// relay sends one kind of answer to the caller.
+// relay sends one kind of answer to the caller: bufferedRelay, streamRelay or eventRelay.
 type relay interface {
 	// write sends the next bytes.
 	write(p []byte) error
@@ -51,7 +51,8 @@
 	return a.relay != nil
 }
 
-// begin starts the answer with the header that the agent sent.
+// begin starts the answer with the header that the agent sent; model is set for a call in the OpenAI form. It fails if
+// the agent's header has no valid status.
 func (a *answerWriter) begin(header http.Header, model bool) error {
 	status, err := strconv.Atoi(header.Get(control.HeaderStatus))
 	if err != nil {
@@ -67,6 +68,8 @@
 	return nil
 }
 
+// newRelay chooses the relay: by events for the event stream of a model, buffered for an answer whose Content-Length
+// is small, else as a stream. The header h is the one that the caller gets.
 func (a *answerWriter) newRelay(status int, h http.Header, model bool) relay {
 	if model && strings.HasPrefix(h.Get("Content-Type"), "text/event-stream") {
 		h.Del("Content-Length")
@@ -79,16 +82,19 @@
 	return &streamRelay{out: a, status: status}
 }
 
+// write passes on the next bytes from the agent. The answer must have begun.
 func (a *answerWriter) write(p []byte) error {
 	a.received += int64(len(p))
 	return a.relay.write(p)
 }
 
+// finish ends a complete answer.
 func (a *answerWriter) finish() error {
 	return a.relay.finish()
 }
 
-// refuse reports to the caller why there is no complete answer.
+// refuse reports to the caller why there is no complete answer. If the answer has begun in a form that cannot contain
+// that, it panics with http.ErrAbortHandler, upon which the HTTP server breaks the connection.
 func (a *answerWriter) refuse(why *refusal.Refusal) {
 	if a.relay == nil {
 		writeDeadline(a.control, a.limit)
@@ -111,6 +117,7 @@
 	return nil
 }
 
+// writeEnded records for isSlow that the write that began at began, in Unix time, has ended.
 func (a *answerWriter) writeEnded(began clock.Millis) {
 	a.writingSince.Store(0)
 	if clock.Millis(time.Now().UnixMilli())-began >= slowWrite {
@@ -125,6 +132,7 @@
 	return a.wasSlow.Swap(false) || waits
 }
 
+// flush sends to the caller what the HTTP server has buffered.
 func (a *answerWriter) flush() error {
 	if err := a.control.Flush(); err != nil {
 		return fmt.Errorf("writing to the caller: %w", err)
--- a/pkg/entry/callers_controller.go
+++ b/pkg/entry/callers_controller.go
@@ -19,6 +19,7 @@
 	"quaydock/pkg/telemetry"
 )
 
+// pathServices is followed by the name of a plain service and the path that its target is sent.
 const pathServices = "/services/"
 
 // plainDecode is the work, in decode tokens, that one call of a plain service counts for.
@@ -38,11 +39,12 @@
 // arrival is what every handler begins with.
 type arrival struct {
 	id      ids.Request
-	index   *declaration.Index
+	index   *declaration.Index // the configuration on arrival, by which the whole request is checked
 	options callOptions
 }
 
-// arrive gives the request its id and checks the caller's options.
+// arrive gives the request its id, limits the time for reading its body, and checks the caller's options. If it
+// returns a refusal, only the id of the arrival is certain to be set.
 func (e *Entry) arrive(w http.ResponseWriter, r *http.Request) (arrival, *refusal.Refusal) {
 	setBodyDeadline(w, e.settings.Limits)
 	a := arrival{id: ids.NewRequest(), index: e.index()}
@@ -55,12 +57,14 @@
 	return a, bad
 }
 
+// notFound refuses a path that is not served. It checks no API key.
 func (e *Entry) notFound(w http.ResponseWriter, r *http.Request) {
 	setBodyDeadline(w, e.settings.Limits)
 	w.Header()[HeaderRequestID] = []string{string(ids.NewRequest())}
 	e.refuse(newAnswerWriter(w, e.settings.Limits.WriteTimeoutMS), "", refusal.NotFound(r.Method, r.URL.Path))
 }
 
+// listModels answers with the names of all models of the configuration.
 func (e *Entry) listModels(w http.ResponseWriter, r *http.Request) {
 	a, bad := e.arrive(w, r)
 	if bad != nil {
@@ -125,7 +129,7 @@
 	})
 }
 
-// buildRequest makes the request of one kind of call from its body.
+// buildRequest makes the request of one kind of call from its body, without the fields that serve and complete set.
 type buildRequest func(a arrival, body []byte) (*request, *refusal.Refusal)
 
 // serve handles one call from arrival to its end.
@@ -170,6 +174,8 @@
 	made.events = make(chan ticketEvent, e.settings.TicketsPerRequest)
 }
 
+// run serves a request up to its deadline. It reports to the caller why there is no complete answer, or breaks the
+// connection of a caller that seems to have disconnected.
 func (e *Entry) run(ctx context.Context, r *request, out *answerWriter) {
 	ctx, cancel := context.WithDeadlineCause(ctx, time.UnixMilli(int64(r.deadline)), errDeadline)
 	defer cancel()
@@ -196,6 +202,7 @@
 	}
 }
 
+// refuse counts and logs a refusal and sends it to the caller.
 func (e *Entry) refuse(out *answerWriter, id ids.Request, why *refusal.Refusal) {
 	e.Metrics.Refusals.Add(string(why.Code), 1)
 	e.Log.WithField(telemetry.FieldRequest, string(id)).WithField("code", string(why.Code)).Info(why.Message)
--- a/pkg/entry/dispatcher.go
+++ b/pkg/entry/dispatcher.go
@@ -17,7 +17,8 @@
 // before was never dispatched.
 const maxBindings = 8
 
-// maxResumes limits how many breaks in a streak one answer is resumed after.
+// maxResumes is how many times in a row an answer that breaks off is resumed. A connection that delivered bytes or
+// held for a while starts the count again (see resume.BreakStreak).
 const maxResumes = 8
 
 // errDeadline is the cause with which a request's context ends at its deadline.
@@ -29,7 +30,7 @@
 	ticketing      *ticketing
 	exchange       *exchange
 	claimer        *claim.Claimer
-	outcomeTimeout clock.Millis
+	outcomeTimeout clock.Millis // for all queries for the outcome of a grant after one break
 }
 
 // serve runs the request and relays its answer. It returns nil if the answer was complete or the caller has
@@ -50,7 +51,7 @@
 	if err == nil {
 		return refusal.KeyTaken()
 	}
-	// The claim may have been written although the call failed, so it is freed.
+	// Claim fails only when ctx has ended. The claim may have been written nevertheless, so it is freed.
 	d.claimer.Free(r.account, r.key, r.id)
 	if gave, ok := interrupted(ctx).(gaveUp); ok {
 		return gave.refusal
@@ -92,7 +93,7 @@
 	return d.finish(r, bound, result), false
 }
 
-// finish moves a sent request to its final state.
+// finish moves a sent request to its final state and returns the refusal for the caller, if there is one.
 func (d *dispatcher) finish(r *request, bound granted, result exchangeResult) *refusal.Refusal {
 	switch result := result.(type) {
 	case answered:
@@ -101,7 +102,7 @@
 	case ended:
 		d.abandon(r, bound)
 		return result.refusal
-	default:
+	default: // callerLeft
 		d.abandon(r, bound)
 		return nil
 	}
@@ -114,7 +115,8 @@
 }
 
 // send makes the one exchange that a binding allows. If it breaks, the outcome of the grant that the agent reports
-// decides how to go on.
+// decides how to go on. The first query of a streak of breaks is made at once, later ones after a pause. The result is
+// never broken.
 func (d *dispatcher) send(ctx context.Context, r *request, bound granted, out *answerWriter) exchangeResult {
 	streak := resume.NewBreakStreak(maxResumes, d.Clock.Now())
 	backoff := d.Random.NewBackoff(minBackoff, maxBackoff)
@@ -149,12 +151,14 @@
 	}
 }
 
+// backToWaiting returns the result for a request whose grant the agent reported as never dispatched.
 func (d *dispatcher) backToWaiting(r *request) exchangeResult {
 	r.become(lifecycle.Waiting)
 	return neverDispatched{}
 }
 
-// unknownOutcome returns what the caller gets when the agent cannot be asked for the outcome.
+// unknownOutcome returns what the caller gets when the agent does not report the outcome, or the answer broke off too
+// often to be resumed again.
 func (d *dispatcher) unknownOutcome(ctx context.Context, out *answerWriter) exchangeResult {
 	switch {
 	case errors.Is(context.Cause(ctx), errDeadline):
@@ -168,7 +172,8 @@
 	}
 }
 
-// resolve queries the agent for the outcome of the grant until it answers or the time limit for it has passed.
+// resolve queries the agent for the outcome of the grant until it answers. It returns control.FateUnknown also if ctx
+// or the time limit has ended before.
 func (d *dispatcher) resolve(ctx context.Context, r *request, bound granted) control.Fate {
 	until := d.Clock.Now() + d.outcomeTimeout
 	backoff := d.Random.NewBackoff(minBackoff, maxBackoff)
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -27,14 +27,14 @@
 type Entry struct {
 	common.Common
 	settings   settings.Entry
-	current    atomic.Pointer[declaration.Index]
+	current    atomic.Pointer[declaration.Index] // the configuration in force; nil before the first
 	use        *accountUse
 	pool       *sessionPool
 	dispatcher *dispatcher
 	server     *http.Server
-	listener   net.Listener
-	stop       context.CancelFunc
-	leaving    atomic.Bool
+	listener   net.Listener       // for callers; set by Start
+	stop       context.CancelFunc // ends the sessions with agents
+	leaving    atomic.Bool        // set by Drain; Ready then tells the load balancer to send no more callers
 }
 
 // New returns an entry that has not started. It stores idempotency claims in table.
@@ -77,17 +77,19 @@
 	return policy
 }
 
+// index returns the configuration in force, or nil before the first call of Apply.
 func (e *Entry) index() *declaration.Index {
 	return e.current.Load()
 }
 
-// Apply puts a new configuration into force.
+// Apply puts a new configuration into force. The sessions are updated first, so that a request that reads the new
+// configuration finds a session for each of its targets.
 func (e *Entry) Apply(index *declaration.Index) {
 	e.pool.apply(index)
 	e.current.Store(index)
 }
 
-// Start begins to accept callers' connections.
+// Start begins to accept callers' connections, no more than the limit in the settings at a time.
 func (e *Entry) Start() error {
 	listener, err := e.Network.Listen(e.settings.Listen)
 	if err != nil {
--- a/pkg/entry/exchange.go
+++ b/pkg/entry/exchange.go
@@ -25,9 +25,11 @@
 )
 
 const (
+	// copyBytes is the size of the buffers that answers are relayed through.
 	copyBytes = 16 << 10
 	// maxIdleStreams is how many connections to one agent are kept for reuse.
-	maxIdleStreams    = 512
+	maxIdleStreams = 512
+	// idleStreamTimeout is how long such a connection is kept without use.
 	idleStreamTimeout = 60 * clock.Second
 )
 
@@ -35,7 +37,7 @@
 type exchange struct {
 	common.Common
 	transport *http.Transport
-	buffers   sync.Pool
+	buffers   sync.Pool // of *[copyBytes]byte
 }
 
 // errNotSent marks an error that occurred before the first byte was sent.
@@ -100,6 +102,7 @@
 	return x.receive(r, bound, response, out, refusal.AnswerCut()) // the agent has reported that it ran
 }
 
+// newCall builds a call of the agent's data port, with headers that name the request and its grant.
 func (x *exchange) newCall(ctx context.Context, r *request, bound granted, method, path string, body io.Reader) (*http.Request, error) {
 	call, err := http.NewRequestWithContext(ctx, method, "http://"+bound.session.dataAt+path, body)
 	if err != nil {
@@ -191,10 +194,10 @@
 	x.transport.CloseIdleConnections()
 }
 
-// writeDeadline limits one write to a caller that begins now, and returns the time.
+// writeDeadline limits one write to a caller that begins now, and returns the present time in Unix milliseconds.
 func writeDeadline(controller *http.ResponseController, limit clock.Millis) (now clock.Millis) {
 	at := time.Now()
-	// Writers of tests may have no deadlines, and no slow reader either.
+	// The error is ignored: writers of tests may have no deadlines, and no slow reader either.
 	_ = controller.SetWriteDeadline(at.Add(limit.Duration()))
 	return clock.Millis(at.UnixMilli())
 }
--- a/pkg/entry/pass_header.go
+++ b/pkg/entry/pass_header.go
@@ -30,7 +30,7 @@
 // plainHeader returns a caller's header without the fields that belong to the connection or to quaydock. The
 // account's API key is sent to no target.
 func plainHeader(h http.Header) http.Header {
-	named := make(map[string]bool)
+	named := make(map[string]bool) // further fields that belong to the connection
 	for _, value := range h["Connection"] {
 		for name := range strings.SplitSeq(value, ",") {
 			named[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
--- a/pkg/entry/relays.go
+++ b/pkg/entry/relays.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// maxBufferedBytes is the largest answer that is buffered until it is complete.
+	// maxBufferedBytes is the largest Content-Length of an answer that is buffered until it is complete.
 	maxBufferedBytes = 64 << 10
 	// maxEventBytes limits what is buffered of an incomplete event.
 	maxEventBytes = 1 << 20
@@ -19,7 +19,7 @@
 type bufferedRelay struct {
 	out    *answerWriter
 	status int
-	body   []byte
+	body   []byte // what has arrived
 }
 
 func (h *bufferedRelay) write(p []byte) error {
@@ -35,6 +35,7 @@
 	return h.out.send(h.body)
 }
 
+// abort sends the refusal in place of the answer, of which nothing has been sent.
 func (h *bufferedRelay) abort(why *refusal.Refusal) bool {
 	header := h.out.response.Header()
 	for name := range header {
@@ -51,7 +52,7 @@
 type streamRelay struct {
 	out    *answerWriter
 	status int
-	begun  bool
+	begun  bool // the status and header have been sent
 }
 
 func (s *streamRelay) begin() {
@@ -76,6 +77,7 @@
 	return nil
 }
 
+// abort does nothing and returns false: the only form in which a stream can end early is a broken connection.
 func (s *streamRelay) abort(*refusal.Refusal) bool {
 	return false
 }
@@ -85,18 +87,21 @@
 type eventRelay struct {
 	out     *answerWriter
 	status  int
-	begun   bool
-	pending []byte
+	begun   bool   // the status and header have been sent
+	pending []byte // received but not sent: an incomplete event, or the closing event and what follows it
 	// midEvent means that the first part of an event has been sent, but not its rest.
 	midEvent bool
 }
 
 var (
+	// doneEvent is the beginning of the closing event of a stream in the OpenAI form.
 	doneEvent    = []byte("data: [DONE]")
 	eventEnd     = []byte("\n\n")
 	eventEndCRLF = []byte("\r\n\r\n")
 )
 
+// write sends the complete events before the closing event. Of an incomplete event that is longer than maxEventBytes
+// it sends what has arrived.
 func (e *eventRelay) write(p []byte) error {
 	e.pending = append(e.pending, p...)
 	end, open := completeEvents(e.pending), e.midEvent
@@ -148,6 +153,7 @@
 	return end
 }
 
+// send sends bytes at once, after the status and header if they have not been sent.
 func (e *eventRelay) send(p []byte) error {
 	if !e.begun {
 		e.begun = true
@@ -159,6 +165,7 @@
 	return e.out.flush()
 }
 
+// finish sends what has been held back, with the closing event.
 func (e *eventRelay) finish() error {
 	return e.send(e.pending)
 }
--- a/pkg/entry/request.go
+++ b/pkg/entry/request.go
@@ -17,18 +17,18 @@
 type request struct {
 	id       ids.Request
 	account  ids.Account
-	key      string // idempotency key, empty if none
-	weight   float64
+	key      string  // idempotency key, empty if none
+	weight   float64 // of the client account, for fair shares within a tier
 	service  ids.Service
 	tier     ids.TierRank
-	deadline clock.Millis
-	prefill  ids.Tokens
-	decode   ids.Tokens
-	prefix   []prefix.Fingerprint
+	deadline clock.Millis         // point in time by the entry's clock
+	prefill  ids.Tokens           // estimated length of the prompt; 0 for a plain service
+	decode   ids.Tokens           // estimated length of the answer; plainDecode for a plain service
+	prefix   []prefix.Fingerprint // of the prompt's blocks, for targets that have them cached
 
 	method string
-	path   string
-	header http.Header
+	path   string      // with the query, as the target is sent it
+	header http.Header // the part of the caller's header that the target is sent
 	body   []byte
 	model  bool // a call in the OpenAI form
 
@@ -36,7 +36,7 @@
 	check *invariant.Checker
 	// events receives one final event for each placed ticket.
 	events  chan ticketEvent
-	attempt int // attempt number of the newest ticket
+	attempt int // attempt number of the newest ticket; 0 before the first
 	// avoidUntil maps sessions whose grant led to no dispatch to the time until which they are avoided.
 	avoidUntil map[*session]clock.Millis
 }
@@ -46,7 +46,7 @@
 	session *session
 	// lost is set if the connection to the agent broke: the ticket is gone.
 	lost    bool
-	verdict control.Verdict
+	verdict control.Verdict // not set if lost
 }
 
 // avoid records that a grant of a session led to no dispatch.
--- a/pkg/entry/retention.go
+++ b/pkg/entry/retention.go
@@ -23,16 +23,18 @@
 	out     *answerWriter
 
 	mu      sync.Mutex
-	timer   *time.Timer
-	stopped bool
+	timer   *time.Timer // calls renew
+	stopped bool        // no further timer is set
 }
 
+// startRetention starts a retention, which must be stopped when the answer has been relayed or has broken off.
 func (x *exchange) startRetention(request ids.Request, bound granted, out *answerWriter) *retention {
 	t := &retention{Common: x.Common, request: request, bound: bound, out: out}
 	t.arm()
 	return t
 }
 
+// arm sets the timer for the next renewal, unless the retention has been stopped.
 func (t *retention) arm() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -41,6 +43,7 @@
 	}
 }
 
+// renew has the agent keep the answer for longer, if the caller has been slow since the last renewal.
 func (t *retention) renew() {
 	if t.out.isSlow() {
 		// A query for the outcome also tells the agent that the answer is still needed.
--- a/pkg/entry/session.go
+++ b/pkg/entry/session.go
@@ -21,14 +21,17 @@
 	maxPlaceCalls = 4
 	// noticeWait is how long an agent holds an empty Notices call. It is long because an idle session should cost
 	// next to nothing.
-	noticeWait  = 30 * clock.Second
+	noticeWait = 30 * clock.Second
+	// noticeGrace is how much later than noticeWait the reply may arrive before the connection counts as lost.
 	noticeGrace = 2 * clock.Second
 	// probeInterval is the interval at which a session with waiting tickets checks that its agent still answers.
-	// An answer takes no longer than placeTimeout.
 	probeInterval = 2 * clock.Second
-	placeTimeout  = 2 * clock.Second
+	// placeTimeout limits one Place call. An agent that has not answered by then counts as lost.
+	placeTimeout = 2 * clock.Second
 	// noAttempt is the attempt number in verdicts of agents of an older release, which do not send one.
-	noAttempt  = 0
+	noAttempt = 0
+	// minBackoff and maxBackoff limit the pauses between attempts to reach an agent: to connect, to query an outcome
+	// or to resume an answer.
 	minBackoff = 50 * clock.Millisecond
 	maxBackoff = 2 * clock.Second
 )
@@ -38,8 +41,8 @@
 type session struct {
 	common.Common
 	target      ids.Target
-	controlAt   string
-	dataAt      string
+	controlAt   string // address of the agent's control port
+	dataAt      string // address of the agent's data port
 	dialTimeout clock.Millis
 	// reportInterval, if set, is the interval at which the load is requested even while no ticket waits, as the
 	// baseline policies need it.
@@ -48,20 +51,20 @@
 	mu                sync.Mutex
 	client            *control.Client // nil while there is no connection
 	waiting           map[ids.Request]placedTicket
-	tickets           []control.Ticket
-	withdrawn         []ids.Request
-	withdrawnAttempts []int // attempt numbers, parallel to withdrawn
-	placeCalls        int
-	probing           bool // the next Place call is made even if there is nothing to send
-	load              control.Load
-	outstanding       ids.Tokens
+	tickets           []control.Ticket // for the next Place call
+	withdrawn         []ids.Request    // for the next Place call
+	withdrawnAttempts []int            // attempt numbers, parallel to withdrawn
+	placeCalls        int              // goroutines that run sendPending, each with one call at a time
+	probing           bool             // the next Place call is made even if there is nothing to send
+	load              control.Load     // as the agent last reported it
+	outstanding       ids.Tokens       // work of the tickets placed since that report
 	// grantsInUse counts the grants that may be in use. They need the session until their answers have ended, even
 	// if the target is no longer declared: stopRun is called once none is left.
 	grantsInUse int
 	stopRun     context.CancelFunc // nil while the target is declared
 }
 
-// placedTicket is a ticket that the agent has received.
+// placedTicket is a ticket, sent or still to be sent, whose final event is to come.
 type placedTicket struct {
 	request *request
 	attempt int
@@ -100,6 +103,7 @@
 	}
 }
 
+// connect makes a connection and puts it into use once the agent has answered on it.
 func (s *session) connect(ctx context.Context) (*control.Client, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.dialTimeout.Duration())
 	defer cancel()
@@ -134,7 +138,8 @@
 	}
 }
 
-// probe detects an agent that is frozen or unreachable while tickets wait.
+// probe makes a Place call if tickets wait and none is under way, which detects an agent that is frozen or unreachable.
+// It repeats itself until the connection is replaced.
 func (s *session) probe(client *control.Client) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,6 +153,7 @@
 	time.AfterFunc(s.currentProbeInterval().Duration(), func() { s.probe(client) })
 }
 
+// currentProbeInterval returns reportInterval if it is set, else probeInterval.
 func (s *session) currentProbeInterval() clock.Millis {
 	if s.reportInterval > 0 {
 		return s.reportInterval
@@ -171,6 +177,7 @@
 }
 
 // place sends a ticket to the agent. Exactly one event follows on r.events, unless the ticket is withdrawn first.
+// Sending the event never blocks under the lock: the channel has room for one event of each placed ticket.
 func (s *session) place(r *request, ticket control.Ticket) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -185,7 +192,7 @@
 	s.startPlaceCall()
 }
 
-// retire withdraws the session's tickets at once and ends the session when none of its grants is in use.
+// retire withdraws the session's tickets at once, and calls end, which stops run, when none of its grants is in use.
 func (s *session) retire(end context.CancelFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -291,7 +298,8 @@
 	return args
 }
 
-// deliverVerdicts passes final verdicts on to their requests.
+// deliverVerdicts passes final verdicts on to their requests. A verdict on a ticket that no longer waits is dropped; if
+// it is a grant, the grant is returned.
 func (s *session) deliverVerdicts(verdicts []control.Verdict, load control.Load) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -317,7 +325,7 @@
 	}
 }
 
-// recordLoad stores the load that an agent reported. The lock must be held.
+// recordLoad stores the load that an agent reported, and counts outstanding work from 0 again. The lock must be held.
 func (s *session) recordLoad(load control.Load) {
 	s.load = load
 	s.outstanding = 0
@@ -338,13 +346,15 @@
 	return s.load
 }
 
+// currentClient returns the client of the connection, or nil while there is none.
 func (s *session) currentClient() *control.Client {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.client
 }
 
-// outcome queries the agent once for the outcome of a grant.
+// outcome queries the agent once for the outcome of a grant, and thereby closes the grant if it was unused. It fails if
+// the agent is not connected or does not answer within dialTimeout.
 func (s *session) outcome(ctx context.Context, id ids.Request, grant ids.Grant) (control.Fate, error) {
 	client := s.currentClient()
 	if client == nil {
--- a/pkg/entry/session_pool.go
+++ b/pkg/entry/session_pool.go
@@ -13,15 +13,16 @@
 // sessionPool keeps one session for each declared target.
 type sessionPool struct {
 	common.Common
-	ctx            context.Context
+	ctx            context.Context // ends all sessions
 	dialTimeout    clock.Millis
 	reportInterval clock.Millis // see session
 
 	mu       sync.RWMutex
-	sessions map[ids.Target]*pooledSession
-	done     sync.WaitGroup
+	sessions map[ids.Target]*pooledSession // of declared targets; retired sessions are not in it
+	done     sync.WaitGroup                // counts running sessions, also retired ones
 }
 
+// pooledSession is a running session and the function that stops it.
 type pooledSession struct {
 	session *session
 	stop    context.CancelFunc
@@ -46,12 +47,13 @@
 	targets := index.Targets()
 	for i := range targets {
 		if p.sessions[targets[i].Name] == nil {
-			p.start(&targets[i])
+			p.startSession(&targets[i])
 		}
 	}
 }
 
-func (p *sessionPool) start(t *declaration.Target) {
+// startSession starts the session with a target's agent. The lock must be held.
+func (p *sessionPool) startSession(t *declaration.Target) {
 	ctx, stop := context.WithCancel(p.ctx)
 	s := newSession(p.Common, t.Name, t.AgentControl, t.AgentData, p.dialTimeout)
 	s.reportInterval = p.reportInterval
--- a/pkg/entry/ticketing.go
+++ b/pkg/entry/ticketing.go
@@ -16,17 +16,19 @@
 )
 
 const (
-	// maxRounds limits how often all targets of a service are tried when some could not be reached.
+	// maxRounds limits how often all targets of a service are tried for one wait when some could not be reached.
 	maxRounds = 5
 	// declineValidity is how long a declined ticket counts as evidence that the target is full. It is below the
 	// time for which agents keep lower tiers out after declining one (settings floor_hold_ms).
 	declineValidity = clock.Second
 	// hedgeAfter is the time after which a request whose ticket was placed with fewer agents than usual is placed
 	// with more. A ticket may be hedged, a dispatch never.
-	hedgeAfter   = 300 * clock.Millisecond
+	hedgeAfter = 300 * clock.Millisecond
+	// roundBackoff is the longest pause after the first round; it doubles with each further round.
 	roundBackoff = 100 * clock.Millisecond
 	// avoidFor is how long a request avoids a target whose grant led to no dispatch.
-	avoidFor      = clock.Second
+	avoidFor = clock.Second
+	// minRetryAfter and maxRetryAfter limit the time after which a refused caller is told to retry.
 	minRetryAfter = clock.Second
 	maxRetryAfter = clock.Minute
 )
@@ -36,15 +38,15 @@
 	common.Common
 	pool              *sessionPool
 	chooser           *balance.Chooser
-	index             func() *declaration.Index
-	ticketsPerRequest int
+	index             func() *declaration.Index // returns the configuration in force
+	ticketsPerRequest int                       // how many tickets of a request are usually placed at a time
 }
 
 // round is one pass over the targets of a service.
 type round struct {
-	untried    []*session
-	concurrent int // how many tickets are to be placed at a time
-	placed     map[*session]bool
+	untried    []*session        // in the order in which tickets are placed
+	concurrent int               // how many tickets are to be placed at a time
+	placed     map[*session]bool // sessions whose ticket has had no event yet
 	// full lists the sessions that declined because requests of higher or equal tiers fill them, late counts those
 	// that could not answer by the deadline, unreached those that gave no answer or are leaving.
 	full      []*session
@@ -115,7 +117,7 @@
 	return next
 }
 
-// candidateSet is a set of connected targets.
+// candidateSet is a set of connected targets. Both slices have one element for each target, in the same order.
 type candidateSet struct {
 	sessions   []*session
 	candidates []balance.Candidate
@@ -156,7 +158,7 @@
 	}
 }
 
-// interrupted returns the result of a wait that the end of ctx interrupted.
+// interrupted returns the result of a wait that the end of ctx interrupted: gaveUp at the deadline, else callerLeft.
 func interrupted(ctx context.Context) waitResult {
 	if errors.Is(context.Cause(ctx), errDeadline) {
 		return gaveUp{refusal.DeadlineNotRun()}
@@ -188,7 +190,7 @@
 			o.firstDeclineAt = now
 		}
 		o.full = append(o.full, event.session)
-	default:
+	default: // the agent is leaving, does not serve the service, or has a duplicate of the ticket
 		o.unreached++
 	}
 	return nil
@@ -212,8 +214,8 @@
 	}
 }
 
-// retryAfter returns the time in which the least loaded of the full targets works off half of its queue, but not
-// less than its back-off.
+// retryAfter returns the time in which the least loaded of the full targets works off half of what it has queued ahead
+// of a tier, but not less than its back-off. The result is within minRetryAfter and maxRetryAfter.
 func retryAfter(full []*session, tier ids.TierRank) clock.Millis {
 	best := maxRetryAfter
 	for _, s := range full {
@@ -229,6 +231,7 @@
 	return max(best, minRetryAfter)
 }
 
+// queueTime returns the time that work takes at perSecond tokens a second.
 func queueTime(work, perSecond ids.Tokens) clock.Millis {
 	return clock.Millis(work) * clock.Second / clock.Millis(perSecond)
 }
