--- a/pkg/agent/agent.go
+++ b/pkg/agent/agent.go
@@ -29,27 +29,27 @@
 type Agent struct {
 	common.Common
 	settings    settings.Agent
-	incarnation ids.Incarnation
+	incarnation ids.Incarnation // of this agent
 	target      *targetClient
-	server      *http.Server
-	ctx         context.Context
+	server      *http.Server    // of the data port
+	ctx         context.Context // ends when the agent is closed
 	stop        context.CancelFunc
-	running     sync.WaitGroup
+	running     sync.WaitGroup // counts executions, and the goroutines that serve entries
 
 	mu            sync.Mutex
 	gate          *gate.Gate
 	sessions      map[gate.Session]*controlSession
-	conns         map[gate.Session]net.Conn
-	lastSession   gate.Session
-	executions    map[ids.Grant]*execution
-	finished      []keptAnswer // oldest first
-	dropScheduled bool         // a timer for the oldest is set
-	keptSize      int64
-	revision      declaration.Revision
-	timer         *time.Timer
-	timerAt       clock.Millis // when timer fires
-	listener      net.Listener
-	closed        bool // no further session is opened
+	conns         map[gate.Session]net.Conn // the control connection of each session
+	lastSession   gate.Session              // the newest session
+	executions    map[ids.Grant]*execution  // running, or finished and still kept
+	finished      []keptAnswer              // in the order in which they were kept
+	dropScheduled bool                      // a timer for the first of finished is set
+	keptSize      int64                     // sum of the sizes in finished, in bytes
+	revision      declaration.Revision      // of the configuration in force
+	timer         *time.Timer               // calls expire; nil if it is not set
+	timerAt       clock.Millis              // when timer fires
+	listener      net.Listener              // of the control port; set by Start
+	closed        bool                      // connections that are accepted later are closed at once
 }
 
 // New returns an agent that has not started.
@@ -79,9 +79,10 @@
 	return a
 }
 
+// headerTimeout limits the time that an entry takes to send the header of a stream.
 const headerTimeout = 10 * clock.Second
 
-// Apply puts a new configuration into force.
+// Apply puts a new configuration into force. While the target is not declared, all tickets are declined.
 func (a *Agent) Apply(index *declaration.Index) {
 	declared := index.Target(a.settings.Target)
 	var services []ids.Service
@@ -117,6 +118,7 @@
 	return nil
 }
 
+// acceptStreams serves the data port until the agent is closed.
 func (a *Agent) acceptStreams(dataListener net.Listener) {
 	err := a.server.Serve(dataListener)
 	if !errors.Is(err, http.ErrServerClosed) {
@@ -124,6 +126,7 @@
 	}
 }
 
+// acceptSessions serves the control port until the agent is closed.
 func (a *Agent) acceptSessions(controlListener net.Listener) {
 	for {
 		conn, err := controlListener.Accept()
@@ -165,6 +168,7 @@
 	return s
 }
 
+// closeSession removes a session and its queued tickets. Its grants stay valid.
 func (a *Agent) closeSession(s *controlSession) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -193,6 +197,7 @@
 	a.timer, a.timerAt = time.AfterFunc(wait.Duration(), a.expire), at
 }
 
+// expire runs when the timer fires: it closes expired grants and grants tickets for which time has made room.
 func (a *Agent) expire() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -210,6 +215,7 @@
 	a.deliverNotices()
 }
 
+// place withdraws tickets and then decides on new ones; it returns one verdict for each of these, in order.
 func (a *Agent) place(session gate.Session, args *control.PlaceArgs) ([]control.Verdict, control.Load) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -250,12 +256,14 @@
 	return a.loadLocked(a.Clock.Now())
 }
 
+// loadLocked returns the load for replies to entries. The lock must be held.
 func (a *Agent) loadLocked(now clock.Millis) control.Load {
 	load := a.gate.Load(now)
 	load.Revision = a.revision
 	return load
 }
 
+// outcome returns the outcome of a grant, after closing it if it was unused. It also has the answer kept for longer.
 func (a *Agent) outcome(args *control.OutcomeArgs) control.Fate {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -273,6 +281,7 @@
 	return fate
 }
 
+// cancel aborts the execution of a grant. A grant that is still unused is closed, so that it never has one.
 func (a *Agent) cancel(args *control.OutcomeArgs) {
 	a.mu.Lock()
 	e := a.executions[args.Grant]
@@ -305,8 +314,10 @@
 	return nil
 }
 
+// drainPollInterval is how often Drain checks whether the agent is idle.
 const drainPollInterval = 20 * clock.Millisecond
 
+// idle reports whether no request runs, no grant may still be used, and no entry has yet to receive an answer.
 func (a *Agent) idle() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/pkg/agent/answer_log.go
+++ b/pkg/agent/answer_log.go
@@ -12,29 +12,29 @@
 // errBrokenOff ends an answer that broke off.
 var errBrokenOff = errors.ConstError("the answer broke off")
 
-// errGone means that the requested bytes are no longer kept.
+// errGone means that the requested bytes are no longer kept, or that the reader is no longer the log's reader.
 var errGone = errors.ConstError("the requested bytes of the answer are no longer kept")
 
 // answerLog holds the newest part of one answer between the target, which writes, and the entry, which reads and
 // may return after a broken connection. The writer waits when the reader is too far behind, so that a slow caller
 // holds no more memory than the limit.
 type answerLog struct {
-	limit int64
+	limit int64 // for data, in bytes
 
 	mu            sync.Mutex
-	changed       sync.Cond
+	changed       sync.Cond   // broadcast after each change that a reader or the writer may wait for
 	status        int         // 0 before the target's header
 	contentLength int64       // the Content-Length, or -1
 	header        http.Header // of the target's answer
 	data          []byte      // bytes from offset start on
-	start         int64
-	read          int64 // the highest offset handed to a reader
-	done          bool
-	failure       error // set if done and the answer is incomplete
-	delivered     bool  // a reader has received the end of the complete answer
-	reader        int   // number of the newest reader; a newer reader replaces the previous one
-	reading       bool
-	departures    int // how many readers have left without a newer one in their place
+	start         int64       // offset in the answer
+	read          int64       // the offset up to which bytes have been handed to readers
+	done          bool        // the answer is complete or has broken off
+	failure       error       // set if done and the answer is incomplete
+	delivered     bool        // a reader has received the end of the complete answer
+	reader        int         // number of the newest reader; a newer reader replaces the previous one
+	reading       bool        // the newest reader has not left
+	departures    int         // how many readers have left without a newer one in their place
 }
 
 func newAnswerLog(limit int64) *answerLog {
@@ -62,7 +62,8 @@
 	return n
 }
 
-// append adds bytes, after waiting for a reader that is behind. It returns errBrokenOff if the log was ended
+// append adds bytes, after waiting for a reader that is behind: unread bytes take no more than half of the limit, so
+// that the other half is left for bytes that a resume may request again. It returns errBrokenOff if the log was ended
 // meanwhile.
 func (l *answerLog) append(p []byte) error {
 	l.mu.Lock()
@@ -79,15 +80,17 @@
 	return nil
 }
 
+// size returns the length of the answer so far, including what has been dropped. The lock must be held.
 func (l *answerLog) size() int64 {
 	return l.start + int64(len(l.data))
 }
 
+// unread returns how many bytes no reader has been handed. The lock must be held.
 func (l *answerLog) unread() int64 {
 	return l.size() - l.read
 }
 
-// trim drops the oldest bytes above the limit that have been read.
+// trim drops the oldest bytes above the limit that have been read. The lock must be held.
 func (l *answerLog) trim() {
 	surplus := min(int64(len(l.data))-l.limit, l.read-l.start)
 	if surplus <= 0 {
@@ -145,7 +148,8 @@
 	return !l.reading && l.departures == departures
 }
 
-// awaitHeader waits for the status and header of the target's answer.
+// awaitHeader waits for the status and header of the target's answer. It returns the failure if the answer ended
+// without them, and errGone if the reader was replaced or interrupted.
 func (l *answerLog) awaitHeader(reader int) (int, http.Header, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -164,7 +168,7 @@
 
 // next copies bytes from offset on into p, after waiting for some. Drained means that more bytes will come, but
 // none are there yet. It returns io.EOF at the end of a complete answer, the failure at the end of any other, and
-// errGone if the bytes are no longer kept or a newer reader has attached.
+// errGone if the bytes are no longer kept or the reader was replaced or interrupted.
 func (l *answerLog) next(reader int, offset int64, p []byte) (n int, drained bool, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -210,7 +214,8 @@
 	return offset >= l.start && offset <= l.size() && (!l.done || l.failure == nil)
 }
 
-// interrupt ends a reader whose connection has ended, so that it stops waiting.
+// interrupt ends a reader whose connection has ended, so that it stops waiting. Its number is no longer that of the
+// newest reader, as if another one had attached.
 func (l *answerLog) interrupt(reader int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -221,7 +226,7 @@
 	l.changed.Broadcast()
 }
 
-// memory returns how many bytes of memory the log holds.
+// memory returns how many bytes of memory the log holds for the answer's body.
 func (l *answerLog) memory() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/agent/control_session.go
+++ b/pkg/agent/control_session.go
@@ -18,24 +18,24 @@
 type controlSession struct {
 	agent *Agent
 	id    gate.Session
-	ctx   context.Context
+	ctx   context.Context // ends with the connection
 
 	mu       sync.Mutex
-	verdicts []control.Verdict
-	arrived  chan struct{}
+	verdicts []control.Verdict // for the next Notices call
+	arrived  chan struct{}     // holds an element if notify was called since the last Notices call
 }
 
 func newControlSession(ctx context.Context, a *Agent, id gate.Session) *controlSession {
 	return &controlSession{agent: a, id: id, ctx: ctx, arrived: make(chan struct{}, 1)}
 }
 
-// Place decides on tickets, and withdraws others.
+// Place withdraws tickets, and then decides on new ones.
 func (s *controlSession) Place(args *control.PlaceArgs, reply *control.PlaceReply) error {
 	reply.Verdicts, reply.Load = s.agent.place(s.id, args)
 	return nil
 }
 
-// Notices waits for later verdicts.
+// Notices waits for later verdicts. The reply has none if none comes within the time that the entry requested.
 func (s *controlSession) Notices(args *control.NoticeArgs, reply *control.NoticeReply) error {
 	timer := time.NewTimer(min(args.Wait, maxNoticeWait).Duration())
 	defer timer.Stop()
@@ -72,6 +72,7 @@
 	}
 }
 
+// takeVerdicts returns and clears the stored verdicts.
 func (s *controlSession) takeVerdicts() []control.Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/agent/execution.go
+++ b/pkg/agent/execution.go
@@ -14,8 +14,8 @@
 type call struct {
 	request ids.Request
 	method  string
-	path    string
-	header  http.Header
+	path    string      // with the query
+	header  http.Header // as the target is sent it
 	body    []byte
 	// model marks a call of a model, in the OpenAI form.
 	model bool
@@ -26,12 +26,13 @@
 	request  ids.Request
 	grant    ids.Grant
 	answer   *answerLog
-	ctx      context.Context
+	ctx      context.Context // of the work; ends when it is aborted or has ended
 	cancel   context.CancelFunc
 	neededAt clock.Millis // when the last reader left, or an entry last asked for it; guarded by the agent's lock
 }
 
-// startExecution turns a grant into a dispatch. It returns nil and the grant's outcome if the grant may not be used.
+// startExecution turns a grant into a dispatch, which does not end with ctx: the entry may lose its connection and
+// resume. It returns nil and the grant's outcome if the grant may not be used.
 func (a *Agent) startExecution(ctx context.Context, grant ids.Grant, c call) (*execution, control.Fate) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -49,7 +50,8 @@
 	return e, control.FateDispatched
 }
 
-// perform sends the call to the target, and ends the answer.
+// perform sends the call to the target, frees the grant's slot at the gate, and ends the answer. It is aborted when the
+// agent is closed.
 func (a *Agent) perform(e *execution, c call) {
 	defer e.cancel()
 	stop := context.AfterFunc(a.ctx, e.abort)
@@ -67,6 +69,7 @@
 	a.keep(e)
 }
 
+// countOutcome counts an execution by the error that the target client returned, nil for a complete answer.
 func (a *Agent) countOutcome(err error) {
 	switch {
 	case err == nil:
@@ -83,7 +86,7 @@
 	}
 }
 
-// find returns the execution of a grant, or nil.
+// find returns the execution of a grant, or nil if there is none, it is no longer kept, or it is of another request.
 func (a *Agent) find(grant ids.Grant, request ids.Request) *execution {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/pkg/agent/kept_answers.go
+++ b/pkg/agent/kept_answers.go
@@ -11,14 +11,14 @@
 // the end.
 const maxKeptBytes = 16 << 20
 
-// keptOverhead is what a kept answer holds beside its bytes: header, log and bookkeeping.
+// keptOverhead is the memory in bytes that a kept answer is taken to hold beside its body: header, log and bookkeeping.
 const keptOverhead = 2 << 10
 
 // keptAnswer is a finished answer that is kept for a while.
 type keptAnswer struct {
 	execution *execution
-	size      int64
-	until     clock.Millis
+	size      int64        // in bytes, with keptOverhead
+	until     clock.Millis // when it is dropped, unless it is still needed then
 }
 
 // keep stores a finished answer for a resume, and drops others above the limit.
@@ -37,7 +37,7 @@
 
 // dropAboveLimit drops finished answers above the memory limit, except those that are being read, whose memory
 // their readers hold anyway. Answers whose end no entry has received are dropped last: an entry may be about to
-// resume them. The lock must be held.
+// resume them. At least one answer is kept, however large it is. The lock must be held.
 func (a *Agent) dropAboveLimit() {
 	for a.keptSize > maxKeptBytes && len(a.finished) > 1 {
 		i := slices.IndexFunc(a.finished, func(k keptAnswer) bool { return !k.execution.answer.hasReader() && !k.execution.answer.undelivered() })
@@ -51,7 +51,8 @@
 	}
 }
 
-// dropExpired drops the answers whose time is over, and schedules itself for the rest.
+// dropExpired drops the answers whose time is over, and schedules itself for the rest. An answer that is still needed
+// gets a new time instead.
 func (a *Agent) dropExpired() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -93,7 +94,7 @@
 	return e.neededAt + a.settings.ResumeWaitMS
 }
 
-// drop removes a finished answer. The lock must be held.
+// drop removes the finished answer at index i. The lock must be held.
 func (a *Agent) drop(i int) {
 	k := a.finished[i]
 	if i == 0 {
--- a/pkg/agent/streams_controller.go
+++ b/pkg/agent/streams_controller.go
@@ -20,6 +20,7 @@
 	"quaydock/pkg/telemetry"
 )
 
+// relayBytes is the size of the buffers that answers are copied through.
 const relayBytes = 8 << 10
 
 // relayBuffers are shared by all streams of the process.
@@ -75,7 +76,7 @@
 }
 
 // echo reads the grant, and names request and grant in the response, so that an entry can detect an answer that is
-// not its own.
+// not its own. If one of them is missing or invalid, it refuses the call and returns false.
 func (a *Agent) echo(w http.ResponseWriter, r *http.Request) (ids.Grant, bool) {
 	text := r.Header.Get(control.HeaderGrant)
 	grant, err := ids.ParseGrant(text)
@@ -134,7 +135,7 @@
 	w.WriteHeader(http.StatusGone)
 }
 
-// release detaches a reader. If no other attaches in time, the work is aborted.
+// release detaches a reader. If no other attaches within the time set for resumes, the work is aborted.
 func (a *Agent) release(from *execution, reader int) {
 	departures, without := from.answer.detach(reader)
 	a.markNeeded(from)
@@ -149,6 +150,7 @@
 	})
 }
 
+// markNeeded records that the answer was needed just now, from which the time for a resume counts.
 func (a *Agent) markNeeded(from *execution) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -185,8 +187,8 @@
 	}
 }
 
-// readCall reads the call for the target. The complete body is read before the grant is used, so that a request
-// broken off on its way here does not run.
+// readCall reads the call for the target, whose body may have up to limit bytes. The complete body is read before the
+// grant is used, so that a request broken off on its way here does not run.
 func readCall(r *http.Request, limit int64) (call, error) {
 	var body bytes.Buffer
 	if r.ContentLength > limit {
--- a/pkg/agent/target_client.go
+++ b/pkg/agent/target_client.go
@@ -36,11 +36,16 @@
 	headerTargetRequest = "X-Request-Id"
 	// pathStreams is where a target that supports resuming keeps its answers: GET with a Range resumes one, DELETE
 	// cancels it.
-	pathStreams   = "/streams/"
-	targetConns   = 1024
-	targetDial    = clock.Second
+	pathStreams = "/streams/"
+	// targetConns is how many idle connections to the target are kept.
+	targetConns = 1024
+	// targetDial limits the time for making a connection to the target.
+	targetDial = clock.Second
+	// cancelTimeout limits the call that cancels a request at the target.
 	cancelTimeout = 2 * clock.Second
-	maxResumes    = 5
+	// maxResumes is how many times in a row an answer that breaks off is resumed.
+	maxResumes = 5
+	// resumeBackoff is the pause before the first resume; it doubles with each further break in a row.
 	resumeBackoff = 50 * clock.Millisecond
 )
 
@@ -48,7 +53,7 @@
 type targetClient struct {
 	common.Common
 	transport *http.Transport
-	declared  atomic.Pointer[declaration.Target]
+	declared  atomic.Pointer[declaration.Target] // nil until the target has been declared
 	onBackoff func(remaining clock.Millis)
 }
 
@@ -92,6 +97,7 @@
 	writesBefore int64         // the number of writes that had begun on it before the request
 }
 
+// trace returns the hook that records the connection once the request has one.
 func (a *attempt) trace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		a.conn, _ = info.Conn.(*countingConn)
@@ -101,8 +107,8 @@
 	}}
 }
 
-// untouched reports that nothing of the request was written. The result is valid only after an error that closed
-// the connection.
+// untouched reports whether a connection was made and nothing of the request was written to it. The result is valid
+// only after an error that closed the connection.
 func (a *attempt) untouched() bool {
 	return a.conn != nil && a.conn.writes.Load() == a.writesBefore
 }
@@ -179,13 +185,14 @@
 	}
 }
 
-// onceReader is a body that can be read only once.
+// onceReader is a body that can be read only once, as its type has no other method than Read and Close.
 type onceReader struct{ io.Reader }
 
 // Close does nothing.
 func (onceReader) Close() error { return nil }
 
-// resume continues an answer that broke off, from the byte after the last one received.
+// resume continues an answer that broke off, from the byte after the last one received. The error is errNotResumed if
+// no connection was made, and errBrokenOff if the target refused.
 func (t *targetClient) resume(ctx context.Context, target *declaration.Target, id ids.Request, p *progress) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target.Address+pathStreams+string(id), nil)
 	if err != nil {
@@ -225,15 +232,17 @@
 // progress is the state of an answer over all its connections.
 type progress struct {
 	log               *answerLog
-	size              int64
-	begun             bool
+	size              int64  // bytes received so far
+	begun             bool   // the header has been written to the log
 	needsClosingEvent bool   // an event stream must end with the closing event
 	events            bool   // the answer is an event stream
-	tail              []byte // the last bytes, to look for the closing event
+	tail              []byte // the last tailBytes of an event stream, to look for the closing event
 }
 
+// closingEvent is the beginning of the last event of a stream in the OpenAI form.
 var closingEvent = []byte("data: [DONE]")
 
+// tailBytes has room for the closing event and the line breaks behind it.
 const tailBytes = 32
 
 // copyFrom copies one response to its end. It returns nil if the answer is complete.
@@ -259,7 +268,7 @@
 }
 
 // begin writes the target's header to the log, once. A resume from the first byte on replaces the answer whose
-// header was lost.
+// header was lost; its status 206 then stands for 200.
 func (p *progress) begin(response *http.Response) {
 	if p.begun {
 		return
@@ -274,6 +283,7 @@
 	p.log.begin(status, header)
 }
 
+// add appends bytes to the log; see answerLog.append for its error.
 func (p *progress) add(b []byte) error {
 	p.size += int64(len(b))
 	if p.events {
