--- a/pkg/forward/connection.go
+++ b/pkg/forward/connection.go
@@ -13,14 +13,15 @@
 	"quaydock/pkg/ids"
 )
 
+// readBuffer is the size of a connection's buffer for answers.
 const readBuffer = 4 << 10
 
 // connection is one connection to a target. It carries one request at a time.
 type connection struct {
 	net.Conn
 	reader     *bufio.Reader
-	reused     bool
-	reuseUntil clock.Millis
+	reused     bool         // taken from the idle connections at least once
+	reuseUntil clock.Millis // when an idle connection is too old to be used again
 	// madeAt is the Unix millisecond at which the connection was made, to be compared with starts of targets.
 	madeAt ids.Start
 }
@@ -53,7 +54,8 @@
 	return err == nil && usable
 }
 
-// keepFor returns how long the connection may stay idle after an answer.
+// keepFor returns how long the connection may stay idle after an answer: maxIdle, or the time-out that the target
+// states less idleMargin, if that is shorter. A result of 0 or less means that the connection is not kept.
 func keepFor(h http.Header) clock.Millis {
 	limit := maxIdle
 	for _, field := range strings.Split(h.Get("Keep-Alive"), ",") {
--- a/pkg/forward/exchange.go
+++ b/pkg/forward/exchange.go
@@ -23,17 +23,18 @@
 type exchange struct {
 	pool     *Pool
 	target   *routing.Target
-	conn     *connection
+	conn     *connection // nil until there is one
 	request  *Request
-	ctx      context.Context
-	cancel   context.CancelCauseFunc
-	sentAt   clock.Millis
-	stop     func() bool  // cancels the closing at the end of ctx
-	written  atomic.Int64 // bytes of the request
-	writeEnd chan error
+	ctx      context.Context         // the context of Send, which AbortReplaced may end too
+	cancel   context.CancelCauseFunc // with ErrReplaced if the target has started again
+	sentAt   clock.Millis            // when the request began to be written
+	stop     func() bool             // undoes the breaking off at the end of ctx; false if that has begun
+	written  atomic.Int64            // bytes of the request, its head included; set when write ends
+	writeEnd chan error              // receives the one result of write, which never blocks on it
 }
 
-// Send makes one exchange. When ctx ends, or the target has started again, the connection is closed.
+// Send makes one exchange. When ctx ends, or the target has started again, the connection is broken off. The caller has
+// to close an *Answer.
 func (p *Pool) Send(ctx context.Context, t *routing.Target, r *Request) Result {
 	if p.withholds(t) {
 		return Withheld{}
@@ -72,7 +73,7 @@
 }
 
 // connect takes an idle connection or makes one. One that was made while the target started again may lead to its
-// new incarnation, which must not run what was counted for the former one.
+// new incarnation, which must not run what was counted for the former one: then it is closed and connect fails.
 func (e *exchange) connect() error {
 	e.conn = e.pool.takeIdle(e.target.Incarnation())
 	if e.conn == nil {
@@ -123,6 +124,8 @@
 	e.writeEnd <- err
 }
 
+// read returns the result of a request that is being sent. It skips answers of other requests,
+// and fails at the maxStrayAnswers-th of them.
 func (e *exchange) read() Result {
 	for range maxStrayAnswers {
 		response, err := e.readHead()
@@ -175,7 +178,7 @@
 	}
 }
 
-// skip discards an answer that belongs to another request.
+// skip discards an answer that belongs to another request. It fails if the connection has no further answer.
 func (e *exchange) skip(response *http.Response) error {
 	e.pool.Metrics.Links.Add("stray_answers", 1)
 	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
@@ -201,12 +204,14 @@
 	return Broken{fmt.Errorf("target %s, reused connection %t: %w", e.target.ID, e.conn.reused, err)}
 }
 
+// declined ends an exchange whose target reported that it did not run the request.
 func (e *exchange) declined(response *http.Response, metadata AnswerMetadata) Result {
 	_, err := io.Copy(io.Discard, response.Body)
 	e.finish(response, err == nil)
 	return Declined{Status: response.StatusCode, Load: metadata.Load}
 }
 
+// answer returns the answer, whose body is still to be read. The exchange goes on until that ends.
 func (e *exchange) answer(response *http.Response, metadata AnswerMetadata) Result {
 	return &Answer{
 		Status: response.StatusCode,
@@ -217,7 +222,8 @@
 	}
 }
 
-// finish ends an exchange whose answer has been read. The connection is kept if both directions are done with it.
+// finish ends an exchange whose answer has been read, completely or in part. The connection is kept if both directions
+// are done with it and the target keeps it open.
 func (e *exchange) finish(response *http.Response, complete bool) {
 	stopped := e.stop()
 	e.unregister()
@@ -227,6 +233,7 @@
 		written = err == nil
 	default: // part of the request's body has yet to be written
 	}
+	// The end of an unframed body is the end of the connection.
 	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 	keep := keepFor(response.Header)
 	if complete && stopped && written && framed && !response.Close && keep > 0 {
@@ -236,13 +243,14 @@
 	discard(e.conn)
 }
 
-// body is the body of an answer.
+// body is the body of an answer. It is not safe for concurrent use.
 type body struct {
 	exchange *exchange
 	response *http.Response
-	ended    bool
+	ended    bool // the exchange has been finished
 }
 
+// Read reads the body and finishes the exchange at its end or at the first error.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.response.Body.Read(p)
 	if err != nil && !errors.Is(err, io.EOF) {
@@ -255,6 +263,7 @@
 	return n, err
 }
 
+// close finishes the exchange, which closes the connection, unless Read has done so.
 func (b *body) close() {
 	if !b.ended {
 		b.ended = true
--- a/pkg/forward/pool.go
+++ b/pkg/forward/pool.go
@@ -17,15 +17,15 @@
 	"quaydock/pkg/routing"
 )
 
-// Pool keeps connections to targets.
+// Pool keeps connections to targets, and tracks the exchanges on them.
 type Pool struct {
 	common.Common
 	readMetadata func(header map[string][]string) AnswerMetadata
 	advice       *advisory.Tracker
 
 	mu   sync.Mutex
-	idle map[ids.TargetIncarnation][]*connection
-	busy map[ids.TargetIncarnation]map[*exchange]struct{}
+	idle map[ids.TargetIncarnation][]*connection          // the last used one at the end
+	busy map[ids.TargetIncarnation]map[*exchange]struct{} // exchanges that have not ended
 	// targets is the newest target list, nil before the first.
 	targets *routing.Directory
 }
@@ -100,7 +100,8 @@
 
 // AbortReplaced aborts the exchanges with former incarnations of targets: a VM that returns after a partition
 // resets no connection, so callers would wait for answers that nobody works on. It must be called after requests
-// are assigned by the new list, so that requests which may be repeated find the new incarnation.
+// are assigned by the new list, so that requests which may be repeated find the new incarnation. The argument, which
+// observers of the target list get, is ignored: the list that SetDirectory has stored counts.
 func (p *Pool) AbortReplaced(*routing.Directory) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -131,6 +132,7 @@
 	}
 }
 
+// pop removes and returns the idle connection to a target that was used last, or returns nil.
 func (p *Pool) pop(incarnation ids.TargetIncarnation) *connection {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -143,6 +145,7 @@
 	return c
 }
 
+// dial makes a connection to a target within dialTimeout.
 func (p *Pool) dial(ctx context.Context, t *routing.Target) (*connection, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout.Duration())
 	defer cancel()
@@ -178,7 +181,7 @@
 	Unreachable
 )
 
-// Probe makes a connection to a target and closes it.
+// Probe makes a connection to a target and closes it. It takes no longer than reachTimeout.
 func (p *Pool) Probe(ctx context.Context, t *routing.Target) Reachability {
 	p.mu.Lock()
 	replaced := p.replaced(t.Incarnation())
@@ -227,7 +230,7 @@
 	_ = c.Close()
 }
 
-// Prune closes the idle connections that are too old or whose targets are no longer listed.
+// Prune closes the idle connections that are too old or whose targets are not listed in known.
 func (p *Pool) Prune(known *routing.Directory) {
 	now := p.Clock.Now()
 	var old []*connection
--- a/pkg/forward/result.go
+++ b/pkg/forward/result.go
@@ -14,7 +14,8 @@
 	ID     string
 	Method string
 	// Path is the path and query as the caller wrote them.
-	Path   string
+	Path string
+	// Host is written as the Host header field, before the fields of Header.
 	Host   string
 	Header http.Header
 	Body   []byte
@@ -39,7 +40,7 @@
 
 // Load is a target's report of its own load.
 type Load struct {
-	Running, Waiting, Slots int
+	Running, Waiting, Slots int // all in requests
 }
 
 // Result is the result of one exchange with a target: NotSent, Withheld, Declined, *Answer or Broken.
@@ -55,7 +56,7 @@
 // Declined means that the target reported that it did not run the request.
 type Declined struct {
 	Status int
-	Load   *Load
+	Load   *Load // nil if the target did not report it
 }
 
 // Broken means that the exchange failed, and that the target may have run the request.
@@ -73,7 +74,7 @@
 	Header http.Header
 	// Length is the body's length, or -1 if it is not known before the body's end.
 	Length int64
-	Load   *Load
+	Load   *Load // nil if the target did not report it
 	body   *body
 }
 
@@ -104,10 +105,11 @@
 	maxIdle = 4 * clock.Second
 	// idleMargin is subtracted from the time for which a target says it keeps a connection.
 	idleMargin = 1500 * clock.Millisecond
-	// maxStrayAnswers limits how many answers to other requests are skipped.
+	// maxStrayAnswers is the number of answers to other requests at which an exchange fails.
 	maxStrayAnswers = 4
 )
 
+// unreached returns the result of a request of which nothing was written; its error names the target.
 func unreached(t *routing.Target, err error) NotSent {
 	return NotSent{fmt.Errorf("target %s at %s: %w", t.ID, t.Address, err)}
 }
