--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -23,7 +23,7 @@
 	FateRetention clock.Millis
 }
 
-// Notice is a verdict that became known after Place returned, for the session that placed the ticket.
+// Notice is the later verdict on a ticket that Place queued, for the session that placed it.
 type Notice struct {
 	Session Session
 	Verdict control.Verdict
@@ -33,12 +33,12 @@
 type grantState struct {
 	grant     ids.Grant
 	request   ids.Request
-	attempt   int // of the ticket
+	attempt   int // attempt number of the ticket
 	session   Session
 	work      ids.Tokens
 	tier      ids.TierRank
-	fate      control.Fate
-	open      bool // may still be used
+	fate      control.Fate // FateUnknown while open
+	open      bool         // may still be used
 	running   bool
 	deadline  clock.Millis // for using the grant while it is open
 	startedAt clock.Millis // when the request was dispatched
@@ -51,27 +51,28 @@
 	limits   Limits
 	check    *invariant.Checker
 	queue    *Queue
-	services map[ids.Service]bool
-	leaving  bool
+	services map[ids.Service]bool // that the target runs; tickets for others are declined
+	leaving  bool                 // no ticket is accepted any more
 	// backoffUntil is the end of the back-off that the target asked for.
 	backoffUntil clock.Millis
 
-	sequence     uint64
-	grants       map[ids.Grant]*grantState
-	open         []*grantState // oldest first; closed ones are skipped
-	fateExpiries []fateExpiry  // oldest first
-	dispatched   map[ids.Request]ids.Grant
-	openCount    int
-	activeByTier []int // by tier: grants that are open or running
-	runCount     int
-	runWork      ids.Tokens
+	sequence     uint64                    // number of the newest grant
+	grants       map[ids.Grant]*grantState // open, running, or ended with an outcome that is still kept
+	open         []*grantState             // oldest first; closed ones are skipped
+	fateExpiries []fateExpiry              // oldest first
+	dispatched   map[ids.Request]ids.Grant // until the outcome of the grant is dropped
+	openCount    int                       // how many grants are open
+	activeByTier []int                     // by tier: grants that are open or running
+	runCount     int                       // how many requests run
+	runWork      ids.Tokens                // their work
 
 	floorUntil []clock.Millis // by tier: until when lower tiers are refused
 	drain      drainMeter
 	unit       unitMeter
-	notices    []Notice
+	notices    []Notice // since the last call of Notices
 }
 
+// fateExpiry is the time at which the outcome of an ended grant is dropped.
 type fateExpiry struct {
 	grant ids.Grant
 	at    clock.Millis
@@ -118,11 +119,13 @@
 	return g.runCount == 0 && g.openCount == 0
 }
 
+// declineQueued removes a ticket from the queue and has its session notified.
 func (g *Gate) declineQueued(w *queuedTicket, reason control.RefuseReason) {
 	g.queue.remove(w)
 	g.notify(w.session, control.Verdict{Request: w.ticket.Request, Turn: w.ticket.Turn, Kind: control.Declined, Reason: reason})
 }
 
+// notify stores a verdict for the next call of Notices.
 func (g *Gate) notify(session Session, verdict control.Verdict) {
 	g.notices = append(g.notices, Notice{Session: session, Verdict: verdict})
 }
@@ -134,7 +137,8 @@
 	return taken
 }
 
-// Place decides on a ticket.
+// Place decides on a ticket: it is declined, granted if a slot is free and no other ticket waits, or else queued. A
+// queued ticket's later verdict is among the Notices, possibly at once.
 func (g *Gate) Place(now clock.Millis, session Session, ticket control.Ticket) control.Verdict {
 	g.supersede(now, &ticket)
 	if reason := g.refusal(now, &ticket); reason != control.NoReason {
@@ -170,7 +174,8 @@
 	return max(0, g.backoffUntil-now)
 }
 
-// free is how many more requests could be granted now.
+// free is how many more requests could be granted now: 0 during a back-off, and below 0 if the slots were reduced to
+// fewer than are in use.
 func (g *Gate) free(now clock.Millis) int {
 	if g.backoffLeft(now) > 0 {
 		return 0
@@ -178,7 +183,7 @@
 	return g.limits.Slots - g.runCount - g.openCount
 }
 
-// grantQueued grants queued tickets while slots are free.
+// grantQueued grants queued tickets while slots are free. It declines those that cannot be answered in time any more.
 func (g *Gate) grantQueued(now clock.Millis) {
 	for !g.leaving && g.free(now) > 0 {
 		highest, waits := g.queue.highest()
--- a/pkg/gate/grants.go
+++ b/pkg/gate/grants.go
@@ -9,6 +9,7 @@
 	"quaydock/pkg/invariant"
 )
 
+// grant issues a grant for a ticket, which occupies a slot from now on.
 func (g *Gate) grant(now clock.Millis, session Session, ticket *control.Ticket) control.Verdict {
 	g.sequence++
 	r := &grantState{
@@ -76,11 +77,12 @@
 	g.Tick(now)
 }
 
+// scheduleForget has the outcome of a grant that ends now dropped after the retention time.
 func (g *Gate) scheduleForget(now clock.Millis, r *grantState) {
 	g.fateExpiries = append(g.fateExpiries, fateExpiry{grant: r.grant, at: now + g.limits.FateRetention})
 }
 
-// closeUnused closes an unused grant for good.
+// closeUnused closes an unused grant for good: it leaves a tombstone and frees the slot.
 func (g *Gate) closeUnused(now clock.Millis, r *grantState) {
 	r.open = false
 	r.fate = control.FateNever
@@ -89,7 +91,8 @@
 	g.scheduleForget(now, r)
 }
 
-// Fate returns the outcome of a grant, after closing it if it is unused.
+// Fate returns the outcome of a grant, after closing it if it is unused. It returns control.FateUnknown if the outcome
+// is no longer kept or the grant is of another request.
 func (g *Gate) Fate(now clock.Millis, grant ids.Grant, request ids.Request) control.Fate {
 	r := g.grants[grant]
 	if r == nil || r.request != request {
@@ -112,7 +115,7 @@
 func (g *Gate) WithdrawUpTo(now clock.Millis, session Session, request ids.Request, attempt int) {
 	if w := g.queue.byRequest[request]; w != nil && w.session == session && w.ticket.Turn <= attempt {
 		g.queue.remove(w)
-		return
+		return // supersede has closed the grants of earlier attempts
 	}
 	g.closeUnusedUpTo(now, request, attempt)
 	g.Tick(now)
@@ -127,6 +130,7 @@
 	}
 }
 
+// forgetGrant drops the outcome of an ended grant, and with it the record that its request was dispatched on it.
 func (g *Gate) forgetGrant(grant ids.Grant) {
 	r := g.grants[grant]
 	delete(g.grants, grant)
--- a/pkg/gate/heaps.go
+++ b/pkg/gate/heaps.go
@@ -4,7 +4,7 @@
 // so that it can be removed from anywhere.
 type element[T any] interface {
 	before(T) bool
-	setIndex(int)
+	setIndex(int) // called on each move within the heap
 }
 
 // indexedHeap is a heap for container/heap with the first element by order at its top.
--- a/pkg/gate/queue.go
+++ b/pkg/gate/queue.go
@@ -18,20 +18,20 @@
 type queuedTicket struct {
 	ticket   control.Ticket
 	session  Session
-	deadline clock.Millis
-	arrival  uint64
-	index    int
+	deadline clock.Millis // point in time, by the agent's clock
+	arrival  uint64       // its number in the order of arrival
+	index    int          // in the heap of its account
 	account  *accountQueue
 }
 
 // Queue orders tickets by tier, then by fair share between accounts, then by
 // deadline.
 type Queue struct {
-	tiers     []*tierQueue
+	tiers     []*tierQueue // by rank
 	byRequest map[ids.Request]*queuedTicket
-	work      ids.Tokens
-	tierWork  []ids.Tokens
-	arrivals  uint64
+	work      ids.Tokens   // of all queued tickets
+	tierWork  []ids.Tokens // by rank, of the tickets of that tier alone
+	arrivals  uint64       // how many tickets have been pushed
 }
 
 // NewQueue returns an empty queue.
@@ -41,9 +41,9 @@
 
 // tierQueue holds the queues of the accounts of one tier, the least served first.
 type tierQueue struct {
-	accounts    indexedHeap[*accountQueue]
-	byName      map[ids.Account]*accountQueue
-	virtualTime float64
+	accounts    indexedHeap[*accountQueue]    // those with tickets
+	byName      map[ids.Account]*accountQueue // also those without, while their served value is above virtualTime
+	virtualTime float64                       // served value of the account of the last pop, before that pop
 }
 
 // accountQueue holds the tickets of one account in one tier. Its served value is the work
@@ -52,9 +52,10 @@
 	account ids.Account
 	served  float64
 	tickets indexedHeap[*queuedTicket]
-	index   int
+	index   int // in the heap of its tier
 }
 
+// tier returns the queue of a tier, after adding those that are missing up to its rank.
 func (q *Queue) tier(rank ids.TierRank) *tierQueue {
 	for len(q.tiers) <= int(rank) {
 		q.tiers = append(q.tiers, &tierQueue{byName: make(map[ids.Account]*accountQueue)})
@@ -122,7 +123,8 @@
 	q.tierWork[ticket.Tier] += ticket.Work()
 }
 
-// pop removes and returns the next ticket, or returns nil if the queue is empty.
+// pop removes and returns the next ticket, or returns nil if the queue is empty. The account is charged for the
+// ticket's work and one token, so that tickets without work count too.
 func (q *Queue) pop() *queuedTicket {
 	for _, t := range q.tiers {
 		if len(t.accounts) == 0 {
@@ -139,6 +141,7 @@
 	return nil
 }
 
+// weightOf returns the weight of a ticket's account. An account that declares none has weight 1.
 func weightOf(t *control.Ticket) float64 {
 	if t.Weight <= 0 {
 		return 1
@@ -154,6 +157,7 @@
 	if len(l.tickets) == 0 {
 		heap.Remove(&t.accounts, l.index)
 	}
+	// If the account came back it would start level with the others, as a new one does.
 	if len(l.tickets) == 0 && l.served <= t.virtualTime {
 		delete(t.byName, l.account)
 	}
--- a/pkg/gate/refusal.go
+++ b/pkg/gate/refusal.go
@@ -6,6 +6,8 @@
 	"quaydock/pkg/ids"
 )
 
+// refusal returns why a ticket is declined on arrival, or control.NoReason. If the reason is control.Full, it also
+// raises the floor to the ticket's tier.
 func (g *Gate) refusal(now clock.Millis, ticket *control.Ticket) control.RefuseReason {
 	switch {
 	case g.leaving:
@@ -65,6 +67,7 @@
 	return waits && tier.Higher(lowest)
 }
 
+// countActive counts a grant of a tier that has been opened.
 func (g *Gate) countActive(tier ids.TierRank) {
 	for len(g.activeByTier) <= int(tier) {
 		g.activeByTier = append(g.activeByTier, 0)
@@ -94,12 +97,14 @@
 	return ids.BelowAllTiers
 }
 
+// queueLimit returns the work that may be queued: what the target finishes within Limits.QueueTime at its measured
+// rate, but at least Limits.QueueMin.
 func (g *Gate) queueLimit() ids.Tokens {
 	measured := g.drain.perSecond * float64(g.limits.QueueTime) / float64(clock.Second)
 	return max(g.limits.QueueMin, ids.Tokens(measured))
 }
 
-// evict declines queued tickets of lower tiers until the queue is within its limit. An
+// evict declines queued tickets of tiers below the given one until the queue is within its limit. An
 // evicted ticket is shed like one that is refused on arrival, so the same rules apply:
 // no eviction while anything below its tier is served, and nothing below its tier is
 // admitted for a while afterwards.
--- a/pkg/gate/unit_meter.go
+++ b/pkg/gate/unit_meter.go
@@ -20,11 +20,12 @@
 // compare with the work done. Requests count by their work: short ones, whose run time
 // varies mostly by one step more or less, carry little information.
 type unitMeter struct {
-	micros float64
-	ran    float64
-	work   float64
+	micros float64 // estimated run time per token in microseconds; 0 before any request has finished
+	ran    float64 // weighted sum of run times, in microseconds
+	work   float64 // weighted sum of work, in tokens
 }
 
+// learn records the run time and work of a finished request.
 func (u *unitMeter) learn(ran clock.Millis, work ids.Tokens) {
 	u.ran = u.ran*unitDecay + float64(ran)*microsPerMilli
 	u.work = u.work*unitDecay + float64(max(1, work))
