--- a/pkg/claim/batcher.go
+++ b/pkg/claim/batcher.go
@@ -17,7 +17,7 @@
 type pendingWrite struct {
 	condition table.Condition
 	write     table.Write
-	done      chan error
+	done      chan error // receives the one result; has room for it, since commit may no longer wait
 }
 
 // batcher collects the writes that arrive while a transaction is under way into the
@@ -26,8 +26,8 @@
 	table *table.Table
 
 	mu      sync.Mutex
-	pending []pendingWrite
-	running bool
+	pending []pendingWrite // in the order of arrival
+	running bool           // a goroutine in run takes batches
 }
 
 // commit makes one conditional write; see table.Table.Commit for its errors.
@@ -43,6 +43,7 @@
 	}
 }
 
+// add appends a write to the pending ones, and starts run if it does not run.
 func (b *batcher) add(s pendingWrite) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -53,12 +54,14 @@
 	}
 }
 
+// run writes batches until nothing is pending.
 func (b *batcher) run() {
 	for batch := b.nextBatch(); batch != nil; batch = b.nextBatch() {
 		b.write(batch)
 	}
 }
 
+// nextBatch takes up to maxBatch pending writes. If there are none, it returns nil and records that run ends.
 func (b *batcher) nextBatch() []pendingWrite {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -73,7 +76,7 @@
 }
 
 // write commits a batch in one transaction. If a condition fails, it tries the halves
-// separately, until the failing write is alone.
+// separately, until the failing write is alone. Any other error is the result of all writes of the batch.
 func (b *batcher) write(batch []pendingWrite) {
 	var transaction table.Transaction
 	for _, s := range batch {
--- a/pkg/claim/claim.go
+++ b/pkg/claim/claim.go
@@ -27,6 +27,7 @@
 	At clock.Millis `json:"at"`
 }
 
+// keyPrefix begins the keys of all claims' rows.
 const keyPrefix = "claim/"
 
 // rowKey returns the key of the row for an account's idempotency key. The idempotency key
@@ -36,6 +37,7 @@
 	return table.Key(keyPrefix + hex.EncodeToString(sum[:]))
 }
 
+// write returns the table write that sets the row of key to the claim.
 func (c Claim) write(key table.Key) (table.Write, error) {
 	value, err := json.Marshal(c)
 	if err != nil {
--- a/pkg/claim/claimer.go
+++ b/pkg/claim/claimer.go
@@ -14,6 +14,7 @@
 )
 
 const (
+	// minBackoff and maxBackoff limit the pauses between tries to write or read a claim.
 	minBackoff = 50 * clock.Millisecond
 	maxBackoff = 2 * clock.Second
 	// freeTimeout limits the attempts to free a claim whose request did not run.
@@ -38,7 +39,7 @@
 // means that the table gave no definite answer, and then the request must not run.
 func (c *Claimer) Claim(ctx context.Context, account ids.Account, key string, request ids.Request) (bool, error) {
 	row := rowKey(account, key)
-	var version table.Version
+	var version table.Version // of the row that the next try replaces; 0 if there must be none
 	backoff := c.Random.NewBackoff(minBackoff, maxBackoff)
 	for {
 		err := c.put(ctx, row, version, Claim{Request: request})
@@ -71,6 +72,8 @@
 	go c.free(rowKey(account, key), request)
 }
 
+// free tries to free a claim until it is freed, another attempt holds it, or freeTimeout has passed. A row that is not
+// found may still be written by a try of Claim whose answer was lost.
 func (c *Claimer) free(row table.Key, request ids.Request) {
 	ctx, cancel := context.WithTimeout(context.Background(), freeTimeout.Duration())
 	defer cancel()
@@ -87,6 +90,7 @@
 	}
 }
 
+// put writes a claim to its row, provided that the row has the given version; see table.Table.Commit for its errors.
 func (c *Claimer) put(ctx context.Context, row table.Key, version table.Version, claim Claim) error {
 	claim.Entry = c.entry
 	claim.At = c.Clock.Now()
@@ -103,6 +107,7 @@
 	version table.Version
 }
 
+// read reads a claim. It returns false and no error if the row does not exist.
 func (c *Claimer) read(ctx context.Context, key table.Key) (held storedClaim, found bool, err error) {
 	row, err := c.table.Read(ctx, key)
 	if errors.Is(err, jujuerrors.NotFound) {
--- a/pkg/control/client.go
+++ b/pkg/control/client.go
@@ -68,6 +68,8 @@
 // EmptyReply is the reply of a message that needs none.
 type EmptyReply struct{}
 
+// call makes one call. If ctx ends first, it returns an error of kind errors.Timeout; net/rpc may still write to reply
+// afterwards.
 func (c *Client) call(ctx context.Context, method string, args, reply any) error {
 	call := c.rpc.Go(method, args, reply, make(chan *rpc.Call, 1))
 	select {
--- a/pkg/control/messages.go
+++ b/pkg/control/messages.go
@@ -22,7 +22,7 @@
 	// HeaderMethod and HeaderPath carry the caller's method and path.
 	HeaderMethod = "Quaydock-Method"
 	HeaderPath   = "Quaydock-Path"
-	// HeaderModel is set on calls of a model, in the OpenAI form.
+	// HeaderModel is set, to any value, on calls of a model, in the OpenAI form.
 	HeaderModel = "Quaydock-Model-Call"
 	// HeaderOffset is the first byte of the answer that a resume requests.
 	HeaderOffset = "Quaydock-Offset"
@@ -36,10 +36,12 @@
 // FateNeverDispatched means that the grant was not used and never will be.
 const FateNeverDispatched = "never-dispatched"
 
-// Paths of the agent's stream port.
+// Paths of the agent's data port.
 const (
+	// PathDispatch accepts a request for a grant (POST) and returns its answer.
 	PathDispatch = "/dispatch"
-	PathAnswer   = "/answer"
+	// PathAnswer resumes the answer of a dispatched grant (GET).
+	PathAnswer = "/answer"
 )
 
 // Ticket requests a grant. It describes a request without its body.
@@ -50,11 +52,12 @@
 	Turn    int
 	Service ids.Service
 	Account ids.Account
-	Weight  float64
-	Tier    ids.TierRank
-	// Remaining is the time to the caller's deadline.
+	// Weight is the account's weight among others of the same tier; 0 means 1.
+	Weight float64
+	Tier   ids.TierRank
+	// Remaining is the time to the caller's deadline when the ticket is made.
 	Remaining clock.Millis
-	// Prefill and Decode estimate the work in tokens.
+	// Prefill estimates the length of the prompt, Decode that of the answer, in tokens.
 	Prefill ids.Tokens
 	Decode  ids.Tokens
 	// Returned means that the request had a grant that led to no dispatch: its tickets elsewhere had been
@@ -75,6 +78,7 @@
 
 // Load is the agent's report on its state, sent with each reply.
 type Load struct {
+	// Agent identifies the run of the agent's process.
 	Agent ids.Incarnation
 	// Free is how many requests could be granted at once, out of Slots.
 	Free  int
@@ -82,11 +86,11 @@
 	// Queued is, for each tier, the estimated work that waits in it and in the tiers above. Tiers beyond the last
 	// element have its value.
 	Queued []ids.Tokens
-	// Running is the estimated work on the engine.
+	// Running is the estimated work of the requests that run, all of it from dispatch to end.
 	Running ids.Tokens
-	// Floor is the lowest tier still admitted.
+	// Floor is the lowest tier still admitted; ids.BelowAllTiers if every tier is.
 	Floor ids.TierRank
-	// DrainPerSecond is the measured work done per second.
+	// DrainPerSecond is the measured work done per second; 0 until it is known.
 	DrainPerSecond ids.Tokens
 	// UnitMicros is the measured run time per token of a request's work, in microseconds; 0 until it is known.
 	UnitMicros int64
@@ -98,7 +102,7 @@
 	Revision declaration.Revision
 }
 
-// QueuedBefore returns the work that waits ahead of a new ticket of a tier.
+// QueuedBefore returns the work that waits in a tier and above, and so ahead of a new ticket of that tier.
 func (l *Load) QueuedBefore(tier ids.TierRank) ids.Tokens {
 	if len(l.Queued) == 0 {
 		return 0
