--- a/pkg/agent/agent.go
+++ b/pkg/agent/agent.go
@@ -155,6 +155,7 @@
 	a.closeSession(s)
 }
 
+// openSession registers a session for a new connection. After Close it closes the connection.
 func (a *Agent) openSession(ctx context.Context, conn net.Conn) *controlSession {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/pkg/claim/claimer.go
+++ b/pkg/claim/claimer.go
@@ -21,7 +21,7 @@
 	freeTimeout = clock.Minute
 )
 
-// Claimer acquires and frees claims for one entry.
+// Claimer acquires and frees claims for one entry. It is safe for concurrent use.
 type Claimer struct {
 	common.Common
 	entry   ids.Process
--- a/pkg/entry/relays.go
+++ b/pkg/entry/relays.go
@@ -22,6 +22,7 @@
 	body   []byte // what has arrived
 }
 
+// write buffers bytes. It fails above maxBufferedBytes, which the stated length did not exceed.
 func (h *bufferedRelay) write(p []byte) error {
 	if len(h.body)+len(p) > maxBufferedBytes {
 		return errors.NotValidf("answer above its stated length")
@@ -55,6 +56,7 @@
 	begun  bool // the status and header have been sent
 }
 
+// begin sends the status and header, once.
 func (s *streamRelay) begin() {
 	if !s.begun {
 		s.begun = true
--- a/pkg/entry/retention.go
+++ b/pkg/entry/retention.go
@@ -54,6 +54,7 @@
 	t.arm()
 }
 
+// stop ends the retention. A renewal that is under way may still go on.
 func (t *retention) stop() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/entry/session.go
+++ b/pkg/entry/session.go
@@ -212,7 +212,7 @@
 	}
 }
 
-// release ends the use of a grant.
+// release ends the use of a grant, which must be released exactly once.
 func (s *session) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -227,7 +227,7 @@
 	}
 }
 
-// withdraw withdraws a ticket. No event follows for it.
+// withdraw withdraws a ticket that still waits. No event follows for it, but one may have been sent before.
 func (s *session) withdraw(id ids.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -239,7 +239,7 @@
 	s.queueWithdrawal(id, p.attempt)
 }
 
-// returnGrant gives up a grant that will not be used.
+// returnGrant tells the agent that a grant will not be used. The grant still has to be released.
 func (s *session) returnGrant(id ids.Request, attempt int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -283,7 +283,8 @@
 	}
 }
 
-// takePending returns what is to be sent, or nil if there is nothing; the caller then stops.
+// takePending returns what is to be sent, or nil if there is nothing or the connection has been replaced. After nil the
+// caller must stop, as it is no longer counted in placeCalls.
 func (s *session) takePending(client *control.Client) *control.PlaceArgs {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/forward/exchange_test.go
+++ b/pkg/forward/exchange_test.go
@@ -21,6 +21,7 @@
 	"quaydock/pkg/routing"
 )
 
+// at is the address of the target.
 const at = "10.0.0.9:80"
 
 // engine answers with scripted bytes. It is called for each request that it has read, with the number of the
@@ -46,6 +47,8 @@
 	}()
 }
 
+// converse serves one connection. The engine is called once a request's body has been read, or before that if the
+// request has the header field Early; the rest of the body is then never read.
 func converse(c net.Conn, n int, e engine) {
 	defer func() { _ = c.Close() }()
 	reader := bufio.NewReader(c)
@@ -64,6 +67,7 @@
 	}
 }
 
+// readMetadata reads the fields that the scripted engines set: Id and Not-Run.
 func readMetadata(h map[string][]string) forward.AnswerMetadata {
 	header := http.Header(h)
 	return forward.AnswerMetadata{ID: header.Get("Id"), NotRun: header.Get("Not-Run") != ""}
@@ -100,6 +104,8 @@
 	}
 }
 
+// TestExchange has a target answer in every form that it may, and checks that the result tells a complete answer from a
+// truncated one, and a request that did not run from one that may have run.
 func TestExchange(t *testing.T) {
 	write := func(text string) engine {
 		return func(c net.Conn, _ int, id string) {
@@ -115,7 +121,7 @@
 	scenarios := []struct {
 		name   string
 		engine engine
-		want   string
+		want   string // see outcome
 	}{
 		{"a complete answer", write(answer("{id}", "yes")), "200 yes"},
 		{"an answer in chunks", write("HTTP/1.1 200 OK\r\nId: {id}\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nyes\r\n0\r\n\r\n"), "200 yes"},
@@ -149,6 +155,7 @@
 	}
 }
 
+// TestUnreachableTargetIsNotSent: nothing listens at the address, so the request may be sent to another target.
 func TestUnreachableTargetIsNotSent(t *testing.T) {
 	pool := forward.NewPool(commontest.New(network.NewMemory(nil)), readMetadata, nil)
 	if got := outcome(pool.Send(context.Background(), target, request("r1"))); got != "not sent" {
@@ -183,13 +190,15 @@
 	})
 }
 
+// TestConnectionReuse guards against a second request on a connection on which the first exchange is not over, or
+// which the target is about to close: its answer could be taken for that of the second, or the request be lost.
 func TestConnectionReuse(t *testing.T) {
 	scenarios := []struct {
 		name   string
-		answer string
-		header http.Header
-		idle   time.Duration
-		want   int // connections for two requests
+		answer string        // of the target; {id} stands for the request's id
+		header http.Header   // of both requests; if set, they have a body of 4 MiB
+		idle   time.Duration // after each answer
+		want   int           // connections for two requests
 	}{
 		{"a connection is reused", answer("{id}", "yes"), nil, 0, 1},
 		{"surplus bytes: not reused", answer("{id}", "yes") + answer("{id}", "again"), nil, 0, 2},
@@ -229,6 +238,8 @@
 	}
 }
 
+// TestCancelledRequestClosesConnection: a target learns only from the closed connection that nobody waits for the
+// answer any more.
 func TestCancelledRequestClosesConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		memory := network.NewMemory(nil)
@@ -256,9 +267,9 @@
 // blocks it when the connection is there.
 func TestAdviceDuringDialIsHeeded(t *testing.T) {
 	advices := []struct {
-		advice  advisory.Advice
-		want    string
-		arrived int64
+		advice  advisory.Advice // arrives 100 ms after the dial has begun, which takes 300 ms
+		want    string          // see outcome
+		arrived int64           // requests that reached the target
 	}{
 		{advisory.Advice{}, "200 yes", 1},
 		{advisory.Advice{Leaving: true}, "withheld", 0},
--- a/pkg/forward/incarnations_test.go
+++ b/pkg/forward/incarnations_test.go
@@ -37,10 +37,12 @@
 // reached the engine at its address and whether the connection was closed.
 func TestConnectionsOfAFormerIncarnation(t *testing.T) {
 	scenarios := []struct {
-		name    string
-		restart time.Duration // after the exchange has begun; connecting takes 100 ms, the answer 200 more
-		want    string
-		arrived int64
+		name string
+		// restart is when the new target list arrives, from the beginning of the exchange; if negative, before it.
+		// Connecting takes 100 ms, the answer begins 200 ms later, and its last byte follows after 100 ms more.
+		restart time.Duration
+		want    string // see outcome
+		arrived int64  // requests that reached the target
 	}{
 		{"before the exchange", -time.Millisecond, "not sent", 0},
 		{"while it connects", 50 * time.Millisecond, "not sent", 0},
--- a/pkg/gate/attempts_test.go
+++ b/pkg/gate/attempts_test.go
@@ -21,9 +21,10 @@
 // arrival is a message of an entry that the gate handles.
 type arrival struct {
 	name string
-	take func(*gate.Gate) control.Verdict
+	take func(*gate.Gate) control.Verdict // handles it at time 0; the verdict is Queued for a withdrawal
 }
 
+// placing is the arrival of a request's ticket with the given attempt number.
 func placing(session gate.Session, attempt int) arrival {
 	return arrival{fmt.Sprintf("ticket %d", attempt), func(g *gate.Gate) control.Verdict {
 		again := ticket("moves", 1, "a", 10)
@@ -32,6 +33,7 @@
 	}}
 }
 
+// withdrawing is the arrival of the withdrawal of all tickets up to an attempt number.
 func withdrawing(session gate.Session, attempt int) arrival {
 	return arrival{fmt.Sprintf("withdrawal %d", attempt), func(g *gate.Gate) control.Verdict {
 		g.WithdrawUpTo(0, session, "moves", attempt)
@@ -45,7 +47,7 @@
 	const former, now gate.Session = 1, 2
 	cases := []struct {
 		name string
-		sent []arrival
+		sent []arrival // in the order of sending; the last one places the newest ticket
 	}{
 		{"withdrawn and placed again", []arrival{placing(now, 1), withdrawing(now, 1), placing(now, 2)}},
 		{"placed again on a new session before the loss of the former one is noticed", []arrival{placing(former, 1), placing(now, 2)}},
@@ -72,7 +74,8 @@
 	}
 }
 
-// newestIsServed plays an entry that gives back what is granted to tickets that it has withdrawn.
+// newestIsServed plays an entry that gives back what is granted to tickets that it has withdrawn. It reports whether
+// the ticket with the attempt number newest is granted and its grant can be used.
 func newestIsServed(g *gate.Gate, newest int) bool {
 	for range 10 {
 		for _, n := range g.Notices() {
--- a/pkg/gate/gate_test.go
+++ b/pkg/gate/gate_test.go
@@ -29,6 +29,7 @@
 
 const service ids.Service = "chart-small"
 
+// newGate returns a gate for a target that serves service, whose checker stops the process on a violated invariant.
 func newGate(slots int) *gate.Gate {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -41,6 +42,7 @@
 	return g
 }
 
+// ticket returns a ticket whose work is decode tokens and whose deadline is a minute away.
 func ticket(id string, tier ids.TierRank, account ids.Account, decode ids.Tokens) control.Ticket {
 	return control.Ticket{Request: ids.Request(id), Service: service, Tier: tier, Account: account, Decode: decode, Remaining: clock.Minute}
 }
@@ -62,11 +64,12 @@
 	return order
 }
 
+// TestOrder queues tickets while the only slot is in use, and checks in which order they are granted afterwards.
 func TestOrder(t *testing.T) {
 	scenarios := []struct {
 		name    string
-		tickets []control.Ticket
-		want    []string
+		tickets []control.Ticket // in the order of arrival
+		want    []string         // requests in the order of their grants
 	}{
 		{
 			name:    "higher tiers first",
@@ -105,7 +108,7 @@
 }
 
 // A full queue evicts the lowest tier first; once a tier is refused, lower
-// ones are refused too for a while.
+// ones are refused too for a while. The queue holds 100 tokens of work, and the floor hold is 2 s.
 func TestEvictionAndFloor(t *testing.T) {
 	g := newGate(1)
 	running := g.Place(0, 1, ticket("running", 0, "a", 10))
@@ -141,7 +144,8 @@
 	}
 }
 
-// Random histories of one gate. The checks hold after every step.
+// Random histories of one gate: no request is dispatched twice, and what the gate reports of a grant agrees with what
+// became of it. The gate's own invariants are checked too.
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		h := &history{t: r, gate: newGate(rapid.IntRange(1, 3).Draw(r, "slots")), used: make(map[ids.Request]bool), neverDispatched: make(map[ids.Grant]bool)}
@@ -156,13 +160,14 @@
 	t               *rapid.T
 	gate            *gate.Gate
 	now             clock.Millis
-	next            int
-	grants          []control.Verdict
-	runs            []control.Verdict
+	next            int               // number of the newest request
+	grants          []control.Verdict // all grants, also used and expired ones
+	runs            []control.Verdict // all grants that were used, also of requests that have ended
 	used            map[ids.Request]bool
-	neverDispatched map[ids.Grant]bool
+	neverDispatched map[ids.Grant]bool // grants that the gate has reported as never dispatched
 }
 
+// step lets up to 700 ms pass and takes one random action.
 func (h *history) step() {
 	h.now += clock.Millis(rapid.IntRange(0, 700).Draw(h.t, "wait"))
 	switch rapid.IntRange(0, 6).Draw(h.t, "step") {
@@ -196,6 +201,7 @@
 	h.recordGrant(h.gate.Place(h.now, 1, ticket(fmt.Sprint(h.next), tier, account, work)))
 }
 
+// pick draws a verdict; it returns false if there is none.
 func (h *history) pick(list []control.Verdict) (control.Verdict, bool) {
 	if len(list) == 0 {
 		return control.Verdict{}, false
--- a/pkg/lifecycle/state_test.go
+++ b/pkg/lifecycle/state_test.go
@@ -12,6 +12,8 @@
 	// Output: true false
 }
 
+// TestCanTransitionTo guards against a transition by which a request could run twice, or be reported as not run
+// although it may have run.
 func TestCanTransitionTo(t *testing.T) {
 	scenarios := []struct {
 		name     string
