--- a/pkg/agent/agent.go
+++ b/pkg/agent/agent.go
@@ -31,10 +31,10 @@
 	settings    settings.Agent
 	incarnation ids.Incarnation // of this agent
 	target      *targetClient
-	server      *http.Server    // of the data port
-	ctx         context.Context // ends when the agent is closed
-	stop        context.CancelFunc
-	running     sync.WaitGroup // counts executions, and the goroutines that serve entries
+	server      *http.Server       // of the data port
+	ctx         context.Context    // ends when the agent is closed
+	stop        context.CancelFunc // ends ctx, which aborts all executions
+	running     sync.WaitGroup     // counts executions, and the goroutines that serve entries
 
 	mu            sync.Mutex
 	gate          *gate.Gate
--- a/pkg/agent/streams_controller.go
+++ b/pkg/agent/streams_controller.go
@@ -55,7 +55,7 @@
 	a.stream(w, r, started, 0)
 }
 
-// resume streams the rest of an answer to an entry that has its beginning.
+// resume streams the rest of an answer to an entry that has its beginning. If it is no longer kept, the status is 410.
 func (a *Agent) resume(w http.ResponseWriter, r *http.Request) {
 	grant, ok := a.echo(w, r)
 	if !ok {
--- a/pkg/agent/target_client.go
+++ b/pkg/agent/target_client.go
@@ -302,7 +302,8 @@
 	return nil
 }
 
-// passHeader returns the header without the fields that belong to the connection with the target.
+// passHeader returns the header without the fields that belong to the connection with the target or to a resume
+// (Content-Range), and without Date, which the entry's HTTP server sets.
 func passHeader(h http.Header) http.Header {
 	passed := make(http.Header, len(h))
 	for name, values := range h {
--- a/pkg/control/messages.go
+++ b/pkg/control/messages.go
@@ -80,7 +80,7 @@
 type Load struct {
 	// Agent identifies the run of the agent's process.
 	Agent ids.Incarnation
-	// Free is how many requests could be granted at once, out of Slots.
+	// Free is how many further requests could be granted at once, after those that are queued, out of Slots.
 	Free  int
 	Slots int
 	// Queued is, for each tier, the estimated work that waits in it and in the tiers above. Tiers beyond the last
@@ -149,8 +149,8 @@
 	Request ids.Request
 	Turn    int // attempt number of the ticket
 	Kind    VerdictKind
-	Reason  RefuseReason
-	Grant   ids.Grant
+	Reason  RefuseReason // NoReason unless Kind is Declined
+	Grant   ids.Grant    // zero unless Kind is Granted
 }
 
 // PlaceArgs sends tickets to an agent and withdraws others.
@@ -168,7 +168,7 @@
 	Load     Load
 }
 
-// NoticeArgs waits for later verdicts.
+// NoticeArgs waits for later verdicts on tickets that were queued.
 type NoticeArgs struct {
 	// Wait limits the time that the agent holds the call.
 	Wait clock.Millis
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -28,7 +28,7 @@
 	common.Common
 	settings   settings.Entry
 	current    atomic.Pointer[declaration.Index] // the configuration in force; nil before the first
-	use        *accountUse
+	use        *accountUse                       // limits and idempotency keys of client accounts at this entry
 	pool       *sessionPool
 	dispatcher *dispatcher
 	server     *http.Server
--- a/pkg/entry/exchange.go
+++ b/pkg/entry/exchange.go
@@ -142,7 +142,8 @@
 	return x.relay(response, out)
 }
 
-// refused interprets the agent's report that there is no answer.
+// refused interprets the agent's report that there is no answer: the grant was not used, the answer is no longer kept,
+// or neither is known.
 func (x *exchange) refused(r *request, response *http.Response, gone *refusal.Refusal) exchangeResult {
 	fate := response.Header.Get(control.HeaderFate)
 	if fate == control.FateNeverDispatched && r.state == lifecycle.Sent {
--- a/pkg/entry/relays.go
+++ b/pkg/entry/relays.go
@@ -18,7 +18,7 @@
 // bufferedRelay sends a small answer only when it is complete, so that a broken-off one becomes a proper refusal.
 type bufferedRelay struct {
 	out    *answerWriter
-	status int
+	status int    // of the target's answer
 	body   []byte // what has arrived
 }
 
@@ -52,7 +52,7 @@
 // chunked coding shows that data is missing.
 type streamRelay struct {
 	out    *answerWriter
-	status int
+	status int  // of the target's answer
 	begun  bool // the status and header have been sent
 }
 
@@ -88,7 +88,7 @@
 // event back until the answer is known to be complete.
 type eventRelay struct {
 	out     *answerWriter
-	status  int
+	status  int    // of the target's answer
 	begun   bool   // the status and header have been sent
 	pending []byte // received but not sent: an incomplete event, or the closing event and what follows it
 	// midEvent means that the first part of an event has been sent, but not its rest.
--- a/pkg/entry/request.go
+++ b/pkg/entry/request.go
@@ -32,9 +32,10 @@
 	body   []byte
 	model  bool // a call in the OpenAI form
 
-	state lifecycle.State
+	state lifecycle.State // changed only by become
 	check *invariant.Checker
-	// events receives one final event for each placed ticket.
+	// events receives one final event for each placed ticket. It has room for as many as are placed at a time, so
+	// that sending never blocks.
 	events  chan ticketEvent
 	attempt int // attempt number of the newest ticket; 0 before the first
 	// avoidUntil maps sessions whose grant led to no dispatch to the time until which they are avoided.
@@ -78,7 +79,7 @@
 	return t
 }
 
-// ticket describes the request to an agent.
+// ticket describes the request to an agent, without an attempt number.
 func (r *request) ticket(now clock.Millis, traceParent string) control.Ticket {
 	return control.Ticket{
 		Request:     r.id,
--- a/pkg/entry/session.go
+++ b/pkg/entry/session.go
@@ -49,15 +49,15 @@
 	reportInterval clock.Millis
 
 	mu                sync.Mutex
-	client            *control.Client // nil while there is no connection
-	waiting           map[ids.Request]placedTicket
-	tickets           []control.Ticket // for the next Place call
-	withdrawn         []ids.Request    // for the next Place call
-	withdrawnAttempts []int            // attempt numbers, parallel to withdrawn
-	placeCalls        int              // goroutines that run sendPending, each with one call at a time
-	probing           bool             // the next Place call is made even if there is nothing to send
-	load              control.Load     // as the agent last reported it
-	outstanding       ids.Tokens       // work of the tickets placed since that report
+	client            *control.Client              // nil while there is no connection
+	waiting           map[ids.Request]placedTicket // a request has at most one ticket here
+	tickets           []control.Ticket             // for the next Place call
+	withdrawn         []ids.Request                // for the next Place call
+	withdrawnAttempts []int                        // attempt numbers, parallel to withdrawn
+	placeCalls        int                          // goroutines that run sendPending, each with one call at a time
+	probing           bool                         // the next Place call is made even if there is nothing to send
+	load              control.Load                 // as the agent last reported it
+	outstanding       ids.Tokens                   // work of the tickets placed since that report
 	// grantsInUse counts the grants that may be in use. They need the session until their answers have ended, even
 	// if the target is no longer declared: stopRun is called once none is left.
 	grantsInUse int
--- a/pkg/forward/exchange.go
+++ b/pkg/forward/exchange.go
@@ -16,7 +16,8 @@
 	"quaydock/pkg/routing"
 )
 
-// errStray means that a target kept answering other requests.
+// errStray means that a target only answered other requests: maxStrayAnswers of them, or one that ends with its
+// connection.
 var errStray = errors.New("the target only answered other requests")
 
 // exchange is one request on one connection.
--- a/pkg/forward/incarnations_test.go
+++ b/pkg/forward/incarnations_test.go
@@ -38,7 +38,7 @@
 func TestConnectionsOfAFormerIncarnation(t *testing.T) {
 	scenarios := []struct {
 		name string
-		// restart is when the new target list arrives, from the beginning of the exchange; if negative, before it.
+		// restart is when the new target list arrives after the exchange has begun; if negative, before it.
 		// Connecting takes 100 ms, the answer begins 200 ms later, and its last byte follows after 100 ms more.
 		restart time.Duration
 		want    string // see outcome
--- a/pkg/forward/pool.go
+++ b/pkg/forward/pool.go
@@ -21,7 +21,7 @@
 type Pool struct {
 	common.Common
 	readMetadata func(header map[string][]string) AnswerMetadata
-	advice       *advisory.Tracker
+	advice       *advisory.Tracker // nil if the advice of targets is ignored
 
 	mu   sync.Mutex
 	idle map[ids.TargetIncarnation][]*connection          // the last used one at the end
--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -35,11 +35,11 @@
 	request   ids.Request
 	attempt   int // attempt number of the ticket
 	session   Session
-	work      ids.Tokens
+	work      ids.Tokens // of the ticket
 	tier      ids.TierRank
 	fate      control.Fate // FateUnknown while open
 	open      bool         // may still be used
-	running   bool
+	running   bool         // dispatched, and Finish has not been called
 	deadline  clock.Millis // for using the grant while it is open
 	startedAt clock.Millis // when the request was dispatched
 }
@@ -78,7 +78,7 @@
 	at    clock.Millis
 }
 
-// New returns a gate without tickets.
+// New returns a gate without tickets. It grants none before SetServices has been called.
 func New(agent ids.Incarnation, limits Limits, check *invariant.Checker) *Gate {
 	return &Gate{
 		agent:      agent,
--- a/pkg/gate/refusal.go
+++ b/pkg/gate/refusal.go
@@ -43,7 +43,8 @@
 }
 
 // cannotMeetDeadline reports whether the work queued before the ticket takes longer
-// than its deadline allows, even if nothing of a higher tier arrives any more.
+// than its deadline allows, even if nothing of a higher tier arrives any more. It returns
+// false while no drain rate has been measured.
 func (g *Gate) cannotMeetDeadline(ticket *control.Ticket) bool {
 	if g.drain.perSecond <= 0 || g.queue.Len() == 0 {
 		return false
