--- a/pkg/entry/relays.go
+++ b/pkg/entry/relays.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// maxBufferedBytes is the largest answer that is buffered until it is complete.
+	// maxBufferedBytes is the largest Content-Length of an answer that is buffered until it is complete.
 	maxBufferedBytes = 64 << 10
 	// maxEventBytes limits what is buffered of an incomplete event.
 	maxEventBytes = 1 << 20
@@ -18,10 +18,11 @@
 // bufferedRelay sends a small answer only when it is complete, so that a broken-off one becomes a proper refusal.
 type bufferedRelay struct {
 	out    *answerWriter
-	status int
-	body   []byte
+	status int    // of the target's answer
+	body   []byte // what has arrived
 }
 
+// write buffers bytes. It fails above maxBufferedBytes, which the stated length did not exceed.
 func (h *bufferedRelay) write(p []byte) error {
 	if len(h.body)+len(p) > maxBufferedBytes {
 		return errors.NotValidf("answer above its stated length")
@@ -35,6 +36,7 @@
 	return h.out.send(h.body)
 }
 
+// abort sends the refusal in place of the answer, of which nothing has been sent.
 func (h *bufferedRelay) abort(why *refusal.Refusal) bool {
 	header := h.out.response.Header()
 	for name := range header {
@@ -50,10 +52,11 @@
 // chunked coding shows that data is missing.
 type streamRelay struct {
 	out    *answerWriter
-	status int
-	begun  bool
+	status int  // of the target's answer
+	begun  bool // the status and header have been sent
 }
 
+// begin sends the status and header, once.
 func (s *streamRelay) begin() {
 	if !s.begun {
 		s.begun = true
@@ -76,6 +79,7 @@
 	return nil
 }
 
+// abort does nothing and returns false: the only form in which a stream can end early is a broken connection.
 func (s *streamRelay) abort(*refusal.Refusal) bool {
 	return false
 }
@@ -84,19 +88,22 @@
 // event back until the answer is known to be complete.
 type eventRelay struct {
 	out     *answerWriter
-	status  int
-	begun   bool
-	pending []byte
+	status  int    // of the target's answer
+	begun   bool   // the status and header have been sent
+	pending []byte // received but not sent: an incomplete event, or the closing event and what follows it
 	// midEvent means that the first part of an event has been sent, but not its rest.
 	midEvent bool
 }
 
 var (
+	// doneEvent is the beginning of the closing event of a stream in the OpenAI form.
 	doneEvent    = []byte("data: [DONE]")
 	eventEnd     = []byte("\n\n")
 	eventEndCRLF = []byte("\r\n\r\n")
 )
 
+// write sends the complete events before the closing event. Of an incomplete event that is longer than maxEventBytes
+// it sends what has arrived.
 func (e *eventRelay) write(p []byte) error {
 	e.pending = append(e.pending, p...)
 	end, open := completeEvents(e.pending), e.midEvent
@@ -148,6 +155,7 @@
 	return end
 }
 
+// send sends bytes at once, after the status and header if they have not been sent.
 func (e *eventRelay) send(p []byte) error {
 	if !e.begun {
 		e.begun = true
@@ -159,6 +167,7 @@
 	return e.out.flush()
 }
 
+// finish sends what has been held back, with the closing event.
 func (e *eventRelay) finish() error {
 	return e.send(e.pending)
 }
--- a/pkg/entry/request.go
+++ b/pkg/entry/request.go
@@ -17,26 +17,27 @@
 type request struct {
 	id       ids.Request
 	account  ids.Account
-	key      string // idempotency key, empty if none
-	weight   float64
+	key      string  // idempotency key, empty if none
+	weight   float64 // of the client account, for fair shares within a tier
 	service  ids.Service
 	tier     ids.TierRank
-	deadline clock.Millis
-	prefill  ids.Tokens
-	decode   ids.Tokens
-	prefix   []prefix.Fingerprint
+	deadline clock.Millis         // point in time by the entry's clock
+	prefill  ids.Tokens           // estimated length of the prompt; 0 for a plain service
+	decode   ids.Tokens           // estimated length of the answer; plainDecode for a plain service
+	prefix   []prefix.Fingerprint // of the prompt's blocks, for targets that have them cached
 
 	method string
-	path   string
-	header http.Header
+	path   string      // with the query, as the target is sent it
+	header http.Header // the part of the caller's header that the target is sent
 	body   []byte
 	model  bool // a call in the OpenAI form
 
-	state lifecycle.State
+	state lifecycle.State // changed only by become
 	check *invariant.Checker
-	// events receives one final event for each placed ticket.
+	// events receives one final event for each placed ticket. It has room for as many as are placed at a time, so
+	// that sending never blocks.
 	events  chan ticketEvent
-	attempt int // attempt number of the newest ticket
+	attempt int // attempt number of the newest ticket; 0 before the first
 	// avoidUntil maps sessions whose grant led to no dispatch to the time until which they are avoided.
 	avoidUntil map[*session]clock.Millis
 }
@@ -46,7 +47,7 @@
 	session *session
 	// lost is set if the connection to the agent broke: the ticket is gone.
 	lost    bool
-	verdict control.Verdict
+	verdict control.Verdict // not set if lost
 }
 
 // avoid records that a grant of a session led to no dispatch.
@@ -78,7 +79,7 @@
 	return t
 }
 
-// ticket describes the request to an agent.
+// ticket describes the request to an agent, without an attempt number.
 func (r *request) ticket(now clock.Millis, traceParent string) control.Ticket {
 	return control.Ticket{
 		Request:     r.id,
