--- a/pkg/planner/advice.go
+++ b/pkg/planner/advice.go
@@ -20,9 +20,9 @@
 	return backoff + clock.Millis(draw*float64(backoffSpread))
 }
 
-// Advise records the advice that a target gave to an entry. Draining applies to all entries. A back-off applies
-// only to the entry that was asked, since a target may reject one entry and serve the others; these merely prefer
-// other targets meanwhile.
+// Advise records the advice that a target gave to an entry; backoff is a duration, 0 for none. Draining applies to all
+// entries. A back-off applies only to the entry that was asked, since a target may reject one entry and serve the
+// others; these merely prefer other targets meanwhile.
 func (p *Planner) Advise(now clock.Millis, entry string, at ids.TargetIncarnation, draining bool, backoff clock.Millis) {
 	t := p.knownIncarnation(at)
 	if t == nil {
@@ -77,7 +77,8 @@
 	return false
 }
 
-// servedAfterBackoff records that a target has served a job of an entry.
+// servedAfterBackoff records that a target has served a job of an entry, whose back-off there is removed if it has
+// ended.
 func (t *target) servedAfterBackoff(now clock.Millis, entry string) {
 	if now >= t.backoffs[entry] {
 		delete(t.backoffs, entry)
@@ -85,7 +86,7 @@
 }
 
 // backoffLeft returns the shortest remaining back-off among all targets that a job may get; 0 if one of them is not
-// backing off from its entry.
+// backing off from its entry, or if there is no such target.
 func (p *Planner) backoffLeft(now clock.Millis, job *Job) clock.Millis {
 	if now >= p.backoffUntil {
 		return 0
@@ -106,7 +107,8 @@
 	return max(0, shortest)
 }
 
-// backoffRetention is how long a back-off is kept after its end, so that only one job is sent at first.
+// backoffRetention is how long back-offs are kept after the end of the last, so that only one job is sent at first (see
+// admits).
 const backoffRetention = 10 * clock.Second
 
 // pruneBackoffs removes all back-offs once the last has ended long ago.
--- a/pkg/planner/bucket.go
+++ b/pkg/planner/bucket.go
@@ -4,8 +4,8 @@
 
 // tokenBucket limits the rate of grants to one target.
 type tokenBucket struct {
-	tokens    float64
-	updatedAt clock.Millis
+	tokens    float64      // each permits one grant
+	updatedAt clock.Millis // time up to which it was refilled
 }
 
 // newTokenBucket returns an empty bucket: what the target was granted before, here or by an earlier owner, is not
@@ -19,7 +19,7 @@
 	return b.tokens >= 1
 }
 
-// take removes a token; a nil bucket is unlimited.
+// take removes the token that hasToken has reported; a nil bucket is unlimited.
 func (b *tokenBucket) take() {
 	if b != nil {
 		b.tokens--
--- a/pkg/planner/cold.go
+++ b/pkg/planner/cold.go
@@ -9,7 +9,7 @@
 // its service declares for cold targets, plus Slack requests.
 type ColdBounds struct{ Over, Slack float64 }
 
-// Fractions of the limit. The remainder is for requests that reach their target late.
+// Fractions of the limit of ColdBounds. The remainder is for requests that reach their target late.
 const (
 	// coldFraction is what an owner grants, and coldFreshFraction what a newly started one grants: another may not yet know
 	// that it is no longer the owner.
@@ -32,7 +32,7 @@
 // coldLimit holds the rate limit of cold targets.
 type coldLimit struct {
 	service   *routing.Service // nil if unknown
-	perSecond float64
+	perSecond float64          // jobs per second that one cold target may get
 }
 
 // SetColdLimit sets the service of the targets, nil if unknown, and how many jobs per second one cold target may get.
@@ -40,7 +40,8 @@
 	p.cold = coldLimit{service: s, perSecond: perSecond}
 }
 
-// withinColdRate reports whether a target is warm, or may get one more job under the rate for cold targets.
+// withinColdRate reports whether a target is warm, or may get one more job under the rate for cold targets. It creates
+// the bucket of a target that is cold, and drops that of one that is warm.
 func (p *Planner) withinColdRate(now clock.Millis, t *target) bool {
 	if !t.Cold(now, p.cold.service) {
 		t.coldBucket = nil
--- a/pkg/planner/estimates.go
+++ b/pkg/planner/estimates.go
@@ -102,10 +102,13 @@
 	}
 }
 
+// export returns the sums, to be sent to another planner.
 func (l *line) export() LineFit {
 	return LineFit{N: l.n, X: l.x, Y: l.y, XX: l.xx, XY: l.xy}
 }
 
+// restore replaces the line by another planner's, which counts for at most maxAdoptedWeight observations; one without
+// points is ignored.
 func (l *line) restore(t LineFit) {
 	if t.N <= 0 {
 		return
--- a/pkg/planner/floor.go
+++ b/pkg/planner/floor.go
@@ -17,22 +17,23 @@
 const (
 	// floorHold is how long lower tiers wait after a refusal. Each further refusal renews it.
 	floorHold = 250 * clock.Millisecond
-	// floorSlots is the hold in numbers of released slots, for targets with a rate limit: there refusals are as
-	// rare as released slots, and between two of them lower tiers would get slots for which higher ones were
-	// refused.
+	// floorSlots is the hold in numbers of released slots, which replaces floorHold if that is shorter and some
+	// targets are cold or report a rate limit: there refusals are as rare as released slots, and between two of them
+	// lower tiers would get slots for which higher ones were refused.
 	floorSlots = 10.0
-	// maxFloorHold limits the hold.
+	// maxFloorHold limits the hold by floorSlots.
 	maxFloorHold = 2 * clock.Second
 )
 
-// floorHold returns how long lower tiers wait after a refusal.
-func (p *Planner) floorHold(now clock.Millis) clock.Millis {
+// holdAfterRefusal returns how long lower tiers wait after a refusal.
+func (p *Planner) holdAfterRefusal(now clock.Millis) clock.Millis {
 	if len(p.rateLimited) == 0 {
 		return floorHold
 	}
 	return min(maxFloorHold, max(floorHold, clock.Millis(floorSlots*float64(clock.Second)/p.releaseRate(now))))
 }
 
+// raise starts or renews the hold for a job that is refused.
 func (f *floor) raise(now clock.Millis, w *queuedJob, hold clock.Millis) {
 	if f.until == nil {
 		f.until = make(map[ids.TierRank]clock.Millis)
--- a/pkg/planner/health.go
+++ b/pkg/planner/health.go
@@ -2,23 +2,26 @@
 
 import "quaydock/pkg/clock"
 
-// Health decides whether a target is ejected, and for how long.
+// Health decides whether a target is ejected, and for how long. It is not safe for concurrent use.
 type Health struct {
-	failures int // weighted sum of consecutive failures
-	until    clock.Millis
+	failures int          // weighted sum of the failures since the last request that was served
+	until    clock.Millis // end of the ejection; 0 if there was none since then
 }
 
 const (
+	// An ejection lasts minEjection at ejectAt, twice as long for each unit of weight beyond it, and at most
+	// maxEjection.
 	minEjection = 300 * clock.Millisecond
 	maxEjection = 3 * clock.Second
 	// failedWeight is less than unreachedWeight, since a request may fail for reasons of its own.
 	failedWeight    = 1
 	unreachedWeight = 3
-	ejectAt         = 3
-	maxFailures     = 8
+	// ejectAt is the sum of weights from which a target is ejected, and maxFailures the largest sum that is kept.
+	ejectAt     = 3
+	maxFailures = 8
 )
 
-// Record records the outcome of a request.
+// Record records the outcome of a request. Abandoned and Withheld tell nothing of the target.
 func (h *Health) Record(now clock.Millis, o Outcome) {
 	switch o {
 	case Served:
--- a/pkg/planner/incarnations.go
+++ b/pkg/planner/incarnations.go
@@ -62,7 +62,7 @@
 	return t
 }
 
-// forget removes an incarnation that gets no more jobs once its last run has ended.
+// forget removes an incarnation if it gets no more jobs and its last run has ended.
 func (p *Planner) forget(t *target) {
 	if t.offered || len(t.runs) > 0 {
 		return
@@ -92,7 +92,8 @@
 	return p.target(&former)
 }
 
-// knownIncarnation returns a known incarnation that may be the one an entry names, or nil.
+// knownIncarnation returns the incarnation that an entry names, or else the listed one if that may be the same, as the
+// start is missing in one of the two names; nil if neither is known.
 func (p *Planner) knownIncarnation(at ids.TargetIncarnation) *target {
 	if t := p.targets[at]; t != nil {
 		return t
--- a/pkg/planner/job.go
+++ b/pkg/planner/job.go
@@ -10,7 +10,7 @@
 	"quaydock/pkg/ratelimit"
 )
 
-// JobID identifies a request: the entry that holds it, and that entry's number for it.
+// JobID identifies a request: the address of the entry that holds it, and that entry's number for it.
 type JobID struct {
 	_      struct{} `cbor:",toarray"`
 	Entry  string
@@ -73,7 +73,8 @@
 
 // Refusal rejects a job. It has not run.
 type Refusal struct {
-	ID         JobID
+	ID JobID
+	// RetryAfter is how long the caller should wait before it retries.
 	RetryAfter clock.Millis
 	// Ahead and Wait are the grounds of the refusal: the number of jobs ahead of it and its estimated wait.
 	Ahead int
@@ -97,14 +98,14 @@
 type StreamStats struct {
 	_      struct{} `cbor:",toarray"`
 	Events int
-	// LongestGap is the longest time between two events.
+	// LongestGap is the longest time between two consecutive events.
 	LongestGap clock.Millis
 	// Stalled is how long the entry or the owner was not running while the request ran. It is not charged to the
 	// target.
 	Stalled clock.Millis
 }
 
-// Load is the load that a target reports for itself.
+// Load is the load that a target reports for itself, in requests of all entries.
 type Load struct {
 	_                struct{} `cbor:",toarray"`
 	Running, Waiting int
--- a/pkg/planner/limit.go
+++ b/pkg/planner/limit.go
@@ -36,7 +36,8 @@
 // majority reports whether most entries agree, so that no other owner has as many.
 func (a Agreement) majority() bool { return a.Fraction > 0.5 }
 
-// Rate returns how many jobs per second a planner grants to a target with a rate limit.
+// Rate returns how many jobs per second a planner grants to a target with a rate limit, 0 if it may grant none (see
+// minWindowJobs).
 func (a Agreement) Rate(limit ratelimit.Rate) float64 {
 	fraction := a.Fraction
 	if a.JustStarted {
@@ -64,7 +65,8 @@
 // SetAgreement sets how certain it is that this planner is the only one.
 func (p *Planner) SetAgreement(b Agreement) { p.agreement = b }
 
-// SetLimit merges a limit report of a target. It returns the report now in force and whether it changes the limit.
+// SetLimit merges a limit report of a target. It returns the report now in force and whether it changes the limit. It
+// ignores an unknown target and a report with Known unset, and returns the zero report.
 func (p *Planner) SetLimit(now clock.Millis, at ids.TargetIncarnation, report ratelimit.Report) (inForce ratelimit.Report, changed bool) {
 	t := p.knownIncarnation(at)
 	if t == nil || !report.Known {
@@ -91,12 +93,13 @@
 	return t.limitBucket.hasToken(now, rate, p.agreement.burst()) && rate > 0
 }
 
-// Limited reports whether any target reports a limit.
+// Limited reports whether any offered target reports a limit.
 func (p *Planner) Limited() bool {
 	return slices.ContainsFunc(p.offered, func(t *target) bool { return t.limitBucket != nil })
 }
 
-// updateRateLimited determines which targets get fewer jobs than their slots allow.
+// updateRateLimited determines which targets may get fewer jobs than their slots allow: those that report a limit or
+// are cold.
 func (p *Planner) updateRateLimited(now clock.Millis) {
 	p.rateLimited = p.rateLimited[:0]
 	for _, t := range p.eligible {
@@ -118,7 +121,7 @@
 	return sum
 }
 
-// maxRate returns the highest rate of grants to a rate-limited target, in jobs per second.
+// maxRate returns the highest rate of grants to a target of rateLimited, in jobs per second.
 func (p *Planner) maxRate(t *target) float64 {
 	limit := float64(ratelimit.Unlimited)
 	if t.limitBucket != nil {
--- a/pkg/planner/place.go
+++ b/pkg/planner/place.go
@@ -64,9 +64,10 @@
 	}
 }
 
-// grant assigns a job to a target.
+// grant assigns a job to a target and takes the tokens that hasFreeSlot found in its buckets. The caller removes the
+// job from the queue.
 func (p *Planner) grant(now clock.Millis, w *queuedJob, t *target) *run {
-	r := t.start(now, w.Job)
+	r := t.addRun(now, w.Job)
 	r.counted = t.limitBucket != nil
 	t.coldBucket.take()
 	t.limitBucket.take()
@@ -80,12 +81,14 @@
 	return t.hasFreeSlot(now, avoidFailing) && p.withinColdRate(now, t) && p.withinLimit(now, t)
 }
 
-// mustWait reports whether a job must wait because one that goes before it was refused recently.
+// mustWait reports whether a job must wait, though targets have free slots, because one that goes before it was refused
+// recently.
 func (p *Planner) mustWait(now clock.Millis, w *queuedJob) bool {
 	below := p.floor.below(now, w.Tier) && !p.off.Off(ablation.TierFloor)
 	return below || p.floor.behind(now, w) && !p.off.Off(ablation.LateFloor)
 }
 
+// markFull records that no target can take a job, unless that is recorded already.
 func (p *Planner) markFull(now clock.Millis) {
 	if p.fullSince == 0 {
 		p.fullSince = now
@@ -94,9 +97,9 @@
 
 // candidates is the state of the targets in one round of placement.
 type candidates struct {
-	available    []*target // targets that can take a job
+	available    []*target // targets that can take a job now
 	avoidFailing bool      // enough targets are healthy to do without the failing ones
-	// lowestFactor is the lowest factor of any target that is not ejected; valid if known is set.
+	// lowestFactor is that of the fastest target that is not ejected, busy or not; valid if known is set.
 	lowestFactor float64
 	known        bool
 }
@@ -117,7 +120,8 @@
 	return c
 }
 
-// cheapest returns the candidate target that serves a job at the lowest cost, or nil.
+// cheapest returns the candidate target that serves a job at the lowest cost, or nil. If the job would be in time on
+// the fastest target when that is idle, only targets count on which it is in time and stalls no streams.
 func (p *Planner) cheapest(now clock.Millis, c *candidates, w *queuedJob) *target {
 	inTimeOnly := c.known && !p.off.Off(ablation.InTime) && p.wouldBeInTime(now, w, c.lowestFactor, 0, 1)
 	var best *target
@@ -135,6 +139,7 @@
 	return best
 }
 
+// jitter is the largest fraction by which a cost is raised at random.
 const jitter = 0.05
 
 // stallsStreams reports whether reading a job's prompt would probably delay the streams of a target for longer than
@@ -148,7 +153,8 @@
 }
 
 // wouldBeInTime reports whether a job's first event would be in time, and its answer probably complete by its
-// deadline, on a target of factor f that has pendingPrompt tokens to read first and runs so many requests.
+// deadline, on a target of factor f that has pendingPrompt tokens to read first and runs so many requests, the job
+// included.
 func (p *Planner) wouldBeInTime(now clock.Millis, w *queuedJob, f float64, pendingPrompt ids.Tokens, running int) bool {
 	first := f * p.timings.firstEventTime(pendingPrompt+w.Prompt)
 	if now+clock.Millis(first) > w.due() {
@@ -196,7 +202,7 @@
 	return cost
 }
 
-// minFirstEventTime estimates the time to a job's first event on the fastest target.
+// minFirstEventTime estimates the time to a job's first event on the fastest target while it reads no other prompt.
 func (p *Planner) minFirstEventTime(job *Job) clock.Millis {
 	minFactor := float64(factorMax)
 	if len(p.eligible) == 0 {
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -11,26 +11,26 @@
 // Planner assigns the jobs of one group of targets. It is not safe for concurrent use.
 type Planner struct {
 	random       *rand.Rand
-	targets      map[ids.TargetIncarnation]*target
+	targets      map[ids.TargetIncarnation]*target // those offered, and others until their runs have ended
 	incarnations map[ids.Target]*incarnations
 	offered      []*target // in the order passed to SetTargets
-	eligible     []*target // offered targets that may get any job
+	eligible     []*target // offered targets that may get any job: neither draining nor on trial
 	slots        int       // total slots of the eligible targets
 	trial        trial
 	cold         coldLimit
 	agreement    Agreement
-	rateLimited  []*target // eligible targets with a rate limit below what their slots allow
+	rateLimited  []*target // eligible targets that report a rate limit or are cold
 	queue        queue
 	runs         map[JobID]*run
 	timings      timings
-	releases     rate
-	runTime      decayingMean
-	fullSince    clock.Millis // time since which no target has had a free slot; 0 if one has
+	releases     rate         // slots that became free, without those of canary targets
+	runTime      decayingMean // ms from grant to end, of the same slots if their target took the request
+	fullSince    clock.Millis // time since which no eligible target could take a job; 0 if one could or no job waited
 	floor        floor
 	// backoffUntil is the end of the last back-off that a target has asked of any entry.
 	backoffUntil clock.Millis
-	grantRates   map[ids.TierRank]*rateBySize // rate of recent grants
-	decisions    []Decision
+	grantRates   map[ids.TierRank]*rateBySize // recent grants, without those to canary targets
+	decisions    []Decision                   // made since the last call of Decisions
 	off          ablation.Set
 }
 
@@ -78,7 +78,8 @@
 	r[w.size].add(now)
 }
 
-// estimateSize returns the size class of a job's run on an otherwise idle target of factor 1.
+// estimateSize returns the size class of a job's run on an otherwise idle target of factor 1. With the order by size
+// disabled all jobs are in one class.
 func (p *Planner) estimateSize(job *Job) sizeClass {
 	if p.off.Off(ablation.ShortFirst) {
 		return 0
@@ -86,7 +87,7 @@
 	return sizeClassOf(p.timings.firstEventTime(job.Prompt) + float64(job.Events)*p.timings.eventInterval(1))
 }
 
-// Withdraw removes a waiting job from the queue, or ends one that was granted.
+// Withdraw removes a waiting job from the queue, or ends one that was granted as Abandoned. It ignores an unknown one.
 func (p *Planner) Withdraw(now clock.Millis, id JobID) {
 	if i := p.queue.find(id); i >= 0 {
 		p.queue.remove(i)
@@ -127,8 +128,8 @@
 	}
 }
 
-// pollTimeout is the time without a Submit after which a waiting job is dropped: its entry repeats the call while
-// the job waits.
+// pollTimeout is the time without a Submit after which a waiting job is dropped: its entry repeats the call several
+// times within it while the job waits.
 const pollTimeout = 400 * clock.Millisecond
 
 // Decisions returns the decisions made since the last call.
--- a/pkg/planner/queue.go
+++ b/pkg/planner/queue.go
@@ -13,8 +13,10 @@
 	// latestStart is the last moment at which the job can be granted and still be in time.
 	latestStart clock.Millis
 	size        sizeClass
-	committed   bool         // no longer refused for the estimated lateness of its first event
-	lastPoll    clock.Millis // time of its last Submit
+	// committed is set if a refusal would come too late to be useful, or the job was refused once before: it is then
+	// kept while maxWait allows it, even if its first event will be late.
+	committed bool
+	lastPoll  clock.Millis // time of its last Submit
 }
 
 // queue holds the waiting jobs. It is short, since jobs that cannot be in time are refused soon after they arrive.
@@ -22,6 +24,7 @@
 	jobs []*queuedJob
 }
 
+// find returns the index of a job, -1 if it does not wait.
 func (q *queue) find(id JobID) int {
 	return slices.IndexFunc(q.jobs, func(w *queuedJob) bool { return w.ID == id })
 }
@@ -36,6 +39,7 @@
 	slices.SortStableFunc(q.jobs, func(a, b *queuedJob) int { return compareJobs(now, a, b) })
 }
 
+// compareJobs returns a number below 0 if a is served before b, above 0 if after, and 0 if neither goes first.
 func compareJobs(now clock.Millis, a, b *queuedJob) int {
 	switch {
 	case a.Tier != b.Tier:
@@ -57,6 +61,7 @@
 	return 1
 }
 
+// late reports whether it is too late for the job to be in time.
 func (w *queuedJob) late(now clock.Millis) bool {
 	return now > w.latestStart
 }
@@ -87,7 +92,7 @@
 	return sizeClass(min(sizeClasses-1, max(0, math.Ilogb(max(1, ms)))))
 }
 
-// removeIf removes the jobs for which gone is true.
+// removeIf removes the jobs for which gone returns true.
 func (q *queue) removeIf(gone func(*queuedJob) bool) {
 	q.jobs = slices.DeleteFunc(q.jobs, gone)
 }
--- a/pkg/planner/refusal.go
+++ b/pkg/planner/refusal.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// noTargetRetry is the time to retry after if there is no target.
+	// noTargetRetry is the RetryAfter of a refusal if there is no target.
 	noTargetRetry = 500 * clock.Millisecond
 	// refuseWithin is the fraction of the objective within which a job is refused: a later refusal is of little use
 	// to the caller.
 	refuseWithin = 0.2
-	// minRetryAfter is the shortest time to retry after.
+	// minRetryAfter is the shortest RetryAfter, unless maxRetryFraction gives less.
 	minRetryAfter = 300 * clock.Millisecond
 	// maxRetryFraction is the fraction of the remaining time to the deadline after which the caller should retry at
 	// the latest.
@@ -64,8 +64,8 @@
 }
 
 // shouldRefuse reports whether a job behind so many others will probably be late, as long as refusing it is still
-// useful to the caller. A job that has waited longer than that is kept while it will probably be served within its
-// longest wait, since a refusal costs its caller more the later it comes.
+// useful to the caller. A job that has waited longer than that is committed: it is kept while it will probably be
+// served within its longest wait, since a refusal costs its caller more the later it comes. The call itself commits it.
 func (p *Planner) shouldRefuse(now clock.Millis, w *queuedJob, ahead int) bool {
 	wait := p.estimateWait(now, w, ahead)
 	latest := w.Arrived + clock.Millis(refuseWithin*float64(w.Objective))
@@ -91,6 +91,7 @@
 	return wait
 }
 
+// refuse emits the refusal of a job that was removed from the queue, and holds back lower tiers.
 func (p *Planner) refuse(now clock.Millis, w *queuedJob) {
 	ahead := p.queue.countAhead(now, w)
 	wait := p.estimateWait(now, w, ahead)
@@ -102,18 +103,19 @@
 		return
 	}
 	p.addDecision(Refusal{ID: w.ID, RetryAfter: retry, Ahead: ahead, Wait: wait})
-	p.floor.raise(now, w, p.floorHold(now))
+	p.floor.raise(now, w, p.holdAfterRefusal(now))
 }
 
-// maxWaitFraction is the longest wait of a job as a fraction of the time from its arrival to its deadline.
+// maxWaitFraction is the longest wait of a committed job as a fraction of the time from its arrival to its deadline.
 const maxWaitFraction = 0.45
 
-// patienceFraction is the longest wait of a job as a fraction of its caller's patience; the remainder is for
+// patienceFraction is the longest wait of a committed job as a fraction of its caller's patience; the remainder is for
 // reading its prompt.
 const patienceFraction = 0.8
 
-// retryAfter returns when the caller should retry: after the waiting jobs have been served, spread so that not all
-// callers retry at once.
+// retryAfter returns how long the caller should wait before it retries: a random time from half of what
+// maxRetryFraction allows up to all of it, so that not all callers retry at once, and not below the job's estimated
+// wait if that is within it.
 func (p *Planner) retryAfter(now clock.Millis, w *queuedJob, wait clock.Millis) clock.Millis {
 	latest := clock.Millis(maxRetryFraction * float64(w.Deadline-now))
 	earliest := min(latest, max(minRetryAfter, wait, latest/2))
--- a/pkg/planner/runs.go
+++ b/pkg/planner/runs.go
@@ -47,7 +47,8 @@
 // minEvents is how many events a stream needs for its event interval to be learned.
 const minEvents = 4
 
-// Finish ends a granted job; flow describes its answer if it was a stream.
+// Finish ends a granted job and places waiting ones on the free slot; flow describes its answer if it was a stream. It
+// ignores a job that is not running.
 func (p *Planner) Finish(now clock.Millis, id JobID, outcome Outcome, flow StreamStats) {
 	r := p.runs[id]
 	if r == nil {
@@ -67,14 +68,14 @@
 	}
 	t.probing = outcome != Served && (t.probing || t.health.Ejected(now))
 	delete(p.runs, id)
-	t.end(r)
+	t.removeRun(r)
 	p.countRelease(now, r, outcome)
 	p.forget(t)
 	p.place(now)
 }
 
-// countRelease records that a slot has become free. Slots of a canary version do not count towards the capacity of
-// the others.
+// countRelease records that a slot has become free, and the run time if the target took the request. Slots of a canary
+// version do not count towards the capacity of the others.
 func (p *Planner) countRelease(now clock.Millis, r *run, outcome Outcome) {
 	if r.canary {
 		return
@@ -86,7 +87,7 @@
 }
 
 // Restore adds a job that already has a target, as after a restart of the planner. Its earlier progress is not
-// known.
+// known, so it counts as granted now. It ignores a job that runs here already, or whose target is not known.
 func (p *Planner) Restore(now clock.Millis, job Job, at ids.TargetIncarnation, hasFirstEvent bool) {
 	if p.runs[job.ID] != nil {
 		return
@@ -98,7 +99,7 @@
 	if t == nil {
 		return // the target is gone
 	}
-	r := t.start(now, job)
+	r := t.addRun(now, job)
 	r.canary = t.Admission == routing.OnTrial
 	p.runs[job.ID] = r
 	if hasFirstEvent {
@@ -106,7 +107,7 @@
 	}
 }
 
-// grantTransit is how long a grant may be in transit to its entry.
+// grantTransit is how long a grant may be in transit to its entry, which does not list the job as running meanwhile.
 const grantTransit = 150 * clock.Millisecond
 
 // RetainJobs ends the jobs of an entry for which keep returns false, except those granted within the last
@@ -122,7 +123,7 @@
 	p.forgetBackoffs(entry)
 }
 
-// abandon ends the runs of an entry for which gone is true.
+// abandon ends the runs of an entry for which gone returns true.
 func (p *Planner) abandon(now clock.Millis, entry string, gone func(*run) bool) {
 	for id, r := range p.runs {
 		if id.Entry == entry && gone(r) {
--- a/pkg/planner/summary.go
+++ b/pkg/planner/summary.go
@@ -7,6 +7,8 @@
 
 // Summary holds the planner's state and estimates, for logs and metrics.
 type Summary struct {
+	// Targets is the number of eligible targets, Ejected the number of those that are ejected, and Slots what they have
+	// together. Running and Waiting count jobs.
 	Targets, Ejected, Slots, Running, Waiting int
 	// PerSecond is the rate at which jobs end.
 	PerSecond float64
--- a/pkg/planner/target.go
+++ b/pkg/planner/target.go
@@ -11,7 +11,7 @@
 type target struct {
 	*routing.Target
 	incarnations   *incarnations // all incarnations of the same target id, this one included
-	offered        bool          // it may get new jobs
+	offered        bool          // it was in the last call of SetTargets
 	runs           map[JobID]*run
 	pendingPrompt  ids.Tokens // prompt tokens of runs without a first event
 	factor         factor
@@ -19,7 +19,7 @@
 	lastFirstEvent clock.Millis // time of the most recent first event
 	probing        bool         // gets one request at a time, after having been ejected
 	externalLoad   externalLoad
-	fillCount      int                     // how often it was filled during the trial of its version
+	fillCount      int                     // how often it was chosen as trial.filling
 	draining       bool                    // it has announced that it is shutting down
 	coldBucket     *tokenBucket            // nil while the target is warm
 	rateLimit      ratelimit.Report        // request rate limit that it reports
@@ -42,25 +42,26 @@
 	target        *target
 	grantedAt     clock.Millis
 	hasFirstEvent bool
-	redispatched  bool // a Move was emitted for it
-	canary        bool // its target ran a canary version
-	counted       bool // counted against the limit of its target
-	firstEventAt  clock.Millis
-	promptAhead   ids.Tokens // prompt tokens to be read before its first event, its own included
-	concurrency   int        // runs on the target when it was granted, itself included
-	// maxBacklog is the largest number of prompt tokens pending on the target while the stream ran.
+	redispatched  bool         // a Move was emitted for it
+	canary        bool         // its target was on trial when it was granted
+	counted       bool         // counted against the limit that its target reports
+	firstEventAt  clock.Millis // valid if hasFirstEvent is set
+	promptAhead   ids.Tokens   // prompt tokens to be read before its first event, its own included
+	concurrency   int          // runs on the target when it was granted, itself included
+	// maxBacklog is the largest number of prompt tokens pending on the target since the run's first event.
 	maxBacklog ids.Tokens
 }
 
 const (
-	// A run without a first event counts as stuck after stuckRatio times the expected time, but not before
+	// A run without a first event counts as stuck after stuckRatio times the expected time to it, but not before
 	// stuckMin.
 	stuckMin   = 250 * clock.Millisecond
 	stuckRatio = 8
 )
 
-// hasFreeSlot reports whether a target has a free slot. With avoidFailing set, a target that was ejected gets one job
-// at a time until it has served one; where most targets fail, this would leave hardly any of their capacity.
+// hasFreeSlot reports whether a target that may get new jobs has a free slot. Slots are taken by the runs of all its
+// incarnations and by external load. With avoidFailing set, a target that was ejected gets one job at a time until it
+// has served one; where most targets fail, this would leave hardly any of their capacity.
 func (t *target) hasFreeSlot(now clock.Millis, avoidFailing bool) bool {
 	if !t.offered || t.draining || t.incarnations.runs+t.externalLoad.current(now) >= t.capacity() {
 		return false
@@ -68,13 +69,14 @@
 	return !avoidFailing || !t.probing || len(t.runs) == 0
 }
 
+// capacity returns how many jobs the target may run at once, 1 if it declares no slots.
 func (t *target) capacity() int {
 	return max(1, t.Slots)
 }
 
-// start records a job that is granted now as a run on the target. Until its first event its prompt delays the streams
+// addRun records a job that is granted now as a run on the target. Until its first event its prompt delays the streams
 // that the target already runs.
-func (t *target) start(now clock.Millis, job Job) *run {
+func (t *target) addRun(now clock.Millis, job Job) *run {
 	t.pendingPrompt += job.Prompt
 	for _, other := range t.runs {
 		if other.hasFirstEvent {
@@ -87,6 +89,7 @@
 	return r
 }
 
+// recordFirstEvent takes the run's prompt off the pending ones. The prompts still pending delay its further events.
 func (t *target) recordFirstEvent(now clock.Millis, r *run) {
 	r.hasFirstEvent = true
 	r.firstEventAt = now
@@ -95,7 +98,8 @@
 	t.lastFirstEvent = now
 }
 
-func (t *target) end(r *run) {
+// removeRun removes a run that has ended.
+func (t *target) removeRun(r *run) {
 	if !r.hasFirstEvent {
 		t.pendingPrompt -= r.Prompt
 	}
@@ -103,11 +107,11 @@
 	t.incarnations.runs--
 }
 
-// externalLoad is the load of a target that did not come through this planner, as from entries that are partitioned
-// from the others and place jobs by themselves.
+// externalLoad is the number of requests at a target that did not come through this planner, as from entries that are
+// partitioned from the others and place jobs by themselves.
 type externalLoad struct {
-	average    float64
-	reportedAt clock.Millis
+	average    float64      // moving average of the reports
+	reportedAt clock.Millis // time of the newest report
 }
 
 const (
@@ -117,6 +121,7 @@
 	externalLoadTTL = 2 * clock.Second
 )
 
+// update adds a report: n is the target's own count less this planner's runs there, and may be below 0.
 func (l *externalLoad) update(now clock.Millis, n int) {
 	if now-l.reportedAt > externalLoadTTL {
 		l.average = 0
@@ -125,6 +130,7 @@
 	l.reportedAt = now
 }
 
+// current returns the rounded average, 0 if the newest report is too old.
 func (l *externalLoad) current(now clock.Millis) int {
 	if now-l.reportedAt > externalLoadTTL {
 		return 0
@@ -132,8 +138,8 @@
 	return int(l.average + 0.5)
 }
 
-// stuck reports whether a run has waited for its first event far longer than expected while no other run has had
-// one since.
+// stuck reports whether a run has waited for its first event far longer than expected, and no run of the target has had
+// a first event since it was granted.
 func (t *target) stuck(now clock.Millis, s *timings) bool {
 	for _, r := range t.runs {
 		expected := clock.Millis(t.factor.get() * s.firstEventTime(r.promptAhead))
--- a/pkg/planner/timings.go
+++ b/pkg/planner/timings.go
@@ -7,6 +7,7 @@
 
 // line is a linear regression over observations in which newer ones count more.
 type line struct {
+	// n is the sum of the weights; the others are the weighted sums of x, y, x*x and x*y.
 	n, x, y, xx, xy float64
 }
 
@@ -22,7 +23,8 @@
 	l.xy = l.xy*lineDecay + x*y
 }
 
-// fit returns the value at 0 and the slope, neither below zero.
+// fit returns the value at 0 and the slope, neither below zero: if the value would be, the line goes through the origin
+// instead. Without observations both are 0.
 func (l *line) fit() (base, slope float64) {
 	if l.n < 1 {
 		return 0, 0
@@ -38,8 +40,8 @@
 	return base, slope
 }
 
-// timings are the estimates for a group of targets: the time to the first event by the prompt tokens to be read
-// before it, and the time between events by the number of running requests. Both hold for a target of factor 1.
+// timings are the estimates for a group of targets, in ms: the time to the first event by the prompt tokens to be read
+// before it, and the time between events by the number of running requests. All hold for a target of factor 1.
 type timings struct {
 	firstEvent   line
 	interval     line
@@ -49,7 +51,7 @@
 // prefillStall estimates the longest delay that prompts being read cause to one event of a stream. Engines read a
 // prompt in chunks between the tokens of concurrent streams, so a long prompt delays each event by a limited number
 // of chunks.
-type prefillStall struct{ estimate float64 }
+type prefillStall struct{ estimate float64 } // ms; 0 before any observation
 
 const (
 	// defaultPrefillStall is the estimate in ms before any observation. It is low, since with too high an estimate
@@ -65,6 +67,7 @@
 	stallMinRatio = 1.2
 )
 
+// get returns the estimate in ms.
 func (s *prefillStall) get() float64 {
 	if s.estimate == 0 {
 		return defaultPrefillStall
@@ -72,14 +75,15 @@
 	return s.estimate
 }
 
-// longestGap estimates the longest gap between events of a stream while so many prompt tokens are read
-// concurrently.
+// longestGap estimates in ms the longest gap between events of a stream on a target that runs so many requests and
+// concurrently reads so many prompt tokens.
 func (s *timings) longestGap(running int, tokens ids.Tokens) float64 {
 	return s.eventInterval(running) + min(s.prefillStall.get(), s.prefillTime(tokens))
 }
 
-// learnPrefillStall learns from the longest gap of a stream on a target of factor f, during which backlog prompt
-// tokens were pending at once.
+// learnPrefillStall learns from the longest gap of a stream on a target of factor f that ran so many requests, during
+// which backlog prompt tokens were pending at once. A stream counts only if reading them took long enough to show the
+// whole stall.
 func (s *timings) learnPrefillStall(f float64, backlog ids.Tokens, running int, longest clock.Millis) {
 	estimate := s.prefillStall.get()
 	if s.firstEvent.n < minObservations || s.prefillTime(backlog) < stallMinRatio*estimate {
@@ -99,6 +103,7 @@
 	defaultInterval   = 25.0 // ms per event
 )
 
+// firstEventTime returns the time in ms to the first event, before which so many prompt tokens are read.
 func (s *timings) firstEventTime(tokens ids.Tokens) float64 {
 	base, slope := s.firstEvent.fit()
 	if s.firstEvent.n < 1 {
@@ -107,12 +112,13 @@
 	return base + slope*float64(tokens)
 }
 
-// prefillTime returns the part of the time to the first event that grows with the prompt.
+// prefillTime returns the part of the time to the first event that grows with the prompt, in ms.
 func (s *timings) prefillTime(tokens ids.Tokens) float64 {
 	_, slope := s.firstEvent.fit()
 	return slope * float64(tokens)
 }
 
+// eventInterval returns the time in ms between two events of a stream on a target that runs so many requests.
 func (s *timings) eventInterval(running int) float64 {
 	if s.interval.n < 1 {
 		return defaultInterval
@@ -121,17 +127,18 @@
 	return base + slope*float64(running)
 }
 
-// factor is the slowness of a target relative to the others, as a moving average.
+// factor is the slowness of a target relative to the others, as a moving average: 2 means that it takes twice the time.
 type factor struct {
 	value float64
-	known bool
+	known bool // false before the first observation
 }
 
 const (
 	// factorGain is the weight of the newest observation.
 	factorGain = 0.15
-	factorMin  = 0.1
-	factorMax  = 12
+	// factorMin and factorMax limit what one observation counts for, and so the factor.
+	factorMin = 0.1
+	factorMax = 12
 )
 
 func (f *factor) get() float64 {
@@ -141,6 +148,8 @@
 	return f.value
 }
 
+// learn adds an observation: ratio is the time taken relative to that expected of a target of factor 1, and weight
+// scales factorGain. The first observation counts half against the assumed factor of 1.
 func (f *factor) learn(ratio, weight float64) {
 	ratio = min(factorMax, max(factorMin, ratio))
 	if !f.known {
@@ -151,7 +160,7 @@
 	f.value += factorGain * weight * (ratio - f.value)
 }
 
-// learnFirstEvent learns from the time to a first event.
+// learnFirstEvent learns from the time to a first event, before which so many prompt tokens were read.
 func (s *timings) learnFirstEvent(f *factor, tokens ids.Tokens, took clock.Millis) {
 	if s.firstEvent.n >= minObservations {
 		f.learn(float64(took)/max(1, s.firstEventTime(tokens)), 1)
@@ -159,7 +168,7 @@
 	s.firstEvent.add(float64(tokens), float64(took)/f.get())
 }
 
-// learnInterval learns from the mean time between the events of a stream.
+// learnInterval learns from the mean time in ms between the events of a stream on a target that ran so many requests.
 func (s *timings) learnInterval(f *factor, running int, took float64) {
 	if s.interval.n >= minObservations {
 		f.learn(took/max(0.1, s.eventInterval(running)), 1)
--- a/pkg/planner/trial.go
+++ b/pkg/planner/trial.go
@@ -30,25 +30,25 @@
 	Trial
 	observing bool      // record observations
 	targets   []*target // targets of the canary version
-	// credit is, by route, how many jobs are still due to the canary version: half of it grows with the requests of
-	// the route and half in equal measure for all routes, so that routes with few requests are tried as well, also
-	// under load, when the order of the queue would exclude lower tiers. totalCredit is the sum.
+	// credit is, by route, how many jobs are still due to the canary version, below 0 after an overdraft: half of it
+	// grows with the requests of the route and half in equal measure for all routes, so that routes with few requests
+	// are tried as well, also under load, when the order of the queue would exclude lower tiers. totalCredit is the sum.
 	credit      map[ids.Route]float64
 	totalCredit float64
 	routes      []ids.Route // known routes, in the order in which they get credit
-	next        int
-	toNextRoute bool // the next job adds credit for the next route, not for its own
+	next        int         // index in routes of the last one that got credit in its turn
+	toNextRoute bool        // the last job added credit for the next route, so the next job adds it for its own
 	// filling is the target that is being filled until fillUntil.
 	filling      ids.TargetIncarnation
 	fillUntil    clock.Millis
-	observations []Observation
+	observations []Observation // made since the last call of Observations
 }
 
 // Observation is the result of a job at a target, for evaluating versions.
 type Observation struct {
 	Incarnation ids.TargetIncarnation
 	Route       ids.Route
-	Trial       bool
+	Trial       bool // the target was on trial when the job was granted
 	Failed      bool
 	// Ratio is the duration of the job relative to the expected one on a target of factor 1; Factor is the factor
 	// of its target.
@@ -121,7 +121,7 @@
 	return n
 }
 
-// addCredit adds credit for a granted job of a route.
+// addCredit adds credit for a granted job of a route, in turns to that route and to the next one that can use it.
 func (t *trial) addCredit(route ids.Route) {
 	if t.Fraction <= 0 {
 		return
@@ -154,7 +154,7 @@
 	t.credit, t.routes, t.totalCredit = nil, nil, 0
 }
 
-// spendCredit records that a job of a route was given to the canary version.
+// spendCredit records that a job of a route was given to the canary version; like any granted job it also adds credit.
 func (t *trial) spendCredit(route ids.Route) {
 	t.addCredit(route)
 	t.credit[route]--
@@ -189,7 +189,8 @@
 }
 
 // dueForCanary reports whether a job's route is due for the canary version, or the job must not run on the other
-// targets.
+// targets. A route is due with overdueCredit, or while a target is being filled, credit is left in all, and the route's
+// overdraft is below its limit.
 func (p *Planner) dueForCanary(now clock.Millis, w *queuedJob) bool {
 	credit := p.trial.credit[w.Route]
 	if credit >= overdueCredit || now < p.trial.fillUntil && p.trial.totalCredit >= 1 && credit >= 1-maxOverdraft {
@@ -198,7 +199,8 @@
 	return p.trial.closed(w) || p.trial.UnrepeatableUntil > 0 && !w.Movable && p.outlasts(now, w)
 }
 
-// chooseFillTarget chooses the next target to be filled once enough credit is saved.
+// chooseFillTarget chooses the next target to be filled once enough credit is saved: of those filled least often, one
+// by a hash of its id and the time.
 func (p *Planner) chooseFillTarget(now clock.Millis) {
 	if now < p.trial.fillUntil || len(p.trial.targets) == 0 {
 		return
@@ -216,7 +218,7 @@
 	p.trial.fillUntil = now + fillDuration
 }
 
-// outlasts reports whether a job may still run when the other targets are left.
+// outlasts reports whether a job granted now may still run at UnrepeatableUntil.
 func (p *Planner) outlasts(now clock.Millis, w *queuedJob) bool {
 	if w.Deadline <= p.trial.UnrepeatableUntil {
 		return false
@@ -225,8 +227,8 @@
 	return now+clock.Millis(remaining) > p.trial.UnrepeatableUntil
 }
 
-// canaryTarget returns the canary target for a job, or nil: the one being filled, or the cheapest once work leaves
-// the other targets.
+// canaryTarget returns the canary target for a job, or nil if it cannot take the job: the one being filled, or, once
+// UnrepeatableUntil is set, the cheapest of all.
 func (p *Planner) canaryTarget(now clock.Millis, w *queuedJob) *target {
 	var best *target
 	for _, t := range p.trial.targets {
@@ -240,7 +242,7 @@
 	return best
 }
 
-// observe records the result of a job if observations are wanted.
+// observe records the result of a job, if observations are wanted and the result tells something of the target.
 func (p *Planner) observe(now clock.Millis, r *run, outcome Outcome, flow StreamStats) {
 	if !p.trial.observing {
 		return
--- a/pkg/planner/wait.go
+++ b/pkg/planner/wait.go
@@ -4,8 +4,9 @@
 	"quaydock/pkg/clock"
 )
 
-// estimateWait estimates how long a job waits for a target: until the jobs ahead of it have been granted the slots
-// that are left for them and it.
+// estimateWait estimates how long a job waits for a target, by the number of jobs ahead of it in the queue: until these
+// and itself have been granted slots, but not less than until a target's back-off from its entry ends. Without eligible
+// targets, and before the canary version opens to all jobs, it is the time until then.
 func (p *Planner) estimateWait(now clock.Millis, w *queuedJob, ahead int) clock.Millis {
 	if len(p.eligible) == 0 && p.trial.OpensAt > now {
 		return p.trial.OpensAt - now
@@ -20,7 +21,7 @@
 	return max(minReleaseRate, p.releaseRate(now)-p.grantRateBefore(now, w))
 }
 
-// grantRateBefore returns the rate of grants to jobs that go before a given one.
+// grantRateBefore returns the rate per second of recent grants to jobs that go before a given one.
 func (p *Planner) grantRateBefore(now clock.Millis, w *queuedJob) float64 {
 	sum := 0.0
 	for tier, r := range p.grantRates {
@@ -34,7 +35,7 @@
 	return sum
 }
 
-// releaseRate returns how many jobs per second can end. Once no slot has been free for fullWindow it is the
+// releaseRate returns how many jobs per second can end. Once no target could take a job for fullWindow it is the
 // measured rate; before that too few jobs end, and it is at least the rate expected from the slots and the mean run
 // time.
 func (p *Planner) releaseRate(now clock.Millis) float64 {
@@ -45,15 +46,16 @@
 	return max(minReleaseRate, measured, p.expectedReleases())
 }
 
-// fullWindow is how long no target must have had a free slot for the measured releases to show the capacity.
+// fullWindow is for how long no target must have been able to take a job for the measured releases to show the
+// capacity.
 const fullWindow = clock.Second
 
-// minReleaseRate keeps estimates finite.
+// minReleaseRate, in jobs per second, keeps estimates finite.
 const minReleaseRate = 0.5
 
-// decayingMean is a mean in which newer values count more.
+// decayingMean is a mean of run times in ms in which newer ones count more.
 type decayingMean struct {
-	sum, n float64
+	sum, n float64 // of the values, and of their weights
 }
 
 const (
@@ -72,6 +74,7 @@
 	m.n = m.n*meanDecay + 1
 }
 
+// get returns the mean, in which defaultRunTime counts as defaultRunWeight values that never lose weight.
 func (m *decayingMean) get() float64 {
 	return max(minRunTime, (m.sum+defaultRunTime*defaultRunWeight)/(m.n+defaultRunWeight))
 }
