--- a/pkg/metering/claims.go
+++ b/pkg/metering/claims.go
@@ -7,7 +7,8 @@
 	"quaydock/pkg/packets"
 )
 
-// sendClaim sends a claim to the owner of an account and waits for its reply, sending it again until the timeout.
+// sendClaim sends a claim to the owner of an account and waits for its reply, sending it again until the timeout. It
+// returns false without a reply, and at once while the owner counts as unresponsive.
 func (m *Meter) sendClaim(ctx context.Context, owner netip.AddrPort, c claim) (claimReply, bool) {
 	answer, number, allowed := m.beginClaim(owner)
 	if !allowed {
@@ -38,6 +39,8 @@
 	}
 }
 
+// beginClaim returns the channel on which the reply to a new claim arrives, and the number of the claim. It returns
+// false if no claims are sent to the owner now, as it did not reply to an earlier one.
 func (m *Meter) beginClaim(owner netip.AddrPort) (chan claimReply, uint64, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -50,12 +53,14 @@
 	return answer, m.lastNumber, true
 }
 
+// endClaim drops the channel of a claim; a reply that arrives later is ignored.
 func (m *Meter) endClaim(number uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.pending, number)
 }
 
+// recordTimeout sends an owner that did not reply no claims for unresponsiveFor, and has its membership checked.
 func (m *Meter) recordTimeout(ctx context.Context, owner netip.AddrPort) {
 	if ctx.Err() != nil {
 		return // the caller left before the timeout
@@ -66,8 +71,8 @@
 	m.unresponsiveUntil[owner] = m.Clock.Now() + unresponsiveFor
 }
 
-// handleReply passes a reply on to the claim that waits for it, and drops it if none does any more. The channel has
-// room for the one reply that is passed on, so that the lock is not held for long.
+// handleReply passes a reply on to the claim that waits for it, and drops it if none does any more. The send never
+// blocks under the lock: the channel has room for one reply, and no second one is passed on.
 func (m *Meter) handleReply(_ netip.AddrPort, message *claimReply) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/metering/meter.go
+++ b/pkg/metering/meter.go
@@ -22,7 +22,7 @@
 
 // Bounds set how far the sum over all entries may exceed an account's allowance in any window.
 type Bounds struct {
-	// Over is a fraction of the allowance, Slack is in units; both apply to any Window.
+	// Over is a fraction of what the allowance permits in a Window, burst included; Slack is in units and added to it.
 	Over   float64
 	Slack  float64
 	Window clock.Millis
@@ -77,13 +77,14 @@
 
 // claim asks the owner of an account whether units may run.
 type claim struct {
-	_       struct{} `cbor:",toarray"`
+	_ struct{} `cbor:",toarray"`
+	// Number is the sender's number for the claim; the reply repeats it.
 	Number  uint64
 	Account ids.Account
 	Units   float64
-	// Reserve is the fraction of the account's burst that is left to other requests.
+	// Reserve is the fraction of the account's bucket that is left to other requests.
 	Reserve float64
-	// Used is what the account has used at this entry in the last window.
+	// Used is what the account has used at the sender in the last window, in units.
 	Used float64
 	// Incarnation distinguishes the sender's process from earlier ones at its address.
 	Incarnation uint64
@@ -95,18 +96,20 @@
 type incarnationReport struct {
 	_           struct{} `cbor:",toarray"`
 	Incarnation uint64
-	Used        float64
+	Used        float64 // units
 	// Age is the time since the report.
 	Age clock.Millis
 }
 
-// claimReply is the owner's reply to a claim. Wait says when to come back if nothing was taken.
+// claimReply is the owner's reply to a claim.
 type claimReply struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
-	Taken  bool
-	Wait   clock.Millis
-	// Used is what the account has used at the owner itself, in case the receiver is the next owner.
+	// Taken is set if the units may run and were counted. If not, Wait is after what time to claim again.
+	Taken bool
+	Wait  clock.Millis
+	// Used is what the account has used in the last window through the owner's own requests, in units, in case the
+	// receiver is the next owner.
 	Used float64
 	// Incarnation distinguishes the owner's process from earlier ones at its address.
 	Incarnation uint64
@@ -122,35 +125,36 @@
 	Units   float64
 }
 
-// partition describes the last time that some entries had another owner for shards that this entry owned.
+// partition describes the last time that some entries may have had another owner for shards that this entry owned. It
+// is zero once that is longer ago than a window.
 type partition struct {
-	lastSeen clock.Millis
-	fraction float64      // of the entries, the largest seen
-	duration clock.Millis // at most a window
+	lastSeen clock.Millis // when the agreement was last below 1
+	fraction float64      // of the entries that may have had another owner, the largest seen
+	duration clock.Millis // since all entries last agreed, at most a window
 }
 
 // Meter counts the usage of client accounts at one entry.
 type Meter struct {
 	common.Common
-	bounds         Bounds
+	bounds         Bounds // guarded by mu
 	view           *view.View
 	members        *membership.Members
 	link           *packets.Link
 	ownerAllowance *quota.Allowance // of the accounts that this entry owns
-	localAllowance *quota.Allowance // spent while no owner replies
-	usage          *quota.Ledger    // of accounts at this entry
+	localAllowance *quota.Allowance // this entry's share of the margin, spent while no owner replies
+	usage          *quota.Ledger    // what accounts have used at this entry, whichever entry was the owner
 	reports        reports          // usage as the entries last reported it
 	incarnation    uint64           // distinguishes this process from earlier ones at its address
 
 	mu sync.Mutex
-	// lastFullAgreement is when all entries were last known to agree on the owner.
+	// lastFullAgreement is when all entries were last known to agree on the owner, or another owner last replied here.
 	lastFullAgreement clock.Millis
 	partition         partition
-	lastNumber        uint64
-	pending           map[uint64]chan claimReply
+	lastNumber        uint64                          // number of the last claim that was sent
+	pending           map[uint64]chan claimReply      // by number of the claim that waits for the reply
 	unresponsiveUntil map[netip.AddrPort]clock.Millis // when claims may be sent to an owner again
-	sentReplies       map[uint64]claimReply           // by claim number
-	replyOrder        []uint64
+	sentReplies       map[uint64]claimReply           // by claim number; only the link's goroutine uses it, without lock
+	replyOrder        []uint64                        // the numbers in sentReplies, oldest first; used like it
 }
 
 // New returns a meter without usage.
@@ -192,8 +196,9 @@
 	return m.bounds.Over*(account.PerSecond*window+account.Burst) + m.bounds.Slack, window
 }
 
-// Take counts units against an account's allowance. If they may not run, it returns when to come back. reserve is the
-// fraction of the account's burst that is left to others.
+// Take counts units against an account's allowance and reports whether they may run; if not, it also returns after what
+// time to try again. It waits for the owner's reply, at most for the claim's timeout or until ctx ends. reserve is the
+// fraction of the account's bucket that is left to others.
 func (m *Meter) Take(ctx context.Context, account *routing.Account, units, reserve float64) (bool, clock.Millis) {
 	if account.PerSecond <= 0 {
 		return true, 0
@@ -205,6 +210,7 @@
 	return taken, wait
 }
 
+// take asks the owner, or counts here if this entry is the owner or none replies. It does not record the usage.
 func (m *Meter) take(ctx context.Context, account *routing.Account, units, reserve float64) (bool, clock.Millis) {
 	if m.Ablation.Off(ablation.QuotaHomes) {
 		return m.takeLocally(account, units)
@@ -251,11 +257,12 @@
 	m.reports.forget(known)
 }
 
+// shardOf returns the shard whose owner keeps an account's bucket.
 func shardOf(account ids.Account) string {
 	return "account/" + string(account)
 }
 
-// takeLocally counts units against this entry's share of the margin.
+// takeLocally counts units against this entry's share of the part of the margin that needs no reply from an owner.
 func (m *Meter) takeLocally(account *routing.Account, units float64) (bool, clock.Millis) {
 	margin, window := m.margin(account)
 	// Half of the margin is a rate over the window, half may be taken at once.
--- a/pkg/metering/owner.go
+++ b/pkg/metering/owner.go
@@ -16,7 +16,8 @@
 	return min(maxInitialFill, initialFillMarginFraction*margin/max(1, account.Burst))
 }
 
-// takeAsOwner counts units against an account's bucket at its owner. An owner gives out only the fraction of the
+// takeAsOwner counts units against an account's bucket at its owner, and returns as Take does; from is the zero address
+// for a claim of this entry itself. An owner gives out only the fraction of the
 // allowance for which it has agreement. Usage that entries reported for the last window counts too, whoever was the
 // owner then; so an account whose allowance was lowered waits until its last window is within the new one.
 func (m *Meter) takeAsOwner(from netip.AddrPort, account *routing.Account, c claim) (bool, clock.Millis) {
@@ -45,7 +46,7 @@
 	return taken, wait
 }
 
-// unreportedUsage is what an account may have used recently through other owners, which do not report to this one:
+// unreportedUsage is how many units an account may have used recently through other owners, which do not report here:
 // their fraction of the rate since the entries last agreed on the owner, and of the burst. Without it, owners on both
 // sides of a network partition each gave out what was left of the whole allowance. It counts for one window beyond the
 // partition, since an owner that is killed behind it loses the record of what it gave out.
@@ -66,15 +67,16 @@
 	return m.partition.fraction * (account.PerSecond*seconds + account.Burst)
 }
 
-// recordOwnerReply records that an owner has replied to this entry.
+// recordOwnerReply records that an owner has replied to this entry. For unreportedUsage this counts as full agreement:
+// it can have been the owner beside another one only after that.
 func (m *Meter) recordOwnerReply() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.lastFullAgreement = m.Clock.Now()
 }
 
-// maxDebt is how far one request may overdraw an entry's fraction of an account's allowance. Only one owner can
-// have the agreement of most entries, so a request of any size exceeds the limit there once at most. Owners with
+// maxDebt is by how many units one request may overdraw an entry's fraction of an account's allowance. Only one owner
+// can have the agreement of most entries, so a request of any size exceeds the limit there once at most. Owners with
 // smaller fractions, as on the sides of network partitions, may be many, and one request is large compared with such a
 // fraction: without a limit on the debt, thirty of them give out 1.75 times the limit of a small account in a window.
 func maxDebt(fraction, margin float64) float64 {
@@ -85,9 +87,11 @@
 }
 
 // maxStoredReplies is how many replies an owner keeps, so that a claim that is sent again is not counted again.
-// Claim numbers begin at a random one at each entry.
+// They are kept by number alone: each entry's claim numbers begin at a random one, so that those of two hardly meet.
 const maxStoredReplies = 4096
 
+// handleClaim replies to a claim, to one that was sent again with the same reply. It does not reply while this entry
+// knows no accounts or has no agreement.
 func (m *Meter) handleClaim(from netip.AddrPort, message *claim) {
 	catalog := m.view.Catalog()
 	if catalog == nil || m.members.Agreement() <= 0 {
@@ -124,6 +128,7 @@
 	}
 }
 
+// handleReturn puts units back into an account's bucket; the sender has corrected its record of usage itself.
 func (m *Meter) handleReturn(_ netip.AddrPort, message *unitReturn) {
 	m.ownerAllowance.Return(message.Account, message.Units)
 }
--- a/pkg/metering/reports.go
+++ b/pkg/metering/reports.go
@@ -10,8 +10,8 @@
 
 // report is what an account had used at an entry in the window before a moment.
 type report struct {
-	used float64
-	at   clock.Millis
+	used float64      // units
+	at   clock.Millis // by this entry's clock
 }
 
 // reporter is one incarnation of an entry; the address is empty for this entry itself. The first report of a new
@@ -28,6 +28,7 @@
 	byAccount map[ids.Account]map[reporter]report
 }
 
+// set replaces the report of one incarnation of an entry on an account.
 func (r *reports) set(account ids.Account, from reporter, latest report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -42,10 +43,10 @@
 	r.byAccount[account][from] = latest
 }
 
-// maxIncarnations limits how many incarnations of its receiver one claim reports.
+// maxIncarnations limits how many incarnations of its receiver one claim reports; which ones is then arbitrary.
 const maxIncarnations = 16
 
-// incarnationsAt returns what each incarnation of an entry has reported, as far as it still counts.
+// incarnationsAt returns what each incarnation of an entry has reported, without the reports older than a window.
 func (r *reports) incarnationsAt(now clock.Millis, account ids.Account, at netip.AddrPort, window clock.Millis) []incarnationReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,7 +60,7 @@
 }
 
 // merge takes in what this entry's former incarnations reported to others, which report it back: a process does
-// not know what the one before it has served.
+// not know what the one before it has served. own is the present incarnation, whose usage is known here.
 func (r *reports) merge(now clock.Millis, account ids.Account, own uint64, incarnations []incarnationReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,6 +89,7 @@
 	return sum
 }
 
+// forget drops the reports on accounts that are no longer known.
 func (r *reports) forget(known func(ids.Account) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/quota/allowance.go
+++ b/pkg/quota/allowance.go
@@ -14,14 +14,15 @@
 
 // bucket is a token bucket: what one account may still run at this entry.
 type bucket struct {
-	level     float64 // units; below zero after a request larger than what was left
-	capacity  float64
-	share     float64 // the largest so far
-	updatedAt clock.Millis
+	level     float64      // units; below zero after a request larger than what was left
+	capacity  float64      // units: the account's burst times this entry's share
+	share     float64      // the largest so far; only growth beyond it is filled initially
+	updatedAt clock.Millis // time up to which it was refilled
 }
 
 // Allowance holds the token buckets of accounts.
 type Allowance struct {
+	// initialFill returns the fraction to which capacity is filled when it is added to a bucket for the first time.
 	initialFill func(*routing.Account) float64
 	mu          sync.Mutex
 	buckets     map[ids.Account]*bucket
@@ -44,7 +45,7 @@
 
 // Spending is a request for units of an account's bucket, with the limits that apply to it.
 type Spending struct {
-	// Share is the fraction of the allowance that this entry holds, between 0 and 1.
+	// Share is the fraction of the allowance that this entry holds, above 0 and at most 1.
 	Share float64
 	Units float64
 	// Reserve is the fraction of the bucket that is left to other requests.
@@ -53,9 +54,10 @@
 	Debt float64
 }
 
-// Take counts units against an account's allowance. If the share is spent, it returns false and when to come back. A
-// request larger than what is left is admitted while more than Reserve is left and its debt is within Debt, so that
-// large requests do not starve.
+// Take counts units against an account's allowance. If the share is spent, it returns false and after what time to try
+// again: when half of the units are there beyond Reserve, and the debt would be within Debt. A request larger than
+// what is left is admitted while more than Reserve is left and its debt is within Debt, so that large requests do not
+// starve.
 func (a *Allowance) Take(now clock.Millis, account *routing.Account, s Spending) (bool, clock.Millis) {
 	if account.PerSecond <= 0 {
 		return true, 0
@@ -73,7 +75,7 @@
 	return false, clock.Millis(math.Ceil(max(0, missing) / perMilli))
 }
 
-// Return gives back units that did not run.
+// Return gives back units that did not run, as far as the bucket has room for them.
 func (a *Allowance) Return(account ids.Account, units float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -82,7 +84,7 @@
 	}
 }
 
-// refill brings an account's bucket up to now; the lock is held.
+// refill brings an account's bucket up to now and to the share that this entry holds; the lock is held.
 func (a *Allowance) refill(now clock.Millis, account *routing.Account, share float64) *bucket {
 	capacity := account.Burst * share
 	b := a.buckets[account.Name]
--- a/pkg/quota/ledger.go
+++ b/pkg/quota/ledger.go
@@ -29,7 +29,7 @@
 	return &Ledger{accounts: make(map[ids.Account]*accountUsage)}
 }
 
-// Add records units that an account has used.
+// Add records units that an account has used. All calls must pass the same window, as it sets the length of a step.
 func (l *Ledger) Add(now clock.Millis, account ids.Account, window clock.Millis, units float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,6 +89,7 @@
 	}
 }
 
+// stepOf returns the length of a step.
 func stepOf(window clock.Millis) clock.Millis {
 	return max(1, window/ledgerSteps)
 }
--- a/pkg/quota/retry_budget.go
+++ b/pkg/quota/retry_budget.go
@@ -25,15 +25,17 @@
 // RetryBudget counts requests and retries by service. Each entry may retry in proportion to its own requests, so that
 // the sum over all entries stays within the bounds without coordination; of the slack each has its share.
 type RetryBudget struct {
-	bounds    RetryBounds
+	bounds    RetryBounds  // guarded by mu
 	startedAt clock.Millis // when the entry started
 
 	mu       sync.Mutex
 	services map[ids.Service]*tally
 }
 
+// tally counts the requests and retries of one service in the steps of the last window. A step is numbered by its start
+// divided by the length of a step; the counts of step n are at n modulo windowSteps.
 type tally struct {
-	step     clock.Millis
+	step     clock.Millis // the number of the newest step, not a time
 	requests [windowSteps]float64
 	retries  [windowSteps]float64
 }
@@ -72,7 +74,8 @@
 	return true
 }
 
-// ReturnRetry takes back a retry that was counted at the given time and reached no target.
+// ReturnRetry takes back a retry that was counted at the given time and reached no target. It does nothing once that
+// time is outside the window.
 func (b *RetryBudget) ReturnRetry(counted clock.Millis, service ids.Service) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -83,9 +86,10 @@
 	}
 }
 
-// availableSlack is 0 until a window has passed since this entry started: the retries of its previous process are not
-// known, and may have been the whole slack. At ten requests a second, two processes in a window made 86 retries
-// where 72 were allowed, and three made 123. The lock is held.
+// availableSlack is the number of retries on top of the ratio, of all entries together. It is 0 until a window has
+// passed since this entry started: the retries of its previous process are not known, and may have been the whole
+// slack. At ten requests a second, two processes in a window made 86 retries where 72 were allowed, and three made 123.
+// The lock is held.
 func (b *RetryBudget) availableSlack(now clock.Millis) float64 {
 	if now-b.startedAt < b.bounds.Window {
 		return 0
@@ -93,6 +97,7 @@
 	return b.bounds.Slack
 }
 
+// tallyAt returns a service's tally, brought up to now; the lock is held.
 func (b *RetryBudget) tallyAt(now clock.Millis, service ids.Service) *tally {
 	t := b.services[service]
 	step := now / max(1, b.bounds.Window/windowSteps)
--- a/pkg/ratelimit/parse.go
+++ b/pkg/ratelimit/parse.go
@@ -26,6 +26,7 @@
 	return named
 }
 
+// parse parses one number, which may be beyond the range of float64; it returns false for anything else.
 func parse(text string) (Rate, bool) {
 	if strings.Trim(text, "0123456789.eE+-") != "" {
 		return 0, false // strconv.ParseFloat also accepts hexadecimal numbers and infinities
--- a/pkg/ratelimit/report.go
+++ b/pkg/ratelimit/report.go
@@ -29,8 +29,8 @@
 	// Known is false while no report was received.
 	Known bool
 	Rate  Rate
-	// From and To are moments between which the target made the report: when the request was sent and when its
-	// answer was read.
+	// From and To are moments between which the target made the report, on the clock of this VM: when the request was
+	// sent and when its answer was read.
 	From, To clock.Millis
 }
 
@@ -64,7 +64,8 @@
 	return Report{Known: true, Rate: min(r.Rate, other.Rate), From: max(r.From, other.From), To: max(r.To, other.To)}
 }
 
-// maxTransit is the longest time that a report is assumed to be in transit to another VM.
+// maxTransit is the longest time that a report is assumed to be in transit to another VM; its receiver moves From back
+// by as much.
 const maxTransit = 100 * clock.Millisecond
 
 // AgedReport is a report as sent to another VM: with ages, since the clocks of VMs differ.
