--- a/pkg/balance/affinity.go
+++ b/pkg/balance/affinity.go
@@ -10,7 +10,7 @@
 	"quaydock/pkg/prefix"
 )
 
-// tokensPerBlock is the number of prompt tokens in one block of a prefix chain.
+// tokensPerBlock is the number of prompt tokens in one block of a prefix chain, at 4 bytes per token.
 const tokensPerBlock = prefix.BlockBytes / 4
 
 // maxRunFraction is the fraction of the time to the deadline that a run may take where the
@@ -43,6 +43,7 @@
 	return order
 }
 
+// affineCost returns the expected wait in seconds, and adds the run only if that would come near the deadline.
 func (c *Candidate) affineCost(job Job) float64 {
 	wait := c.expectedWait(job.Tier)
 	run := c.expectedEnd(job) - wait
@@ -65,6 +66,7 @@
 
 // secondsSaved is the time, in seconds, that a target needs to compute blocks of a prompt.
 func (c *Candidate) secondsSaved(blocks float64) float64 {
+	// unknownMicros is the run time per token, in microseconds, of a target that has not reported one.
 	const unknownMicros = 1000
 	unit := float64(c.Load.UnitMicros)
 	if unit <= 0 {
--- a/pkg/balance/chooser.go
+++ b/pkg/balance/chooser.go
@@ -14,24 +14,25 @@
 // Chooser applies a policy and keeps the policy's state from one request to the next.
 type Chooser struct {
 	policy    Policy
-	fanOut    int
-	reportLag clock.Millis
+	fanOut    int          // how many targets are queried at once
+	reportLag clock.Millis // how long baseline policies use a report before they take a newer one
 	// cached estimates which prompts targets have cached, from what this entry sent them lately.
 	cached *prefix.CacheEstimate
 
 	mu        sync.Mutex
-	rotations map[ids.Service]int
-	reports   map[ids.Target]report
+	rotations map[ids.Service]int   // how many requests RoundRobin has ordered, each from the next candidate on
+	reports   map[ids.Target]report // used by LeastLoad and PowerOfTwo
 }
 
 // report is a load report as a baseline policy uses it.
 type report struct {
 	load control.Load
-	at   clock.Millis
+	at   clock.Millis // when the policy took it over
 }
 
 // NewChooser returns a chooser. fanOut is how many targets are queried at once;
-// reportLag is the age of the load reports that baseline policies decide on.
+// reportLag is the age up to which baseline policies decide on a load report
+// before they take a newer one.
 func NewChooser(policy Policy, fanOut int, reportLag clock.Millis) *Chooser {
 	return &Chooser{
 		policy: policy, fanOut: fanOut, reportLag: reportLag, cached: prefix.NewCacheEstimate(),
@@ -73,6 +74,7 @@
 	c.cached.Record(target, chain)
 }
 
+// rotate returns the indexes from 0 to n-1, each time begun at the next one.
 func (c *Chooser) rotate(service ids.Service, n int) []int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,7 +87,7 @@
 	return order
 }
 
-// reportedLoads returns the candidates' running and queued work as last reported.
+// reportedLoads returns the candidates' running and queued work by the reports that are in use.
 func (c *Chooser) reportedLoads(now clock.Millis, candidates []Candidate) []ids.Tokens {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,7 +103,7 @@
 	return loads
 }
 
-// sortedByLoad sorts the first drawn elements of order by load.
+// sortedByLoad sorts the first drawn elements of order by load, the lowest first; the others stay.
 func sortedByLoad(order []int, drawn int, loads []ids.Tokens) []int {
 	slices.SortStableFunc(order[:min(drawn, len(order))], func(i, j int) int {
 		return int(loads[i] - loads[j])
--- a/pkg/balance/order.go
+++ b/pkg/balance/order.go
@@ -18,7 +18,8 @@
 type Candidate struct {
 	Target ids.Target
 	Load   control.Load
-	// Outstanding is the work of the tickets that this entry placed since that report.
+	// Outstanding is the work of the tickets that this entry placed since that report. All work is in tokens of
+	// answer; prompt tokens are converted (see control.PrefillPerDecode).
 	Outstanding ids.Tokens
 }
 
@@ -74,6 +75,7 @@
 	return order
 }
 
+// compare orders candidates: those that are leaving last, then by expected end, and by free slots, the most first.
 func compare(a, b *Candidate, job Job) int {
 	if a.Load.Leaving != b.Load.Leaving {
 		if a.Load.Leaving {
--- a/pkg/balance/policy.go
+++ b/pkg/balance/policy.go
@@ -24,7 +24,7 @@
 func (LeastLoad) isPolicy()   {}
 func (PowerOfTwo) isPolicy()  {}
 
-// ParsePolicy returns the policy called name. The error is of kind
+// ParsePolicy returns the policy called name. The error for an unknown one is of kind
 // errors.NotFound.
 func ParsePolicy(name string) (Policy, error) {
 	switch name {
--- a/pkg/prefix/chain.go
+++ b/pkg/prefix/chain.go
@@ -15,12 +15,12 @@
 	// BlockBytes is the length of a block. Shorter blocks match more of a prompt
 	// but cost more look-ups.
 	BlockBytes = 1024
-	// maxBlocks limits a chain: prompts share their beginnings.
+	// maxBlocks limits the blocks of a chain: prompts share their beginnings.
 	maxBlocks = 64
 )
 
-// Chain returns the fingerprints of the complete blocks of prompt, at most maxBlocks. Each includes
-// the one before, so that equal fingerprints mean equal prefixes.
+// Chain returns the fingerprints of the complete blocks of prompt, at most maxBlocks; nil for a prompt shorter than
+// one. Each includes the one before, so that equal fingerprints mean equal prefixes.
 func Chain(prompt []byte) []Fingerprint {
 	n := min(len(prompt)/BlockBytes, maxBlocks)
 	if n == 0 {
--- a/pkg/routing/catalog.go
+++ b/pkg/routing/catalog.go
@@ -16,7 +16,7 @@
 type Account struct {
 	Name ids.Account
 	Tier ids.TierRank
-	Keys []string
+	Keys []string // the keys by which callers are known to be the account's
 	// PerSecond and Burst limit the account's usage, in units (tokens
 	// or requests); a PerSecond of 0 means no limit.
 	PerSecond float64
@@ -54,6 +54,7 @@
 
 // Engine describes the model engines of a service.
 type Engine struct {
+	// Slots is how many requests one engine runs at once.
 	Slots int
 	// Memory is how many tokens fit into one engine's memory.
 	Memory ids.Tokens
@@ -61,7 +62,8 @@
 	EventTokens int
 }
 
-// Limits holds the limits on the size and duration of callers' requests.
+// Limits holds the limits on the size and duration of callers' requests. HeaderTime is the longest time for reading a
+// request's headers, IdleTime how long a connection without a request is kept.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
@@ -76,7 +78,7 @@
 	services map[ids.Service]*Service
 	hosts    map[string][]*Route // by host, the longest prefix first
 	routes   map[string]bool     // by name
-	keys     map[string]*Account
+	keys     map[string]*Account // by key
 	accounts []*Account
 }
 
--- a/pkg/routing/route.go
+++ b/pkg/routing/route.go
@@ -45,10 +45,13 @@
 	// there is no such objective.
 	EventGap clock.Millis
 	Tier     ids.TierRank
-	Split    []WeightedService
+	// Split holds the services that requests go to; at least one.
+	Split []WeightedService
 	// Attempts is how many targets one request may be sent to, one after the other.
-	Attempts  int
+	Attempts int
+	// Anonymous is set if requests need no key, even though there are client accounts.
 	Anonymous bool
+	// Resumable is set if a stream may go on at another target after its first one was lost.
 	Resumable bool
 }
 
--- a/pkg/routing/target.go
+++ b/pkg/routing/target.go
@@ -16,8 +16,8 @@
 	Service ids.Service
 	Address string
 	Domain  ids.FailureDomain
-	Slots   int
-	Leaving bool
+	Slots   int  // how many requests it runs at once
+	Leaving bool // it has reported that it is shutting down
 	// Drained says that operators have drained its failure domain. RestoredAt is when this entry read that the domain
 	// was restored, 0 if it has not.
 	Drained    bool
@@ -70,8 +70,8 @@
 
 // Directory is one version of the target list. It is immutable.
 type Directory struct {
-	all       []*Target // ordered by id, as all lists are
-	byService map[ids.Service][]*Target
+	all       []*Target                 // ordered by id, as all lists are
+	byService map[ids.Service][]*Target // those that Serving lists
 	onTrial   map[ids.Service][]*Target
 	byID      map[ids.Target]*Target
 }
@@ -119,7 +119,7 @@
 	return d.byID[id]
 }
 
-// Replaced reports whether another incarnation is certainly listed under a target's id. A target that is not
+// Replaced reports whether the incarnation listed under a target's id is certainly another one. A target that is not
 // listed at all may still run and serve its requests, and so may one whose start is missing in one of its rows.
 func (d *Directory) Replaced(incarnation ids.TargetIncarnation) bool {
 	t := d.byID[incarnation.Target]
--- a/pkg/schedule/baselines.go
+++ b/pkg/schedule/baselines.go
@@ -29,7 +29,7 @@
 	LeastReported Policy = "least-reported"
 )
 
-// maxReportAge is how long a load report is used.
+// maxReportAge is how long a load report is used; after that the target counts as idle until its next report.
 const maxReportAge = 1500 * clock.Millisecond
 
 // Baseline assigns requests at once, by a simple policy and by what this entry alone has seen.
@@ -40,16 +40,17 @@
 	advice *advisory.Tracker
 
 	mu      sync.Mutex
-	turns   map[ids.Service]int
+	turns   map[ids.Service]int // how many requests were assigned, each beginning at the next target
 	reports map[ids.TargetIncarnation]report
 }
 
+// report is the last load report of a target.
 type report struct {
-	load int
+	load int // requests running and waiting
 	at   clock.Millis
 }
 
-// NewBaseline returns a scheduler with a simple policy.
+// NewBaseline returns a scheduler with a simple policy, RoundRobin or LeastReported.
 func NewBaseline(c common.Common, v *view.View, policy Policy, advice *advisory.Tracker) *Baseline {
 	return &Baseline{Common: c, view: v, policy: policy, advice: advice, turns: make(map[ids.Service]int), reports: make(map[ids.TargetIncarnation]report)}
 }
@@ -79,6 +80,7 @@
 	return &baselineAssignment{baseline: b, target: b.pick(request.Service, offered)}, nil, nil
 }
 
+// pick returns the target by the policy; offered holds at least one. The lock is held.
 func (b *Baseline) pick(service ids.Service, offered []*routing.Target) *routing.Target {
 	b.turns[service]++
 	first := b.turns[service] % len(offered)
@@ -96,6 +98,7 @@
 	return best
 }
 
+// load returns a target's last reported number of requests, 0 without a recent report. The lock is held.
 func (b *Baseline) load(now clock.Millis, incarnation ids.TargetIncarnation) int {
 	if r := b.reports[incarnation]; now-r.at <= maxReportAge {
 		return r.load
@@ -103,6 +106,8 @@
 	return 0
 }
 
+// baselineAssignment is an assignment of Baseline, which never re-dispatches and keeps only reports: it counts no
+// running requests, so Done has nothing to do.
 type baselineAssignment struct {
 	baseline *Baseline
 	target   *routing.Target
@@ -110,6 +115,7 @@
 
 func (a *baselineAssignment) Target() *routing.Target { return a.target }
 
+// Began stores the target's load report.
 func (a *baselineAssignment) Began(load *planner.Load) {
 	if load == nil {
 		return
--- a/pkg/schedule/local.go
+++ b/pkg/schedule/local.go
@@ -27,7 +27,7 @@
 
 // targetState is what this entry knows of one incarnation of a target.
 type targetState struct {
-	running int
+	running int // assignments of this scheduler that are not done
 	health  planner.Health
 }
 
@@ -37,9 +37,11 @@
 	return &Local{Common: c, view: v, advice: advice, targets: make(map[ids.TargetIncarnation]*targetState)}
 }
 
+// noTargetRetry is the RetryAfter of a refusal if there is no target.
 const noTargetRetry = 500 * clock.Millisecond
 
-// refusalFor returns the refusal for a request that none of these targets may get from this entry.
+// refusalFor returns the refusal for a request that none of these targets may get from this entry: because all of them
+// back off, or because there is none.
 func refusalFor(c common.Common, advice *advisory.Tracker, targets []*routing.Target) *Refused {
 	if backoff := advice.AllBackoff(targets); backoff > 0 {
 		return &Refused{BackedOff: true, Wait: backoff, RetryAfter: planner.AfterBackoff(backoff, c.Random.Fork().Float64())}
@@ -62,6 +64,7 @@
 	return &localAssignment{local: l, target: target}, nil, nil
 }
 
+// stateOf returns the state of a target incarnation, and creates it for a new one. The lock is held.
 func (l *Local) stateOf(incarnation ids.TargetIncarnation) *targetState {
 	r := l.targets[incarnation]
 	if r == nil {
@@ -71,14 +74,15 @@
 	return r
 }
 
-// best returns the target with the fewest requests per slot. Ejected targets are taken only if there are no
-// others, and cold and rate-limited ones never: only the owner divides up what all entries together may send them.
+// best returns the target with the fewest requests per slot, or nil; the lock is held. Ejected targets are taken only
+// if there are no others, those that the request excludes only after these, and cold and rate-limited ones never: only
+// the owner divides up what all entries together may send them.
 func (l *Local) best(request Request) *routing.Target {
 	now := l.Clock.Now()
 	random := l.Random.Fork()
 	service := l.view.Catalog().Service(request.Service)
 	var best *routing.Target
-	var minCost float64
+	var minCost float64 // in requests per slot
 	for _, t := range l.view.Directory().Serving(request.Service) {
 		status := l.advice.Status(t.Incarnation())
 		if status.Blocks() || status.Limit.IsLimited() || t.Cold(now, service) {
@@ -87,11 +91,11 @@
 		r := l.stateOf(t.Incarnation())
 		cost := (float64(r.running) + random.Float64()/2) / float64(max(1, t.Slots))
 		if r.health.Ejected(now) {
-			const ejectedCost = 1000
+			const ejectedCost = 1000 // outweighs the load of the other targets
 			cost += ejectedCost
 		}
 		if slices.Contains(request.Exclude, t.Incarnation()) {
-			const triedCost = 2000
+			const triedCost = 2000 // outweighs ejectedCost too
 			cost += triedCost
 		}
 		if best == nil || cost < minCost {
@@ -101,6 +105,7 @@
 	return best
 }
 
+// localAssignment is an assignment of Local, which ignores load reports and never re-dispatches.
 type localAssignment struct {
 	local  *Local
 	target *routing.Target
@@ -112,6 +117,7 @@
 
 func (a *localAssignment) Redispatched() <-chan struct{} { return nil }
 
+// Done counts the request as no longer running and records its outcome for the target's health.
 func (a *localAssignment) Done(o planner.Outcome, _ planner.StreamStats) {
 	l := a.local
 	l.mu.Lock()
--- a/pkg/schedule/schedule.go
+++ b/pkg/schedule/schedule.go
@@ -36,10 +36,11 @@
 	// Overloaded is false if the service has no target at all, or all of them have asked for a back-off.
 	Overloaded bool
 	// BackedOff says that all targets have asked this entry for a back-off.
-	BackedOff  bool
+	BackedOff bool
+	// RetryAfter is how long the caller should wait before it retries.
 	RetryAfter clock.Millis
 	// Ahead is how many requests were ahead of this one, and Wait how long it would have
-	// waited.
+	// waited by estimate, or until the first target's back-off ends.
 	Ahead int
 	Wait  clock.Millis
 }
