--- a/pkg/balance/chooser_test.go
+++ b/pkg/balance/chooser_test.go
@@ -10,12 +10,15 @@
 	"quaydock/pkg/prefix"
 )
 
+// candidate returns a target with eight slots; queued is the work that waits below the highest tier. It does work of
+// 1,000 tokens per second, and a run takes unitMicros per token.
 func candidate(name ids.Target, free int, queued, running ids.Tokens, unitMicros int64) balance.Candidate {
 	return balance.Candidate{Target: name, Load: control.Load{
 		Free: free, Slots: 8, Queued: []ids.Tokens{0, queued}, Running: running, DrainPerSecond: 1000, UnitMicros: unitMicros,
 	}}
 }
 
+// TestOrder checks which candidate comes first, with 20 seeds each.
 func TestOrder(t *testing.T) {
 	long := []prefix.Fingerprint{1, 2, 3, 4, 5, 6, 7, 8}
 	scenarios := []struct {
--- a/pkg/metering/deployment_test.go
+++ b/pkg/metering/deployment_test.go
@@ -20,6 +20,7 @@
 	"quaydock/pkg/view"
 )
 
+// The default deployment and its account, in units.
 const (
 	entries   = 4
 	perSecond = 10_000.0
@@ -39,6 +40,7 @@
 	views   []*view.View
 }
 
+// address is the address of entry i.
 func address(i int) netip.AddrPort {
 	return netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:7600", i+1))
 }
@@ -49,6 +51,7 @@
 	return deployMany(ctx, entries, account, bounds)
 }
 
+// deployMany runs entries that have read the list of entries, and lets them exchange heartbeats for a second.
 func deployMany(ctx context.Context, entries int, account *routing.Account, bounds metering.Bounds) *deployment {
 	d := deployUnlisted(ctx, entries, account, bounds)
 	d.readList()
@@ -72,7 +75,7 @@
 	}
 }
 
-// row lists an entry.
+// row is the row that lists entry i.
 func row(i int) follow.Row {
 	return follow.Row{Key: fmt.Sprint("entry-", i), Value: fmt.Appendf(nil, `{"address":%q,"weight":1}`, address(i).String())}
 }
@@ -98,7 +101,7 @@
 	return d
 }
 
-// demand has each entry take units as fast as it can for a while, and returns what was taken and when.
+// demand has each entry take 100 units every 10 ms for a while, and returns what was taken and when.
 func (d *deployment) demand(ctx context.Context, length time.Duration) []take {
 	return d.demandUnits(ctx, length, func() float64 { return 100 })
 }
@@ -153,6 +156,7 @@
 	return highest
 }
 
+// accountLimit is how many units the default account may use in a window, by the bounds.
 func accountLimit() float64 {
 	const seconds = 8
 	return (perSecond*seconds+burst)*(1+bounds.Over) + bounds.Slack
@@ -160,7 +164,7 @@
 
 // The margin of a large account is small compared with its rate.
 const (
-	largeRate  = 400_000.0
+	largeRate  = 400_000.0 // units per second; also the burst
 	largeLimit = (largeRate*8+largeRate)*1.1 + 140_000
 	// largeMax leaves a twentieth of the limit for requests that wait and are under way.
 	largeMax = 0.95 * largeLimit
--- a/pkg/metering/large_requests_test.go
+++ b/pkg/metering/large_requests_test.go
@@ -60,8 +60,8 @@
 func TestLargeRequestsOfSmallAccountAtIsolatedEntries(t *testing.T) {
 	scenarios := []struct {
 		name string
-		rate float64
-		cut  int
+		rate float64 // units per second; also the burst
+		cut  int     // how many entries are isolated
 	}{
 		{"small account, a third isolated", 36_000, 10},
 		{"small account, all isolated", 36_000, 30},
--- a/pkg/metering/meter_test.go
+++ b/pkg/metering/meter_test.go
@@ -11,10 +11,12 @@
 	"quaydock/pkg/packets"
 )
 
+// TestSumOverAllEntriesStaysWithinLimit has an account ask for far more than its limit while messages among the entries
+// are lost: those without the owner spend shares of their own, and the sum of all must not exceed the limit.
 func TestSumOverAllEntriesStaysWithinLimit(t *testing.T) {
 	scenarios := []struct {
 		name string
-		lose func(from, to netip.AddrPort, kind packets.Kind) bool
+		lose func(from, to netip.AddrPort, kind packets.Kind) bool // reports whether a message is lost; nil for none
 		// minFraction is what must be taken in some window, as a fraction of the allowance: an entry that refuses
 		// everything stays within any limit.
 		minFraction float64
@@ -50,10 +52,13 @@
 	}
 }
 
+// inFirstHalf reports whether an entry is one of the first two of four.
 func inFirstHalf(a netip.AddrPort) bool {
 	return a == address(0) || a == address(1)
 }
 
+// TestResentClaimCountsOnce guards against an owner that counts a claim again when its reply was lost and the claim is
+// sent again.
 func TestResentClaimCountsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
@@ -70,6 +75,7 @@
 	})
 }
 
+// TestDeadEntryIsReplacedAsOwner loses all messages of one entry: the others must agree on another owner.
 func TestDeadEntryIsReplacedAsOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
--- a/pkg/metering/owner.go
+++ b/pkg/metering/owner.go
@@ -17,9 +17,9 @@
 }
 
 // takeAsOwner counts units against an account's bucket at its owner, and returns as Take does; from is the zero address
-// for a claim of this entry itself. An owner gives out only the fraction of the
-// allowance for which it has agreement. Usage that entries reported for the last window counts too, whoever was the
-// owner then; so an account whose allowance was lowered waits until its last window is within the new one.
+// for a claim of this entry itself. An owner gives out only the fraction of the allowance for which it has agreement.
+// Usage that entries reported for the last window counts too, whoever was the owner then; so an account whose allowance
+// was lowered waits until its last window is within the new one.
 func (m *Meter) takeAsOwner(from netip.AddrPort, account *routing.Account, c claim) (bool, clock.Millis) {
 	now := m.Clock.Now()
 	margin, window := m.margin(account)
@@ -68,7 +68,7 @@
 }
 
 // recordOwnerReply records that an owner has replied to this entry. For unreportedUsage this counts as full agreement:
-// it can have been the owner beside another one only after that.
+// another entry is the owner, so whatever this one gives out as an owner it gives out later.
 func (m *Meter) recordOwnerReply() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/metering/owner_restarts_test.go
+++ b/pkg/metering/owner_restarts_test.go
@@ -32,7 +32,7 @@
 	return s
 }
 
-// checkLimit ends a series, and checks the most that ran in any window.
+// checkLimit ends a series, and checks the most that was admitted and ran in any window.
 func (s *series) checkLimit(t *testing.T) {
 	t.Helper()
 	time.Sleep(4 * time.Second)
@@ -108,7 +108,7 @@
 func TestRestartsRefuseNoMoreNearTheLimit(t *testing.T) {
 	stops := []struct {
 		name  string
-		which func(s *series, i int) int
+		which func(s *series, i int) int // returns the entry to stop in round i
 	}{
 		{"one after the other", func(_ *series, i int) int { return i }},
 		{"the owner repeatedly", func(s *series, _ int) int { return s.owner() }},
@@ -128,7 +128,8 @@
 	}
 }
 
-// refusedFractionAt is the fraction of an account's demand that is refused in a series of stops.
+// refusedFractionAt is the fraction of an account's demand that is refused in a series of stops; demand is a fraction
+// of its rate.
 func refusedFractionAt(t *testing.T, demand float64, which func(*series, int) int) float64 {
 	t.Helper()
 	refused := 0.0
--- a/pkg/metering/series_deployment_test.go
+++ b/pkg/metering/series_deployment_test.go
@@ -55,16 +55,16 @@
 
 // load is what callers ask for, and what becomes of admitted requests.
 type load struct {
-	workers          int
-	pause            time.Duration
-	units            func(*rand.Rand) float64
-	returnedFraction float64       // the fraction that is given back, and does not run
-	maxDelay         time.Duration // from the admission until the request runs or is given back
+	workers          int                      // callers of each entry, which each send one request after the other
+	pause            time.Duration            // between two requests of a caller
+	units            func(*rand.Rand) float64 // draws the units of a request
+	returnedFraction float64                  // the fraction that is given back, and does not run
+	maxDelay         time.Duration            // from the admission until the request runs or is given back
 }
 
-// run is a request that ran, with the times of its admission and its start.
+// run is a request that ran.
 type run struct {
-	sent, began clock.Millis
+	sent, began clock.Millis // when it was admitted, and when it began to run at its target
 	units       float64
 }
 
@@ -72,10 +72,10 @@
 type seriesEntry struct {
 	weight           float64 // the probability that its callers send a request at all
 	account          atomic.Pointer[routing.Account]
-	idle             atomic.Bool  // no callers come to it
-	storePartitioned atomic.Bool  // it does not reach the store
-	lastStoreContact atomic.Int64 // when it last reached the store, while it is partitioned
-	current          atomic.Pointer[incarnation]
+	idle             atomic.Bool                 // no callers come to it
+	storePartitioned atomic.Bool                 // it does not reach the store
+	lastStoreContact atomic.Int64                // when it last reached the store, in ms; valid while it is partitioned
+	current          atomic.Pointer[incarnation] // nil while no process runs
 }
 
 // incarnation is one process of an entry.
@@ -129,6 +129,7 @@
 	return nil
 }
 
+// change writes or removes a row and notifies the entries. It fails while the entry does not reach the store.
 func (s storeClient) change(row follow.Row) error {
 	if s.entry.storePartitioned.Load() {
 		return errStoreUnavailable
@@ -144,6 +145,7 @@
 	return nil
 }
 
+// list returns all rows, in no order.
 func (s *entryStore) list() []follow.Row {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,6 +179,7 @@
 	return s
 }
 
+// add adds an entry that knows the newest limit and does not run yet.
 func (s *series) add() {
 	e := &seriesEntry{weight: []float64{0.1, 1, 1, 1}[s.random.IntN(4)]}
 	e.account.Store(s.limits[len(s.limits)-1].account)
@@ -203,6 +206,7 @@
 	}
 }
 
+// catalogOf returns a catalog of the next revision with one account.
 func (s *series) catalogOf(account *routing.Account) *routing.Catalog {
 	return routing.NewCatalog(routing.Revision(s.revision.Add(1)), routing.Limits{}, nil, nil, []*routing.Account{account})
 }
@@ -350,6 +354,8 @@
 	return s.maxFractionBy(func(r run) clock.Millis { return r.sent }), s.maxFractionBy(func(r run) clock.Millis { return r.began })
 }
 
+// maxFractionBy is the largest fraction of its limit that any window used, by the given time of a request. The lock is
+// held.
 func (s *series) maxFractionBy(at func(run) clock.Millis) float64 {
 	all := slices.Clone(s.ran)
 	slices.SortFunc(all, func(a, b run) int { return int(at(a) - at(b)) })
@@ -365,7 +371,7 @@
 	return highest
 }
 
-// owner is the entry that most living ones take for the account's owner.
+// owner is the index of the entry that most running ones take for the account's owner.
 func (s *series) owner() int {
 	votes := make([]int, len(s.entries))
 	for _, e := range s.entries {
@@ -386,6 +392,7 @@
 	time.Sleep(s.randomDuration(shortest, longest))
 }
 
+// randomDuration draws a duration between two limits, in ms.
 func (s *series) randomDuration(shortest, longest int) time.Duration {
 	return time.Duration(shortest+s.random.IntN(longest-shortest+1)) * time.Millisecond
 }
--- a/pkg/metering/series_test.go
+++ b/pkg/metering/series_test.go
@@ -66,6 +66,8 @@
 	}
 }
 
+// playSeries plays faults on a deployment drawn by the seed, and returns the largest fractions of its limit that the
+// account used in any window.
 func playSeries(t *testing.T, seed uint64, play func(*series)) (bySent, byRun float64) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSeries(t, seed)
@@ -88,13 +90,15 @@
 	return bySent, byRun
 }
 
+// setIdle has callers come to no entry, or to all again.
 func (s *series) setIdle(yes bool) {
 	for _, e := range s.entries {
 		e.idle.Store(yes)
 	}
 }
 
-// restart kills some entries together and starts each after a delay drawn for it.
+// restart kills some entries together and starts them after down ms, one after the other with up to spread ms before
+// each.
 func (s *series) restart(down, spread int, which ...int) {
 	for _, i := range which {
 		s.kill(i)
@@ -106,6 +110,7 @@
 	}
 }
 
+// all returns the indexes of all entries.
 func (s *series) all() []int {
 	var all []int
 	for i := range s.entries {
@@ -147,7 +152,7 @@
 	}
 }
 
-// isolate loses messages between some entries and the others.
+// isolate loses messages between some entries and the others; if oneWay is set, only those that the former send.
 func (s *series) isolate(oneWay bool, which ...int) {
 	in := make(map[netip.AddrPort]bool)
 	for _, i := range which {
--- a/pkg/planner/advice_test.go
+++ b/pkg/planner/advice_test.go
@@ -10,7 +10,7 @@
 	"quaydock/pkg/routing"
 )
 
-// jobOf returns a job of an entry that arrives at a moment.
+// jobOf returns a job of an entry in the highest tier that arrives at a moment.
 func jobOf(entry string, number uint64, now clock.Millis) planner.Job {
 	j := job(number, 0)
 	j.ID.Entry = entry
--- a/pkg/planner/benchmark_test.go
+++ b/pkg/planner/benchmark_test.go
@@ -46,7 +46,7 @@
 var sizes = []struct{ waiting, targets int }{{100, 50}, {1000, 50}, {1000, 500}}
 
 // BenchmarkResubmit is the repeated Submit of a waiting job, which each entry sends every 60 ms: 0.6 us at 1,000
-// waiting, as before.
+// waiting, with running sums of rates and slots as without.
 func BenchmarkResubmit(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(fmt.Sprintf("%d waiting, %d targets", s.waiting, s.targets), func(b *testing.B) {
@@ -72,7 +72,7 @@
 }
 
 // BenchmarkTurnover is the end of a run, the grant of its slot, and the arrival of a job: 25 to 31 us at 1,000
-// waiting and 500 targets, 34 to 36 us before.
+// waiting and 500 targets, 34 to 36 us before rates and slots kept running sums.
 func BenchmarkTurnover(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(fmt.Sprintf("%d waiting, %d targets", s.waiting, s.targets), func(b *testing.B) {
--- a/pkg/planner/cold.go
+++ b/pkg/planner/cold.go
@@ -11,8 +11,8 @@
 
 // Fractions of the limit of ColdBounds. The remainder is for requests that reach their target late.
 const (
-	// coldFraction is what an owner grants, and coldFreshFraction what a newly started one grants: another may not yet know
-	// that it is no longer the owner.
+	// coldFraction is what an owner grants, and coldFreshFraction what a newly started one grants: another may not yet
+	// know that it is no longer the owner.
 	coldFraction      = 0.55
 	coldFreshFraction = 0.25
 	// coldBurst is how many jobs a target may get at once after having had none for a while.
--- a/pkg/planner/cold_test.go
+++ b/pkg/planner/cold_test.go
@@ -15,8 +15,8 @@
 	scenarios := []struct {
 		name      string
 		bounds    planner.ColdBounds
-		perSecond float64
-		rate      float64 // of an owner with which all entries agree
+		perSecond float64 // the rate that the service declares for cold targets
+		rate      float64 // in jobs per second, of an owner with which all entries agree
 	}{
 		{"the full declared rate", planner.ColdBounds{Over: 2, Slack: 10}, 20, 20},
 		{"a limit little above the declared rate", planner.ColdBounds{Over: 1.5, Slack: 5}, 20, 19.25},
@@ -41,7 +41,7 @@
 }
 
 // TestColdTargetIsRateLimited: a cold target gets no more than the rate and the other target the remainder; once
-// warm it gets a like amount.
+// warm, it gets jobs beyond that rate.
 func TestColdTargetIsRateLimited(t *testing.T) {
 	const warmAt = start + 3*clock.Second
 	service := &routing.Service{Name: "s", ColdPerSecond: 20}
--- a/pkg/planner/limit_test.go
+++ b/pkg/planner/limit_test.go
@@ -14,7 +14,7 @@
 	"quaydock/pkg/routing"
 )
 
-// TestAgreementRate checks what one owner grants of a limit.
+// TestAgreementRate checks what one owner grants of a limit, in jobs per second.
 func TestAgreementRate(t *testing.T) {
 	scenarios := []struct {
 		name      string
@@ -67,7 +67,7 @@
 			given = append(given, grants(p, random, uint64(i), length)...)
 		}
 		slices.Sort(given)
-		allowed := 1.5*float64(takes)*4 + 5
+		allowed := 1.5*float64(takes)*4 + 5 // in a window of 4 s
 		for i, at := range given {
 			first, _ := slices.BinarySearch(given, at-window+1)
 			if got := i + 1 - first; float64(got) > allowed {
@@ -77,7 +77,8 @@
 	}
 }
 
-// grants submits jobs in waves to a planner with one target and returns the times of its grants.
+// grants submits jobs in waves to a planner with one target and returns the times of its grants. salt keeps the job
+// numbers of different planners apart.
 func grants(p *planner.Planner, random *rand.Rand, salt uint64, length clock.Millis) []clock.Millis {
 	var given []clock.Millis
 	const step = 10 * clock.Millisecond
--- a/pkg/planner/load_test.go
+++ b/pkg/planner/load_test.go
@@ -38,6 +38,7 @@
 	return l
 }
 
+// report logs the outcomes of each kind and of all together, as fractions of the callers.
 func report(t *testing.T, r loadmodel.Result) {
 	t.Helper()
 	for _, o := range append(r.Outcomes, r.All()) {
@@ -46,6 +47,7 @@
 	}
 }
 
+// fraction returns n as a fraction of the callers.
 func fraction(n int, o loadmodel.Outcome) float64 { return float64(n) / float64(max(1, o.Callers)) }
 
 // TestServiceUnderLoad simulates loads from half to four times the normal one. Up to the capacity of the targets
--- a/pkg/planner/planner_test.go
+++ b/pkg/planner/planner_test.go
@@ -12,8 +12,10 @@
 	"quaydock/pkg/routing"
 )
 
+// start is the moment at which the tests begin.
 const start = clock.Millis(1_000_000)
 
+// newPlanner returns a planner of targets t0, t1 and so on with these numbers of slots.
 func newPlanner(slots ...int) *planner.Planner {
 	p := planner.New(rand.New(rand.NewPCG(1, 2)))
 	p.SetTargets(start, targets(slots...))
@@ -28,6 +30,7 @@
 	return list
 }
 
+// job returns a job of entry e that arrives at start, with an objective of 1 s and a deadline after 10 s.
 func job(number uint64, tier ids.TierRank) planner.Job {
 	return planner.Job{
 		ID: planner.JobID{Entry: "e", Number: number}, Tier: tier,
@@ -35,6 +38,7 @@
 	}
 }
 
+// granted returns the numbers of the granted jobs.
 func granted(list []planner.Decision) []uint64 {
 	var numbers []uint64
 	for _, d := range list {
@@ -55,6 +59,7 @@
 	return all
 }
 
+// TestQueueOrder submits jobs while another one holds the only slot, and checks the order in which they get it.
 func TestQueueOrder(t *testing.T) {
 	late := func(j planner.Job) planner.Job {
 		j.Arrived -= 2 * clock.Second
@@ -76,7 +81,7 @@
 	scenarios := []struct {
 		name string
 		jobs []planner.Job
-		want []uint64
+		want []uint64 // numbers of the jobs in the order of their grants
 	}{
 		{"a higher tier goes first", []planner.Job{job(1, 2), job(2, 1), job(3, 0)}, []uint64{3, 2, 1}},
 		{"in a tier, a retried job that can be in time by its first attempt is more urgent", []planner.Job{job(1, 1), returned(job(2, 1), 400)}, []uint64{2, 1}},
@@ -117,7 +122,8 @@
 	}
 }
 
-// measure runs n jobs one after another, so that the planner knows the release rate of its target.
+// measure runs n jobs of a given length one after another up to start, so that the planner knows the release rate of
+// its target. It returns the end of the last one.
 func measure(p *planner.Planner, n int, each clock.Millis) clock.Millis {
 	now := start - clock.Millis(n)*each
 	for i := range n {
@@ -132,6 +138,8 @@
 	return now
 }
 
+// TestJobsThatCannotBeInTimeAreRefusedEarly submits 30 jobs at once to a target that ends five per second: about as
+// many wait as end within the objective, and the others are refused with a usable time to retry.
 func TestJobsThatCannotBeInTimeAreRefusedEarly(t *testing.T) {
 	p := newPlanner(1)
 	now := measure(p, 10, 200)
@@ -152,6 +160,8 @@
 	}
 }
 
+// TestLowTierRefusedWhileHigherTiersUseTheCapacity guards against a wait estimate from the release rate alone: nothing
+// else waits, but the slots go to the higher tiers.
 func TestLowTierRefusedWhileHigherTiersUseTheCapacity(t *testing.T) {
 	p := newPlanner(1)
 	now := measure(p, 10, 200)
@@ -175,8 +185,9 @@
 	}
 }
 
-// returned returns a planner with one slot, which job 1 holds, and a retried job that is not submitted yet.
-func returned() (p *planner.Planner, now clock.Millis, back planner.Job) {
+// plannerWithRetriedJob returns a planner with one slot, which job 1 holds, and a retried job that is not submitted
+// yet.
+func plannerWithRetriedJob() (p *planner.Planner, now clock.Millis, back planner.Job) {
 	p = newPlanner(1)
 	now = measure(p, 10, 500)
 	block := job(1, 0)
@@ -190,7 +201,7 @@
 // TestRetriedJobRefusedBeforeItsDeadline has a job retried at a target that ends nothing. It is kept as long as it
 // may be served within 0.45 of its time, and refused as soon as it will not, rather than at the end of that time.
 func TestRetriedJobRefusedBeforeItsDeadline(t *testing.T) {
-	p, now, back := returned()
+	p, now, back := plannerWithRetriedJob()
 	for range 10 {
 		p.Submit(now, back)
 	}
@@ -215,10 +226,10 @@
 	t.Error("not refused before its deadline")
 }
 
-// TestRetriedJobServedWhenSlotIsReleased differs in the target, which ends its run after 2.2 s: the job is still
-// queued.
+// TestRetriedJobServedWhenSlotIsReleased is like TestRetriedJobRefusedBeforeItsDeadline, but the target ends its run
+// after 2.2 s: the job is still queued and gets the slot.
 func TestRetriedJobServedWhenSlotIsReleased(t *testing.T) {
-	p, now, back := returned()
+	p, now, back := plannerWithRetriedJob()
 	p.Submit(now, back)
 	p.Decisions()
 	for at := now; at < now+2200; at += 50 {
@@ -234,6 +245,8 @@
 	}
 }
 
+// TestRestoredRunsTakeSlotsUntilUnlisted guards against a restarted planner that fills slots whose runs it does not
+// know, and against restored runs that hold their slots for good once their entry no longer lists them.
 func TestRestoredRunsTakeSlotsUntilUnlisted(t *testing.T) {
 	p := newPlanner(2)
 	p.Restore(start, job(1, 0), ids.TargetIncarnation{Target: "t0"}, true)
@@ -259,6 +272,8 @@
 	}
 }
 
+// TestTargetFullByExternalLoadGetsNoMore guards against filling a target that another planner, or an entry by itself,
+// has filled already.
 func TestTargetFullByExternalLoadGetsNoMore(t *testing.T) {
 	p := newPlanner(4, 4)
 	now := measure(p, 20, 20)
@@ -290,6 +305,8 @@
 	}
 }
 
+// TestJobRefusedWithinCallersPatience guards against a retried job that waits by its deadline alone: its caller leaves
+// after its patience and learns nothing.
 func TestJobRefusedWithinCallersPatience(t *testing.T) {
 	p := newPlanner(1)
 	now := measure(p, 10, 500)
--- a/pkg/planner/prefill_stall_test.go
+++ b/pkg/planner/prefill_stall_test.go
@@ -24,7 +24,7 @@
 	simulatedMaxStall = 100.0
 )
 
-// stream submits a stream and returns the target that it was assigned to.
+// stream submits a stream and returns the target that it was assigned to, or "" if it waits.
 func (e *engines) stream(prompt ids.Tokens) (planner.JobID, ids.Target) {
 	e.next++
 	j := job(e.next, 0)
@@ -39,19 +39,22 @@
 	return j.ID, ""
 }
 
+// begin lets the time pass that an engine reads a prompt, and records the first event.
 func (e *engines) begin(id planner.JobID, at ids.Target, prompt ids.Tokens) {
 	e.now += clock.Millis(e.factors[at] * (simulatedRead*float64(prompt) + 1))
 	e.p.RecordFirstEvent(e.now, id, nil)
 }
 
+// finish lets a stream of 20 events pass, with one gap by a prompt of delayedBy tokens that was read beside it.
 func (e *engines) finish(id planner.JobID, at ids.Target, delayedBy ids.Tokens) {
 	longest := e.factors[at] * (simulatedEvent + min(simulatedMaxStall, simulatedRead*float64(delayedBy)))
 	e.now += clock.Millis(20 * simulatedEvent * e.factors[at])
 	e.p.Finish(e.now, id, planner.Served, planner.StreamStats{Events: 20, LongestGap: clock.Millis(longest)})
 }
 
-// learn has each engine serve pairs of streams, the second of which delays the first with its prompt.
-func (e *engines) learn(rounds int, held ids.Tokens) {
+// serveOverlappingPairs has the engines serve pairs of streams, the second of which delays the first with its prompt of
+// held tokens if both are on one engine.
+func (e *engines) serveOverlappingPairs(rounds int, held ids.Tokens) {
 	for i := range rounds {
 		prompt := ids.Tokens(500 + 500*(i%4))
 		first, at := e.stream(prompt)
@@ -99,7 +102,7 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			e := newEngines(2, 1, 8)
-			e.learn(200, 1000)
+			e.serveOverlappingPairs(200, 1000)
 			taken := make(map[ids.Target]int)
 			for range 3 {
 				id, at := e.stream(200)
@@ -121,7 +124,7 @@
 func TestPrefillStallIsLearned(t *testing.T) {
 	const long = 60_000 // 600 ms to read, more than the gap that a stream allows
 	e := newEngines(4, 1)
-	e.learn(300, long)
+	e.serveOverlappingPairs(300, long)
 	id, at := e.stream(200)
 	e.begin(id, at, 200)
 	if _, at := e.stream(long); at == "" {
--- a/pkg/planner/random_test.go
+++ b/pkg/planner/random_test.go
@@ -45,18 +45,20 @@
 	}
 }
 
+// history follows a planner's jobs by their numbers.
 type history struct {
 	t       *rapid.T
 	p       *planner.Planner
-	running map[uint64]ids.Target
-	load    map[ids.Target]int
+	running map[uint64]ids.Target // granted jobs that have not ended
+	load    map[ids.Target]int    // the number of those on each target
 	tiers   map[uint64]ids.TierRank
-	waiting map[uint64]bool
+	waiting map[uint64]bool               // submitted, and neither granted nor refused
 	refused map[ids.TierRank]clock.Millis // time of the last refusal in the tier
 	// ordered is set if no job may be granted while one of a higher tier waits.
 	ordered bool
 }
 
+// step makes one drawn call and takes its decisions; number is that of a job that the call may submit.
 func (h *history) step(now clock.Millis, number uint64) {
 	switch rapid.IntRange(0, 4).Draw(h.t, "do") {
 	case 0, 1:
@@ -66,11 +68,11 @@
 		h.waiting[number] = true
 		h.p.Submit(now, j)
 	case 2:
-		if n, runs := h.first(); runs {
+		if n, runs := h.lowestRunning(); runs {
 			h.p.RecordFirstEvent(now, planner.JobID{Entry: "e", Number: n}, nil)
 		}
 	case 3:
-		if n, runs := h.first(); runs {
+		if n, runs := h.lowestRunning(); runs {
 			outcome := planner.Outcome(rapid.IntRange(0, 5).Draw(h.t, "outcome"))
 			h.load[h.running[n]]--
 			delete(h.running, n)
@@ -79,18 +81,19 @@
 	case 4:
 		h.p.Tick(now)
 	}
-	h.take(now)
+	h.recordDecisions(now)
 }
 
-// first returns the running job with the lowest number, so that a history is reproducible.
-func (h *history) first() (uint64, bool) {
+// lowestRunning returns the running job with the lowest number, so that a history is reproducible.
+func (h *history) lowestRunning() (uint64, bool) {
 	if len(h.running) == 0 {
 		return 0, false
 	}
 	return slices.Min(slices.Collect(maps.Keys(h.running))), true
 }
 
-func (h *history) take(now clock.Millis) {
+// recordDecisions takes the planner's decisions and checks each grant against the jobs that wait and the refusals.
+func (h *history) recordDecisions(now clock.Millis) {
 	for _, d := range h.p.Decisions() {
 		switch d := d.(type) {
 		case planner.Grant:
@@ -122,6 +125,7 @@
 	return !h.p.IsQueued(planner.JobID{Entry: "e", Number: number})
 }
 
+// check compares what each target runs with its slots.
 func (h *history) check(slots []int) {
 	for i, n := range slots {
 		if got := h.load[ids.Target(fmt.Sprintf("t%d", i))]; got > n {
--- a/pkg/planner/targets_test.go
+++ b/pkg/planner/targets_test.go
@@ -11,6 +11,7 @@
 	"quaydock/pkg/planner"
 )
 
+// TestStuckTargetIsEjected has a target take requests and never answer: it must not go on filling its slots.
 func TestStuckTargetIsEjected(t *testing.T) {
 	p := newPlanner(4, 4)
 	now := measure(p, 20, 20)
@@ -39,6 +40,8 @@
 	}
 }
 
+// TestFasterTargetGetsMore has two targets with equal slots and five times the speed of one another, which the planner
+// learns from their answers.
 func TestFasterTargetGetsMore(t *testing.T) {
 	p := newPlanner(8, 8)
 	now := start
--- a/pkg/planner/trial.go
+++ b/pkg/planner/trial.go
@@ -150,6 +150,7 @@
 	}
 }
 
+// resetCredit forgets all routes and their credit.
 func (t *trial) resetCredit() {
 	t.credit, t.routes, t.totalCredit = nil, nil, 0
 }
--- a/pkg/planner/trial_test.go
+++ b/pkg/planner/trial_test.go
@@ -14,16 +14,17 @@
 // trialBed is a planner with some targets and four of a canary version, of ten slots each.
 type trialBed struct {
 	*planner.Planner
-	now          clock.Millis
-	number       uint64
-	runningNew   map[ids.Target]int // running jobs by canary target
-	maxRunning   int                // highest number of jobs that ran at once on one canary target
-	routes       map[ids.Route]int  // jobs sent to the canary version
-	granted      int
-	canaryGrants int
-	ends         []ending
+	now                 clock.Millis
+	number              uint64
+	canaryRuns          map[ids.Target]int // running jobs by canary target
+	maxCanaryRuns       int                // highest number of jobs that ran at once on one canary target
+	canaryGrantsByRoute map[ids.Route]int  // jobs granted to the canary version
+	granted             int                // all grants
+	canaryGrants        int
+	ends                []ending // of the running jobs, in the order in which they end
 }
 
+// ending is when a granted job will end, and on which target.
 type ending struct {
 	at clock.Millis
 	id planner.JobID
@@ -32,7 +33,7 @@
 
 func newTrialBed(olds int) *trialBed {
 	const canaries = 4
-	b := &trialBed{Planner: planner.New(rand.New(rand.NewPCG(1, 1))), now: 1000, runningNew: make(map[ids.Target]int), routes: make(map[ids.Route]int)}
+	b := &trialBed{Planner: planner.New(rand.New(rand.NewPCG(1, 1))), now: 1000, canaryRuns: make(map[ids.Target]int), canaryGrantsByRoute: make(map[ids.Route]int)}
 	var targets []*routing.Target
 	for i := range olds {
 		targets = append(targets, &routing.Target{ID: ids.Target(fmt.Sprint("old", i)), Service: "s", Slots: 10})
@@ -44,7 +45,7 @@
 	return b
 }
 
-// submit submits a job; if granted, it ends after 300 ms.
+// submit submits a job that change has adapted; if granted, it ends after 300 ms.
 func (b *trialBed) submit(change func(*planner.Job)) planner.JobID {
 	b.number++
 	j := planner.Job{
@@ -53,11 +54,12 @@
 	}
 	change(&j)
 	b.Submit(b.now, j)
-	b.take(j.Route)
+	b.recordGrants(j.Route)
 	return j.ID
 }
 
-func (b *trialBed) take(route ids.Route) {
+// recordGrants takes the planner's decisions and counts the grants, those to canary targets for the given route.
+func (b *trialBed) recordGrants(route ids.Route) {
 	for _, d := range b.Decisions() {
 		g, granted := d.(planner.Grant)
 		if !granted {
@@ -66,26 +68,27 @@
 		b.granted++
 		if g.Incarnation.Target[:3] == "new" {
 			b.canaryGrants++
-			b.routes[route]++
-			b.runningNew[g.Incarnation.Target]++
-			b.maxRunning = max(b.maxRunning, b.runningNew[g.Incarnation.Target])
+			b.canaryGrantsByRoute[route]++
+			b.canaryRuns[g.Incarnation.Target]++
+			b.maxCanaryRuns = max(b.maxCanaryRuns, b.canaryRuns[g.Incarnation.Target])
 		}
 		b.ends = append(b.ends, ending{b.now + 300, g.ID, g.Incarnation.Target})
 	}
 }
 
-func (b *trialBed) pass(ms clock.Millis) {
+// advance lets time pass, ends the jobs that are due, and calls Tick.
+func (b *trialBed) advance(ms clock.Millis) {
 	b.now += ms
 	for len(b.ends) > 0 && b.ends[0].at <= b.now {
 		b.RecordFirstEvent(b.now, b.ends[0].id, nil)
 		b.Finish(b.now, b.ends[0].id, planner.Served, planner.StreamStats{Events: 10})
-		if n := b.runningNew[b.ends[0].on]; n > 0 {
-			b.runningNew[b.ends[0].on]--
+		if n := b.canaryRuns[b.ends[0].on]; n > 0 {
+			b.canaryRuns[b.ends[0].on]--
 		}
 		b.ends = b.ends[1:]
 	}
 	b.Tick(b.now)
-	b.take("")
+	b.recordGrants("")
 }
 
 // TestCanaryGetsItsFractionAndIsLoaded simulates 100 requests per second on three routes, one of them with few
@@ -102,16 +105,16 @@
 			route = "some"
 		}
 		b.submit(func(j *planner.Job) { j.Route = route })
-		b.pass(10)
+		b.advance(10)
 	}
 	if fraction := float64(b.canaryGrants) / float64(b.granted); fraction < 0.05 || fraction > 0.07 {
 		t.Errorf("%d of %d jobs went to the canary version", b.canaryGrants, b.granted)
 	}
-	if b.routes["rare"] < 8 || b.routes["some"] < 30 {
-		t.Errorf("canary jobs by route: %v", b.routes)
+	if b.canaryGrantsByRoute["rare"] < 8 || b.canaryGrantsByRoute["some"] < 30 {
+		t.Errorf("canary jobs by route: %v", b.canaryGrantsByRoute)
 	}
-	if b.maxRunning < 7 {
-		t.Errorf("no canary target ran more than %d jobs at once", b.maxRunning)
+	if b.maxCanaryRuns < 7 {
+		t.Errorf("no canary target ran more than %d jobs at once", b.maxCanaryRuns)
 	}
 	if len(b.Observations()) < 2900 {
 		t.Error("observations are missing")
@@ -124,7 +127,7 @@
 	b.SetTrial(planner.Trial{Fraction: 0.5}, true)
 	for range 300 {
 		b.submit(func(j *planner.Job) { j.Trial = false })
-		b.pass(20)
+		b.advance(20)
 	}
 	if b.canaryGrants > 0 {
 		t.Errorf("%d jobs went to the canary version", b.canaryGrants)
@@ -197,7 +200,7 @@
 	if !b.IsQueued(id) {
 		t.Fatal("the job was refused")
 	}
-	b.pass(200)
+	b.advance(200)
 	if !b.IsQueued(id) {
 		t.Fatal("the job was refused while it waited")
 	}
--- a/pkg/quota/ledger_test.go
+++ b/pkg/quota/ledger_test.go
@@ -9,7 +9,8 @@
 	"quaydock/pkg/quota"
 )
 
-// TestLedgerNeverUnderstatesUsage compares sums with what was recorded.
+// TestLedgerNeverUnderstatesUsage compares sums with what was recorded: all units of the window must count, and none
+// that are older by more than a sixteenth of it.
 func TestLedgerNeverUnderstatesUsage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 8 * clock.Second
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -59,15 +59,16 @@
 	})
 }
 
+// TestAllowance takes units one after the other, with a pause after each.
 func TestAllowance(t *testing.T) {
 	account := &routing.Account{Name: "a", PerSecond: 100, Burst: 100, CountsTokens: true}
 	free := &routing.Account{Name: "free"}
 	scenarios := []struct {
 		name    string
 		account *routing.Account
-		takes   []float64
+		takes   []float64 // units
 		pause   clock.Millis
-		want    []bool
+		want    []bool // whether each is taken
 	}{
 		{"without a rate there is no limit", free, []float64{1e9, 1e9}, 0, []bool{true, true}},
 		{"a new bucket is nearly empty", account, []float64{10, 1}, 0, []bool{true, false}},
@@ -144,6 +145,7 @@
 	return max(countWithin(list, from, from+window), countWithin(list, from-window, from), countWithin(list, from-window/2, from+window/2))
 }
 
+// countWithin is how many times lie at or after from and before to.
 func countWithin(list []clock.Millis, from, to clock.Millis) int {
 	n := 0
 	for _, at := range list {
--- a/pkg/ratelimit/report.go
+++ b/pkg/ratelimit/report.go
@@ -34,7 +34,8 @@
 	From, To clock.Millis
 }
 
-// NewReport returns the report of an answer that was made between two moments.
+// NewReport returns the report of an answer that was made between two moments. The limit must not be an unreadable one,
+// which would count as 0.
 func NewReport(n ParsedLimit, from, to clock.Millis) Report {
 	r := Report{Known: true, Rate: Unlimited, From: from, To: to}
 	if n.Given {
--- a/pkg/ratelimit/report_test.go
+++ b/pkg/ratelimit/report_test.go
@@ -12,6 +12,8 @@
 	return ratelimit.Report{Known: true, Rate: rate, From: from, To: to}
 }
 
+// TestMergeKeepsTheLaterReport merges another report into a first one, whose times may overlap; which was received last
+// does not count.
 func TestMergeKeepsTheLaterReport(t *testing.T) {
 	none := ratelimit.Unlimited
 	scenarios := []struct {
@@ -34,7 +36,8 @@
 	}
 }
 
-// TestReorderedReportsNeverHideALaterLowerLimit: random reports, received in random order.
+// TestReorderedReportsNeverHideALaterLowerLimit merges random reports in random order: the limit in force must not be
+// above that of the target's last report.
 func TestReorderedReportsNeverHideALaterLowerLimit(t *testing.T) {
 	for seed := range uint64(2000) {
 		random := rand.New(rand.NewPCG(seed, 1))
--- a/pkg/schedule/advice_test.go
+++ b/pkg/schedule/advice_test.go
@@ -14,8 +14,8 @@
 	"quaydock/pkg/schedule"
 )
 
-// Schedulers that use only this entry's knowledge must not assign requests to targets that have told it to send nothing,
-// and must say when to retry if all targets have asked for a back-off.
+// TestNoAssignmentToBlockedTargets: schedulers that use only this entry's knowledge must not assign requests to targets
+// that have told it to send nothing, and must say when to retry if all targets have asked for a back-off.
 func TestNoAssignmentToBlockedTargets(t *testing.T) {
 	c := commontest.New(network.NewMemory(nil))
 	schedulers := []struct {
@@ -68,7 +68,8 @@
 	}
 }
 
-// Guards against entries that reach no owner and each send a target the rate that it takes from all entries together.
+// TestLocalAssignsNothingToLimitedTargets guards against entries that reach no owner and each send a target the rate
+// that it takes from all entries together.
 func TestLocalAssignsNothingToLimitedTargets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := commontest.New(network.NewMemory(nil))
--- a/pkg/schedule/schedule_test.go
+++ b/pkg/schedule/schedule_test.go
@@ -14,6 +14,7 @@
 	"quaydock/pkg/view"
 )
 
+// newView returns a view of n targets of service s with two slots each.
 func newView(n int) *view.View {
 	c := commontest.New(network.NewMemory(nil))
 	v := view.New(c.Check)
@@ -41,6 +42,7 @@
 	return got
 }
 
+// keep leaves an assignment open, so that its request goes on running.
 func keep(schedule.Assignment) {}
 
 func TestLocalSpreadsRequests(t *testing.T) {
