--- a/pkg/balance/chooser.go
+++ b/pkg/balance/chooser.go
@@ -87,7 +87,8 @@
 	return order
 }
 
-// reportedLoads returns the candidates' running and queued work by the reports that are in use.
+// reportedLoads returns the candidates' running and queued work by the reports in use. One that was taken over
+// reportLag ago is replaced by the newest first.
 func (c *Chooser) reportedLoads(now clock.Millis, candidates []Candidate) []ids.Tokens {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/metering/meter.go
+++ b/pkg/metering/meter.go
@@ -181,6 +181,7 @@
 	m.bounds = bounds.withMinWindow()
 }
 
+// window returns the window of the bounds in force.
 func (m *Meter) window() clock.Millis {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/metering/owner.go
+++ b/pkg/metering/owner.go
@@ -87,7 +87,8 @@
 }
 
 // maxStoredReplies is how many replies an owner keeps, so that a claim that is sent again is not counted again.
-// They are kept by number alone: each entry's claim numbers begin at a random one, so that those of two hardly meet.
+// A claim is sent again for claimTimeoutAtStart at most. Replies are kept by number alone: each entry's claim numbers
+// begin at a random one, so that those of two hardly meet.
 const maxStoredReplies = 4096
 
 // handleClaim replies to a claim, to one that was sent again with the same reply. It does not reply while this entry
--- a/pkg/metering/series_test.go
+++ b/pkg/metering/series_test.go
@@ -163,6 +163,7 @@
 	})
 }
 
+// isolateAndKillOwner isolates the owner, in one direction or both, and in half of the rounds restarts it meanwhile.
 func isolateAndKillOwner(s *series) {
 	for range 2 + s.random.IntN(4) {
 		owner := s.owner()
@@ -199,6 +200,7 @@
 	}
 }
 
+// lowerLimitBetweenKills changes the limit by a factor, mostly below 1, between kills of all entries.
 func lowerLimitBetweenKills(s *series) {
 	for range 2 + s.random.IntN(2) {
 		now := s.limits[len(s.limits)-1].account
@@ -283,6 +285,7 @@
 	s.pause(1000, 4000)
 }
 
+// flapStore has all entries lose the store, be killed, and start while each reaches the store or not at random moments.
 func flapStore(s *series) {
 	for range 2 + s.random.IntN(3) {
 		for _, e := range s.entries {
--- a/pkg/planner/place.go
+++ b/pkg/planner/place.go
@@ -143,7 +143,7 @@
 const jitter = 0.05
 
 // stallsStreams reports whether reading a job's prompt would probably delay the streams of a target for longer than
-// their allowed gap.
+// their allowed gap, for which the job's own stands here.
 func (p *Planner) stallsStreams(t *target, w *queuedJob) bool {
 	if w.MaxEventGap == 0 || len(t.runs) == 0 || p.off.Off(ablation.Disturbance) {
 		return false
--- a/pkg/planner/planner_test.go
+++ b/pkg/planner/planner_test.go
@@ -49,6 +49,7 @@
 	return numbers
 }
 
+// refused returns the refusals.
 func refused(list []planner.Decision) []planner.Refusal {
 	var all []planner.Refusal
 	for _, d := range list {
--- a/pkg/planner/prefill_stall_test.go
+++ b/pkg/planner/prefill_stall_test.go
@@ -77,6 +77,7 @@
 	}
 }
 
+// newEngines returns engines of these factors with a number of slots each, before any request.
 func newEngines(slots int, factors ...float64) *engines {
 	e := &engines{now: start, factors: make(map[ids.Target]float64)}
 	all := make([]int, len(factors))
--- a/pkg/planner/queue.go
+++ b/pkg/planner/queue.go
@@ -29,6 +29,7 @@
 	return slices.IndexFunc(q.jobs, func(w *queuedJob) bool { return w.ID == id })
 }
 
+// remove removes the job at an index.
 func (q *queue) remove(i int) {
 	q.jobs = slices.Delete(q.jobs, i, i+1)
 }
--- a/pkg/planner/random_test.go
+++ b/pkg/planner/random_test.go
@@ -25,6 +25,7 @@
 	}
 }
 
+// randomHistory checks one drawn history, without the mechanism named by off, if any.
 func randomHistory(t *rapid.T, off string) {
 	without, err := ablation.Parse(off)
 	if err != nil {
--- a/pkg/planner/refusal.go
+++ b/pkg/planner/refusal.go
@@ -31,6 +31,7 @@
 	return (job.Trial || p.trial.OpensAt > 0) && len(p.trial.targets) > 0
 }
 
+// refuseNoTarget emits the refusal of a job that is not in the queue and has no target.
 func (p *Planner) refuseNoTarget(job *Job) {
 	p.addDecision(Refusal{ID: job.ID, RetryAfter: noTargetRetry, NoTargets: true})
 }
--- a/pkg/planner/target.go
+++ b/pkg/planner/target.go
@@ -17,7 +17,7 @@
 	factor         factor
 	health         Health
 	lastFirstEvent clock.Millis // time of the most recent first event
-	probing        bool         // gets one request at a time, after having been ejected
+	probing        bool         // was ejected and has served nothing since: gets one job at a time (see hasFreeSlot)
 	externalLoad   externalLoad
 	fillCount      int                     // how often it was chosen as trial.filling
 	draining       bool                    // it has announced that it is shutting down
--- a/pkg/planner/timings.go
+++ b/pkg/planner/timings.go
@@ -15,6 +15,7 @@
 // hundred count.
 const lineDecay = 0.995
 
+// add adds an observation.
 func (l *line) add(x, y float64) {
 	l.n = l.n*lineDecay + 1
 	l.x = l.x*lineDecay + x
@@ -141,6 +142,7 @@
 	factorMax = 12
 )
 
+// get returns the factor, 1 before the first observation.
 func (f *factor) get() float64 {
 	if !f.known {
 		return 1
--- a/pkg/planner/trial.go
+++ b/pkg/planner/trial.go
@@ -15,8 +15,8 @@
 type Trial struct {
 	// Fraction is the fraction of all jobs that go to the canary version.
 	Fraction float64
-	// UnrepeatableUntil, if set, is when the other targets must run no job that could not be re-dispatched to another target:
-	// such jobs go to the canary version unless they will certainly have ended by then.
+	// UnrepeatableUntil, if set, is from when on the other targets must run no job that could not be re-dispatched to
+	// another target: such jobs go to the canary version unless they will probably have ended by then.
 	UnrepeatableUntil clock.Millis
 	// NoUnrepeatable is set if no such job is given to the other targets any more.
 	NoUnrepeatable bool
--- a/pkg/planner/trial_test.go
+++ b/pkg/planner/trial_test.go
@@ -31,6 +31,7 @@
 	on ids.Target
 }
 
+// newTrialBed returns a bed with a number of targets of the old version, and no trial set.
 func newTrialBed(olds int) *trialBed {
 	const canaries = 4
 	b := &trialBed{Planner: planner.New(rand.New(rand.NewPCG(1, 1))), now: 1000, canaryRuns: make(map[ids.Target]int), canaryGrantsByRoute: make(map[ids.Route]int)}
--- a/pkg/schedule/schedule_test.go
+++ b/pkg/schedule/schedule_test.go
@@ -54,6 +54,8 @@
 	}
 }
 
+// TestLocalAvoidsAnUnreachableTarget guards against a target that gets ever more requests because those sent to it end
+// at once and it looks idle.
 func TestLocalAvoidsAnUnreachableTarget(t *testing.T) {
 	s := schedule.NewLocal(commontest.New(network.NewMemory(nil)), newView(4), nil)
 	got := take(t, s, 40, nil, func(p schedule.Assignment) {
