--- a/pkg/ratelimit/report.go
+++ b/pkg/ratelimit/report.go
@@ -29,12 +29,13 @@
 	// Known is false while no report was received.
 	Known bool
 	Rate  Rate
-	// From and To are moments between which the target made the report: when the request was sent and when its
-	// answer was read.
+	// From and To are moments between which the target made the report, on the clock of this VM: when the request was
+	// sent and when its answer was read.
 	From, To clock.Millis
 }
 
-// NewReport returns the report of an answer that was made between two moments.
+// NewReport returns the report of an answer that was made between two moments. The limit must not be an unreadable one,
+// which would count as 0.
 func NewReport(n ParsedLimit, from, to clock.Millis) Report {
 	r := Report{Known: true, Rate: Unlimited, From: from, To: to}
 	if n.Given {
@@ -64,7 +65,8 @@
 	return Report{Known: true, Rate: min(r.Rate, other.Rate), From: max(r.From, other.From), To: max(r.To, other.To)}
 }
 
-// maxTransit is the longest time that a report is assumed to be in transit to another VM.
+// maxTransit is the longest time that a report is assumed to be in transit to another VM; its receiver moves From back
+// by as much.
 const maxTransit = 100 * clock.Millisecond
 
 // AgedReport is a report as sent to another VM: with ages, since the clocks of VMs differ.
