--- a/pkg/quarantine/accounts.go
+++ b/pkg/quarantine/accounts.go
@@ -23,10 +23,10 @@
 	// once, many innocent requests of one account are quarantined at the same moment, and would bring the account
 	// under suspicion.
 	minHeldInterval = 500 * clock.Millisecond
-	// minPause and maxPause limit how long nothing of a suspected account runs after a target end.
+	// minPause and maxPause limit how long no exclusive run of a suspected account begins after a target end.
 	minPause = clock.Second
 	maxPause = 30 * clock.Second
-	// maxSucceeded limits the requests of a suspected account that are remembered as completed.
+	// maxSucceeded limits the requests of a suspected account on one route that are remembered as completed.
 	maxSucceeded = 4096
 )
 
@@ -52,15 +52,17 @@
 
 // routeState is what is known of one account on one route.
 type routeState struct {
-	// heldAt are the moments at which the last requests were quarantined, the oldest first.
+	// heldAt are the moments at which the last requests were quarantined, the oldest first; 0 where there was none.
 	heldAt [accountHeldThreshold]clock.Millis
-	// The account is suspected until suspectUntil, and its next request may run at freeAt. pause is the time between
-	// the last target end and freeAt.
+	// The account is suspected until suspectUntil, and its next exclusive run may begin at freeAt. pause is the time
+	// between the last target end and freeAt.
 	suspectUntil, freeAt, pause clock.Millis
-	succeeded                   map[Digest]bool
+	// succeeded are the requests completed while the account was suspected.
+	succeeded map[Digest]bool
 }
 
-// recordHeld records that one more request has been quarantined.
+// recordHeld records that one more request has been quarantined. The account is suspected once accountHeldThreshold of
+// them fall within accountWindow; one that follows another within minHeldInterval is ignored.
 func (c *routeState) recordHeld(now clock.Millis) {
 	if last := c.heldAt[accountHeldThreshold-1]; last > 0 && now-last < minHeldInterval {
 		return
@@ -72,7 +74,8 @@
 	}
 }
 
-// recordEnd records that a target has ended under a request.
+// recordEnd records that a target has ended under a request. For a suspected account it extends the suspicion and
+// starts the next, doubled pause; for any other it clears what remains of an earlier suspicion.
 func (c *routeState) recordEnd(now clock.Millis) {
 	if !c.suspected(now) {
 		c.pause, c.succeeded = 0, nil
@@ -109,7 +112,8 @@
 	return true, max(0, c.freeAt-now)
 }
 
-// Succeeded records that a request of an account was completed.
+// Succeeded records that a request was completed, so that it runs without restriction while its account is suspected.
+// For an account that is not suspected it does nothing.
 func (r *Register) Succeeded(now clock.Millis, q Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/quarantine/exclusive_runs.go
+++ b/pkg/quarantine/exclusive_runs.go
@@ -16,12 +16,13 @@
 	// ends them, and others should not wait for a long answer.
 	runLimit = clock.Second
 	// ownerTimeout is how long an entry waits for the answer of a digest's owner, and maxSilences how many times in a
-	// row it waits in vain before it grants exclusive runs on its own.
+	// row a run waits in vain before its entry grants it on its own.
 	ownerTimeout = 25 * clock.Millisecond
 	maxSilences  = 3
 )
 
-// runRequest requests the exclusive run of a digest from its owner; runRelease releases it.
+// runRequest requests the exclusive run of a digest from its owner; runRelease releases it. Number is the run's number
+// at the entry that sends the message.
 type runRequest struct {
 	_      struct{} `cbor:",toarray"`
 	Digest Digest
@@ -37,23 +38,24 @@
 	Granted bool
 }
 
-// exclusiveRun is one run, waiting for or holding the exclusive run of its digest.
+// exclusiveRun is one run of this entry, waiting for or holding the exclusive run of its digest. Only the goroutine
+// that runs the request uses it, except for answers.
 type exclusiveRun struct {
-	digest   Digest
+	digest   Digest // of the request, or accountDigest
 	number   uint64
-	answers  chan bool
-	queried  bool
-	silences int
-	local    bool // granted without the owner
+	answers  chan bool // whether the owner granted it; room for one answer
+	queried  bool      // the owner was asked, and may hold a grant to be released
+	silences int       // queries in a row that the owner did not answer
+	local    bool      // granted without the owner
 }
 
 // runID identifies a run of some entry.
 type runID struct {
-	at     netip.AddrPort
+	at     netip.AddrPort // the entry's address
 	number uint64
 }
 
-// runHolder is a run that holds an exclusive run.
+// runHolder is the run that holds the exclusive run of a digest, until it releases it or the time is over.
 type runHolder struct {
 	runID
 	until clock.Millis
@@ -68,12 +70,14 @@
 	self  netip.AddrPort
 
 	mu      sync.Mutex
-	number  uint64
-	waiting map[uint64]*exclusiveRun
-	granted map[Digest]runHolder
-	local   map[Digest]runHolder // granted here without the owner
+	number  uint64                   // of the newest run here; it starts at random at each start of the process
+	waiting map[uint64]*exclusiveRun // by number: runs whose owner was asked, until they are released
+	granted map[Digest]runHolder     // granted here as the owner
+	local   map[Digest]runHolder     // granted here without the owner
 }
 
+// newExclusiveRuns returns exclusive runs without holders. Without peers, which may be nil, this entry grants them
+// alone.
 func newExclusiveRuns(c common.Common, peers Peers, link *packets.Link, self netip.AddrPort) *exclusiveRuns {
 	t := &exclusiveRuns{
 		Common: c, peers: peers, link: link, self: self, number: c.Random.Fork().Uint64(),
@@ -98,7 +102,8 @@
 	return &exclusiveRun{digest: d, number: x.number, answers: make(chan bool, 1)}
 }
 
-// acquire requests an exclusive run once and waits for the owner's answer.
+// acquire requests an exclusive run once and waits for the owner's answer. It returns false if another run holds it, or
+// if no answer comes within ownerTimeout or before ctx ends.
 func (x *exclusiveRuns) acquire(ctx context.Context, run *exclusiveRun) bool {
 	if x.peers == nil || run.silences >= maxSilences {
 		return x.acquireLocal(run)
@@ -140,6 +145,8 @@
 	return grantRun(x.granted, x.Clock.Now(), d, to)
 }
 
+// grantRun makes a run the holder for runLimit, also if it is that already, and reports whether it is. The caller holds
+// the lock.
 func grantRun(holders map[Digest]runHolder, now clock.Millis, d Digest, to runID) bool {
 	if h, taken := holders[d]; taken && now < h.until && h.runID != to {
 		return false
@@ -171,6 +178,7 @@
 	x.link.Send(owner, packets.KindRunDone, done)
 }
 
+// freeRun releases a digest's exclusive run if the given run holds it. The caller holds the lock.
 func freeRun(holders map[Digest]runHolder, d Digest, from runID) {
 	if holders[d].runID == from {
 		delete(holders, d)
@@ -183,7 +191,7 @@
 	x.link.Send(from, packets.KindRunAnswer, runAnswer{Number: a.Number, Granted: granted})
 }
 
-// receiveAnswer takes the owner's answer.
+// receiveAnswer passes the owner's answer on to the run that waits for it. The send never blocks under the lock.
 func (x *exclusiveRuns) receiveAnswer(_ netip.AddrPort, a *runAnswer) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/pkg/quarantine/guard.go
+++ b/pkg/quarantine/guard.go
@@ -24,7 +24,7 @@
 type Run struct {
 	Request
 	Incarnation ids.TargetIncarnation
-	// Again is that of the permit under which it ran.
+	// Again is that of the permit under which it ran, false if it ran without one.
 	Again bool
 }
 
@@ -82,13 +82,15 @@
 	return g
 }
 
-// HasRecord reports whether anything is recorded against a request of an account. Otherwise its requests need no digest.
+// HasRecord reports whether anything is recorded against a request of an account. Otherwise its requests need no
+// digest.
 func (g *Guard) HasRecord(account ids.Account) bool { return g.register.HasRecord(account) }
 
 // Refused says that a request may not run.
 type Refused struct {
 	// Held says that it is quarantined; otherwise it only waited too long for an exclusive run.
-	Held       bool
+	Held bool
+	// RetryAfter is the time after which the caller may send it again.
 	RetryAfter clock.Millis
 }
 
@@ -99,9 +101,9 @@
 // Permit permits one run.
 type Permit struct {
 	guard  *Guard
-	digest Digest
-	run    *exclusiveRun
-	// Again says that a target end is already known.
+	digest Digest        // of the request
+	run    *exclusiveRun // nil once released
+	// Again says that a target end under the request is already known.
 	Again bool
 	// retrial says that it is one of the few permitted runs of a quarantined request.
 	retrial bool
@@ -142,7 +144,9 @@
 	}
 }
 
-// Enter waits until a request may run. The permit is nil if nothing is recorded against the request or its account.
+// Enter waits until a request may run. The permit is nil if nothing is recorded against the request or its account. It
+// is refused while it is quarantined and no retrial is due, during a pause of its account, or if it gets no exclusive
+// run within runWait or before ctx ends.
 func (g *Guard) Enter(ctx context.Context, r Request) (*Permit, *Refused) {
 	if s := g.suspicion(r); s.none() {
 		return nil, nil
@@ -158,6 +162,7 @@
 	wait       clock.Millis
 }
 
+// none reports whether the request may run without a permit.
 func (s suspicion) none() bool { return s.verdict == Free && !s.accountRun }
 
 func (g *Guard) suspicion(r Request) suspicion {
@@ -218,7 +223,7 @@
 
 // permitRetrial permits one more run of a quarantined request if one is due: targets may have ended beside it for
 // another reason. The store counts these runs, so that the entries together don't exceed their number, even when they
-// restart.
+// restart: without the store's confirmation it is not permitted.
 func (g *Guard) permitRetrial(ctx context.Context, d Digest) bool {
 	if g.register.TakeReturnedRetrial(d) {
 		return true
@@ -248,7 +253,8 @@
 	g.publish(g.register.Completed(g.Clock.Now(), d))
 }
 
-// Succeeded records that a request has been completed.
+// Succeeded records that a request has been completed: it is cleared of all target ends, and runs without restriction
+// while its account is suspected.
 func (g *Guard) Succeeded(r Request) {
 	g.register.Succeeded(g.Clock.Now(), r)
 	g.Completed(r.Digest)
--- a/pkg/quarantine/persistence.go
+++ b/pkg/quarantine/persistence.go
@@ -7,7 +7,7 @@
 	"quaydock/pkg/clock"
 )
 
-// ErrRecordChanged says that a row had another version than expected: nothing was written.
+// ErrRecordChanged is returned by a Store if a row had another version than the write expected: nothing was written.
 var ErrRecordChanged = errors.New("quarantine record has changed since it was read")
 
 const (
@@ -22,9 +22,10 @@
 	expireInterval = clock.Minute
 )
 
-// persist writes to the store what must outlast the entries, until ctx ends.
+// persist writes to the store what must outlast the entries, and removes expired records and possible ends, until ctx
+// ends.
 func (g *Guard) persist(ctx context.Context) {
-	var expired clock.Millis
+	var expiredAt clock.Millis
 	for ctx.Err() == nil {
 		clock.Pause(ctx, persistInterval)
 		g.dropExpired()
@@ -36,8 +37,8 @@
 		if due := g.register.Unwritten(g.ownsRow); len(due) > 0 {
 			g.write(ctx, &due[0])
 		}
-		if now-expired >= expireInterval {
-			expired = now
+		if now-expiredAt >= expireInterval {
+			expiredAt = now
 			for _, w := range g.register.Expire(now) {
 				if g.ownsRow(w.Digest) {
 					g.write(ctx, &w)
@@ -53,7 +54,8 @@
 	return self
 }
 
-// write writes a row. If the outcome is unknown, the store's table shows it later.
+// write writes or removes a row. If the outcome is unknown, the store's table shows it later; after an error it pauses
+// for writeRetryDelay.
 func (g *Guard) write(ctx context.Context, w *Write) {
 	limited, cancel := context.WithTimeout(ctx, writeTimeout.Duration())
 	defer cancel()
@@ -72,10 +74,11 @@
 // Row is a record as stored.
 type Row struct {
 	Record
-	Version int64
+	Version int64 // of the row, never 0
 }
 
-// ApplyRows takes rows of the store; with all, there are no others. Those in gone have been removed.
+// ApplyRows takes rows that were read from the store; with all, the store has no others. The rows of the digests in
+// gone have been removed. Records stay when their rows are removed, until they expire.
 func (g *Guard) ApplyRows(rows []Row, gone []Digest, all bool) {
 	now := g.Clock.Now()
 	for _, d := range gone {
--- a/pkg/quarantine/possible_ends.go
+++ b/pkg/quarantine/possible_ends.go
@@ -11,7 +11,7 @@
 	// possibleEndWindow is how long a broken run may still turn out to have ended its target: rows of targets expire
 	// some seconds after the process has ended.
 	possibleEndWindow = 6 * clock.Second
-	// maxPossibleEnds limits the broken runs that are remembered.
+	// maxPossibleEnds limits the broken runs that are remembered; further ones are ignored.
 	maxPossibleEnds = 512
 )
 
@@ -19,9 +19,10 @@
 // the process was restarted at once.
 type possibleEnds struct {
 	mu   sync.Mutex
-	list []possibleEnd
+	list []possibleEnd // the oldest first
 }
 
+// possibleEnd is a broken run, and when it was recorded.
 type possibleEnd struct {
 	run Run
 	at  clock.Millis
@@ -36,7 +37,8 @@
 	}
 }
 
-// SetDirectory takes the newest target list, which shows which targets have ended.
+// SetDirectory takes the newest target list, which shows which targets have ended: those that are no longer on it and
+// those whose place a later incarnation has taken.
 func (g *Guard) SetDirectory(targets *routing.Directory) {
 	now := g.Clock.Now()
 	var ended []Run
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -23,7 +23,7 @@
 	Held
 )
 
-// maxEnds limits the target ends that are kept for one request.
+// maxEnds limits the target ends that are kept for one request, those that are the strongest evidence.
 const maxEnds = 8
 
 // TargetEnd is one incarnation of a target that ended while it ran a request.
@@ -76,7 +76,8 @@
 	return other.Incarnation == e.Incarnation && (other.Again || !e.Again) && (other.Excused || !e.Excused)
 }
 
-// add adds a target end.
+// add adds a target end, or the flags of one that is known. If there are more than maxEnds, the weakest evidence is
+// dropped.
 func (r *Record) add(e TargetEnd) {
 	i := slices.IndexFunc(r.Ends, func(known TargetEnd) bool { return known.Incarnation == e.Incarnation })
 	if i >= 0 {
@@ -109,7 +110,7 @@
 	}
 }
 
-// excuse records that the request has been completed. It reports whether that is new.
+// excuse excuses all target ends, since the request has been completed. It reports whether one was not excused before.
 func (r *Record) excuse() bool {
 	changed := false
 	for i := range r.Ends {
--- a/pkg/quarantine/register.go
+++ b/pkg/quarantine/register.go
@@ -10,7 +10,7 @@
 
 const (
 	// maxRecords and maxAccountRecords limit the records in total and of one account. Beyond that, the weakest of all,
-	// or of the account, is dropped.
+	// or of the account, is dropped; see weakest.
 	maxRecords        = 4096
 	maxAccountRecords = 256
 	// suspectedRetention and heldRetention are how long a request that doesn't come any more is remembered. One that
@@ -26,14 +26,15 @@
 type trackedRecord struct {
 	Record
 	lastSeen clock.Millis // when the request last came, or was reported
-	// endedAt is when the last target end was reported.
+	// endedAt is when the last target end was reported, 0 if all are known from rows of the store.
 	endedAt clock.Millis
-	// heldAt is when it was quarantined here; 0 if it is not.
+	// heldAt is when it was quarantined here; 0 if it is not, and before the store has been read.
 	heldAt clock.Millis
 	// row is what the store holds, as last read, and version is its version; 0 if there is none.
 	row     Record
 	version int64
-	// writingRetrial says that a retrial is being written, unusedRetrial that a permitted one did not take place.
+	// writingRetrial says that a retrial is being written to the store, unusedRetrial that a permitted one did not take
+	// place and may still be used.
 	writingRetrial, unusedRetrial bool
 }
 
@@ -44,8 +45,8 @@
 	mu        sync.Mutex
 	storeRead bool
 	records   map[Digest]*trackedRecord
-	accounts  map[ids.Account]*accountState
-	// dropped are rows of records that were dropped for lack of space.
+	accounts  map[ids.Account]*accountState // of the accounts that have records
+	// dropped are the removals of the rows of records that were dropped for lack of space, at most maxAccountRecords.
 	dropped []Write
 }
 
@@ -55,7 +56,8 @@
 }
 
 // StoreRead records that the store's records have been read. Before that, a missing record does not mean that there is
-// none: the first target end that is seen is enough for quarantine.
+// none: the first target end that is seen is enough for quarantine. Only the first call has an effect: it applies the
+// ordinary rule to the records known so far.
 func (r *Register) StoreRead(now clock.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -78,7 +80,7 @@
 	return r.accounts[account] != nil
 }
 
-// Verdict returns what may be done with a request that comes now.
+// Verdict returns what may be done with a request that comes now, which also counts as the time at which it last came.
 func (r *Register) Verdict(now clock.Millis, d Digest) Verdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -117,7 +119,7 @@
 	return e.verdict(strict)
 }
 
-// Change is the effect of a report on a request.
+// Change is the effect of a report on a request: its record afterwards, and the verdict before and after it.
 type Change struct {
 	Record
 	// New says that something was not known before.
@@ -125,7 +127,8 @@
 	Before, After Verdict
 }
 
-// Join merges what is known of a request, at this entry or another.
+// Join merges a report on target ends that were seen now, at this entry or another. New ends count against the account
+// on the route of the request as well.
 func (r *Register) Join(now clock.Millis, report *Record) Change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -157,6 +160,7 @@
 	return count
 }
 
+// join merges a record from a report or a row. One without target ends has no effect. The caller holds the lock.
 func (r *Register) join(now clock.Millis, report *Record) Change {
 	if len(report.Ends) == 0 {
 		return Change{}
@@ -174,7 +178,8 @@
 	return r.updateVerdict(now, e, isNew, before)
 }
 
-// updateVerdict applies a record's new verdict. The caller holds the lock.
+// updateVerdict sets whether a record counts as quarantined, by its present verdict. Before the store has been read
+// none does, as one target end is then enough for Held and the verdict may be revoked. The caller holds the lock.
 func (r *Register) updateVerdict(now clock.Millis, e *trackedRecord, isNew bool, before Verdict) Change {
 	after := r.verdict(e)
 	held := after == Held && r.storeRead
@@ -189,7 +194,8 @@
 	return Change{Record: e.clone(), New: isNew, Before: before, After: after}
 }
 
-// Completed records that a request has been completed. New says that something was recorded against it.
+// Completed excuses all target ends of a request, because it has been completed or an operator releases it. New says
+// that something counted against it. If it was quarantined, the suspicion against its account on its route ends too.
 func (r *Register) Completed(now clock.Millis, d Digest) Change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/quarantine/register_limits.go
+++ b/pkg/quarantine/register_limits.go
@@ -34,6 +34,7 @@
 	return weakest
 }
 
+// weaker reports whether a record holds less evidence than another one, in the order that weakest gives.
 func (e *trackedRecord) weaker(than *trackedRecord) bool {
 	if (e.heldAt > 0) != (than.heldAt > 0) {
 		return than.heldAt > 0
@@ -46,7 +47,7 @@
 	return e.lastSeen < than.lastSeen
 }
 
-// drop removes a record for lack of space. The caller holds the lock.
+// drop removes a record for lack of space, and has Expire return the removal of its row. The caller holds the lock.
 func (r *Register) drop(e *trackedRecord) {
 	if e.version > 0 && len(r.dropped) < maxAccountRecords {
 		r.dropped = append(r.dropped, Write{Record: e.clone(), Version: e.version, Remove: true})
@@ -54,7 +55,7 @@
 	r.remove(e)
 }
 
-// remove removes a record. The caller holds the lock.
+// remove removes a record, and with the last one of an account the state of the account. The caller holds the lock.
 func (r *Register) remove(e *trackedRecord) {
 	delete(r.records, e.Digest)
 	h := r.accounts[e.Account]
@@ -68,8 +69,8 @@
 	r.count.Store(int64(len(r.records)))
 }
 
-// Expire removes the records of requests that have not come for a long time. It returns the rows to be removed with
-// them, and those of records dropped for lack of space.
+// Expire removes the records of requests that have not come for a long time. It returns the removals of their rows, and
+// of the rows of records dropped for lack of space since the last call.
 func (r *Register) Expire(now clock.Millis) []Write {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/quarantine/register_report.go
+++ b/pkg/quarantine/register_report.go
@@ -18,7 +18,7 @@
 	RetryIn clock.Millis `json:"retry_in_ms"`
 }
 
-// Held lists the quarantined requests.
+// Held lists the quarantined requests, the last one quarantined first.
 func (r *Register) Held(now clock.Millis) []Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -45,7 +45,8 @@
 	return count
 }
 
-// HeldIncarnations lists the incarnations that ended under quarantined requests.
+// HeldIncarnations lists the incarnations that ended under quarantined requests; one that ended under several is listed
+// for each.
 func (r *Register) HeldIncarnations() []ids.TargetIncarnation {
 	if r.Len() == 0 {
 		return nil
@@ -69,7 +70,7 @@
 // Len returns the number of requests that something is recorded against.
 func (r *Register) Len() int { return int(r.count.Load()) }
 
-// Get returns the record of a digest.
+// Get returns a copy of the record of a digest, false if there is none.
 func (r *Register) Get(d Digest) (Record, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/quarantine/register_retrials.go
+++ b/pkg/quarantine/register_retrials.go
@@ -11,7 +11,7 @@
 	maxRetrials       = 2
 )
 
-// RetrialDue reports whether one more run of a quarantined request is due.
+// RetrialDue reports whether one more run of a quarantined request is due, or an earlier permitted one was not used.
 func (r *Register) RetrialDue(now clock.Millis, d Digest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -20,7 +20,7 @@
 }
 
 // Retry returns the write that permits one more run of a quarantined request, if one is due. The caller must pass its
-// outcome to Done.
+// outcome to WriteDone; until then no other one is due.
 func (r *Register) Retry(now clock.Millis, d Digest) (Write, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -34,7 +34,7 @@
 	return w, true
 }
 
-// ReturnRetrial records that a permitted retrial did not take place.
+// ReturnRetrial records that a permitted retrial did not take place, so that it may be used later.
 func (r *Register) ReturnRetrial(d Digest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -43,7 +43,7 @@
 	}
 }
 
-// TakeReturnedRetrial takes a permitted retrial that did not take place.
+// TakeReturnedRetrial takes a permitted retrial that did not take place, and reports whether there was one.
 func (r *Register) TakeReturnedRetrial(d Digest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -55,7 +55,8 @@
 	return true
 }
 
-// retrialDue reports whether one more run is due.
+// retrialDue reports whether one more run is due. That requires that the store holds the record, since the retrials are
+// counted there. The caller holds the lock.
 func (e *trackedRecord) retrialDue(now clock.Millis) bool {
 	if e.unusedRetrial {
 		return true
@@ -70,7 +71,7 @@
 	return now-e.heldAt >= wait
 }
 
-// WriteDone records the outcome of a write of Retry.
+// WriteDone records the outcome of a write that Retry returned.
 func (r *Register) WriteDone(w *Write, written bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -84,7 +85,8 @@
 	}
 }
 
-// ReadyIn returns the time until a quarantined request may run once more at the earliest.
+// ReadyIn returns the time until a quarantined request may run once more. After the first retrial it is the whole
+// nextRetrialDelay, whatever part of it is over, and also if no retrial is left.
 func (r *Register) ReadyIn(now clock.Millis, d Digest) clock.Millis {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -94,6 +96,7 @@
 	return firstRetrialDelay
 }
 
+// readyIn is ReadyIn for a known record. The caller holds the lock.
 func (e *trackedRecord) readyIn(now clock.Millis) clock.Millis {
 	switch {
 	case e.heldAt == 0:
--- a/pkg/quarantine/register_rows.go
+++ b/pkg/quarantine/register_rows.go
@@ -10,7 +10,8 @@
 	Remove bool
 }
 
-// RowRead takes a row of the store, whose version is never 0.
+// RowRead takes a row that the store holds, as read there or as written by this entry; its version is never 0. Its
+// target ends count against the request, not against the account, since they may be old.
 func (r *Register) RowRead(now clock.Millis, row *Record, version int64) Change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -21,7 +22,7 @@
 	return c
 }
 
-// RowRemoved records that the store no longer has a row of a request.
+// RowRemoved records that the store no longer has a row of a request. The record stays.
 func (r *Register) RowRemoved(d Digest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -45,7 +46,8 @@
 	}
 }
 
-// Unwritten lists the records that differ from what the store is to hold, quarantined ones first. The store holds rows
+// Unwritten lists the writes for the owned digests whose rows differ from what the store is to hold, quarantined ones
+// first. The store holds rows
 // of requests that are quarantined or have two target ends, and no others.
 func (r *Register) Unwritten(owned func(Digest) bool) []Write {
 	r.mu.Lock()
@@ -73,8 +75,8 @@
 	return count >= minStoredEnds || e.heldAt > 0
 }
 
-// needsWrite reports whether the store's row of a record must be written or removed. It is called for all records,
-// five times a second.
+// needsWrite reports whether the store's row of a record must be written or removed. It is called for all records, each
+// persistInterval.
 func (e *trackedRecord) needsWrite() bool {
 	if e.belongsInStore() {
 		return !e.row.covers(&e.Record)
--- a/pkg/quarantine/reports.go
+++ b/pkg/quarantine/reports.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// reportSends is how often a new report is sent to the other entries, since datagrams may be lost, and
+	// reportSends is how many times a new report is sent to the other entries, since datagrams may be lost, and
 	// reportInterval the pause between. Reports that the store holds are also read from there.
 	reportSends    = 3
 	reportInterval = 150 * clock.Millisecond
-	// maxMessageBytes keeps a message within a datagram. maxMessages limits what is sent at once: if hundreds of
-	// targets are lost together, thousands of requests have a target end each.
+	// maxMessageBytes keeps a message within a datagram. maxMessages limits what is sent to each entry at once: if
+	// hundreds of targets are lost together, thousands of requests have a target end each.
 	maxMessageBytes = 1200
 	maxMessages     = 16
 	// endOverhead and recordOverhead are the bytes that a target end and a record take in addition to their names.
@@ -30,7 +30,7 @@
 
 // reportQueue holds what is to be reported to the other entries.
 type reportQueue struct {
-	wake chan struct{}
+	wake chan struct{} // has room for one signal, that something was added
 
 	mu      sync.Mutex
 	pending map[Digest]int // sends that are left
@@ -51,7 +51,8 @@
 	}
 }
 
-// take returns the messages to be sent now, and whether more must be sent later.
+// take returns the messages to be sent now, and whether more must be sent later. of returns the present record of a
+// digest; those that no longer have one are dropped.
 func (n *reportQueue) take(of func(Digest) (Record, bool)) (messages []targetEnds, more bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -103,7 +104,7 @@
 	return more
 }
 
-// receiveReports adds what another entry reports.
+// receiveReports adds what another entry reports. It is not passed on, since the other entry sends it to all.
 func (g *Guard) receiveReports(_ netip.AddrPort, m *targetEnds) {
 	now := g.Clock.Now()
 	for i := range m.Records {
