--- a/pkg/membership/heartbeats.go
+++ b/pkg/membership/heartbeats.go
@@ -28,14 +28,14 @@
 
 // heartbeat is the periodic datagram of an entry to each other entry.
 type heartbeat struct {
-	_            struct{} `cbor:",toarray"`
-	Name         ids.Process
-	AliveDigest  uint64 // hash of the set of entries that the sender takes for alive
-	NoStore      bool   // the sender does not reach the store
-	Timestamp    timestamp
-	Acknowledged timestamp // of the last heartbeat that the sender received from the receiver
-	Leaving      bool      // the sender takes no new work and will end
-	Lagging      bool      // the sender's timers fire late
+	_            struct{}    `cbor:",toarray"`
+	Name         ids.Process // of the sender
+	AliveDigest  uint64      // hash of the set of entries that the sender takes for alive
+	NoStore      bool        // the sender does not reach the store
+	Timestamp    timestamp   // of this heartbeat
+	Acknowledged timestamp   // of the last heartbeat that the sender received from the receiver
+	Leaving      bool        // the sender takes no new work and will end
+	Lagging      bool        // the sender's timers fire late
 }
 
 // Run keeps this entry listed and sends heartbeats until ctx ends.
@@ -63,7 +63,8 @@
 	}
 }
 
-// requestHeartbeat has the next heartbeats sent early.
+// requestHeartbeat has the next heartbeats sent early, minHeartbeatGap after the last ones at the earliest. It never
+// blocks.
 func (m *Members) requestHeartbeat() {
 	if m.Ablation.Off(ablation.QuickGreetings) {
 		return
@@ -74,12 +75,14 @@
 	}
 }
 
+// interval is scaledInterval for a caller that does not hold the lock.
 func (m *Members) interval() clock.Millis {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.scaledInterval()
 }
 
+// scaledInterval returns the time between two regular heartbeats, for the present number of entries. The lock is held.
 func (m *Members) scaledInterval() clock.Millis {
 	return heartbeatInterval * clock.Millis(max(1, len(m.list)/heartbeatBasePeers))
 }
@@ -121,6 +124,7 @@
 	return m.others()
 }
 
+// others is Others for a caller that holds the lock.
 func (m *Members) others() []netip.AddrPort {
 	var list []netip.AddrPort
 	for name, other := range m.list {
@@ -131,6 +135,8 @@
 	return list
 }
 
+// handleHeartbeat records a heartbeat of a listed entry. A sender that had not been heard for a while gets one back at
+// once. A heartbeat from another address than the listed one does not count.
 func (m *Members) handleHeartbeat(from netip.AddrPort, message *heartbeat) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -181,8 +187,8 @@
 // maxUnlistedPeers limits how many addresses of unlisted peers are remembered.
 const maxUnlistedPeers = 8
 
-// recordUnlistedPeer remembers the address of an entry that is not on the list, as long as the list is empty. The
-// lock is held.
+// recordUnlistedPeer remembers the address of an entry that sent a heartbeat, as long as the list is empty. The lock is
+// held.
 func (m *Members) recordUnlistedPeer(peer netip.AddrPort) {
 	if len(m.list) == 0 && len(m.unlistedPeers) < maxUnlistedPeers {
 		m.unlistedPeers[peer] = true
@@ -229,8 +235,8 @@
 	m.requestHeartbeat()
 }
 
-// MinorityRemains reports whether less than half of the listed entries are alive and not leaving. This entry counts
-// as leaving.
+// MinorityRemains reports whether less than half of the listed entries, this one included, are alive and not leaving.
+// This entry counts as leaving.
 func (m *Members) MinorityRemains() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/membership/heavy.go
+++ b/pkg/membership/heavy.go
@@ -60,7 +60,8 @@
 	return m.topRanked(shard, capable)
 }
 
-// capable returns the entries whose VMs can own a heavy shard. The lock is held.
+// capable returns the entries whose VMs can own a heavy shard: those with minHeavyWeight or, if less, strongestFraction
+// of the highest weight among them. The lock is held.
 func (m *Members) capable(among []ids.Process) []ids.Process {
 	strongest := 0.0
 	for _, name := range among {
@@ -70,6 +71,7 @@
 	return slices.DeleteFunc(slices.Clone(among), func(name ids.Process) bool { return m.weightOf(name) < enough })
 }
 
+// lagging reports whether this entry lags, or another one by its last heartbeat. The lock is held.
 func (m *Members) lagging(name ids.Process) bool {
 	if name == m.self {
 		return m.lag.lagging
@@ -77,7 +79,7 @@
 	return m.list[name].lagging
 }
 
-// lag measures how late the timers of this process fire.
+// lag measures how late the timers of this process fire. The lock of Members guards it.
 type lag struct {
 	averageMs float64 // moving average of the lateness of timers, in ms
 	lagging   bool
@@ -95,7 +97,7 @@
 	// lagSmoothing is the weight of the newest sample: with a timer each 25 ms the last half second counts, so that a
 	// single pause of the garbage collector or of a stopped process does not make the entry lag.
 	lagSmoothing = 0.05
-	// maxLagSampleMs limits the effect of a single sample.
+	// maxLagSampleMs is the lateness to which a single sample is cut, which limits its effect on the average.
 	maxLagSampleMs = 250.0
 )
 
--- a/pkg/membership/joining.go
+++ b/pkg/membership/joining.go
@@ -7,12 +7,12 @@
 	// listedAt is when its row appeared on the list; 0 if the first list that it read had the row from an earlier
 	// run, in which case the others count it already.
 	listedAt clock.Millis
-	// counted is set once most others have been seen to count it.
+	// counted is set once most others have been seen to count it, and stays set as long as the row is listed.
 	counted bool
 }
 
-// recordOwnRow updates the state after a read in which this entry's row may have appeared or disappeared. first is
-// set if nothing was read before. The lock is held.
+// recordOwnRow updates the state of this entry's listing after a read in which this entry's row may have appeared or
+// disappeared. first is set if nothing was read before. The lock is held.
 func (m *Members) recordOwnRow(first bool) {
 	if len(m.list) > 0 {
 		m.firstListedOnce.Do(func() { close(m.firstListed) })
@@ -27,8 +27,8 @@
 	}
 }
 
-// countedByMajority reports whether most other entries have this one on their lists: entries send heartbeats to those on
-// their list. Entries that cannot read the store do not learn of one that joins, and keep dividing the whole among
+// countedByMajority reports whether most other entries have this one on their lists: entries send heartbeats to those
+// on their list. Entries that cannot read the store do not learn of one that joins, and keep dividing the whole among
 // themselves; an entry that joined beside three of these took a quarter on top. The lock is held.
 func (m *Members) countedByMajority() bool {
 	if m.joining.counted {
--- a/pkg/membership/lease.go
+++ b/pkg/membership/lease.go
@@ -34,12 +34,13 @@
 
 // membershipLease is an entry's lease on its place in the list; see leaseDuration.
 type membershipLease struct {
-	run   uint64
-	since clock.Millis // when the current lease began
-	until clock.Millis
+	run   uint64       // identifies this run of the process in timestamps; drawn at random
+	since clock.Millis // when the current lease began or, within leaseStartDelay, will begin
+	until clock.Millis // when it runs out, unless it is extended
 }
 
-// recordAcknowledgement records which of this entry's heartbeats another has received. The lock is held. If grace is
+// recordAcknowledgement records which of this entry's heartbeats another has received; acknowledgements to an earlier
+// run of this process, and old ones, are ignored. The lock is held. If grace is
 // 0 no entry relies on its lease, and it is not recomputed at each heartbeat.
 func (m *Members) recordAcknowledgement(now clock.Millis, other *member, received timestamp) {
 	if received.Run != m.lease.run || received.Sent <= other.receivedOursAt {
@@ -51,7 +52,8 @@
 	}
 }
 
-// renewLease extends the lease as far as the received acknowledgements allow. The lock is held.
+// renewLease extends the lease as far as the received acknowledgements allow. One that has run out is replaced by a new
+// one, which begins after leaseStartDelay. The lock is held.
 func (m *Members) renewLease(now clock.Millis) {
 	until := m.receivedByMajorityAt(now) + leaseDuration
 	if now > m.lease.until {
@@ -61,7 +63,7 @@
 }
 
 // receivedByMajorityAt returns the latest time such that more than half of the listed entries, including this one,
-// received a heartbeat of this entry at that time or later.
+// received a heartbeat that this entry sent at that time or later; 0 if there is none. The lock is held.
 func (m *Members) receivedByMajorityAt(now clock.Millis) clock.Millis {
 	received := []clock.Millis{now}
 	for name, other := range m.list {
@@ -74,8 +76,8 @@
 	return received[m.entryCount()/2]
 }
 
-// HoldsLease reports whether this entry has been on the list without interruption since the given time, and cannot be
-// taken off before it stops by itself.
+// HoldsLease reports whether a lease has run without interruption since the given time and still does: this entry has
+// been on the list since then, and cannot be taken off while the lease runs. The only entry of a list needs no lease.
 func (m *Members) HoldsLease(since clock.Millis) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -107,11 +109,12 @@
 
 // pendingSilenceQuery collects the others' replies about an entry without a recent heartbeat.
 type pendingSilenceQuery struct {
-	began   clock.Millis
+	began   clock.Millis                 // when it was sent
 	answers map[ids.Process]clock.Millis // time since the last heartbeat that each has received
 }
 
-// sendSilenceQueries asks the others about an entry without a recent heartbeat. The lock is held.
+// sendSilenceQueries asks the others about an entry without a recent heartbeat, and discards earlier replies about it.
+// The lock is held.
 func (m *Members) sendSilenceQueries(now clock.Millis, name ids.Process) {
 	m.silenceQueries[name] = &pendingSilenceQuery{began: now, answers: make(map[ids.Process]clock.Millis)}
 	for other, listed := range m.list {
@@ -124,15 +127,16 @@
 // silenceQueryTimeout is for how long the replies to a silence query count.
 const silenceQueryTimeout = 2 * listCheckInterval
 
-// countSilence returns how many listed entries, including this one, have replied to a silence query, and how many of
-// them have had no heartbeat from the entry for ForgetAfter. The lock is held.
+// countSilence returns how many listed entries have replied to the silence query about an entry, and how many of them
+// have had no heartbeat from it for ForgetAfter. This entry counts as one of both, and is the only one if no query is
+// open or silenceQueryTimeout is over. The lock is held.
 func (m *Members) countSilence(now clock.Millis, name ids.Process) (answered, agreed int) {
-	i := m.silenceQueries[name]
-	if i == nil || now-i.began > silenceQueryTimeout {
+	query := m.silenceQueries[name]
+	if query == nil || now-query.began > silenceQueryTimeout {
 		return 1, 1
 	}
 	answered, agreed = 1, 1
-	for other, silence := range i.answers {
+	for other, silence := range query.answers {
 		if m.list[other] == nil {
 			continue
 		}
@@ -144,6 +148,8 @@
 	return answered, agreed
 }
 
+// handleSilenceQuery replies with the time since the last heartbeat of an entry, or since the start of this process if
+// there was none.
 func (m *Members) handleSilenceQuery(from netip.AddrPort, q *silenceQuery) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -154,12 +160,13 @@
 	m.link.Send(from, packets.KindSilenceAnswer, silenceReply{Sender: m.self, Entry: q.Entry, For: m.Clock.Now() - last})
 }
 
+// handleSilenceReply adds the reply of a listed entry to the open query, if any.
 func (m *Members) handleSilenceReply(from netip.AddrPort, a *silenceReply) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	sender, i := m.list[a.Sender], m.silenceQueries[a.Entry]
-	if sender == nil || sender.address != from || i == nil {
+	sender, query := m.list[a.Sender], m.silenceQueries[a.Entry]
+	if sender == nil || sender.address != from || query == nil {
 		return
 	}
-	i.answers[a.Sender] = a.For
+	query.answers[a.Sender] = a.For
 }
--- a/pkg/membership/listing.go
+++ b/pkg/membership/listing.go
@@ -17,14 +17,16 @@
 	// others receive its heartbeats (lease.go).
 	ForgetAfter = 8 * clock.Second
 
+	// writeTimeout limits a call to the store. minBackoff and maxBackoff limit the pause before this entry tries again
+	// to write its row.
 	writeTimeout = clock.Second
 	minBackoff   = 50 * clock.Millisecond
 	maxBackoff   = 3 * clock.Second
 )
 
-// keepListed writes this entry's row whenever it is missing, and removes the rows of entries without a heartbeat for
-// ForgetAfter. An entry whose row was removed by mistake sees that and writes it again. After a restart an entry that
-// finds its row on the list need not write it.
+// keepListed writes this entry's row whenever it is missing or differs from what it should hold, and removes the rows
+// of entries without a heartbeat for ForgetAfter. An entry whose row was removed by mistake sees that and writes it
+// again. After a restart an entry that finds its row on the list need not write it.
 func (m *Members) keepListed(ctx context.Context) {
 	select {
 	case <-m.ready:
@@ -42,12 +44,14 @@
 	}
 }
 
+// isListed reports whether this entry has read its own row with the right content.
 func (m *Members) isListed() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.ownRowListed
 }
 
+// write writes this entry's row, and tries again until it succeeds or ctx ends.
 func (m *Members) write(ctx context.Context) {
 	row, err := Listing{Address: m.address.String(), Weight: m.weight, Domain: m.domain}.encode()
 	if err != nil {
@@ -68,15 +72,15 @@
 	}
 }
 
-// recordWritten records that this entry has written its own row.
+// recordWritten records that this entry has written its own row, and may therefore be a registrar.
 func (m *Members) recordWritten() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.registrations.written = true
 }
 
-// removableEntries returns the entries whose rows this entry is to remove. Only the first by name of the alive
-// entries removes any.
+// removableEntries returns the entries whose rows this entry is to remove, and sends silence queries about those that
+// need confirmation. Only the first by name of the alive entries removes any.
 func (m *Members) removableEntries() []ids.Process {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/membership/members.go
+++ b/pkg/membership/members.go
@@ -17,6 +17,7 @@
 
 // RowWriter writes rows of the table of entries.
 type RowWriter interface {
+	// Put writes one row.
 	Put(ctx context.Context, key string, value []byte) error
 	// PutAll writes all rows, given by key, in one transaction.
 	PutAll(ctx context.Context, rows map[string][]byte) error
@@ -32,11 +33,12 @@
 	// lastHeartbeatAt is when its last heartbeat arrived; unlike lastAliveAt it is kept while the entry is suspected.
 	lastHeartbeatAt clock.Millis
 	lastTimestamp   timestamp    // of its last heartbeat
-	receivedOursAt  clock.Millis // when it last received a heartbeat from this entry, at the earliest
+	receivedOursAt  clock.Millis // when this entry sent the last heartbeat that it acknowledged, 0 if none
 	listedAt        clock.Millis // when this entry first saw it listed
-	revision        int64        // of its row
+	revision        int64        // of the row with which it was listed as it is now
 	inFirstList     bool         // it was in the first list that this entry read
-	// suspectedAt holds the last times at which it was suspected for not answering probes, oldest first.
+	// suspectedAt holds the last times at which it was suspected for not answering probes, oldest first; 0 where there
+	// was none in its present run.
 	suspectedAt [maxSuspicions]clock.Millis
 	// aliveDigest is the hash of its membership view: the set of entries that it takes for alive.
 	aliveDigest uint64
@@ -53,13 +55,15 @@
 // Listing is the content of an entry's row.
 type Listing struct {
 	Address string `json:"address"`
-	// Weight is the capacity of its VM, used to choose owners; only the ratio between entries matters.
+	// Weight is the fraction of a core, or the number of cores, that the entry may use. Owners are chosen by the ratios of
+	// weights; only those of heavy shards must also have minHeavyWeight.
 	Weight float64 `json:"weight"`
 	// Domain is its failure domain. Traffic to other domains is charged.
 	Domain ids.FailureDomain `json:"domain,omitempty"`
 }
 
-// Members is the list of entries. It implements follow.Handler for the table of entries.
+// Members is the list of entries. It implements follow.Handler for the table of entries. Its mutex guards the fields
+// below it.
 type Members struct {
 	common.Common
 	self    ids.Process
@@ -70,8 +74,8 @@
 	link    *packets.Link
 
 	mu           sync.Mutex
-	list         map[ids.Process]*member
-	faults       *follow.Faults // invalid rows of the list
+	list         map[ids.Process]*member // listed entries, this one included once its row has been read
+	faults       *follow.Faults          // invalid rows of the list
 	sampler      *telemetry.Sampler
 	ownRowListed bool // this entry's own row is present and correct
 	joining      joining
@@ -83,8 +87,8 @@
 
 	// leaving is set once this entry has announced that it will end.
 	leaving     bool
-	alive       []ids.Process
-	aliveDigest uint64 // hash of alive
+	alive       []ids.Process // the membership view: names of the alive entries and of this one, sorted
+	aliveDigest uint64        // hash of alive
 	// aliveUntil is until when alive stays valid if no message changes it; negative if it must be recomputed.
 	aliveUntil   clock.Millis
 	owners       map[string]ids.Process // by shard, chosen among alive
@@ -93,11 +97,11 @@
 	wake         chan struct{} // sends the next heartbeats early: the set of listed or alive entries has changed
 	noStoreUntil clock.Millis  // until when this entry is assumed not to reach the store
 
-	startedAt       clock.Millis
+	startedAt       clock.Millis // when New was called
 	lastHeartbeatAt clock.Millis // when the last heartbeat of any entry arrived
 	lease           membershipLease
-	silenceQueries  map[ids.Process]*pendingSilenceQuery
-	ready           chan struct{} // closed when the first list was read
+	silenceQueries  map[ids.Process]*pendingSilenceQuery // by the entry that they ask about
+	ready           chan struct{}                        // closed when the first list was read
 	readOnce        sync.Once
 	firstListed     chan struct{} // closed when an entry was first seen on the list
 	firstListedOnce sync.Once
@@ -115,7 +119,7 @@
 type Self struct {
 	Name    ids.Process
 	Address netip.AddrPort
-	// Weight is the capacity of its VM.
+	// Weight is that of its Listing.
 	Weight float64
 	Domain ids.FailureDomain
 }
@@ -177,7 +181,7 @@
 // The lock is held.
 func (m *Members) hasShare() bool { return m.list[m.self] != nil && m.countedByMajority() }
 
-// entryCount returns the number of listed entries, plus one if this entry is not listed.
+// entryCount returns the number of listed entries, plus one if this entry is not listed. The lock is held.
 func (m *Members) entryCount() int {
 	n := len(m.list)
 	if m.list[m.self] == nil {
@@ -186,7 +190,7 @@
 	return n
 }
 
-// Snapshot replaces the list.
+// Snapshot replaces the list by all rows of the table. Entries whose rows did not change keep their state.
 func (m *Members) Snapshot(rows []follow.Row, _ follow.Freshness) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -231,7 +235,8 @@
 	}
 }
 
-// ownRowCurrent reports whether this entry's row is present and matches its address, weight and domain.
+// ownRowCurrent reports whether this entry's row is present and matches its address, weight and domain. The lock is
+// held.
 func (m *Members) ownRowCurrent() bool {
 	own := m.list[m.self]
 	return own != nil && own.address == m.address && own.weight == m.weight && own.domain == m.domain
@@ -259,7 +264,8 @@
 	m.recordOwnRow(false)
 }
 
-// applyRow applies one row; log selects whether a new or changed entry is logged.
+// applyRow applies one row. before is the entry as listed so far, or nil: it keeps its state unless its data changed.
+// log selects whether a new or changed entry is logged. The lock is held.
 func (m *Members) applyRow(row follow.Row, before *member, log bool) {
 	listing, address, err := parseListing(row.Value)
 	if err != nil {
@@ -277,8 +283,8 @@
 	m.list[ids.Process(row.Key)] = &member{name: ids.Process(row.Key), address: address, weight: listing.Weight, domain: listing.Domain, listedAt: m.Clock.Now(), revision: row.Version}
 }
 
-// maxLogLinesPerSecond limits the log lines of each kind: when all entries start together, each would log one line
-// for every other.
+// maxLogLinesPerSecond limits the log lines of each kind, listed or no longer listed: when all entries start together,
+// each would log one line for every other.
 const maxLogLinesPerSecond = 10
 
 func (m *Members) logRow(row follow.Row, line string) {
@@ -289,7 +295,7 @@
 
 // keepPrevious keeps the last valid data of an entry whose row is now invalid: the entry may be alive, and without it
 // the others would divide up its share. If it is this entry's own row, it counts as missing, so that it is written
-// again.
+// again. The lock is held.
 func (m *Members) keepPrevious(row follow.Row, before *member, err error) {
 	m.faults.Add(row, err)
 	switch name := ids.Process(row.Key); {
--- a/pkg/membership/owners.go
+++ b/pkg/membership/owners.go
@@ -18,7 +18,8 @@
 // by their messages.
 const maxAliveCacheAge = clock.Second
 
-// refresh recomputes the set of alive entries if it is no longer valid. The lock is held.
+// refresh recomputes the set of alive entries if it is no longer valid, and forgets the owners chosen among the former
+// set. The lock is held.
 func (m *Members) refresh(now clock.Millis) {
 	if now <= m.aliveUntil {
 		return
@@ -42,15 +43,19 @@
 }
 
 // countsAsAlive reports whether an entry has sent a recent heartbeat, or is presumed alive because this one has just
-// started.
+// started. The lock is held.
 func (m *Members) countsAsAlive(now clock.Millis, other *member) bool {
 	return m.heartbeatRecent(now, other) || m.presumedAlive(now, other)
 }
 
+// heartbeatRecent reports whether an entry's last heartbeat arrived within silenceLimit and it has not been suspected
+// since. The lock is held.
 func (m *Members) heartbeatRecent(now clock.Millis, other *member) bool {
 	return other.lastAliveAt > 0 && now <= m.aliveUntilOf(other)
 }
 
+// aliveUntilOf returns until when an entry counts as alive if no heartbeat arrives: one without any heartbeat so far as
+// long as it may be presumed alive. The lock is held.
 func (m *Members) aliveUntilOf(other *member) clock.Millis {
 	if other.lastHeartbeatAt == 0 {
 		return m.startedAt + presumeAliveFor
@@ -66,6 +71,7 @@
 	return m.silenceLimit()
 }
 
+// silenceLimit is SilenceLimit for a caller that holds the lock.
 func (m *Members) silenceLimit() clock.Millis {
 	return aliveHeartbeats*m.scaledInterval() + heartbeatInterval/2
 }
@@ -120,10 +126,11 @@
 	return m.addressOf(m.topRanked(shard, peers))
 }
 
-// awaitsListing reports whether other entries are alive and this one is not listed yet. The others have, or are getting,
-// what all entries need, and this one fetches it from them. The lock is held.
+// awaitsListing reports whether other entries are alive and this one is not listed yet. The others have, or are
+// getting, what all entries need, and this one fetches it from them. The lock is held.
 func (m *Members) awaitsListing() bool { return m.list[m.self] == nil && len(m.alive) > 1 }
 
+// withoutSelf returns a copy of the list without this entry.
 func (m *Members) withoutSelf(among []ids.Process) []ids.Process {
 	return slices.DeleteFunc(slices.Clone(among), func(name ids.Process) bool { return name == m.self })
 }
@@ -170,8 +177,8 @@
 	}
 }
 
-// FeedReader is Owner for a shard that needs the store: entries that do not reach the store are skipped unless none
-// does.
+// FeedReader is Owner for a shard that needs the store: entries that are believed not to reach the store are skipped
+// unless all are. It returns the feed reader, and whether it is this entry.
 func (m *Members) FeedReader(shard string) (netip.AddrPort, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -181,7 +188,8 @@
 }
 
 // FeedReaderRank returns how many entries precede this one as the feed reader of a shard: rank counts those that are
-// believed to reach the store, rankAmongAlive counts all alive ones.
+// believed to reach the store, rankAmongAlive counts all alive ones. While this entry waits for its listing, or for
+// rank while it is believed not to reach the store, all others precede it.
 func (m *Members) FeedReaderRank(shard string) (rank, rankAmongAlive int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -208,7 +216,8 @@
 	return rank, rankAmongAlive
 }
 
-// feedReaders returns the entries that may read the store, and the alive ones. The lock is held.
+// feedReaders returns the alive entries that are believed to reach the store, or all alive ones if none is, and the
+// alive ones. Neither list may be changed. The lock is held.
 func (m *Members) feedReaders(now clock.Millis) (eligible, alive []ids.Process) {
 	m.refresh(now)
 	for _, name := range m.alive {
@@ -225,6 +234,7 @@
 	return eligible, m.alive
 }
 
+// noStoreUntilOf returns until when an entry, possibly this one, is assumed not to reach the store. The lock is held.
 func (m *Members) noStoreUntilOf(name ids.Process) clock.Millis {
 	if name == m.self {
 		return m.noStoreUntil
--- a/pkg/membership/probes.go
+++ b/pkg/membership/probes.go
@@ -65,17 +65,17 @@
 
 // probe is the state of an open probe of one entry.
 type probe struct {
-	startedAt, sentAt clock.Millis
-	attempts          int
-	notifyOthers      bool // notify the others if it does not answer
-	suspected         bool // the entry counts as gone
-	suspectedBefore   bool // the entry counted as gone when the probe was opened
+	startedAt, sentAt clock.Millis // when it was opened, and when its last request was sent
+	attempts          int          // requests sent
+	notifyOthers      bool         // notify the others if it does not answer
+	suspected         bool         // maxProbeAttempts were not answered: the entry counts as gone
+	suspectedBefore   bool         // the entry counted as gone already when the probe was opened, by Suspect
 }
 
 // probes are this entry's open probes.
 type probes struct {
-	open  map[ids.Process]*probe
-	ticks int
+	open  map[ids.Process]*probe // by the entry probed, one at a time each
+	ticks int                    // calls of tickProbes while enabled
 	// random selects the entry to probe; nil before first use.
 	random *rand.Rand
 	// alarmUntil is until when additional probes are started.
@@ -131,7 +131,8 @@
 }
 
 // advanceProbe checks an open probe and sends the next request if one is due. It reports whether the others are to be
-// notified that the entry does not answer. The lock is held.
+// notified that the entry does not answer. It closes the probe when a heartbeat has arrived since it was opened, when
+// the entry is no longer listed, and after the last recheck. The lock is held.
 func (m *Members) advanceProbe(now clock.Millis, name ids.Process, p *probe) bool {
 	other := m.list[name]
 	switch {
@@ -164,7 +165,8 @@
 	return p.notifyOthers && !m.isolated(now)
 }
 
-// allowSuspicion reports whether the entry may be suspected now, and if so records the time.
+// allowSuspicion reports whether the entry may be suspected now, which maxSuspicions limits, and if so records the
+// time.
 func (other *member) allowSuspicion(now clock.Millis) bool {
 	if first := other.suspectedAt[0]; first > 0 && now-first < suspicionWindow {
 		return false
@@ -175,7 +177,8 @@
 }
 
 // isolated reports whether this entry receives heartbeats from nobody. It would otherwise come to take itself for the
-// owner of everything, and suspect each other entry in turn while those not probed yet still count. The lock is held.
+// owner of everything, and suspect each other entry in turn while those not probed yet still count. With so few entries
+// that nothing is probed it is always false. The lock is held.
 func (m *Members) isolated(now clock.Millis) bool {
 	return m.probes.enabled && now-max(m.lastHeartbeatAt, m.startedAt) > isolationTimeout
 }
@@ -251,7 +254,7 @@
 	}
 }
 
-// handleSuspicion probes entries that another entry reports as not answering.
+// handleSuspicion probes entries that another entry reports as not answering. It does not notify others of the result.
 func (m *Members) handleSuspicion(_ netip.AddrPort, s *suspicion) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/membership/rank.go
+++ b/pkg/membership/rank.go
@@ -8,7 +8,8 @@
 	"quaydock/pkg/ids"
 )
 
-// topRanked returns the entry with the highest score for a shard. The lock is held.
+// topRanked returns the entry with the highest score for a shard, the last one of equals. among must not be empty. The
+// lock is held.
 func (m *Members) topRanked(shard string, among []ids.Process) ids.Process {
 	best, highest := among[0], math.Inf(-1)
 	for _, name := range among {
@@ -29,6 +30,8 @@
 	return -weight * weight / math.Log(draw)
 }
 
+// weightOf returns the weight of a listed entry. Any other name is taken for this entry, which may not be listed yet.
+// The lock is held.
 func (m *Members) weightOf(name ids.Process) float64 {
 	if listed := m.list[name]; listed != nil {
 		return listed.weight
--- a/pkg/membership/registration.go
+++ b/pkg/membership/registration.go
@@ -46,13 +46,14 @@
 
 // registrations are the rows that a registrar has yet to write.
 type registrations struct {
-	pending map[ids.Process]Listing
-	wake    chan struct{}
+	pending map[ids.Process]Listing // by the entry to be listed
+	wake    chan struct{}           // has room for one signal, that a row was queued
 	// written is set when this entry has written its own row, which it may not have read back yet.
 	written bool
 }
 
-// register has this entry's row written by a registrar. It returns false if the entry must write the row itself.
+// register has this entry's row written by a registrar. It returns false if the entry must write the row itself, as no
+// registrar answered or its row did not appear, and true also when ctx has ended while a registrar was asked.
 func (m *Members) register(ctx context.Context) bool {
 	select {
 	case <-m.registrationAcked: // a late reply to an earlier attempt
@@ -73,7 +74,8 @@
 	return false
 }
 
-// awaitListed waits until this entry has read its row on the list. It returns false on a timeout.
+// awaitListed waits until this entry has read its row on the list. It returns false after listingTimeout or when ctx
+// ends.
 func (m *Members) awaitListed(ctx context.Context) bool {
 	for until := m.Clock.Now() + listingTimeout; m.Clock.Now() < until && ctx.Err() == nil; {
 		if m.isListed() {
@@ -84,8 +86,8 @@
 	return m.isListed()
 }
 
-// registrars returns the entries to ask for registration: the longest-listed first, an order on which all entries
-// agree that have read the list recently.
+// registrars returns at most maxRegistrars alive entries to ask for registration: the longest-listed first, an order on
+// which all entries agree that have read the list recently.
 func (m *Members) registrars() []netip.AddrPort {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -109,7 +111,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.ownRowListed && !m.registrations.written {
-		return // the others ask a listed entry
+		return // without an answer, the sender asks the next registrar
 	}
 	m.registrations.pending[r.Name] = Listing{Address: from.String(), Weight: r.Weight, Domain: r.Domain}
 	m.link.Send(from, packets.KindRegistrationTaken, registrationAck{Name: r.Name})
--- a/pkg/targetlist/list.go
+++ b/pkg/targetlist/list.go
@@ -1,5 +1,5 @@
-// Package targetlist keeps the target list correct across outages of the store, during which the rows of healthy targets
-// may expire.
+// Package targetlist keeps the target list correct across outages of the store, during which the rows of healthy
+// targets may expire.
 package targetlist
 
 import (
@@ -23,7 +23,7 @@
 	maxLogLinesPerSecond = 10
 )
 
-// Parse parses a target's row.
+// Parse parses a target's row; id is the row's key. An error takes the target off the list.
 type Parse func(id string, document []byte) (*routing.Target, error)
 
 // List is one process's list of targets with their newest rows. It implements follow.Handler for the table of
@@ -31,7 +31,7 @@
 type List struct {
 	common.Common
 	parse    Parse
-	onChange func(*routing.Directory)
+	onChange func(*routing.Directory) // called with the lock held, so in order
 	sampler  *telemetry.Sampler
 
 	mu               sync.Mutex
@@ -46,7 +46,7 @@
 
 var _ follow.Handler = (*List)(nil)
 
-// New returns an empty list; changed is called with each new directory.
+// New returns an empty list; changed is called with each new directory, one call at a time, and must not call the list.
 func New(c common.Common, parse Parse, changed func(*routing.Directory)) *List {
 	return &List{
 		Common: c, parse: parse, onChange: changed, sampler: telemetry.NewSampler(c.Clock, c.Log, maxLogLinesPerSecond),
@@ -55,7 +55,7 @@
 	}
 }
 
-// Snapshot replaces the list.
+// Snapshot replaces the list by all rows of the table. Targets without a row are dropped as for a deleted row.
 func (l *List) Snapshot(rows []follow.Row, freshness follow.Freshness) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,7 +74,7 @@
 	l.publish()
 }
 
-// removeUnlisted drops the targets that have no row in a snapshot of the table.
+// removeUnlisted drops the targets that have no row in a snapshot of the table. The lock is held.
 func (l *List) removeUnlisted(now clock.Millis, all []follow.Row) {
 	present := make(map[ids.Target]bool, len(all))
 	for _, row := range all {
@@ -93,7 +93,7 @@
 	l.faults.Retain(all)
 }
 
-// Changed applies changed and deleted rows.
+// Changed applies changed and deleted rows, and publishes the list if there are any.
 func (l *List) Changed(rows []follow.Row, freshness follow.Freshness) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -119,7 +119,8 @@
 	l.storeUnreachable = true
 }
 
-// recordContact records that the store has answered. After an outage, the store was back by the time of the query.
+// recordContact records that the store has answered, and returns the current time. After an outage, the store was back
+// by the time of the query, and the grace for expired rows counts from there. The lock is held.
 func (l *List) recordContact(freshness follow.Freshness) clock.Millis {
 	if l.storeUnreachable {
 		l.graceUntil = freshness.RequestedAt + restoreGrace
@@ -132,7 +133,7 @@
 const WaitForChanges = 3 * clock.Second
 
 // drop takes a target off the list, or keeps it for a while if its row may have expired because of an outage of the
-// store.
+// store. The lock is held.
 func (l *List) drop(now clock.Millis, id ids.Target) {
 	if l.targets[id] == nil || l.expired[id] > 0 {
 		return
@@ -161,6 +162,7 @@
 	l.publish()
 }
 
+// publish passes a new directory of all targets on. The lock is held.
 func (l *List) publish() {
 	list := make([]*routing.Target, 0, len(l.targets))
 	for _, t := range l.targets {
--- a/pkg/targetlist/rows.go
+++ b/pkg/targetlist/rows.go
@@ -9,7 +9,7 @@
 	"quaydock/pkg/routing"
 )
 
-// applyRow applies a target's row.
+// applyRow applies a target's row; it does not publish the list. The lock is held.
 func (l *List) applyRow(row follow.Row) {
 	before := l.lastKnown(ids.Target(row.Key))
 	if before != nil && row.Version > 0 && row.Version < before.Revision {
@@ -32,7 +32,7 @@
 	l.faults.Clear(row.Key)
 }
 
-// lastKnown returns the last valid data of a target, or nil.
+// lastKnown returns the last valid data of a target, also if its row is invalid now, or nil. The lock is held.
 func (l *List) lastKnown(id ids.Target) *routing.Target {
 	if t := l.targets[id]; t != nil {
 		return t
@@ -42,7 +42,8 @@
 
 // excludeInvalid takes a target with an invalid row off the list: another writer may have written the row, and the
 // target may have been replaced. The row exists, so it has not expired in an outage. Requests that run on the target
-// continue, as when it is leaving.
+// continue, as when it is leaving. The revision of the invalid row is kept, so that an older row does not apply. The
+// lock is held.
 func (l *List) excludeInvalid(row follow.Row, err error) {
 	l.faults.Add(row, err)
 	id := ids.Target(row.Key)
@@ -98,12 +99,15 @@
 	kindGone      = "target gone"
 )
 
+// logGone logs line for a target that was dropped, unless too many were in this second.
 func (l *List) logGone(id ids.Target, line string) {
 	if l.sampler.Allow(kindGone) {
 		l.Log.WithField("target", string(id)).Info(line)
 	}
 }
 
+// logListed logs a target that is new, leaving or a new incarnation, unless there were too many of its kind in this
+// second. before is nil if the target was not known.
 func (l *List) logListed(before, target *routing.Target) {
 	restarted := before != nil && before.Incarnation() != target.Incarnation()
 	kind := kindListed
