--- a/pkg/membership/bed_test.go
+++ b/pkg/membership/bed_test.go
@@ -21,9 +21,9 @@
 // rows counts the writes to the store's table of entries.
 type rows struct {
 	mu      sync.Mutex
-	puts    map[string]int
-	removed map[string]int
-	batches []int // number of rows of each PutAll
+	puts    map[string]int // rows written, by key, alone or in a batch
+	removed map[string]int // rows removed, by key
+	batches []int          // number of rows of each PutAll
 	// removals is the number of keys of each Remove.
 	removals   []int
 	singlePuts int  // calls of Put
@@ -90,21 +90,22 @@
 	return r.puts[key], r.removed[key]
 }
 
+// bed holds entries that share a network and a store. Their lists change only when a test changes them.
 type bed struct {
 	common.Common
-	ctx     context.Context
+	ctx     context.Context // ends with the test
 	net     *packets.Memory
 	rows    *rows
-	listed  []follow.Row
-	weights []float64
-	members []*membership.Members
+	listed  []follow.Row          // the rows of all entries
+	weights []float64             // of all entries
+	members []*membership.Members // the entries that run
 }
 
 func address(i int) netip.AddrPort {
 	return netip.MustParseAddrPort(fmt.Sprintf("10.0.%d.%d:7600", i/200, i%200+1))
 }
 
-// start runs entries of the given weights.
+// start runs entries of the given weights that have all entries on their lists.
 func start(t *testing.T, weights ...float64) *bed {
 	b := prepare(t, weights...)
 	for i := range weights {
@@ -131,7 +132,7 @@
 	return b
 }
 
-// run starts one entry, replacing any earlier run of it.
+// run starts one entry that has read the list, replacing any earlier run of it.
 func (b *bed) run(i int) *membership.Members {
 	m := b.build(i)
 	m.Snapshot(b.listed, follow.Freshness{})
@@ -155,6 +156,7 @@
 	b.members[i].SetGrace(grace)
 }
 
+// partition loses all datagrams from and to one entry, and no others.
 func (b *bed) partition(i int) {
 	gone := address(i)
 	b.net.Lose(func(from, to netip.AddrPort, _ packets.Kind) bool { return from == gone || to == gone })
--- a/pkg/membership/lease_test.go
+++ b/pkg/membership/lease_test.go
@@ -13,6 +13,7 @@
 	"quaydock/pkg/packets"
 )
 
+// grace is how long the entries of these tests go on without the store.
 const grace = 60 * clock.Second
 
 // startWithGrace runs entries that go on without the store on the strength of one another's heartbeats.
@@ -24,6 +25,7 @@
 	return b
 }
 
+// entryIndex returns which of n entries has an address, -1 if none.
 func entryIndex(at netip.AddrPort, n int) int {
 	for i := range n {
 		if address(i) == at {
@@ -33,14 +35,16 @@
 	return -1
 }
 
-// TestHoldsLeaseUnderPartitions partitions the network for longer than ForgetAfter, without replies from the store.
+// TestHoldsLeaseUnderPartitions partitions the network for longer than ForgetAfter, without replies from the store: an
+// entry holds a lease only if it knows that more than half of all entries receive its heartbeats, and one that holds a
+// lease is not removed.
 func TestHoldsLeaseUnderPartitions(t *testing.T) {
 	scenarios := []struct {
 		name       string
 		entries    int
-		lose       func(from, to int) bool
-		holdsLease func(i int) bool
-		removed    func(i int) bool
+		lose       func(from, to int) bool // whether datagrams between two entries are lost
+		holdsLease func(i int) bool        // whether an entry holds a lease after 20 s
+		removed    func(i int) bool        // whether an entry was removed by then
 	}{
 		{"no partition", 4, func(_, _ int) bool { return false },
 			func(int) bool { return true }, func(int) bool { return false }},
--- a/pkg/membership/listing_test.go
+++ b/pkg/membership/listing_test.go
@@ -9,6 +9,7 @@
 	"quaydock/pkg/follow"
 )
 
+// TestSilentEntryIsRemovedFromList checks that the row of a partitioned entry is removed after ForgetAfter, not before.
 func TestSilentEntryIsRemovedFromList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := start(t, equalWeights(4)...)
@@ -25,6 +26,8 @@
 	})
 }
 
+// TestWronglyRemovedEntryWritesItsRowAgain removes the row of an entry that is alive: it must write the row again, and
+// have no share until it reads the row back.
 func TestWronglyRemovedEntryWritesItsRowAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := start(t, equalWeights(2)...)
--- a/pkg/membership/owners_test.go
+++ b/pkg/membership/owners_test.go
@@ -14,6 +14,7 @@
 	"quaydock/pkg/packets"
 )
 
+// TestAllEntriesAgreeOnOwner checks that all entries name the same owner of each shard, and that each owns some.
 func TestAllEntriesAgreeOnOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := start(t, equalWeights(6)...)
@@ -59,6 +60,8 @@
 	})
 }
 
+// TestWeakEntriesOwnFewShards checks that four entries of 0.144 of a core own at most an eighth of the shards beside
+// two of 0.8, as most of a weak VM is needed for its callers' requests.
 func TestWeakEntriesOwnFewShards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := start(t, 0.8, 0.8, 0.144, 0.144, 0.144, 0.144)
@@ -77,6 +80,8 @@
 	})
 }
 
+// TestSuspectedOwnerIsReplacedAtOnceAmongMany suspects an owner in a large fleet, where heartbeats are rare: the entry
+// that suspects it must choose another one at once, and the same one again after its next heartbeat.
 func TestSuspectedOwnerIsReplacedAtOnceAmongMany(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := start(t, equalWeights(80)...)
--- a/pkg/membership/registration_test.go
+++ b/pkg/membership/registration_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// startJoining starts an entry that is not listed yet, with the given list.
+// startJoining starts an entry that has read the given list, on which it is not.
 func (b *bed) startJoining(i int, listed []follow.Row) {
 	m := b.build(i)
 	m.Snapshot(listed, follow.Freshness{})
@@ -31,9 +31,9 @@
 func TestRowsOfManyEntriesAreWrittenInBatches(t *testing.T) {
 	scenarios := []struct {
 		name      string
-		disturb   func(b *bed)
-		maxWrites int  // upper limit of write calls
-		written   bool // by a registrar
+		disturb   func(b *bed) // called before the new entries start; may be nil
+		maxWrites int          // upper limit of write calls
+		written   bool         // by a registrar
 	}{
 		{"the longest-listed entry writes them", nil, 6, true},
 		{"the first registrar is gone, the second writes them", func(b *bed) { b.partition(0) }, 6, true},
--- a/pkg/membership/size_test.go
+++ b/pkg/membership/size_test.go
@@ -17,7 +17,7 @@
 // fleet is a large number of entries in virtual time, some of which die.
 type fleet struct {
 	*bed
-	dead map[netip.AddrPort]bool
+	dead map[netip.AddrPort]bool // by address; replaced as a whole, since the network reads it meanwhile
 }
 
 func newFleet(t *testing.T, n int) *fleet {
@@ -25,7 +25,7 @@
 	return f
 }
 
-// kill makes entries die.
+// kill makes entries die, in addition to those that are dead: the network loses all their datagrams.
 func (f *fleet) kill(entries ...int) {
 	dead := make(map[netip.AddrPort]bool)
 	for address := range f.dead {
@@ -61,7 +61,7 @@
 	return true
 }
 
-// awaitAgreement waits until all agree, and returns how long that took.
+// awaitAgreement waits until all agree, at most for timeout, and returns how long it waited.
 func (f *fleet) awaitAgreement(timeout time.Duration) time.Duration {
 	began := time.Now()
 	for time.Since(began) < timeout && !f.agree() {
--- a/pkg/quarantine/accounts_test.go
+++ b/pkg/quarantine/accounts_test.go
@@ -11,13 +11,15 @@
 	"quaydock/pkg/network"
 )
 
-// holdBack quarantines count requests of an account on a route, minHeldInterval apart, the last one at now.
+// holdBack quarantines count requests of an account on a route, numbered from a number on, minHeldInterval apart and
+// the last one at now.
 func holdBack(r *Register, now clock.Millis, from, count int) {
 	for n := from; n < from+count; n++ {
 		holdBackOne(r, now-clock.Millis(from+count-1-n)*minHeldInterval, n)
 	}
 }
 
+// holdBackOne quarantines the request with a number: one target ends under it, and one more when it runs again.
 func holdBackOne(r *Register, now clock.Millis, n int) {
 	record := Record{Digest: digest(n), Account: "acme", Route: "r"}
 	record.Ends = []TargetEnd{{Incarnation: incarnation(2 * n)}}
@@ -26,6 +28,7 @@
 	r.Join(now, &record)
 }
 
+// other returns the request with a number of the account and route that holdBack uses.
 func other(n int) Request { return Request{Digest: digest(n), Account: "acme", Route: "r"} }
 
 // TestWhenAnAccountIsSuspected checks that an account is suspected once four of its requests on one route were
@@ -36,8 +39,8 @@
 	scenarios := []struct {
 		name      string
 		do        func(r *Register)
-		request   Request
-		after     clock.Millis
+		request   Request      // whose account is checked
+		after     clock.Millis // how long after start
 		suspected bool
 	}{
 		{"three", func(r *Register) { holdBack(r, start, 1, 3) }, other(9), 0, false},
--- a/pkg/quarantine/guard_test.go
+++ b/pkg/quarantine/guard_test.go
@@ -20,7 +20,7 @@
 // fakePeers makes the first entry the owner of all shards.
 type fakePeers struct {
 	all  []netip.AddrPort
-	self int
+	self int // index of this entry in all
 }
 
 func (p *fakePeers) Others() []netip.AddrPort {
@@ -35,7 +35,7 @@
 
 func (p *fakePeers) Owner(string) (netip.AddrPort, bool) { return p.all[0], p.self == 0 }
 
-// fakeStore records writes.
+// fakeStore records writes and accepts each of them, whatever its version.
 type fakeStore struct {
 	mu      sync.Mutex
 	version int64
@@ -57,6 +57,7 @@
 	net    *packets.Memory
 }
 
+// newGuardCluster starts the guards of count entries, which share a store and a network; they stop with the test.
 func newGuardCluster(t *testing.T, count int) *guardCluster {
 	b := &guardCluster{store: &fakeStore{}, net: packets.NewMemory()}
 	ctx, stop := context.WithCancel(context.Background())
@@ -83,6 +84,7 @@
 
 func request() Request { return Request{Digest: digest(1), Account: "acme", Route: "r"} }
 
+// run returns a run of request that broke off at the incarnation with a number.
 func run(n int, again bool) Run {
 	return Run{Request: request(), Incarnation: incarnation(n), Again: again}
 }
@@ -131,8 +133,8 @@
 	var asks atomic.Int64
 	scenarios := []struct {
 		name    string
-		loses   func(from, to netip.AddrPort, kind packets.Kind) bool
-		maxRuns int64 // runs at a time
+		loses   func(from, to netip.AddrPort, kind packets.Kind) bool // whether a message is lost; nil loses none
+		maxRuns int64                                                 // runs at a time
 	}{
 		{"all messages arrive", nil, 1},
 		{"owner does not answer", func(_, _ netip.AddrPort, kind packets.Kind) bool { return kind == packets.KindRunAnswer }, 3},
@@ -174,7 +176,8 @@
 	}
 }
 
-// TestTargetEndReachesAllEntries also loses the first message to each entry.
+// TestTargetEndReachesAllEntries checks that two target ends seen at different entries quarantine the request at all
+// entries, though the first message to each of them is lost, and that the store is written once.
 func TestTargetEndReachesAllEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newGuardCluster(t, 40)
@@ -257,9 +260,9 @@
 	restarted.Start = 5
 	scenarios := []struct {
 		name  string
-		lists [][]*routing.Target
-		after time.Duration
-		ended bool
+		lists [][]*routing.Target // read one after the other after the run broke off
+		after time.Duration       // pause before each of them
+		ended bool                // the run counts as a target end
 	}{
 		{"stays listed", [][]*routing.Target{{listed}}, time.Second, false},
 		{"row expires", [][]*routing.Target{{listed}, {}}, time.Second, true},
--- a/pkg/quarantine/register_test.go
+++ b/pkg/quarantine/register_test.go
@@ -34,10 +34,12 @@
 
 func digest(n int) Digest { return Identify("", "", fmt.Append(nil, n)) }
 
+// TestVerdicts checks which target ends of one request lead to which verdict: only an end in a run that began when an
+// earlier one was known quarantines the request.
 func TestVerdicts(t *testing.T) {
 	scenarios := []struct {
 		name string
-		ends []int
+		ends []int // as for record
 		want Verdict
 	}{
 		{"one end", []int{1}, Suspect},
@@ -100,6 +102,8 @@
 	}
 }
 
+// joinedInAnyOrder merges the reports, each twice, beginning with each of them in turn. It checks that the result is
+// the same each time, and returns it.
 func joinedInAnyOrder(t *testing.T, reports []*Record) Record {
 	var first Record
 	for shift := range reports {
@@ -123,6 +127,8 @@
 	return first
 }
 
+// TestCompletedRunClearsRequest checks that a completed run frees a quarantined request for good: reports on the ends
+// before it that arrive late change nothing.
 func TestCompletedRunClearsRequest(t *testing.T) {
 	r := NewRegister()
 	r.StoreRead(1)
@@ -236,6 +242,8 @@
 	}
 }
 
+// TestRowsWrittenToStore checks that a row is written from the second end on, once, and removed after a completed run.
+// A row read late, older than the written one, must not have it written again.
 func TestRowsWrittenToStore(t *testing.T) {
 	r := NewRegister()
 	r.StoreRead(1)
--- a/pkg/rollout/binomial_test.go
+++ b/pkg/rollout/binomial_test.go
@@ -28,6 +28,8 @@
 	}
 }
 
+// TestWorseThreshold checks that the threshold is the lowest number of bad answers with at most worseProbability,
+// within the error of the normal approximation.
 func TestWorseThreshold(t *testing.T) {
 	for _, n := range []int{1, 2, 5, 20, 100, 1000, 20000} {
 		for _, rate := range []float64{0.001, 0.01, 0.1, 0.4} {
--- a/pkg/rollout/evidence_test.go
+++ b/pkg/rollout/evidence_test.go
@@ -14,17 +14,19 @@
 // simulation describes generated evidence: targets of three speeds, some of which fail or are slow for reasons of their
 // own.
 type simulation struct {
-	fresh, old int // targets
-	answers    int // of each target of the new version; the old ones give ten times as many
-	errors     float64
+	fresh, old int     // number of targets of the new and of the old version
+	answers    int     // of each target of the new version, on average; the old ones give ten times as many
+	errors     float64 // the fraction of all answers, of both versions, that fail
 	// bad and slowPart are the fractions of the new version's answers that fail, and that take slow times as long.
 	bad, slowPart, slow float64
-	from                float64 // the fraction of the answers after which these begin
+	from                float64 // the fraction of the time after which these begin
 	ailing              float64 // the fraction of all targets that fail half of their answers
 	slowTargets         float64 // the fraction of all targets that are five times as slow
 	oldUsed             int     // the number of old targets that are used, all if 0
 }
 
+// run adds the answers of 20 s and evaluates the evidence each second. It returns the evidence, and the first finding
+// that the version is bad, or an empty one.
 func (p *simulation) run(seed uint64) (*rollout.Evidence, rollout.Finding) {
 	random := rand.New(rand.NewPCG(seed, 2))
 	speeds := []float64{0.36, 1, 1.8}
@@ -147,8 +149,8 @@
 	}
 }
 
-// BenchmarkEvaluate evaluates the evidence of some minutes at 400 requests a second: 0.7 ms on the VM of the measurements
-// (32 ms before the binomial terms were summed incrementally), four times a second during a trial.
+// BenchmarkEvaluate evaluates the evidence of some minutes at 400 requests a second: 0.7 ms on the VM of the
+// measurements (32 ms before the binomial terms were summed incrementally), four times a second during a trial.
 func BenchmarkEvaluate(b *testing.B) {
 	p := simulation{fresh: 54, old: 54, answers: 100, errors: 0.02}
 	e, _ := p.run(1)
--- a/pkg/rollout/exposure_test.go
+++ b/pkg/rollout/exposure_test.go
@@ -7,6 +7,7 @@
 	"quaydock/pkg/rollout"
 )
 
+// bounds permit a tenth of the requests and 50 more; Stop is in ms.
 var bounds = rollout.Bounds{Fraction: 0.1, Slack: 50, Stop: 5000}
 
 // TestExposureLimitHoldsOverAllEntries has entries send what they may while others restart, some of which have not
@@ -74,6 +75,8 @@
 	}
 }
 
+// TestSlackCredit checks the sum of the credits of all entries: at most half of the slack of 50, and at most maxCredit
+// for each entry.
 func TestSlackCredit(t *testing.T) {
 	scenarios := []struct{ entries, want int }{{1, 5}, {4, 20}, {12, 24}, {25, 25}, {30, 25}, {350, 25}}
 	for _, s := range scenarios {
--- a/pkg/rollout/tracker_test.go
+++ b/pkg/rollout/tracker_test.go
@@ -11,10 +11,13 @@
 
 const service = ids.Service("s")
 
+// order returns an order of 30 s for a version, placed at a revision.
 func order(version ids.Version, placed rollout.Revision) rollout.Order {
 	return rollout.Order{Service: service, Version: version, Within: 30000, Placed: placed}
 }
 
+// upTo returns the freshness of a read that shows the store up to a revision. Revisions are 10 ms apart, and the
+// store's clock is 1000 ms behind that of the process.
 func upTo(revision rollout.Revision) rollout.Freshness {
 	return rollout.Freshness{At: 1000 + 10*int64ToMillis(revision), StoreTime: 10 * int64ToMillis(revision), ReadAt: 1000 + 10*int64ToMillis(revision), Revision: revision}
 }
@@ -26,6 +29,7 @@
 	record := func(version ids.Version, of rollout.Revision, state rollout.State, written rollout.Revision, barred ...ids.Version) rollout.Record {
 		return rollout.Record{Service: service, Version: version, Order: of, State: state, Written: written, LatestEnd: 500, Barred: barred}
 	}
+	// reads is one read of both tables; orders are all that the store had at revision up.
 	type reads struct {
 		orders  []rollout.Order
 		up      rollout.Revision
@@ -35,8 +39,8 @@
 	scenarios := []struct {
 		name     string
 		reads    []reads
-		old, new routing.Admission
-		newest   ids.Version // of the new targets, v2 if empty
+		old, new routing.Admission // expected for a target of v1 and one of v2
+		newest   ids.Version       // of the new targets, v2 if empty
 	}{
 		{"nothing read yet", nil, withheld, withheld, ""},
 		{"orders are known up to before the new targets", []reads{{up: 11}}, admitted, withheld, ""},
@@ -96,7 +100,8 @@
 	}
 }
 
-// TestVersionInUseNeedsNoTrial orders the version that the whole service already runs.
+// TestVersionInUseNeedsNoTrial orders the version that the whole service already runs: its targets must stay admitted,
+// but not if targets of another version are listed as well.
 func TestVersionInUseNeedsNoTrial(t *testing.T) {
 	b := rollout.NewTracker()
 	target := &routing.Target{ID: "a", Service: service, Version: "v1", ListedRevision: 1}
@@ -147,8 +152,8 @@
 	scenarios := []struct {
 		name          string
 		before        rollout.Freshness // of the last read without the order
-		read          rollout.Freshness
-		started, over int64
+		read          rollout.Freshness // of the first read with the order
+		started, over int64             // expected earliest start and latest end, in ms
 	}{
 		{"reported immediately", rollout.Freshness{At: 9000, ReadAt: 9000, Revision: 5}, rollout.Freshness{At: 10000, ReadAt: 10010, Revision: 10}, 9850, 40030},
 		{"last read just before", rollout.Freshness{At: 9950, ReadAt: 9950, Revision: 5}, rollout.Freshness{At: 10000, ReadAt: 10010, Revision: 10}, 9950, 40030},
--- a/pkg/rollout/trial_test.go
+++ b/pkg/rollout/trial_test.go
@@ -13,11 +13,12 @@
 // The order in these tests is placed at 100 s and lasts 30 s.
 const (
 	placed = 100 * clock.Second
-	ends   = placed + 30*clock.Second
-	over   = ends + 400
+	ends   = placed + 30*clock.Second // earliest end
+	over   = ends + 400               // latest end
 )
 
-// trialAt returns a trial started at a moment, with evidence of a good or a bad version.
+// trialAt returns a trial started at a moment, with enough evidence of a good version, or of a bad one of which half of
+// the answers failed.
 func trialAt(began clock.Millis, good bool) *rollout.Trial {
 	t := rollout.NewTrial(order("v2", 10), bounds, rollout.Summary{}, began, rollout.Times{Started: placed, EarliestEnd: ends, LatestEnd: over})
 	for n := range 400 {
@@ -31,7 +32,8 @@
 	return t
 }
 
-func running(state rollout.State) rollout.Record {
+// recordIn returns the record of the order in a state.
+func recordIn(state rollout.State) rollout.Record {
 	return rollout.Record{Service: service, Version: "v2", Order: 10, State: state, Written: 20}
 }
 
@@ -39,7 +41,7 @@
 func TestSteps(t *testing.T) {
 	const late = ends - 200 // when a good version is completed
 	type situation = rollout.Situation
-	usual := situation{Now: placed + 5000, Record: running(rollout.Running), Fresh: true, Targets: 8, Old: 8, Agreement: 1}
+	usual := situation{Now: placed + 5000, Record: recordIn(rollout.Running), Fresh: true, Targets: 8, Old: 8, Agreement: 1}
 	with := func(change func(*situation)) situation {
 		s := usual
 		change(&s)
@@ -54,7 +56,7 @@
 		close bool          // the old version's targets start nothing unrepeatable any more
 		why   string        // part of the reason given
 	}{
-		{"ordered", trialAt(placed, true), with(func(s *situation) { s.Record = running(rollout.Pending) }), rollout.Running, false, false, "ordered"},
+		{"ordered", trialAt(placed, true), with(func(s *situation) { s.Record = recordIn(rollout.Pending) }), rollout.Running, false, false, "ordered"},
 		{"observed", trialAt(placed, true), usual, rollout.Pending, true, false, ""},
 		{"feed state not current", trialAt(placed, true), with(func(s *situation) { s.Fresh = false }), rollout.Pending, false, false, ""},
 		{"bad", trialAt(placed, false), usual, rollout.RolledBack, false, false, "answers bad"},
@@ -67,9 +69,9 @@
 		{"good, after its time", trialAt(placed, true), with(func(s *situation) { s.Now = over + 5000 }), rollout.Completed, true, true, ""},
 		{"unrepeatable work never ends", trialAt(placed, true), with(func(s *situation) { s.Now = over + 16000; s.Unrepeatable = 1 }), rollout.RolledBack, false, false, "time is over"},
 		{"service already runs it", trialAt(placed, true), with(func(s *situation) { s.AlreadyInUse = true; s.Targets = 0 }), rollout.Completed, false, false, "already"},
-		{"completed", trialAt(placed, true), with(func(s *situation) { s.Record = running(rollout.Completed) }), rollout.Pending, false, false, ""},
-		{"bad, but completed", trialAt(placed, false), with(func(s *situation) { s.Record = running(rollout.Completed) }), rollout.Pending, false, false, ""},
-		{"rolled back", trialAt(placed, false), with(func(s *situation) { s.Record = running(rollout.RolledBack) }), rollout.Pending, false, false, ""},
+		{"completed", trialAt(placed, true), with(func(s *situation) { s.Record = recordIn(rollout.Completed) }), rollout.Pending, false, false, ""},
+		{"bad, but completed", trialAt(placed, false), with(func(s *situation) { s.Record = recordIn(rollout.Completed) }), rollout.Pending, false, false, ""},
+		{"rolled back", trialAt(placed, false), with(func(s *situation) { s.Record = recordIn(rollout.RolledBack) }), rollout.Pending, false, false, ""},
 		{"no target has started", rollout.NewTrial(order("v2", 10), bounds, rollout.Summary{}, placed, rollout.Times{Started: placed, EarliestEnd: ends, LatestEnd: over}),
 			with(func(s *situation) { s.Now = ends - 1000; s.Targets = 0 }), rollout.RolledBack, false, false, "too little is known"},
 	}
@@ -87,9 +89,9 @@
 func TestMissingEvidence(t *testing.T) {
 	scenarios := []struct {
 		name                    string
-		old, oldLoaded          int
-		requests, loaded, route int // of the new version; route counts those on a second route
-		want                    string
+		old, oldLoaded          int    // answers of the old version: on each of two routes, and on the first under load
+		requests, loaded, route int    // of the new version: on the first route, those of them under load, on the second
+		want                    string // part of the text; empty if nothing is missing
 	}{
 		{"enough", 1000, 0, 60, 0, 20, ""},
 		{"too few in total", 1000, 0, 9, 0, 9, "18 answers"},
@@ -119,22 +121,24 @@
 	}
 }
 
-// TestWithdrawnOrderIsRolledBack removes the order's row, before and after its trial began.
+// TestWithdrawnOrderIsRolledBack removes the order's row: after its trial began the version must be rolled back, before
+// that nothing must be written.
 func TestWithdrawnOrderIsRolledBack(t *testing.T) {
 	withdrawn := rollout.Order{Service: service, Version: "v2", Placed: 10}
 	trial := rollout.NewTrial(withdrawn, bounds, rollout.Summary{}, placed, rollout.Times{})
-	if p := trial.Step(rollout.Situation{Now: placed, Record: running(rollout.Running), Fresh: true}); p.Write != rollout.RolledBack {
+	if p := trial.Step(rollout.Situation{Now: placed, Record: recordIn(rollout.Running), Fresh: true}); p.Write != rollout.RolledBack {
 		t.Errorf("plan after the trial began: %+v", p)
 	}
-	if p := trial.Step(rollout.Situation{Now: placed, Record: running(rollout.Pending), Fresh: true}); p.Write != rollout.Pending {
+	if p := trial.Step(rollout.Situation{Now: placed, Record: recordIn(rollout.Pending), Fresh: true}); p.Write != rollout.Pending {
 		t.Errorf("plan before the trial began: %+v", p)
 	}
 }
 
-// TestRollbackDecisionIsFinal has the evidence improve, and then the feed fail, after a roll-back was decided.
+// TestRollbackDecisionIsFinal has the evidence improve, and then the feed fail, after a roll-back was decided: it must
+// still be written.
 func TestRollbackDecisionIsFinal(t *testing.T) {
 	trial := trialAt(placed, false)
-	s := rollout.Situation{Now: placed + 5000, Record: running(rollout.Running), Fresh: true, Targets: 8, Old: 8, Agreement: 1}
+	s := rollout.Situation{Now: placed + 5000, Record: recordIn(rollout.Running), Fresh: true, Targets: 8, Old: 8, Agreement: 1}
 	trial.Step(s)
 	for n := range 4000 {
 		trial.Evidence.Add(true, rollout.Observation{At: s.Now, Incarnation: ids.TargetIncarnation{Target: ids.Target(fmt.Sprint("new", n%8))}, Route: "r", Ratio: 1})
@@ -162,7 +166,8 @@
 	}
 }
 
-// TestRecordsOfConsecutiveOrders follows the record of a service through several orders.
+// TestRecordsOfConsecutiveOrders follows the record of a service through several orders: a version that another one
+// replaces before its decision must be barred until it is ordered again.
 func TestRecordsOfConsecutiveOrders(t *testing.T) {
 	b := rollout.NewTracker()
 	b.PutOrders([]rollout.Order{order("v2", 10)}, nil, true, upTo(12))
@@ -210,11 +215,11 @@
 	bad.Bad, bad.Routes = 40, []rollout.RouteSummary{{Route: "r", Requests: 150, Bad: 40, Old: 2000, OldBad: 50}}
 	scenarios := []struct {
 		name      string
-		began     clock.Millis
+		began     clock.Millis // when this owner started the trial
 		agreement float64
-		carried   rollout.Summary
+		carried   rollout.Summary // evidence of earlier owners
 		now       clock.Millis
-		want      rollout.State
+		want      rollout.State // to be written
 	}{
 		{"just taken over", closing, 1, good, closing, rollout.Pending},
 		{"hardly any entry agrees", placed, 0.25, good, closing, rollout.Pending},
@@ -228,7 +233,7 @@
 			for range 400 {
 				trial.Evidence.Add(false, rollout.Observation{At: s.began, Incarnation: ids.TargetIncarnation{Target: "old"}, Route: "r", Ratio: 1, Factor: 1})
 			}
-			p := trial.Step(rollout.Situation{Now: s.now, Record: running(rollout.Running), Fresh: true, Targets: 8, Old: 8, Agreement: s.agreement})
+			p := trial.Step(rollout.Situation{Now: s.now, Record: recordIn(rollout.Running), Fresh: true, Targets: 8, Old: 8, Agreement: s.agreement})
 			if p.Write != s.want {
 				t.Errorf("plan %+v, want state %v", p, s.want)
 			}
--- a/pkg/targetlist/incarnations_test.go
+++ b/pkg/targetlist/incarnations_test.go
@@ -17,15 +17,16 @@
 	"quaydock/pkg/targetlist"
 )
 
-// row is the row of target "a".
+// row is the content of the row of target "a".
 type row struct {
 	Start   ids.Start
-	Cold    clock.Millis
+	Cold    clock.Millis // how much longer the target stays cold
 	Version ids.Version
 	Address string
 	Leaving bool
 }
 
+// at returns the row as read at a revision, 0 if unknown.
 func (r row) at(revision int64) follow.Row {
 	value, err := json.Marshal(r)
 	if err != nil {
@@ -49,9 +50,9 @@
 	first := row{Start: 50, Version: "v1", Address: "x:1"}
 	scenarios := []struct {
 		name   string
-		rows   []follow.Row
-		start  ids.Start
-		listed int64
+		rows   []follow.Row // read one after the other
+		start  ids.Start    // expected at the end
+		listed int64        // expected ListedRevision at the end
 	}{
 		{"its row changes", []follow.Row{first.at(7), row{Start: 50, Version: "v1", Address: "x:1", Leaving: true}.at(19)}, 50, 7},
 		{"a later start", []follow.Row{first.at(7), row{Start: 60, Version: "v1", Address: "x:1", Leaving: false}.at(19)}, 60, 19},
@@ -83,12 +84,12 @@
 }
 
 // TestExpiredRowComesBackWithItsIncarnation has a row expire during an outage of the store, and come back with the
-// same start time or another one.
+// same start time or another one: only the same incarnation keeps the revision from which on it was listed.
 func TestExpiredRowComesBackWithItsIncarnation(t *testing.T) {
 	scenarios := []struct {
 		name   string
-		back   ids.Start
-		listed int64
+		back   ids.Start // of the row that comes back
+		listed int64     // expected ListedRevision at the end
 	}{
 		{"same incarnation", 50, 7},
 		{"another incarnation", 40, 19},
@@ -170,13 +171,14 @@
 	}
 }
 
-// TestColdUntil reads a target's row one second after the former one.
+// TestColdUntil reads a target's row one second after the former one: a row that repeats the cold time must not extend
+// it.
 func TestColdUntil(t *testing.T) {
 	first := row{Start: 50, Cold: 3000}
 	scenarios := []struct {
 		name string
 		next row
-		left clock.Millis // remaining time as cold
+		left clock.Millis // remaining time as cold, -1 if it is not cold
 	}{
 		{"unchanged", first, 2000},
 		{"another field changed", row{Start: 50, Cold: 3000, Leaving: true}, 2000},
--- a/pkg/targetlist/list_test.go
+++ b/pkg/targetlist/list_test.go
@@ -20,6 +20,7 @@
 	"quaydock/pkg/targetlist"
 )
 
+// parse is the parser of these tests: an empty row is invalid, and any other one that of a target of service s.
 func parse(id string, document []byte) (*routing.Target, error) {
 	if len(document) == 0 {
 		return nil, errors.New("empty")
@@ -27,6 +28,7 @@
 	return &routing.Target{ID: ids.Target(id), Service: "s", Leaving: string(document) == "leaving"}, nil
 }
 
+// bed is a list with its newest directory.
 type bed struct {
 	common.Common
 	*targetlist.List
@@ -45,10 +47,12 @@
 	return b
 }
 
+// now returns the freshness of an answer to a query that was sent at this moment.
 func (b *bed) now() follow.Freshness {
 	return follow.Freshness{RequestedAt: b.Clock.Now(), CurrentAt: b.Clock.Now()}
 }
 
+// lists reports whether a target may get work by the newest directory.
 func (b *bed) lists(id ids.Target) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -60,6 +64,7 @@
 	return false
 }
 
+// up returns valid rows of targets.
 func up(ids ...string) []follow.Row {
 	var rows []follow.Row
 	for _, id := range ids {
@@ -68,12 +73,16 @@
 	return rows
 }
 
+// invalid returns an invalid row of target "a".
 func invalid() []follow.Row { return []follow.Row{{Key: "a"}} }
 
+// gone returns the removal of the row of target "a".
 func gone() []follow.Row {
 	return []follow.Row{{Key: "a", Gone: true}}
 }
 
+// TestTargetList checks when a target gets no more work. A row that is gone during an outage of the store, or shortly
+// after, may have expired although its target is healthy; target "b" must stay throughout.
 func TestTargetList(t *testing.T) {
 	unreachable := errors.New("store unreachable")
 	scenarios := []struct {
