--- a/pkg/membership/joining.go
+++ b/pkg/membership/joining.go
@@ -4,8 +4,8 @@
 
 // joining is the state of this entry between its listing and its being counted by the others.
 type joining struct {
-	// listedAt is when its row appeared on the list; 0 if the first list that it read had the row from an earlier
-	// run, in which case the others count it already.
+	// listedAt is when this entry last read a list without its row; 0 if the first list that it read had the row from
+	// an earlier run, in which case the others count it already.
 	listedAt clock.Millis
 	// counted is set once most others have been seen to count it, and stays set as long as the row is listed.
 	counted bool
--- a/pkg/membership/lease.go
+++ b/pkg/membership/lease.go
@@ -40,8 +40,8 @@
 }
 
 // recordAcknowledgement records which of this entry's heartbeats another has received; acknowledgements to an earlier
-// run of this process, and old ones, are ignored. The lock is held. If grace is
-// 0 no entry relies on its lease, and it is not recomputed at each heartbeat.
+// run of this process, and old ones, are ignored. The lock is held. If grace is 0 no entry relies on its lease, and it
+// is not recomputed at each heartbeat.
 func (m *Members) recordAcknowledgement(now clock.Millis, other *member, received timestamp) {
 	if received.Run != m.lease.run || received.Sent <= other.receivedOursAt {
 		return
--- a/pkg/membership/members.go
+++ b/pkg/membership/members.go
@@ -34,7 +34,7 @@
 	lastHeartbeatAt clock.Millis
 	lastTimestamp   timestamp    // of its last heartbeat
 	receivedOursAt  clock.Millis // when this entry sent the last heartbeat that it acknowledged, 0 if none
-	listedAt        clock.Millis // when this entry first saw it listed
+	listedAt        clock.Millis // when this entry first saw it listed as it is now
 	revision        int64        // of the row with which it was listed as it is now
 	inFirstList     bool         // it was in the first list that this entry read
 	// suspectedAt holds the last times at which it was suspected for not answering probes, oldest first; 0 where there
--- a/pkg/membership/owners.go
+++ b/pkg/membership/owners.go
@@ -111,7 +111,8 @@
 }
 
 // DomainOwner returns the owner of a shard among the entries of this entry's failure domain, and whether it is this
-// one. It fetches from other domains what all entries need, and the rest of its domain fetches it from there.
+// one. It fetches from other domains what all entries need, and the rest of its domain fetches it from there. While
+// this entry waits for its listing, the owner is another one, of another domain if there is no other in its own.
 func (m *Members) DomainOwner(shard string) (netip.AddrPort, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/membership/owners_test.go
+++ b/pkg/membership/owners_test.go
@@ -157,6 +157,7 @@
 	})
 }
 
+// BenchmarkOwner measures a query for the owner of one shard among 30 entries, which is cached after the first.
 func BenchmarkOwner(b *testing.B) {
 	c := commontest.New(network.NewMemory(nil))
 	link := packets.NewLink(c, packets.NewMemory().Socket(address(0)))
--- a/pkg/quarantine/digest.go
+++ b/pkg/quarantine/digest.go
@@ -49,7 +49,8 @@
 	return nil
 }
 
-// ParseDigest parses a digest in hexadecimal. The error is of kind errors.NotValid.
+// ParseDigest parses a digest in hexadecimal. Text of another length or with other characters gives an error of kind
+// errors.NotValid.
 func ParseDigest(text string) (Digest, error) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != digestBytes {
--- a/pkg/quarantine/exclusive_runs.go
+++ b/pkg/quarantine/exclusive_runs.go
@@ -34,7 +34,7 @@
 // runAnswer is the owner's answer to a request.
 type runAnswer struct {
 	_       struct{} `cbor:",toarray"`
-	Number  uint64
+	Number  uint64   // of the request that it answers
 	Granted bool
 }
 
--- a/pkg/quarantine/possible_ends.go
+++ b/pkg/quarantine/possible_ends.go
@@ -48,7 +48,8 @@
 		listed := targets.Target(d.run.Incarnation.Target)
 		switch {
 		case now-d.at > possibleEndWindow:
-		case listed != nil && listed.Leaving, g.leaves != nil && g.leaves(d.run.Incarnation): // it ends because it drains, not because of the request
+		case listed != nil && listed.Leaving, g.leaves != nil && g.leaves(d.run.Incarnation):
+			// It ends because it drains, not because of the request.
 		case listed == nil || targets.Replaced(d.run.Incarnation):
 			ended = append(ended, d.run)
 		default:
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -90,7 +90,8 @@
 	r.Ends = r.Ends[:min(len(r.Ends), maxEnds)]
 }
 
-// compareEnds sorts the strongest evidence first, in the same way at every entry.
+// compareEnds sorts the strongest evidence first, in the same way at every entry: ends of runs with Again, other ends,
+// and last the excused ones; among equals by target and start.
 func compareEnds(a, b TargetEnd) int {
 	return cmp.Or(
 		compareFlags(b.Again && !b.Excused, a.Again && !a.Excused), compareFlags(a.Excused, b.Excused),
--- a/pkg/quarantine/register_rows.go
+++ b/pkg/quarantine/register_rows.go
@@ -47,8 +47,7 @@
 }
 
 // Unwritten lists the writes for the owned digests whose rows differ from what the store is to hold, quarantined ones
-// first. The store holds rows
-// of requests that are quarantined or have two target ends, and no others.
+// first. The store holds rows of requests that are quarantined or have two target ends, and no others.
 func (r *Register) Unwritten(owned func(Digest) bool) []Write {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/rollout/exposure.go
+++ b/pkg/rollout/exposure.go
@@ -26,12 +26,12 @@
 	credit int
 }
 
-// usedLimitFraction is the fraction of Bounds.Fraction that is used: requests that had reached the service by one entry's
-// count may not have by another's.
+// usedLimitFraction is the fraction of Bounds.Fraction that is used: requests that had reached the service by one
+// entry's count may not have by another's.
 const usedLimitFraction = 0.9
 
-// usedSlackFraction is the fraction of Bounds.Slack that is handed out. The rest covers entries that take one another for
-// gone, each of which then counts itself among the few that get a share.
+// usedSlackFraction is the fraction of Bounds.Slack that is handed out. The rest covers entries that take one another
+// for gone, each of which then counts itself among the few that get a share.
 const usedSlackFraction = 0.5
 
 // NewExposure returns an Exposure without counts.
--- a/pkg/rollout/latencies.go
+++ b/pkg/rollout/latencies.go
@@ -90,12 +90,12 @@
 // latencies holds durations of answers as ratios: on each route, to what is expected on an ordinary target; on each
 // target, to the typical duration on the route with the old version.
 type latencies struct {
-	routeRatios   map[ids.Route]*sample // Observation.Ratio of the old version's answers
-	usedFactors   sample                // Observation.Factor of the old version's answers
-	newTargets    map[ids.TargetIncarnation]*sample
-	oldTargets    map[ids.TargetIncarnation]*sample
-	oldFactors    []float64 // of the old version's targets, relative to the median of usedFactors
-	slowestFactor float64   // the highest of these, at least 1
+	routeRatios   map[ids.Route]*sample             // Observation.Ratio of the old version's answers
+	usedFactors   sample                            // Observation.Factor of the old version's answers
+	newTargets    map[ids.TargetIncarnation]*sample // relative durations on the canary's targets
+	oldTargets    map[ids.TargetIncarnation]*sample // and on the old version's
+	oldFactors    []float64                         // of the old version's targets, relative to the median of usedFactors
+	slowestFactor float64                           // the highest of these, at least 1
 }
 
 func newLatencies() latencies {
--- a/pkg/rollout/summary.go
+++ b/pkg/rollout/summary.go
@@ -13,8 +13,8 @@
 	// Requests counts the answers of the canary, and Bad those that failed or took far too long.
 	Requests int `json:"requests"`
 	Bad      int `json:"bad"`
-	// Targets is the number of its targets that have answered, and WorseTargets the number of those that look worse
-	// than the old version's.
+	// Targets is the number of its targets that have answered at least minAnswersPerTarget times, and WorseTargets the
+	// number of those that look worse than the old version's.
 	Targets      int `json:"targets"`
 	WorseTargets int `json:"suspect"`
 	// Routes holds the counts by route.
--- a/pkg/rollout/tracker.go
+++ b/pkg/rollout/tracker.go
@@ -9,7 +9,7 @@
 )
 
 // Tracker holds what this process knows of roll-out orders and of the records that hold decisions on them. Each entry
-// derives from it which targets may receive work.
+// derives from it which targets may receive work. It is safe for concurrent use.
 //
 // If no known order names a target's version, revisions tell whether an order exists that this process has not read
 // yet: an order is written before its targets are started, so orders read up to a revision at or after the target's
