--- a/pkg/membership/members.go
+++ b/pkg/membership/members.go
@@ -287,6 +287,7 @@
 // each would log one line for every other.
 const maxLogLinesPerSecond = 10
 
+// logRow logs a line about the entry of a row, at most maxLogLinesPerSecond of the same text.
 func (m *Members) logRow(row follow.Row, line string) {
 	if m.sampler.Allow(line) {
 		m.Log.WithField("entry", row.Key).Info(line)
--- a/pkg/membership/size_test.go
+++ b/pkg/membership/size_test.go
@@ -20,6 +20,7 @@
 	dead map[netip.AddrPort]bool // by address; replaced as a whole, since the network reads it meanwhile
 }
 
+// newFleet starts n entries of equal weight.
 func newFleet(t *testing.T, n int) *fleet {
 	f := &fleet{bed: start(t, equalWeights(n)...), dead: make(map[netip.AddrPort]bool)}
 	return f
--- a/pkg/quarantine/guard.go
+++ b/pkg/quarantine/guard.go
@@ -165,6 +165,7 @@
 // none reports whether the request may run without a permit.
 func (s suspicion) none() bool { return s.verdict == Free && !s.accountRun }
 
+// suspicion returns what is recorded against a request now, which counts as the time at which it last came.
 func (g *Guard) suspicion(r Request) suspicion {
 	now := g.Clock.Now()
 	s := suspicion{verdict: g.register.Verdict(now, r.Digest)}
@@ -280,6 +281,7 @@
 	}
 }
 
+// log returns the log entry with the fields of a record.
 func (g *Guard) log(r *Record) *logrus.Entry {
 	var targets []ids.Target
 	for _, e := range r.Ends {
--- a/pkg/rollout/binomial_test.go
+++ b/pkg/rollout/binomial_test.go
@@ -44,6 +44,7 @@
 	}
 }
 
+// TestPoissonBinomialTail compares with values worked out by hand.
 func TestPoissonBinomialTail(t *testing.T) {
 	if got := poissonBinomialTail([]float64{0.5, 0.5}, 1); got != 0.75 {
 		t.Errorf("probability of at least 1 of 2: %v, want 0.75", got)
--- a/pkg/rollout/latencies.go
+++ b/pkg/rollout/latencies.go
@@ -61,6 +61,7 @@
 // hardly move the quantiles, which are read with each answer.
 const resortDivisor = 10
 
+// add adds a value, in place of the oldest one if there are sampleSize.
 func (s *sample) add(x float64) {
 	s.addedSinceSort++
 	if len(s.values) < sampleSize {
--- a/pkg/rollout/record.go
+++ b/pkg/rollout/record.go
@@ -70,8 +70,8 @@
 // errInvalidRecord is returned for a row that no owner can have written.
 var errInvalidRecord = errors.New("decoding roll-out record: missing or inconsistent fields")
 
-// DecodeRecord decodes a record from its row of the given revision. It returns an error for a row that no owner can have
-// written.
+// DecodeRecord decodes a record from its row of the given revision. It returns an error for a row that no owner can
+// have written.
 func DecodeRecord(document []byte, written Revision) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(document, &r); err != nil {
--- a/pkg/rollout/trial.go
+++ b/pkg/rollout/trial.go
@@ -41,8 +41,8 @@
 	// is over.
 	maxEndUncertainty = clock.Second
 	// closeFraction is the fraction of an order's time, at most maxCloseTime, in which no unrepeatable request starts
-	// on the old version any more. It precedes the write margin. drainFraction, at most maxDrainTime, precedes it: then
-	// only requests that will certainly end by then are started there.
+	// on the old version any more; it ends where the write margin begins. drainFraction, at most maxDrainTime, is the
+	// time before that, in which only unrepeatable requests that will certainly end within it are started there.
 	closeFraction = 0.08
 	maxCloseTime  = 2500 * clock.Millisecond
 	drainFraction = 0.15
@@ -259,12 +259,13 @@
 	return minRouteRequests + int(extraPerBadRate*float64(r.OldBad)/float64(r.Old))
 }
 
-// closeAt returns when unrepeatable requests stop being started on the old version, and completeAt the earliest moment
-// at which the roll-out is completed.
+// closeAt returns when unrepeatable requests stop being started on the old version. The time from then to completeAt is
+// for those that still run there.
 func (t *Trial) closeAt() clock.Millis {
 	return t.completeAt() - min(maxCloseTime, clock.Millis(closeFraction*float64(t.Order.Within)))
 }
 
+// completeAt returns the earliest moment at which the roll-out is completed: the write margin before its end.
 func (t *Trial) completeAt() clock.Millis {
 	return t.times.end() - writeMargin(t.Order.Within)
 }
