--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -23,7 +23,7 @@
 	Held
 )
 
-// maxEnds limits the target ends that are kept for one request.
+// maxEnds limits the target ends that are kept for one request, those that are the strongest evidence.
 const maxEnds = 8
 
 // TargetEnd is one incarnation of a target that ended while it ran a request.
@@ -76,7 +76,8 @@
 	return other.Incarnation == e.Incarnation && (other.Again || !e.Again) && (other.Excused || !e.Excused)
 }
 
-// add adds a target end.
+// add adds a target end, or the flags of one that is known. If there are more than maxEnds, the weakest evidence is
+// dropped.
 func (r *Record) add(e TargetEnd) {
 	i := slices.IndexFunc(r.Ends, func(known TargetEnd) bool { return known.Incarnation == e.Incarnation })
 	if i >= 0 {
@@ -89,7 +90,8 @@
 	r.Ends = r.Ends[:min(len(r.Ends), maxEnds)]
 }
 
-// compareEnds sorts the strongest evidence first, in the same way at every entry.
+// compareEnds sorts the strongest evidence first, in the same way at every entry: ends of runs with Again, other ends,
+// and last the excused ones; among equals by target and start.
 func compareEnds(a, b TargetEnd) int {
 	return cmp.Or(
 		compareFlags(b.Again && !b.Excused, a.Again && !a.Excused), compareFlags(a.Excused, b.Excused),
@@ -109,7 +111,7 @@
 	}
 }
 
-// excuse records that the request has been completed. It reports whether that is new.
+// excuse excuses all target ends, since the request has been completed. It reports whether one was not excused before.
 func (r *Record) excuse() bool {
 	changed := false
 	for i := range r.Ends {
--- a/pkg/rollout/summary.go
+++ b/pkg/rollout/summary.go
@@ -13,8 +13,8 @@
 	// Requests counts the answers of the canary, and Bad those that failed or took far too long.
 	Requests int `json:"requests"`
 	Bad      int `json:"bad"`
-	// Targets is the number of its targets that have answered, and WorseTargets the number of those that look worse
-	// than the old version's.
+	// Targets is the number of its targets that have answered at least minAnswersPerTarget times, and WorseTargets the
+	// number of those that look worse than the old version's.
 	Targets      int `json:"targets"`
 	WorseTargets int `json:"suspect"`
 	// Routes holds the counts by route.
@@ -24,7 +24,7 @@
 // RouteSummary is the evidence on one route.
 type RouteSummary struct {
 	Route    ids.Route `json:"route"`
-	Requests int       `json:"requests"`
+	Requests int       `json:"requests"` // answers of the canary
 	Bad      int       `json:"bad"`
 	Old      int       `json:"old"` // answers of the old version over the same time
 	OldBad   int       `json:"old_bad"`
@@ -51,7 +51,8 @@
 	return sum
 }
 
-// objection returns what counts against the version in these counts, which include those of earlier owners.
+// objection returns the first route on which the canary has so many more bad answers than the old version that it may
+// be bad, or an empty text. The counts include those of earlier owners.
 func (s *Summary) objection() string {
 	for _, r := range s.Routes {
 		if r.Bad < pooledMinBad || r.Requests <= 0 {
