--- a/pkg/membership/bed_test.go
+++ b/pkg/membership/bed_test.go
@@ -90,6 +90,13 @@
 	return r.puts[key], r.removed[key]
 }
 
+// removeCalls returns the number of calls of Remove.
+func (r *rows) removeCalls() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return len(r.removals)
+}
+
 type bed struct {
 	common.Common
 	ctx     context.Context
--- a/pkg/membership/size_test.go
+++ b/pkg/membership/size_test.go
@@ -183,7 +183,7 @@
 			}
 		}
 		// The lists are not updated here, so the rows are removed again each second.
-		if n := len(b.rows.removals); n > 5 {
+		if n := b.rows.removeCalls(); n > 5 {
 			t.Errorf("%d calls to remove %d rows", n, all-living)
 		}
 	})
