--- a/pkg/testbed/claim_test.go
+++ b/pkg/testbed/claim_test.go
@@ -13,6 +13,10 @@
 	"quaydock/pkg/testbed"
 )
 
+// freeingTime is the time after which no attempt to free a claim goes on: they last up to a minute, also after their
+// entry has ended, and a write that is under way then lasts up to the table's timeout of 2 s.
+const freeingTime = 65 * time.Second
+
 // keyedHeader returns the header of a call that must not be repeated, with more headers as name and value pairs.
 func keyedHeader(more ...string) http.Header {
 	h := http.Header{"Idempotency-Key": {"correction-17"}, "Quaydock-No-Repeat": {"true"}}
@@ -80,6 +84,7 @@
 			if again.Ending == testbed.NotRun {
 				t.Errorf("entry ended after %v: the repeat got %+v", after, again)
 			}
+			time.Sleep(freeingTime)
 		})
 	}
 }
