--- a/pkg/declaration/change.go
+++ b/pkg/declaration/change.go
@@ -11,10 +11,12 @@
 // Change is the difference between one revision and the next. It holds only what
 // differs, so that its size does not grow with the number of declarations.
 type Change struct {
+	// Revision is the revision that the change leads to.
 	Revision Revision `json:"revision"`
 	// ID is chosen at random by the writer of the change. After a lost answer the
 	// writer recognizes its own change by it.
-	ID  string       `json:"id"`
+	ID string `json:"id"`
+	// Who is the operator who made the change, Why the operator's reason, and At the Unix time.
 	Who string       `json:"who"`
 	Why string       `json:"why"`
 	At  clock.Millis `json:"at"`
@@ -45,7 +47,7 @@
 func placementKey(p Placement) PlacementKey { return PlacementKey{p.Service, p.Target} }
 
 // Diff returns the change that turns from into to. The order of lists other than
-// the tiers is not compared.
+// the tiers is not compared. Only Set and Removed of the change are filled in.
 func Diff(from, to Set) Change {
 	var c Change
 	if !reflect.DeepEqual(from.Tiers, to.Tiers) {
--- a/pkg/declaration/check.go
+++ b/pkg/declaration/check.go
@@ -187,7 +187,8 @@
 	return set, nil
 }
 
-// lineOf returns a prefix with the line of the document on which decoding failed.
+// lineOf returns a prefix with the line of the document on which decoding failed. If err names no offset,
+// that is where the decoder stopped, decoded bytes from the beginning.
 func lineOf(document []byte, decoded int64, err error) string {
 	offset := decoded
 	var syntax *json.SyntaxError
--- a/pkg/declaration/declaration.go
+++ b/pkg/declaration/declaration.go
@@ -35,7 +35,8 @@
 	HighestTier ids.Tier `json:"highest_tier"`
 	// DefaultTier is the tier of a request that names none.
 	DefaultTier ids.Tier `json:"default_tier"`
-	// Weight is the account's weight relative to others of the same tier; 0 means 1.
+	// Weight is the account's share of service relative to other accounts whose requests wait in the same
+	// tier; 0 means 1.
 	Weight float64 `json:"weight,omitempty"`
 	// Concurrency limits the account's concurrent requests at one entry; 0 means no
 	// limit.
@@ -68,7 +69,7 @@
 	AgentData    string `json:"agent_data"`
 	// FailureDomain is the failure domain in which the target runs.
 	FailureDomain ids.FailureDomain `json:"failure_domain"`
-	// HardwareGeneration is 1 for the oldest accelerators in use.
+	// HardwareGeneration is 1 for the oldest accelerators in use and higher for newer ones.
 	HardwareGeneration int `json:"hardware_generation"`
 	// ChecksFencing reports whether the target rejects an order with an outdated
 	// fencing number.
--- a/pkg/declaration/index.go
+++ b/pkg/declaration/index.go
@@ -19,11 +19,11 @@
 	Revision Revision
 	set      Set
 	ranks    map[ids.Tier]ids.TierRank
-	accounts map[[keySumBytes]byte]*Account
+	accounts map[[keySumBytes]byte]*Account // by the SHA-256 sum of each API key
 	services map[ids.Service]*Service
 	targets  map[ids.Target]*Target
-	serving  map[ids.Service][]*Target
-	placed   map[ids.Target][]Placement
+	serving  map[ids.Service][]*Target  // the targets that each service is placed on
+	placed   map[ids.Target][]Placement // the placements on each target
 }
 
 // NewIndex checks and indexes set. Its error names every fault in the set.
@@ -119,7 +119,8 @@
 	return rank, known
 }
 
-// Deadline returns the default time for an answer in a tier.
+// Deadline returns the time within which an answer in a tier must be complete if the caller sets no
+// deadline. It panics unless rank is that of a declared tier.
 func (x *Index) Deadline(rank ids.TierRank) clock.Millis {
 	return x.set.Tiers[rank].DeadlineMS
 }
--- a/pkg/loadmodel/caller.go
+++ b/pkg/loadmodel/caller.go
@@ -12,12 +12,12 @@
 type status int
 
 const (
-	unfinished status = iota
-	inTime
-	late
-	refused
-	refusedAgain
-	lost // its target failed, or it left because its patience or its deadline was over
+	unfinished   status = iota
+	inTime              // its first event came within the objective
+	late                // its first event came after the objective
+	refused             // at its only try, or so late that it could not return before its deadline
+	refusedAgain        // at the last of several tries
+	lost                // its target failed, or it left because its patience or its deadline was over
 )
 
 // caller sends one request, and repeats it if it is refused.
@@ -30,14 +30,15 @@
 	tries      int
 	status     status
 
-	triedAt      clock.Millis // time of its latest try
-	id           planner.JobID
+	triedAt      clock.Millis  // time of its latest try
+	id           planner.JobID // of its latest try
 	grantedAt    clock.Millis
-	firstEventAt clock.Millis
-	target       *target
+	firstEventAt clock.Millis // 0 until the first event
+	target       *target      // nil unless its latest try is running
 	heldFor      clock.Millis // total waiting time of tries that were not granted
 }
 
+// job returns the caller's latest try as the planner is told of it.
 func (c *caller) job() planner.Job {
 	return planner.Job{
 		ID: c.id, Tier: c.kind.Tier, Prompt: c.prompt, Events: c.events,
@@ -56,7 +57,7 @@
 	return now + min(after, (c.deadline()-now)/honoured)
 }
 
-// worth returns the value of a caller's answer. It grows with the size of the request relative to its kind.
+// worth returns the value of a caller's answer, 0 without one.
 func (c *caller) worth() float64 {
 	switch c.status {
 	case inTime:
@@ -68,6 +69,8 @@
 	}
 }
 
+// weight returns the factor by which the size of a request changes its worth: 1 for the median of its kind,
+// never below base or above maxWeight.
 func (c *caller) weight() float64 {
 	const base, maxWeight = 0.3, 4.0
 	return math.Min(maxWeight, base+(1-base)*c.size)
--- a/pkg/loadmodel/events.go
+++ b/pkg/loadmodel/events.go
@@ -13,6 +13,7 @@
 	do     func(now clock.Millis)
 }
 
+// events is a heap (container/heap) of the actions still to come, the earliest first.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -31,6 +32,7 @@
 	return last
 }
 
+// at schedules do for a time of the simulation.
 func (s *simulation) at(moment clock.Millis, do func(now clock.Millis)) {
 	s.number++
 	heap.Push(&s.events, event{moment, s.number, do})
--- a/pkg/loadmodel/load.go
+++ b/pkg/loadmodel/load.go
@@ -21,19 +21,20 @@
 	Tier ids.TierRank `json:"tier"`
 	// PerSecond is the rate of new callers.
 	PerSecond float64 `json:"per_second"`
-	// Prompt and Events are the median size; Spread is the standard deviation of its
-	// logarithm.
+	// Prompt and Events are the median size, in tokens and in events of the answer; Spread is the standard
+	// deviation of the size's logarithm.
 	Prompt ids.Tokens `json:"prompt_tokens"`
 	Events int        `json:"events"`
 	Spread float64    `json:"spread"`
 	// Objective is the time limit for the first event, from the caller's first try on.
 	Objective clock.Millis `json:"objective_ms"`
-	Deadline  clock.Millis `json:"deadline_ms"`
+	// Deadline is the time after the first try from which an answer is useless.
+	Deadline clock.Millis `json:"deadline_ms"`
 	// Patience is how long a caller waits for the first event of a try; 0 means until the deadline.
 	Patience clock.Millis `json:"patience_ms"`
-	// MaxReturns is how often a caller tries again.
+	// MaxReturns is how often a refused caller tries again at most.
 	MaxReturns int `json:"returns"`
-	// Worth is the value of an answer within the objective, LateWorth that of a later one.
+	// Worth is the value of an answer of median size within the objective, LateWorth that of a later one.
 	Worth     float64 `json:"worth"`
 	LateWorth float64 `json:"late_worth"`
 }
@@ -46,15 +47,19 @@
 	Factor float64 `json:"factor"`
 }
 
-// Speed gives the times of a target of speed factor 1.
+// Speed gives the times of a target of speed factor 1, in milliseconds.
 type Speed struct {
+	// FirstEvent is the time to the first event of a request without a prompt, and PerThousandTokens what each
+	// 1,000 tokens of the prompts that the target is prefilling add to it.
 	FirstEvent        float64 `json:"first_ms"`
 	PerThousandTokens float64 `json:"first_per_1000_tokens_ms"`
-	Event             float64 `json:"event_ms"`
+	// Event is the time for each event of the answer after that.
+	Event float64 `json:"event_ms"`
 }
 
 // Burst multiplies the rate of callers of a kind, or of all kinds, for a time.
 type Burst struct {
+	// At is the time since the start of the simulation.
 	At     clock.Millis `json:"at_ms"`
 	For    clock.Millis `json:"for_ms"`
 	Factor float64      `json:"times"`
@@ -63,6 +68,7 @@
 
 // Outage stops a fraction of the targets for a time; the requests that run there are lost.
 type Outage struct {
+	// At is the time since the start of the simulation.
 	At       clock.Millis `json:"at_ms"`
 	For      clock.Millis `json:"for_ms"`
 	Fraction float64      `json:"share"`
@@ -70,17 +76,19 @@
 
 // Load is the description of a load.
 type Load struct {
-	Length   clock.Millis   `json:"length_ms"`
-	Kinds    []Kind         `json:"kinds"`
-	Targets  []TargetGroup  `json:"targets"`
-	Speed    Speed          `json:"speed"`
-	Bursts   []Burst        `json:"bursts"`
-	Outages  []Outage       `json:"outages"`
+	// Length is the time within which new callers arrive.
+	Length  clock.Millis  `json:"length_ms"`
+	Kinds   []Kind        `json:"kinds"`
+	Targets []TargetGroup `json:"targets"`
+	Speed   Speed         `json:"speed"`
+	Bursts  []Burst       `json:"bursts"`
+	Outages []Outage      `json:"outages"`
+	// Restarts are the times, since the start of the simulation, at which the planner is replaced.
 	Restarts []clock.Millis `json:"planner_restarts_ms"`
 	Seed     uint64         `json:"seed"`
 }
 
-// Read reads and checks a description of a load.
+// Read reads and checks a description of a load in JSON. Unknown fields are rejected.
 func Read(from io.Reader) (Load, error) {
 	var l Load
 	decoder := json.NewDecoder(from)
@@ -91,6 +99,7 @@
 	return l, l.check()
 }
 
+// check returns an error that names every fault of the load, or nil.
 func (l *Load) check() error {
 	var faults []error
 	require := func(holds bool, what string) {
--- a/pkg/loadmodel/result.go
+++ b/pkg/loadmodel/result.go
@@ -121,6 +121,8 @@
 	fullCostWaitFraction = 0.75
 )
 
+// cost returns the cost to a caller that got no answer: for the time that it waited, and for returning unless it
+// was refused too late to return again.
 func (c *caller) cost() float64 {
 	if c.status == inTime || c.status == late {
 		return 0
@@ -135,6 +137,7 @@
 	return cost
 }
 
+// servedFraction returns the fraction of callers that were answered, in time or late, 0 without callers.
 func servedFraction(callers []*caller) float64 {
 	if len(callers) == 0 {
 		return 0
--- a/pkg/loadmodel/simulation.go
+++ b/pkg/loadmodel/simulation.go
@@ -26,12 +26,14 @@
 }
 
 const (
+	// tickEvery is how often the planner's Tick is called.
 	tickEvery = 25 * clock.Millisecond
 	// resubmitEvery is how often entries submit waiting tries again.
 	resubmitEvery = 60 * clock.Millisecond
 	// service is the service of all simulated targets.
 	service = ids.Service("modelled")
-	entry   = "10.0.0.1:7600"
+	// entry is the entry in the job ids of all tries.
+	entry = "10.0.0.1:7600"
 )
 
 // simulation is one simulation of a load.
@@ -43,11 +45,11 @@
 	targets  []*target
 	byID     map[ids.Target]*target
 	callers  []*caller
-	waiting  map[planner.JobID]*caller
-	running  map[planner.JobID]*caller
-	events   events
-	number   int
-	tries    uint64
+	waiting  map[planner.JobID]*caller // tries that are submitted and neither granted nor refused
+	running  map[planner.JobID]*caller // tries that are granted and not ended
+	events   events                    // the actions still to come
+	number   int                       // events scheduled so far
+	tries    uint64                    // tries of all callers so far, the number of the latest job id
 }
 
 // startTime is the time at which a simulation begins. It is not 0 because planners take that for unknown.
@@ -82,6 +84,7 @@
 	s.setTargets(now)
 }
 
+// setTargets gives the planner the targets that no outage has stopped.
 func (s *simulation) setTargets(now clock.Millis) {
 	var offered []*routing.Target
 	for _, t := range s.targets {
@@ -92,7 +95,8 @@
 	s.planner.SetTargets(now, offered)
 }
 
-// scheduleInputs schedules the callers, the outages, the restarts and the ticks.
+// scheduleInputs schedules the callers, the outages, the restarts and the ticks. The ticks go on until the
+// deadline of every caller is over.
 func (s *simulation) scheduleInputs() {
 	end := startTime + s.load.Length
 	s.drawAll()
@@ -134,7 +138,7 @@
 	}
 }
 
-// leave ends a try that has seen no event yet, or any try at the deadline.
+// leave ends the try id if it is the caller's latest and has seen no event yet, or at the deadline in any case.
 func (s *simulation) leave(now clock.Millis, c *caller, id planner.JobID) {
 	if c.id != id || c.status != unfinished || c.firstEventAt > 0 && now < c.deadline() {
 		return
@@ -171,6 +175,7 @@
 	}
 }
 
+// refuse ends a try. The caller returns if it has a return left and would be back before its deadline.
 func (s *simulation) refuse(now clock.Millis, c *caller, after clock.Millis) {
 	delete(s.waiting, c.id)
 	c.heldFor += now - c.triedAt
@@ -211,6 +216,8 @@
 	s.applyDecisions(now)
 }
 
+// tick calls the planner's Tick, in the first tick of each resubmitEvery after submitting again the tries that
+// it still has queued.
 func (s *simulation) tick(now clock.Millis) {
 	if (now-startTime)%resubmitEvery < tickEvery {
 		for _, id := range sortedTries(s.waiting) {
--- a/pkg/loadmodel/targets.go
+++ b/pkg/loadmodel/targets.go
@@ -14,10 +14,10 @@
 // target is a simulated target.
 type target struct {
 	*routing.Target
-	factor     float64
-	prefilling ids.Tokens
-	running    map[planner.JobID]*caller
-	down       bool
+	factor     float64                   // its speed factor
+	prefilling ids.Tokens                // of the prompts of running tries without a first event
+	running    map[planner.JobID]*caller // the tries that run there
+	down       bool                      // stopped by an outage
 }
 
 func (s *simulation) buildTargets() {
@@ -47,6 +47,7 @@
 	s.at(now+clock.Millis(first), func(now clock.Millis) { s.firstEvent(now, c, id) })
 }
 
+// firstEvent records the first event of the try id and schedules its end, unless the try has ended by now.
 func (s *simulation) firstEvent(now clock.Millis, c *caller, id planner.JobID) {
 	if c.id != id || s.running[id] == nil {
 		return
@@ -59,6 +60,8 @@
 	s.at(now+clock.Millis(decode), func(now clock.Millis) { s.finish(now, c, id) })
 }
 
+// finish ends the try id with a complete answer, unless the try has ended by now. The answer is in time if its
+// first event was.
 func (s *simulation) finish(now clock.Millis, c *caller, id planner.JobID) {
 	if c.id != id || s.running[id] == nil {
 		return
--- a/pkg/loadmodel/upper_bound.go
+++ b/pkg/loadmodel/upper_bound.go
@@ -36,7 +36,8 @@
 	return s.result()
 }
 
-// serve gives slot time to callers until it is used up, and returns the callers that got none and the time that is left.
+// serve gives slot time, of which left ms are left, to callers by tier and then shortest run first. It sets the
+// status of those that fit to as, and returns the others, for now refused, and the time that remains.
 func (s *simulation) serve(callers []*caller, left float64, as status) ([]*caller, float64) {
 	slices.SortFunc(callers, func(a, b *caller) int {
 		return cmp.Or(cmp.Compare(a.kind.Tier, b.kind.Tier), cmp.Compare(s.runTime(a), s.runTime(b)))
--- a/pkg/network/faults.go
+++ b/pkg/network/faults.go
@@ -53,10 +53,11 @@
 type Faults struct {
 	mu        sync.Mutex
 	faults    []Fault
-	counts    map[messageKey]int
-	triggered int
+	counts    map[messageKey]int // messages so far, which is the number of the next one
+	triggered int                // messages that a fault was found for
 }
 
+// messageKey identifies the messages that are counted together.
 type messageKey struct {
 	address   string
 	direction Direction
@@ -112,6 +113,7 @@
 	return nil
 }
 
+// faultyConn is the dialling side of a connection that is subject to faults.
 type faultyConn struct {
 	net.Conn
 	faults  *Faults
@@ -119,13 +121,14 @@
 	// sem guards pending and holding. It is a channel because virtual
 	// time does not advance while a goroutine waits for a mutex.
 	sem     chan struct{}
-	pending []byte
-	holding bool
-	once    sync.Once
-	closed  chan struct{}
+	pending []byte        // what was written while holding
+	holding bool          // a write is being delayed, and so are all that follow it
+	once    sync.Once     // closes closed
+	closed  chan struct{} // closed by Close
 }
 
-// Write sends a message, or applies the fault for it.
+// Write sends a message, or applies the fault for it. While an earlier message is delayed, faults of later
+// ones have no effect.
 func (c *faultyConn) Write(p []byte) (int, error) {
 	fault := c.faults.nextFault(c.address, Request)
 	c.sem <- struct{}{}
@@ -197,6 +200,7 @@
 	return c.Conn.Close()
 }
 
+// breakOff closes the connection and returns errBroken.
 func (c *faultyConn) breakOff() error {
 	_ = c.Close()
 	return errBroken
--- a/pkg/network/memory.go
+++ b/pkg/network/memory.go
@@ -10,15 +10,15 @@
 	"github.com/juju/errors"
 )
 
-// backlog is how many connections may wait to be accepted.
+// backlog is how many connections may wait to be accepted. Further calls of Dial wait.
 const backlog = 1024
 
 // Memory is a network inside one process, for tests. Its connections buffer as
 // a kernel's do and work in the virtual time of testing/synctest. It is safe for concurrent use.
 type Memory struct {
-	mu        sync.Mutex
-	listeners map[string]*memoryListener
-	wrap      WrapFunc
+	mu        sync.Mutex                 // guards listeners
+	listeners map[string]*memoryListener // by address; a closed one stays until it is replaced
+	wrap      WrapFunc                   // may be nil
 }
 
 // WrapFunc may replace the dialling side of a new connection to address, to
@@ -79,9 +79,9 @@
 
 type memoryListener struct {
 	address memoryAddr
-	pending chan net.Conn
-	closed  chan struct{}
-	once    sync.Once
+	pending chan net.Conn // connections not yet accepted
+	closed  chan struct{} // closed by Close
+	once    sync.Once     // of Close
 }
 
 // Accept returns the next connection.
--- a/pkg/network/memory_conn.go
+++ b/pkg/network/memory_conn.go
@@ -16,15 +16,15 @@
 // virtual time.
 type stream struct {
 	mu            sync.Mutex
-	changed       sync.Cond
-	data          []byte
-	ended         bool // the writer has closed it
-	broken        bool // the reader has closed it
+	changed       sync.Cond // of mu; any change of the fields below
+	data          []byte    // written and not yet read
+	ended         bool      // the writer has closed it
+	broken        bool      // the reader has closed it
 	readDeadline  deadline
 	writeDeadline deadline
 }
 
-// deadline is the read or write deadline of one side.
+// deadline is the read or write deadline of one side. The mutex of its stream guards it.
 type deadline struct {
 	expired    bool
 	timer      *time.Timer
@@ -37,6 +37,8 @@
 	return s
 }
 
+// read waits for data, the end, or the read deadline. After the writer has closed the stream it returns what is
+// left, then io.EOF.
 func (s *stream) read(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,6 +59,8 @@
 	return n, nil
 }
 
+// write waits until all of p is buffered. It fails if either side closes the stream or the write deadline
+// expires, and returns how much was buffered by then.
 func (s *stream) write(p []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,6 +116,7 @@
 	s.changed.Broadcast()
 }
 
+// expire marks d as expired unless it was set anew since its timer started.
 func (s *stream) expire(d *deadline, generation int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/network/network.go
+++ b/pkg/network/network.go
@@ -27,7 +27,7 @@
 }
 
 // The probes detect a peer that does not answer within about 2.5 s; userTimeout does so while
-// sent bytes are unacknowledged.
+// sent bytes are unacknowledged, when the kernel sends no probes.
 const (
 	probeAfter  = time.Second
 	probeEvery  = 500 * time.Millisecond
@@ -46,6 +46,7 @@
 	}
 }
 
+// setUserTimeout makes the kernel close a connection whose sent bytes stay unacknowledged for userTimeout.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var setErr error
 	err := raw.Control(func(descriptor uintptr) {
--- a/pkg/settings/check.go
+++ b/pkg/settings/check.go
@@ -15,6 +15,7 @@
 // lower tiers. Entries rely on a refusal for half of this time.
 const minFloorHold = 2 * clock.Second
 
+// exporters are the values of trace.exporter.
 var exporters = []string{"none", "file", "otlp"}
 
 // Check returns one error that names every fault with its path, or nil.
@@ -44,6 +45,7 @@
 	return f.Err("settings")
 }
 
+// positive records a fault at path unless value is above 0.
 func positive[N ~int | ~int64](f *declaration.Faults, path string, value N) {
 	f.Unless(value > 0, path, "must be above 0")
 }
--- a/pkg/settings/load.go
+++ b/pkg/settings/load.go
@@ -10,7 +10,7 @@
 	"github.com/juju/errors"
 )
 
-// UnmarshalJSON decodes strictly; fields that the document lacks get their defaults.
+// UnmarshalJSON rejects unknown fields; fields that the document lacks get their defaults.
 func (e *Entry) UnmarshalJSON(document []byte) error {
 	type plain Entry
 	filled := plain(DefaultEntry())
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// UnmarshalJSON decodes strictly; fields that the document lacks get their defaults.
+// UnmarshalJSON rejects unknown fields; fields that the document lacks get their defaults.
 func (a *Agent) UnmarshalJSON(document []byte) error {
 	type plain Agent
 	filled := plain(DefaultAgent())
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -49,7 +49,8 @@
 	File string `json:"file,omitempty"`
 	// Endpoint is the base URL for "otlp".
 	Endpoint string `json:"endpoint,omitempty"`
-	// Ratio is the fraction of requests that are traced, from 0 to 1.
+	// Ratio is the fraction of requests that are traced, from 0 to 1. An entry draws it for each request, and
+	// agents follow its choice.
 	Ratio float64 `json:"ratio"`
 }
 
--- a/pkg/telemetry/metrics.go
+++ b/pkg/telemetry/metrics.go
@@ -46,6 +46,7 @@
 	return m
 }
 
+// group publishes an empty map of counters under name in m.
 func (m *Metrics) group(name string) *expvar.Map {
 	group := new(expvar.Map).Init()
 	m.root.Set(name, group)
@@ -59,6 +60,7 @@
 	SysBytes   uint64 `json:"sys_bytes"`
 }
 
+// memory returns a memoryState, as expvar.Func wants it.
 func memory() any {
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/pkg/telemetry/prometheus.go
+++ b/pkg/telemetry/prometheus.go
@@ -24,7 +24,8 @@
 type Request struct {
 	Service string
 	Account string
-	Tier    int
+	// Tier is the rank of the request's tier.
+	Tier int
 	// Outcome is "answered", "answered_late", or the reason why there was no answer.
 	Outcome string
 	// First is the time to the first event or answer, 0 without one. Held is how
@@ -45,18 +46,19 @@
 	}
 }
 
-// Add increments the counter of a name and one label value.
+// Add increments by one the counter quaydock_NAME_total of one label value.
 func (m *PrometheusMetrics) Add(name, label, value string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf("quaydock_%s_total{%s=%q}", name, label, value)).Inc()
 }
 
-// Gauge registers a function that is called for the value on each read of the metrics.
+// Gauge registers a function that is called for the value of quaydock_NAME on each read of the metrics. It
+// panics if the name is already registered.
 func (m *PrometheusMetrics) Gauge(name string, value func() float64) {
 	m.set.NewGauge("quaydock_"+name, value)
 }
 
-// LabelledGauge registers a function that is called for the value of a name and one label value on
-// each read of the metrics. A second function for the same name and label value is ignored.
+// LabelledGauge registers a function that is called on each read of the metrics for the value of quaydock_NAME
+// with the label set to labelled. A second function for the same name and label value is ignored.
 func (m *PrometheusMetrics) LabelledGauge(name, label, labelled string, value func() float64) {
 	m.set.GetOrCreateGauge(fmt.Sprintf("quaydock_%s{%s=%q}", name, label, labelled), value)
 }
--- a/pkg/telemetry/queued_writer.go
+++ b/pkg/telemetry/queued_writer.go
@@ -11,8 +11,8 @@
 // blocks: when the queue is full, the line is dropped and counted.
 type QueuedWriter struct {
 	lines    chan []byte
-	dropped  atomic.Int64
-	finished sync.WaitGroup
+	dropped  atomic.Int64   // lines dropped since run last reported them
+	finished sync.WaitGroup // run
 }
 
 // queueCapacity is how many lines may wait, which is about what the sampler lets
@@ -37,6 +37,7 @@
 	return len(line), nil
 }
 
+// run writes the queued lines until Close. Before the next line it reports how many were dropped.
 func (w *QueuedWriter) run(out io.Writer) {
 	for line := range w.lines {
 		if n := w.dropped.Swap(0); n > 0 {
--- a/pkg/telemetry/sampler.go
+++ b/pkg/telemetry/sampler.go
@@ -13,11 +13,11 @@
 type Sampler struct {
 	clock clock.Clock
 	log   *logrus.Entry
-	limit int
+	limit int // lines of each kind in a second
 
-	mu     sync.Mutex
-	second clock.Millis
-	counts map[string]int
+	mu     sync.Mutex     // guards all below
+	second clock.Millis   // the number of the current second of the clock, not a time in ms
+	counts map[string]int // lines in that second, by kind
 }
 
 // NewSampler returns a sampler that lets up to limit lines of each kind through in
@@ -38,7 +38,8 @@
 	return s.counts[kind] <= s.limit
 }
 
-// reportDropped logs how many lines were dropped and resets the counts.
+// reportDropped logs how many lines of each kind were dropped in the second before and resets the counts. The
+// caller holds mu.
 func (s *Sampler) reportDropped() {
 	dropped := logrus.Fields{}
 	for kind, n := range s.counts {
--- a/pkg/telemetry/tracing.go
+++ b/pkg/telemetry/tracing.go
@@ -18,15 +18,17 @@
 	"quaydock/pkg/settings"
 )
 
+// tracerName is the name of the tracer and of the service in the exported spans.
 const tracerName = "quaydock"
 
+// traceParentKey is the key of the W3C trace context in a propagation carrier.
 const traceParentKey = "traceparent"
 
 // Tracing creates spans and exports them as the settings determine.
 type Tracing struct {
 	Tracer   trace.Tracer
-	provider *sdktrace.TracerProvider
-	file     *os.File
+	provider *sdktrace.TracerProvider // nil without an exporter
+	file     *os.File                 // nil unless spans go to a file
 }
 
 // NewTracing opens the configured exporter. Without one, spans are discarded.
@@ -52,6 +54,7 @@
 	return t, nil
 }
 
+// open returns the configured exporter, or nil if there is none. It sets t.file for the exporter "file".
 func (t *Tracing) open(ctx context.Context, s settings.Trace) (sdktrace.SpanExporter, error) {
 	switch s.Exporter {
 	case "file":
