--- a/pkg/ablation/ablation.go
+++ b/pkg/ablation/ablation.go
@@ -12,28 +12,51 @@
 
 //go:generate stringer -type=Mechanism -linecomment -output=mechanism_string.go
 
-// The mechanisms.
+// The mechanisms, each with what it does. The name at the end of the line is that which Parse reads.
 const (
-	PlannerHome    Mechanism = iota // planner-home
-	TierFloor                       // tier-floor
-	LateFloor                       // late-floor
-	ShortFirst                      // short-first
-	FirstTry                        // first-try
-	EarlyRefusal                    // early-refusal
-	Moves                           // moves
-	SetAside                        // set-aside
-	Disturbance                     // disturbance
-	InTime                          // in-time
-	DomainCost                      // domain-cost
-	Learned                         // learned
-	QuotaHomes                      // quota-homes
-	TierKeep                        // tier-keep
-	OneReader                       // one-reader
-	PeerNews                        // peer-news
-	QuickGreetings                  // quick-greetings
-	KeyTrust                        // key-trust
-	Resumption                      // resumption
-	Retries                         // retries
+	// PlannerHome: the planner at a service's owner assigns its requests. Without it each entry does so by what
+	// it alone knows.
+	PlannerHome Mechanism = iota // planner-home
+	// TierFloor: after a refusal, lower tiers wait for a while.
+	TierFloor // tier-floor
+	// LateFloor: after the refusal of a first try, late requests of the same tier wait for a while.
+	LateFloor // late-floor
+	// ShortFirst: a planner's queue has requests with short runs first.
+	ShortFirst // short-first
+	// FirstTry: a request's objective runs from the caller's first try, not from the present one.
+	FirstTry // first-try
+	// EarlyRefusal: a request is refused as soon as it will probably be late.
+	EarlyRefusal // early-refusal
+	// Moves: a request that waits for its first event on a stuck target is sent to another one.
+	Moves // moves
+	// SetAside: targets that fail or are stuck are ejected.
+	SetAside // set-aside
+	// Disturbance: the choice of a target takes into account by how much a prompt delays the streams there.
+	Disturbance // disturbance
+	// InTime: a request that can be in time only gets targets on which it will probably be.
+	InTime // in-time
+	// DomainCost: a target in another failure domain than the request's costs more.
+	DomainCost // domain-cost
+	// Learned: planners take over the estimates of others.
+	Learned // learned
+	// QuotaHomes: the owner of an account meters it. Without it each entry does so by its own share.
+	QuotaHomes // quota-homes
+	// TierKeep: requests of lower tiers leave a part of their account's burst to higher ones.
+	TierKeep // tier-keep
+	// OneReader: the feed reader reads a table for all entries. Without it each entry reads for itself.
+	OneReader // one-reader
+	// PeerNews: entries query others for feed states and rows.
+	PeerNews // peer-news
+	// QuickGreetings: some changes of membership are told by an early heartbeat.
+	QuickGreetings // quick-greetings
+	// KeyTrust: unless the limit on revoked keys is strict, an entry that holds its membership lease uses keys
+	// for longer without a confirmation.
+	KeyTrust // key-trust
+	// Resumption: a broken-off stream is resumed at another target if its route allows that.
+	Resumption // resumption
+	// Retries: a request whose exchange failed is sent again.
+	Retries // retries
+	// count is the number of mechanisms.
 	count
 )
 
@@ -52,7 +75,7 @@
 	return list
 }
 
-// Parse parses a list of mechanism names, separated by commas.
+// Parse parses a list of mechanism names, separated by commas. Empty names are skipped; an unknown one is an error.
 func Parse(names string) (Set, error) {
 	var s Set
 	for name := range strings.SplitSeq(names, ",") {
@@ -68,6 +91,7 @@
 	return s, nil
 }
 
+// named returns the mechanism of a name, and whether there is one.
 func named(name string) (Mechanism, bool) {
 	for m := range count {
 		if m.String() == name {
--- a/pkg/capacity/deployment_size.go
+++ b/pkg/capacity/deployment_size.go
@@ -4,8 +4,8 @@
 
 // DeploymentSize is the size of a deployment with its load, and the budget for control traffic and state.
 type DeploymentSize struct {
-	VMs               int
-	Engines           int
+	VMs               int // with an entry each
+	Engines           int // with an agent each
 	RequestsPerSecond float64
 	TokensPerSecond   float64
 	Tiers             int
@@ -15,7 +15,7 @@
 	// The budget of one VM for control, as opposed to the request path.
 	ControlCore  float64 // fraction of a core
 	ControlBytes float64 // bytes per second
-	ControlMB    float64
+	ControlMB    float64 // memory, in megabytes
 }
 
 // RequiredSize is the size that the users expect to reach in about two years.
--- a/pkg/capacity/page.go
+++ b/pkg/capacity/page.go
@@ -21,13 +21,13 @@
 // Measured holds all measurements that the tables of the page are made from.
 type Measured struct {
 	Path        PathCosts
-	Choose      Slope
-	Decide      Slope
-	Tickets     Slope
-	Fates       Slope
-	IndexMemory Slope
-	IndexBytes  Slope
-	IndexTime   Slope
+	Choose      Slope   // ns to order candidate targets, by their number
+	Decide      Slope   // ns to place and withdraw a ticket, by the number of waiting tickets
+	Tickets     Slope   // bytes at an agent, by the number of waiting tickets
+	Fates       Slope   // bytes at an agent, by the number of grants whose fate is kept
+	IndexMemory Slope   // bytes of an indexed configuration, by targets
+	IndexBytes  Slope   // bytes of a configuration as sent, by targets
+	IndexTime   Slope   // ns to parse, check and index a configuration, by targets
 	Change      float64 // bytes of the change of one target as sent
 	Sessions    sessionCosts
 }
@@ -76,10 +76,12 @@
 	return m.fleetTable(size) + "\n" + m.roleTables(size) + "\n" + m.slopeTable()
 }
 
+// slopes returns all slopes in the order of their table.
 func (m Measured) slopes() []Slope {
 	return []Slope{m.Choose, m.Decide, m.Tickets, m.Fates, m.IndexMemory, m.IndexBytes, m.IndexTime, m.Sessions.Tickets, m.Sessions.Memory}
 }
 
+// slopeTable lists the points and the fitted line of each slope.
 func (m Measured) slopeTable() string {
 	var b strings.Builder
 	b.WriteString("## Slopes\n\nLeast squares through the points; R² says how straight they lie.\n\n")
--- a/pkg/capacity/roles.go
+++ b/pkg/capacity/roles.go
@@ -14,7 +14,7 @@
 	// headerBytes are the TCP and IP headers of a message and of its reply, one packet each. Acknowledgements are
 	// sent with them.
 	headerBytes       = 2 * 40
-	percent           = 100
+	percent           = 100 // times a fraction
 	nanosecond        = 1e-9
 	microsecond       = 1e-6
 	ticketsPerRequest = 2 // settings entry.tickets_per_request
@@ -63,6 +63,7 @@
 	return m.entryTable(t) + "\n" + m.agentTable(t) + "\n" + m.platformTable(t)
 }
 
+// roleHead is the head of each role's table.
 const roleHead = "| what | figure | mechanism |\n| --- | --- | --- |\n"
 
 func (m Measured) entryTable(t DeploymentSize) string {
--- a/pkg/capacity/sessions.go
+++ b/pkg/capacity/sessions.go
@@ -16,7 +16,7 @@
 	"quaydock/pkg/testbed"
 )
 
-// countingConn counts the bytes of a connection in both directions.
+// countingConn adds the bytes of a connection, in both directions, to a counter that connections may share.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -46,7 +46,7 @@
 	Poll float64
 }
 
-// measureSessions measures the sessions of a real agent on an in-memory network.
+// measureSessions measures the sessions of a real agent on an in-memory network, in real time.
 func measureSessions() (sessionCosts, error) {
 	bed, err := testbed.Start(testbed.Options{
 		Engines: []settings.EngineStandIn{{Model: testbed.Model}}, Slots: 1,
@@ -82,6 +82,7 @@
 	return countingConn{Conn: conn, bytes: n.bytes}, nil
 }
 
+// measurePoll returns the mean size of a read of the head row with its answer, in bytes.
 func measurePoll(inner network.Network) (float64, error) {
 	var count atomic.Int64
 	const timeout = 5 * clock.Second
@@ -96,6 +97,7 @@
 	return float64(count.Load()) / polls, nil
 }
 
+// dial opens a session with the test bed's agent and adds its bytes to count.
 func dial(inner network.Network, count *atomic.Int64) (*control.Client, error) {
 	conn, err := inner.Dial(context.Background(), testbed.ControlAddress(0))
 	if err != nil {
@@ -104,6 +106,7 @@
 	return control.NewClient(countingConn{Conn: conn, bytes: count}), nil
 }
 
+// measureMessages measures the bytes of an empty Notices call, and of Place calls by their number of tickets.
 func measureMessages(inner network.Network) (notices float64, tickets Slope, err error) {
 	var count atomic.Int64
 	client, err := dial(inner, &count)
@@ -145,6 +148,7 @@
 	return notices, tickets, err
 }
 
+// measureSessionMemory measures the memory of sessions, by their number.
 func measureSessionMemory(inner network.Network) (Slope, error) {
 	var failure error
 	slope := sweep("memory of sessions, both sides together", "bytes", []int{50, 200, 800}, func(n int) float64 {
@@ -157,6 +161,7 @@
 	return slope, failure
 }
 
+// sessionMemory returns by how many bytes n sessions, each with a Notices call under way, grow the memory in use.
 func sessionMemory(inner network.Network, n int) (float64, error) {
 	before := memoryInUse()
 	var count atomic.Int64
@@ -185,6 +190,8 @@
 	return memoryInUse() - before, nil
 }
 
+// memoryInUse returns the bytes of the live heap and of stacks. The second collection frees what sync.Pool keeps over
+// the first.
 func memoryInUse() float64 {
 	var stats runtime.MemStats
 	runtime.GC()
--- a/pkg/capacity/slopes.go
+++ b/pkg/capacity/slopes.go
@@ -30,7 +30,7 @@
 // Slope is a straight line fitted to points by least squares.
 type Slope struct {
 	Name   string
-	Unit   string
+	Unit   string // of costs
 	Points []Point
 	// The line is cost = Base + PerUnit × size. RSquared is its coefficient of determination.
 	Base, PerUnit, RSquared float64
@@ -39,6 +39,7 @@
 // At returns the cost at a size according to the line.
 func (s Slope) At(size float64) float64 { return s.Base + s.PerUnit*size }
 
+// fitLine returns the slope through points, of which there must be two or more of different sizes.
 func fitLine(name, unit string, points []Point) Slope {
 	var sizes, costs []float64
 	for _, p := range points {
@@ -61,7 +62,7 @@
 	return fitLine(name, unit, points)
 }
 
-// nanoseconds returns the mean time of one operation.
+// nanoseconds returns the mean time of one operation, in nanoseconds.
 func nanoseconds(operation func()) float64 {
 	r := testing.Benchmark(func(b *testing.B) {
 		for b.Loop() {
@@ -72,7 +73,7 @@
 }
 
 // liveBytes returns by how many bytes build grows the live heap. The result of build stays reachable until the
-// measurement is over.
+// measurement is over. Two collections each time free what sync.Pool keeps over one.
 func liveBytes(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -98,8 +99,10 @@
 	})
 }
 
+// service is the service of all tickets.
 const service ids.Service = "m"
 
+// newGate returns a gate with one slot, whose limits neither decline a ticket nor forget a grant while it is measured.
 func newGate() *gate.Gate {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -109,6 +112,7 @@
 	return g
 }
 
+// ticketNumber returns the i-th ticket. Accounts and tiers take turns in the numbers of RequiredSize.
 func ticketNumber(i int) control.Ticket {
 	return control.Ticket{
 		Request: ids.Request(fmt.Sprintf("%032d", i)), Service: service,
@@ -116,6 +120,7 @@
 	}
 }
 
+// fill places n tickets, of which the first is granted and the others wait.
 func fill(g *gate.Gate, n int) {
 	for i := range n {
 		g.Place(0, 1, ticketNumber(i))
@@ -192,8 +197,10 @@
 	return set
 }
 
+// indexSizes are the numbers of targets at which configurations are measured.
 var indexSizes = []int{100, 400, 1600}
 
+// mustIndex indexes a set made by declarationSet.
 func mustIndex(set declaration.Set) *declaration.Index {
 	index, err := declaration.NewIndex(1, set)
 	if err != nil {
--- a/pkg/ctl/apply.go
+++ b/pkg/ctl/apply.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	commandTimeout = 30 * time.Second
+	commandTimeout = 30 * time.Second // for all calls of a command to the table
 	tableTimeout   = 5 * clock.Second // for one call
 )
 
@@ -83,6 +83,7 @@
 	describeItems(out, "placement", c.Set.Placements, func(p declaration.Placement) any { return fmt.Sprintf("%s on %s", p.Service, p.Target) }, c.Removed.Placements)
 }
 
+// describeItems prints the changed and then the removed declarations of one kind, one per line.
 func describeItems[T, K any](out io.Writer, kind string, changed []T, name func(T) any, removed []K) {
 	for _, item := range changed {
 		report(out, fmt.Sprintf("  + %s %v", kind, name(item)))
--- a/pkg/ctl/bound.go
+++ b/pkg/ctl/bound.go
@@ -41,6 +41,7 @@
 	return writeBound(out, loadmodel.Simulate(load, loadmodel.Observer{}), loadmodel.UpperBound(load))
 }
 
+// writeBound prints the results of the simulation and of the upper bound by kind, and their sums.
 func writeBound(out io.Writer, played, bound loadmodel.Result) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "kind\tasked\tin time\tlate\trefused\trefused again\tlost\tearned\tbound\tnet\t")
@@ -57,6 +58,7 @@
 	return nil
 }
 
+// percent formats n as a percentage of a total, 0.0% if both are 0.
 func percent(n, of int) string {
 	const hundred = 100
 	return fmt.Sprintf("%.1f%%", hundred*float64(n)/float64(max(1, of)))
--- a/pkg/ctl/ctl.go
+++ b/pkg/ctl/ctl.go
@@ -13,10 +13,10 @@
 
 // Exit codes of quayctl.
 const (
-	ExitOK      = 0
-	ExitFailed  = 1
-	ExitUsage   = 2
-	ExitInvalid = 3
+	ExitOK      = 0 // also after -help
+	ExitFailed  = 1 // the command failed while it ran
+	ExitUsage   = 2 // the command line is invalid
+	ExitInvalid = 3 // a document that the command read is invalid
 )
 
 // errUsage marks an invalid command line.
@@ -29,7 +29,9 @@
 type command struct {
 	name    string
 	summary string
-	run     func(ctx context.Context, args []string, out, errs io.Writer) error
+	// run gets the arguments after the command's name. Usage and faults of flags are written to errs; run's
+	// own error is reported by Main.
+	run func(ctx context.Context, args []string, out, errs io.Writer) error
 }
 
 func commands() []command {
@@ -73,6 +75,8 @@
 	_, _ = fmt.Fprintln(to, line)
 }
 
+// dispatch runs the command that args name. Without a known one it lists all commands on errs and returns an error
+// that wraps errUsage.
 func dispatch(ctx context.Context, args []string, out, errs io.Writer) error {
 	if len(args) > 0 {
 		for _, c := range commands() {
--- a/pkg/ctl/history.go
+++ b/pkg/ctl/history.go
@@ -28,6 +28,7 @@
 	})
 }
 
+// showChanges prints the last historyShown changes. Revision 1 is not among them, as no change made it.
 func showChanges(ctx context.Context, out io.Writer, table *table.Table, state table.State) error {
 	report(out, fmt.Sprintf("revision %d is the newest", state.Head.Revision))
 	for r := state.Head.Revision; r > max(1, state.Head.Revision-historyShown); r-- {
--- a/pkg/ctl/quarantine.go
+++ b/pkg/ctl/quarantine.go
@@ -58,6 +58,7 @@
 	return nil
 }
 
+// writeQuarantine prints the requests in quarantine with the targets that ended under them.
 func writeQuarantine(out io.Writer, reports []quarantine.Report) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "digest\taccount\troute\tfor\tmay run in\tended targets") // Flush returns write errors
--- a/pkg/ctl/rollout.go
+++ b/pkg/ctl/rollout.go
@@ -35,6 +35,7 @@
 	return nil
 }
 
+// writeRollout prints one report. Only the entry that evaluates a roll-out knows what is still missing.
 func writeRollout(out io.Writer, r *rollout.Report) error {
 	report(out, fmt.Sprintf("%s to %s: %s", r.Service, r.Version, r.State))
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
--- a/pkg/ctl/status.go
+++ b/pkg/ctl/status.go
@@ -18,6 +18,7 @@
 	"quaydock/pkg/operators"
 )
 
+// statusTimeout limits a command's calls to a process's operators' address. The time given by -wait is added.
 const statusTimeout = 5 * time.Second
 
 // status prints readiness and metrics of one process, and for an entry on the platform also the advice of its targets
@@ -51,7 +52,8 @@
 	return showDomains(ctx, *at, out)
 }
 
-// showDomains prints the failure domains that are drained or have cold targets. Only entries on the platform report them.
+// showDomains prints the failure domains that are drained or have cold targets. Only entries on the platform report
+// them.
 func showDomains(ctx context.Context, at string, out io.Writer) error {
 	reports, _, err := fetchFromEntry[domains.Report](ctx, at, operators.PathDomains)
 	if err != nil {
@@ -68,8 +70,8 @@
 	return nil
 }
 
-// showAdvice prints the targets that are leaving, backed off or limited by their own report. Only entries on the platform
-// report them.
+// showAdvice prints the targets that are leaving, backed off or limited by their own report. Only entries on the
+// platform report them.
 func showAdvice(ctx context.Context, at string, out io.Writer) error {
 	targets, known, err := fetchFromEntry[advisory.Report](ctx, at, operators.PathAdvice)
 	if err != nil {
@@ -93,7 +95,8 @@
 	return nil
 }
 
-// fetchFromEntry fetches a list that only entries on the platform serve. known is false for other processes.
+// fetchFromEntry fetches a list that only entries on the platform serve. known is false, without an error, if the
+// status of the answer is not 200, as with other processes.
 func fetchFromEntry[T any](ctx context.Context, at, path string) (reports []T, known bool, err error) {
 	code, document, err := get(ctx, at, path)
 	if err != nil || code != http.StatusOK {
@@ -130,6 +133,7 @@
 	}
 }
 
+// get reads a path of a process's operators' address. An answer of any status is no error.
 func get(ctx context.Context, at, path string) (code int, body []byte, err error) {
 	request, err := sling.New().Base("http://" + at).Get(path).Request()
 	if err != nil {
@@ -147,7 +151,7 @@
 	return response.StatusCode, body, nil
 }
 
-// fetchList fetches a JSON list from a process's operators' address.
+// fetchList fetches a JSON list from a process's operators' address within statusTimeout.
 func fetchList[T any](ctx context.Context, at, path string) ([]T, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
--- a/pkg/experiment/result.go
+++ b/pkg/experiment/result.go
@@ -11,29 +11,33 @@
 )
 
 const (
-	maxFirstTokenMS = 600_000
-	significant     = 3
-	percent         = 100
+	maxFirstTokenMS = 600_000 // longer times count as this one
+	significant     = 3       // digits of the times in histograms
+	percent         = 100     // times a fraction
 )
 
 // Result is the outcome of a scenario under one policy.
 type Result struct {
 	Scenario  string
 	Policy    string
-	tierOrder []ids.Tier
+	tierOrder []ids.Tier // as they first occur in the scenario's classes
 	Tiers     map[ids.Tier]*TierResult
-	Refusals  map[string]int
+	Refusals  map[string]int // by error code and ending, as "code (ending)"
 	// ComputedPrompt is the number of prompt tokens that engines computed, NeededPrompt the number that the complete
 	// answers needed if every shared text were computed once.
 	ComputedPrompt, NeededPrompt int
-	Violations                   int
+	// Violations counts requests that ran more than once, that ran although their caller was told that they did
+	// not, or that got an answer which is not their own. Each should be 0.
+	Violations int
 }
 
 // TierResult is the outcome for the requests of one tier.
 type TierResult struct {
+	// Offered counts the requests that were sent, InTime those with a complete answer within the deadline, and
+	// OfferedTokens and InTimeTokens the tokens of the answers that they asked for.
 	Offered, InTime             int
 	OfferedTokens, InTimeTokens int
-	// FirstTokenMS is the time until the engine made the first token, in milliseconds.
+	// FirstTokenMS is the time from the sending of a request until the engine made the first token, in milliseconds.
 	FirstTokenMS *hdrhistogram.Histogram
 }
 
@@ -84,6 +88,7 @@
 	return b.String()
 }
 
+// row formats the results of one policy as a row of Table.
 func (r *Result) row() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "| %s |", r.Policy)
--- a/pkg/experiment/run.go
+++ b/pkg/experiment/run.go
@@ -23,7 +23,8 @@
 	lateBinding = "late-binding"
 	// unlimitedSlots is the slot count of targets under a baseline policy: there the engine queues requests itself.
 	unlimitedSlots = 1 << 20
-	settleTime     = 5 * clock.Second
+	// settleTime is the time from the start of the test bed to that of the workload.
+	settleTime = 5 * clock.Second
 )
 
 // run is the execution of one scenario under one policy.
@@ -31,13 +32,14 @@
 	scenario     Scenario
 	policy       string
 	bed          *testbed.Bed
-	callers      []*testbed.Caller
+	callers      []*testbed.Caller // one for each entry
 	result       *Result
-	mu           sync.Mutex
-	countedTexts map[sharedText]bool
+	mu           sync.Mutex          // guards result and countedTexts
+	countedTexts map[sharedText]bool // those that NeededPrompt includes
 }
 
-// Run runs a scenario under a policy. It sleeps for the duration of the scenario: call it in virtual time.
+// Run runs a scenario under a policy and returns when every request has ended. It sleeps for the duration of the
+// scenario: call it in virtual time.
 func Run(s Scenario, policy string, seed uint64) (*Result, error) {
 	r := &run{scenario: s, policy: policy, result: newResult(&s, policy), countedTexts: make(map[sharedText]bool)}
 	if err := r.start(seed); err != nil {
@@ -55,6 +57,7 @@
 	return r.result, nil
 }
 
+// start starts the test bed. A baseline policy sends one ticket per request, as it has chosen one target.
 func (r *run) start(seed uint64) error {
 	engines := r.scenario.engines()
 	bed, err := testbed.Start(testbed.Options{
@@ -78,6 +81,7 @@
 	return nil
 }
 
+// setSlots gives targets as many slots as their engine's batch under late binding, else unlimitedSlots.
 func (r *run) setSlots(set *declaration.Set, engines []settings.EngineStandIn) {
 	for i := range set.Targets {
 		set.Targets[i].Slots = unlimitedSlots
@@ -117,6 +121,7 @@
 	}
 }
 
+// send sends the i-th request and records its answer.
 func (r *run) send(i int, a arrival) {
 	class := &r.scenario.Classes[a.class]
 	header := http.Header{
@@ -129,6 +134,8 @@
 	r.record(a, answer, start, time.Since(start))
 }
 
+// record counts an answer in the results of its tier. A request that ran more than once, one that ran although its
+// caller was told that it did not, and an answer that is not the request's own are violations.
 func (r *run) record(a arrival, answer testbed.Answer, start time.Time, took time.Duration) {
 	class := &r.scenario.Classes[a.class]
 	r.mu.Lock()
@@ -177,11 +184,13 @@
 }
 
 const (
+	// bytesPerToken is the length of a prompt's token in the stand-in engine.
 	bytesPerToken = 4
 	// chatOverheadBytes is by how much the chat format lengthens a prompt.
 	chatOverheadBytes = len(`[{"role":"user","content":" request 1000 "}]`)
 )
 
+// recordFirstToken records the time from start to the first token of a request, if any engine generated one.
 func (r *run) recordFirstToken(t *TierResult, request string, start time.Time) {
 	for _, e := range r.bed.Engines {
 		if at, found := e.FirstToken(request); found {
@@ -192,6 +201,7 @@
 	}
 }
 
+// finish adds up the prompt tokens that the engines computed.
 func (r *run) finish() {
 	for _, e := range r.bed.Engines {
 		r.result.ComputedPrompt += e.Computed()
--- a/pkg/experiment/scenario.go
+++ b/pkg/experiment/scenario.go
@@ -16,8 +16,9 @@
 
 // Scenario describes one experiment. The files in examples/experiments have its JSON form.
 type Scenario struct {
-	Name       string       `json:"name"`
-	Entries    int          `json:"entries"`
+	Name    string `json:"name"`
+	Entries int    `json:"entries"`
+	// DurationMS is the time within which requests arrive.
 	DurationMS clock.Millis `json:"duration_ms"`
 	// Load is the offered work as a fraction of the capacity of all engines.
 	Load    float64       `json:"load"`
@@ -26,7 +27,7 @@
 	Events  []Event       `json:"events,omitempty"`
 }
 
-// EngineGroup is a number of identical engines.
+// EngineGroup is a number of identical engines. All fields but Count are those of settings.EngineStandIn.
 type EngineGroup struct {
 	Count          int          `json:"count"`
 	StepMS         clock.Millis `json:"step_ms"`
@@ -37,11 +38,13 @@
 
 // Class is a class of requests.
 type Class struct {
-	Tier    ids.Tier    `json:"tier"`
+	Tier ids.Tier `json:"tier"`
+	// Account has no effect: all requests are those of the test bed's only client account.
 	Account ids.Account `json:"account"`
 	// Fraction is the weight of the class among all requests; the sum need not be 1.
-	Fraction    float64 `json:"share"`
-	PromptBytes int     `json:"prompt_bytes"`
+	Fraction float64 `json:"share"`
+	// PromptBytes is the length of a prompt, without the text that numbers it.
+	PromptBytes int `json:"prompt_bytes"`
 	// The first SharedBytes of a prompt are one of SharedTexts different texts.
 	SharedBytes int `json:"shared_bytes,omitempty"`
 	SharedTexts int `json:"families,omitempty"`
@@ -52,6 +55,7 @@
 
 // Event changes the deployment while the workload runs.
 type Event struct {
+	// AtMS is the time since the start of the workload.
 	AtMS clock.Millis `json:"at_ms"`
 	// The event affects the engines from index FirstEngine up to but excluding EndEngine.
 	FirstEngine int `json:"first"`
--- a/pkg/experiment/workload.go
+++ b/pkg/experiment/workload.go
@@ -11,11 +11,11 @@
 
 // arrival is one request of a workload.
 type arrival struct {
-	class     int
-	at        clock.Millis
-	tokens    int
-	entry     int
-	textIndex int // index of the shared text that the prompt begins with; -1 if none
+	class     int          // index in Scenario.Classes
+	at        clock.Millis // since the start of the workload
+	tokens    int          // length of the answer
+	entry     int          // index of the entry that it is sent to
+	textIndex int          // index of the shared text that the prompt begins with; -1 if none
 }
 
 // arrivals draws the requests of a scenario: a Poisson process in time, with exponentially distributed answer
@@ -32,7 +32,7 @@
 	return list
 }
 
-// drawSharedText draws which of the shared texts of its class a prompt begins with.
+// drawSharedText draws the index of the class's shared text that a prompt begins with, -1 if the class has none.
 func drawSharedText(random *rand.Rand, c *Class) int {
 	if c.SharedTexts == 0 {
 		return -1
@@ -49,7 +49,7 @@
 	return shared + fmt.Sprint(" request ", i, " ") + strings.Repeat("x", c.PromptBytes-c.SharedBytes)
 }
 
-// drawClass draws a class with probability proportional to its fraction.
+// drawClass draws the index of a class with probability proportional to its fraction.
 func drawClass(random *rand.Rand, classes []Class) int {
 	total := 0.0
 	for _, c := range classes {
--- a/pkg/ids/ids.go
+++ b/pkg/ids/ids.go
@@ -49,6 +49,7 @@
 // Request identifies one caller's request: 128 random bits in hexadecimal.
 type Request string
 
+// requestBytes is the length of a request id before its hexadecimal encoding.
 const requestBytes = 16
 
 // NewRequest returns a random request id.
@@ -64,6 +65,7 @@
 // less than a second.
 type Incarnation uint64
 
+// incarnationRandomBits is the number of low bits of an Incarnation that are random; the start time is above them.
 const incarnationRandomBits = 16
 
 // NewIncarnation composes the number of the start time in milliseconds and 16
@@ -79,7 +81,7 @@
 // agent. The zero value means no grant.
 type Grant struct {
 	Agent    Incarnation
-	Sequence uint64
+	Sequence uint64 // the number of the grant among those of its agent's incarnation
 }
 
 // String returns the form used in headers: incarnation and sequence number in
--- a/pkg/invariant/checker.go
+++ b/pkg/invariant/checker.go
@@ -31,6 +31,7 @@
 	c.violated(name, fmt.Sprintf(detail, args...))
 }
 
+// violated counts and logs a violation. It does not return in strict mode.
 func (c *Checker) violated(name Name, detail string) {
 	c.counts.Add(name.String(), 1)
 	c.log.WithField("invariant", name.String()).Error(detail)
@@ -39,7 +40,7 @@
 	}
 }
 
-// stop ends the process. It panics in a goroutine of its own, since net/http and
+// stop ends the process and does not return. It panics in a goroutine of its own, since net/http and
 // net/rpc would recover from a panic in a handler and carry on.
 func stop(message string) {
 	go panic(message)
--- a/pkg/load/generator.go
+++ b/pkg/load/generator.go
@@ -19,28 +19,30 @@
 )
 
 const (
-	maxLatency        = time.Minute
-	significantDigits = 3
-	maxRequests       = 5_000_000
+	maxLatency        = time.Minute // longer latencies count as this one
+	significantDigits = 3           // of the latencies in histograms
+	maxRequests       = 5_000_000   // of one plan
 )
 
 // Plan describes the requests to send.
 type Plan struct {
-	URL         string
-	Key         string
+	URL         string // of a loopback address
+	Key         string // the API key
 	Model       string
-	Requests    int
-	Concurrency int
-	MaxTokens   int
+	Requests    int // in total
+	Concurrency int // number of concurrent callers
+	MaxTokens   int // of each answer
 	PromptBytes int
 	Stream      bool
 }
 
 // Result holds the measurements. Latencies are in microseconds.
 type Result struct {
-	Requests  int64
-	Failed    int64
-	Elapsed   time.Duration
+	Requests int64 // sent, including failed ones
+	Failed   int64 // without a complete answer of status 200
+	Elapsed  time.Duration
+	// Latency is the time to the end of each answer that did not fail, FirstByte that to the first byte of each
+	// body that began.
 	Latency   *hdrhistogram.Histogram
 	FirstByte *hdrhistogram.Histogram
 }
@@ -66,7 +68,8 @@
 	return nil
 }
 
-// Run sends the load. Each of the concurrent callers sends one request after the other.
+// Run sends the load. Each of the concurrent callers sends one request after the other. The end of ctx ends the load
+// early; failed requests are counted and give no error.
 func Run(ctx context.Context, p Plan) (*Result, error) {
 	if err := p.Check(); err != nil {
 		return nil, fmt.Errorf("checking the plan: %w", err)
@@ -88,19 +91,22 @@
 	return g.merge(callers, time.Since(start)), nil
 }
 
+// body returns the body that all requests share.
 func (p *Plan) body() []byte {
 	prompt := bytes.Repeat([]byte("x"), p.PromptBytes)
 	return fmt.Appendf(nil, `{"model":%q,"stream":%v,"max_tokens":%d,"messages":[{"role":"user","content":"%s"}]}`,
 		p.Model, p.Stream, p.MaxTokens, prompt)
 }
 
+// generator is what the callers share.
 type generator struct {
 	plan      Plan
 	body      []byte
-	remaining int64
+	remaining int64 // requests that no caller has taken yet, below 0 at the end; accessed atomically
 	client    *http.Client
 }
 
+// merge adds up the measurements of all callers.
 func (g *generator) merge(callers []*caller, elapsed time.Duration) *Result {
 	r := &Result{Elapsed: elapsed, Latency: newHistogram(), FirstByte: newHistogram()}
 	for _, c := range callers {
@@ -121,16 +127,19 @@
 	buffer       []byte
 }
 
+// readBytes is how much of an answer one read takes at most.
 const readBytes = 16 << 10
 
 func newCaller(g *generator) *caller {
 	return &caller{generator: g, latency: newHistogram(), firstByte: newHistogram(), buffer: make([]byte, readBytes)}
 }
 
+// newHistogram returns a histogram of latencies from 1 µs to maxLatency.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, maxLatency.Microseconds(), significantDigits)
 }
 
+// run sends requests until all are taken or ctx ends.
 func (c *caller) run(ctx context.Context) {
 	for atomic.AddInt64(&c.remaining, -1) >= 0 && ctx.Err() == nil {
 		c.sent++
@@ -140,6 +149,7 @@
 	}
 }
 
+// call sends a request and reads the answer to its end. It fails unless the status is 200.
 func (c *caller) call(ctx context.Context) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.plan.URL, bytes.NewReader(c.body))
 	if err != nil {
--- a/pkg/losses/losses.go
+++ b/pkg/losses/losses.go
@@ -42,16 +42,19 @@
 // suppressed.
 type Loss struct {
 	// At is when the request arrived at its entry, or for suppressed lines when their summary was logged.
-	At           time.Time
-	Cause        string
-	Tier         string
-	Account      string
-	Entry        ids.Process
-	Domain       ids.FailureDomain
+	At    time.Time
+	Cause string // of a late answer with latePrefix
+	Tier  string // the rank in decimal, or unknown
+	// Account may be unknown.
+	Account string
+	// Entry is the process that logged the loss, and Domain its failure domain, or unknown.
+	Entry  ids.Process
+	Domain ids.FailureDomain
+	// PromptTokens is 0 if the line does not have them.
 	PromptTokens ids.Tokens
 	// RefusedBefore tells whether the caller repeated a request that had been refused before.
 	RefusedBefore bool
-	// Count is 1, or the number of suppressed lines.
+	// Count is the number of requests: 1, or the number of suppressed lines.
 	Count int
 }
 
@@ -84,6 +87,7 @@
 	return found
 }
 
+// lossesOf returns the losses that one log line tells of, without their entry and failure domain.
 func lossesOf(l requestlog.Line) []Loss {
 	switch l.Text(requestlog.FieldMessage) {
 	case messageRefused:
@@ -98,7 +102,8 @@
 	return nil
 }
 
-// requestLoss returns the loss described by the log line of one request.
+// requestLoss returns the loss described by the log line of one request. The line was written when the request
+// ended, held_ms after its arrival.
 func requestLoss(l requestlog.Line, cause string) Loss {
 	held, _ := l.Number(fieldHeld)
 	prompt, _ := l.Number(fieldPrompt)
--- a/pkg/losses/plot.go
+++ b/pkg/losses/plot.go
@@ -69,6 +69,7 @@
 	return nil
 }
 
+// ticks returns the labels of the x axis, each with the time at which its window begins.
 func (t *Table) ticks() []plot.Tick {
 	step := len(t.Counts)/maxLabels + 1
 	var ticks []plot.Tick
--- a/pkg/losses/table.go
+++ b/pkg/losses/table.go
@@ -11,9 +11,9 @@
 
 // Table holds the number of losses for each time window and cause.
 type Table struct {
-	Start  time.Time
-	Window time.Duration
-	Causes []string // the most frequent first
+	Start  time.Time     // a multiple of Window, as time.Time.Truncate has it
+	Window time.Duration // the length of each window
+	Causes []string      // the most frequent first
 	// Counts is indexed by window, then by cause as in Causes.
 	Counts [][]int
 }
@@ -55,10 +55,12 @@
 
 // subtotal adds up the losses that share one value of a grouping.
 type subtotal struct {
-	count, refusedBefore int
-	promptTokens         int64
+	count         int
+	refusedBefore int   // those whose caller had been refused before
+	promptTokens  int64 // of those whose log line was not suppressed
 }
 
+// subtotals adds up losses by their key.
 func subtotals(list []Loss, key func(Loss) string) map[string]*subtotal {
 	found := make(map[string]*subtotal)
 	for _, l := range list {
--- a/pkg/operators/port.go
+++ b/pkg/operators/port.go
@@ -13,12 +13,16 @@
 	"quaydock/pkg/refusal"
 )
 
+// headerTimeout limits the reading of a request's head.
 const headerTimeout = 5 * clock.Second
 
 // Paths that the port serves.
 const (
-	PathHealth  = "/healthz"
-	PathReady   = "/readyz"
+	// PathHealth answers 204 as long as the process runs.
+	PathHealth = "/healthz"
+	// PathReady answers 204 if the process accepts work, else with the refusal that says why not.
+	PathReady = "/readyz"
+	// PathMetrics returns all counters as JSON, in expvar's format.
 	PathMetrics = "/debug/vars"
 	// PathRollouts returns what a process knows of roll-outs. Entries on the platform serve it, on
 	// the port of the metrics.
@@ -67,7 +71,7 @@
 	return &Port{Common: c, address: address, server: server}
 }
 
-// Start listens and serves requests in the background.
+// Start listens and serves requests in the background until Close. It fails if the address cannot be listened on.
 func (p *Port) Start() error {
 	listener, err := p.Network.Listen(p.address)
 	if err != nil {
--- a/pkg/random/backoff.go
+++ b/pkg/random/backoff.go
@@ -12,7 +12,7 @@
 	source   *Source
 	shortest clock.Millis
 	longest  clock.Millis
-	next     clock.Millis
+	next     clock.Millis // the next wait, before jitter
 }
 
 // NewBackoff returns a backoff whose waits grow from shortest to longest.
@@ -20,7 +20,7 @@
 	return &Backoff{source: s, shortest: shortest, longest: longest, next: shortest}
 }
 
-// Pause waits before the next try, with jitter, or returns early when ctx ends.
+// Pause waits before the next try, for half of the wait at least (Jitter), or returns early when ctx ends.
 func (b *Backoff) Pause(ctx context.Context) {
 	clock.Pause(ctx, b.source.Jitter(b.next))
 	b.next = min(2*b.next, b.longest)
--- a/pkg/random/source.go
+++ b/pkg/random/source.go
@@ -11,7 +11,7 @@
 
 // Source generates random values. It is safe for concurrent use.
 type Source struct {
-	mu        sync.Mutex
+	mu        sync.Mutex // guards generator, which is not safe for concurrent use
 	generator *rand.Rand
 }
 
@@ -31,14 +31,14 @@
 }
 
 // Jitter returns a random duration from half of wait to wait, so that many
-// processes do not retry at the same time.
+// processes do not retry at the same time. The wait must not be negative.
 func (s *Source) Jitter(wait clock.Millis) clock.Millis {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return wait/2 + clock.Millis(s.generator.Int64N(int64(wait/2)+1))
 }
 
-// UpTo returns a random duration from 0 to longest, inclusive.
+// UpTo returns a random duration from 0 to longest, inclusive. It panics if longest is negative.
 func (s *Source) UpTo(longest clock.Millis) clock.Millis {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/settings/check.go
+++ b/pkg/settings/check.go
@@ -12,7 +12,8 @@
 )
 
 // minFloorHold is the shortest time for which a refusal of a tier also rejects
-// lower tiers. Entries rely on a refusal for half of this time.
+// lower tiers. It must be above the time for which entries rely on a refusal, which is half of it
+// (declineValidity of package entry).
 const minFloorHold = 2 * clock.Second
 
 // exporters are the values of trace.exporter.
--- a/pkg/standin/batch.go
+++ b/pkg/standin/batch.go
@@ -4,6 +4,8 @@
 	"time"
 )
 
+// begin queues a new sequence and starts run if it is not running. Without a step time it generates the whole answer
+// at once, counts no prompt tokens and records no first token.
 func (e *Engine) begin(s *sequence) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -39,14 +41,15 @@
 	}
 }
 
+// stepTime returns the time of the next step, slowdown included.
 func (e *Engine) stepTime() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.settings.StepMS.Duration() * time.Duration(e.slowdown)
 }
 
-// admit moves queued sequences into the batch until it is full; e.mu is
-// held.
+// admit moves queued sequences into the batch until it is full, without the cached prefix of their prompts, and drops
+// aborted ones. The caller holds e.mu.
 func (e *Engine) admit() {
 	for len(e.queued) > 0 && (e.settings.MaxBatch == 0 || len(e.active) < e.settings.MaxBatch) {
 		if !e.queued[0].ended() {
@@ -58,6 +61,8 @@
 	}
 }
 
+// step prefills at most PrefillPerStep tokens, in the order of admission, and generates a token for each sequence
+// whose prompt is prefilled. It reports whether sequences remain; if none do, run is to end.
 func (e *Engine) step() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -83,6 +88,8 @@
 	return e.stepping
 }
 
+// recordFirstToken records, once for each request id, when its prompt was prefilled, and caches that prompt. The
+// caller holds e.mu.
 func (e *Engine) recordFirstToken(s *sequence) {
 	if _, found := e.firstTokens[s.id]; !found {
 		e.firstTokens[s.id] = time.Now()
--- a/pkg/standin/engine.go
+++ b/pkg/standin/engine.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	defaultMaxTokens = 16
-	bytesPerToken    = 4
+	defaultMaxTokens = 16 // of a call that sets no max_tokens
+	bytesPerToken    = 4  // of a prompt
 	// maxSequences limits the sequences kept for resuming their answers.
 	maxSequences = 1 << 16
 )
@@ -32,19 +32,19 @@
 	settings settings.EngineStandIn
 
 	mu          sync.Mutex
-	active      []*sequence
-	queued      []*sequence
-	slowdown    int // factor by which steps take longer
-	firstTokens map[string]time.Time
-	computed    int // prompt tokens computed
+	active      []*sequence          // the batch
+	queued      []*sequence          // waiting for room in the batch, in order of arrival
+	slowdown    int                  // factor by which steps take longer
+	firstTokens map[string]time.Time // by request id
+	computed    int                  // prompt tokens computed
 	cache       *promptCache
-	sequences   map[string]*sequence
-	order       []string
-	runs        map[string]int
-	retryAfter  time.Duration // if above 0, all calls are rejected with this Retry-After
+	sequences   map[string]*sequence // kept for resuming their answers, by request id
+	order       []string             // the request ids of these calls, the oldest first; at most maxSequences
+	runs        map[string]int       // calls that were not rejected, by request id
+	retryAfter  time.Duration        // if above 0, all calls are rejected with this Retry-After
 	rejected    int
-	stepping    bool
-	steps       sync.WaitGroup
+	stepping    bool           // run is running
+	steps       sync.WaitGroup // run
 }
 
 // NewEngine returns an idle engine.
@@ -91,7 +91,7 @@
 }
 
 // FirstToken returns when the engine generated the first token of a request's
-// answer, and whether it has done so.
+// answer, and whether it has done so. An engine without a step time records none.
 func (e *Engine) FirstToken(request string) (time.Time, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -99,14 +99,14 @@
 	return at, found
 }
 
-// Runs returns how often the engine received a request.
+// Runs returns how often the engine received a request, without rejected calls.
 func (e *Engine) Runs(request string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs[request]
 }
 
-// AllRuns returns how often the engine received each request, by request id.
+// AllRuns returns how often the engine received each request, without rejected calls, by request id.
 func (e *Engine) AllRuns() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -145,6 +145,7 @@
 	return strconv.FormatUint(xxhash.Sum64(body), 16)
 }
 
+// complete answers a call for a completion. A call without a request id has the empty one.
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -176,12 +177,14 @@
 	s.serve(w, 0, http.StatusOK)
 }
 
+// find returns the sequence of the request in a call's path, or nil.
 func (e *Engine) find(r *http.Request) *sequence {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.sequences[r.PathValue("id")]
 }
 
+// resume sends an answer again from the byte on that the Range header names.
 func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
 	s := e.find(r)
 	text, _ := strings.CutPrefix(r.Header.Get("Range"), "bytes=")
@@ -194,6 +197,7 @@
 	s.serve(w, offset, http.StatusPartialContent)
 }
 
+// cancel aborts the answer of a request; an unknown request is no error.
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
 	if s := e.find(r); s != nil {
 		s.abort()
--- a/pkg/standin/prompt_cache.go
+++ b/pkg/standin/prompt_cache.go
@@ -16,6 +16,7 @@
 	blocks *lru.Cache[uint64, struct{}]
 }
 
+// newPromptCache returns a cache of so many prompt tokens, or nil if that is less than a block.
 func newPromptCache(tokens int) *promptCache {
 	if tokens < cacheBlockTokens {
 		return nil
@@ -38,7 +39,7 @@
 	return chain
 }
 
-// cachedTokens returns the length of the cached prefix of a prompt.
+// cachedTokens returns the length of the cached prefix of a prompt in tokens. Its blocks count as used.
 func (c *promptCache) cachedTokens(chain []uint64) int {
 	if c == nil {
 		return 0
@@ -51,6 +52,7 @@
 	return len(chain) * cacheBlockTokens
 }
 
+// add caches all blocks of a prompt, evicting those that were not used for longest.
 func (c *promptCache) add(chain []uint64) {
 	if c == nil {
 		return
--- a/pkg/standin/sequence.go
+++ b/pkg/standin/sequence.go
@@ -9,30 +9,31 @@
 
 // sequence is one request in the engine.
 type sequence struct {
-	prefill   int
+	prefill   int      // tokens of the prompt still to be prefilled; guarded by the engine's mutex
 	blocks    []uint64 // of the prompt
-	remaining int
+	remaining int      // tokens still to be generated; guarded by mu, as is generated
 	generated int
 	stream    bool
-	usage     bool // whether a stream ends with its token usage
-	prompt    int  // tokens of the prompt
-	id        string
+	usage     bool   // whether a stream ends with its token usage
+	prompt    int    // tokens of the prompt
+	id        string // of the request
 	text      string // the first token, which identifies the request
 
-	mu      sync.Mutex
-	changed sync.Cond
-	out     []byte
-	done    bool
+	mu      sync.Mutex // taken after the engine's, if both are held
+	changed sync.Cond  // of mu; any change of the fields below
+	out     []byte     // the body of the answer so far
+	done    bool       // the answer is complete or aborted
 	aborted bool
 }
 
+// ended reports whether the answer is complete or aborted.
 func (s *sequence) ended() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.done
 }
 
-// emit generates the next token.
+// emit generates the next token. It does nothing once the answer is complete or aborted.
 func (s *sequence) emit() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,6 +51,8 @@
 	s.changed.Broadcast()
 }
 
+// write appends a token to the body of the answer, with what precedes the first one and follows the last one. The
+// caller holds mu.
 func (s *sequence) write(token string) {
 	if s.stream {
 		s.writeChunk(token)
@@ -81,7 +84,8 @@
 	s.out = append(s.out, "data: [DONE]\n\n"...)
 }
 
-// serve sends the answer from offset on.
+// serve sends the answer from byte offset on, as it is generated if it is a stream, else once it is complete. If the
+// answer is aborted it panics with http.ErrAbortHandler, which closes the connection.
 func (s *sequence) serve(w http.ResponseWriter, offset int, status int) {
 	if s.stream {
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -110,7 +114,7 @@
 	}
 }
 
-// waitFrom waits for bytes from offset on; end reports whether they are the last.
+// waitFrom waits for bytes from offset on; end reports whether they are the last. It panics as serve does.
 func (s *sequence) waitFrom(offset int) (p []byte, end bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,6 +127,7 @@
 	return s.out[offset:], s.done
 }
 
+// abort breaks off the answer unless it is complete.
 func (s *sequence) abort() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/standin/service.go
+++ b/pkg/standin/service.go
@@ -10,7 +10,7 @@
 // Service is a plain service that echoes each call. It is safe for concurrent use.
 type Service struct {
 	mu   sync.Mutex
-	runs map[string]int
+	runs map[string]int // calls received, by request id
 }
 
 // Echo is the answer of a Service: the call as it was received.
--- a/pkg/standin/table.go
+++ b/pkg/standin/table.go
@@ -66,6 +66,7 @@
 	return t.down
 }
 
+// read answers with a row, or with 404 if there is none.
 func (t *Table) read(w http.ResponseWriter, r *http.Request) {
 	key := table.Key(strings.TrimPrefix(r.URL.Path, table.PathRows))
 	t.mu.Lock()
@@ -83,6 +84,7 @@
 	_ = json.NewEncoder(w).Encode(row)
 }
 
+// commit commits the transaction in the body of a call, and answers 409 if a condition does not hold.
 func (t *Table) commit(w http.ResponseWriter, r *http.Request) {
 	var transaction table.Transaction
 	if err := json.NewDecoder(r.Body).Decode(&transaction); err != nil {
@@ -94,7 +96,8 @@
 	}
 }
 
-// Commit applies a transaction and reports whether all of its conditions held.
+// Commit applies a transaction if all of its conditions hold, and reports whether they did. A row that does not exist
+// has version 0.
 func (t *Table) Commit(transaction table.Transaction) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/testbed/bed.go
+++ b/pkg/testbed/bed.go
@@ -24,9 +24,9 @@
 
 // Names and addresses of a testbed.
 const (
-	Key          = "test-key"
-	Model        = "chart-small"
-	PlainService = "depths"
+	Key          = "test-key"    // the API key of the only client account
+	Model        = "chart-small" // the model of all engines, and the service that they are placed for
+	PlainService = "depths"      // the service of the plain target
 	TableAddress = "10.0.0.1:80"
 )
 
@@ -51,7 +51,7 @@
 	Entries int
 	Engines []settings.EngineStandIn
 	Plain   bool
-	Slots   int
+	Slots   int // of each target; 0 means 1
 	// CoalesceMS is the agents' setting. 0 sends each token in a message of its own, which gives faults the most
 	// messages to affect.
 	CoalesceMS clock.Millis
@@ -60,7 +60,8 @@
 	Faults *network.Faults
 	// Wrap may replace the dialling side of connections; it is ignored if Faults is set.
 	Wrap network.WrapFunc
-	// Adjust may change the settings of a process before it is built.
+	// Adjust may change the settings of a process before it is built, also of one that StartAgent or StartEntry
+	// builds later.
 	Adjust func(*settings.Settings)
 	// Declare may change the declarations before they are stored.
 	Declare func(*declaration.Set)
@@ -73,15 +74,15 @@
 	Network *network.Memory
 	Table   *standin.Table
 	Engines []*standin.Engine
-	Plain   *standin.Service
+	Plain   *standin.Service // nil unless Options.Plain is set
 	Entries []*app.Process
-	Agents  []*app.Process
+	Agents  []*app.Process // beside the target of the same index
 	options Options
-	servers []*http.Server
+	servers []*http.Server // of the table, then of the targets in their order
 }
 
 // Start builds and starts a testbed. Its processes share nothing but the memory of
-// the Go process.
+// the Go process. If it fails, what it has started keeps running.
 func Start(o Options) (*Bed, error) {
 	if o.Logs == nil {
 		o.Logs = io.Discard
@@ -114,6 +115,7 @@
 	return b, nil
 }
 
+// targets returns the number of targets.
 func (b *Bed) targets() int {
 	n := len(b.options.Engines)
 	if b.options.Plain {
@@ -122,6 +124,7 @@
 	return n
 }
 
+// startTargets serves the table and the targets.
 func (b *Bed) startTargets() error {
 	if err := b.serve(TableAddress, b.Table.Handler()); err != nil {
 		return err
@@ -140,6 +143,7 @@
 	return b.serve(TargetAddress(len(b.options.Engines)), b.Plain)
 }
 
+// serve serves handler at address until Close.
 func (b *Bed) serve(address string, handler http.Handler) error {
 	listener, err := b.Network.Listen(address)
 	if err != nil {
@@ -151,7 +155,7 @@
 	return nil
 }
 
-// Declarations returns the declarations that the testbed starts with.
+// Declarations returns the declarations that the testbed starts with, changed by Options.Declare.
 func (b *Bed) Declarations() declaration.Set {
 	sum := sha256.Sum256([]byte(Key))
 	set := declaration.Set{
@@ -188,6 +192,7 @@
 	return set
 }
 
+// declare stores the declarations as the first revision.
 func (b *Bed) declare() error {
 	transaction, err := table.FirstRevision(b.Declarations())
 	if err != nil {
@@ -197,6 +202,7 @@
 	return nil
 }
 
+// startProcess starts a process with the settings that all share, changed first by fill and then by Options.Adjust.
 func (b *Bed) startProcess(name string, fill func(*settings.Settings)) (*app.Process, error) {
 	s := settings.Default()
 	s.Process = ids.Process(name)
@@ -220,7 +226,8 @@
 	return p, nil
 }
 
-// StartAgent starts an agent beside target i and takes over the addresses of an earlier one.
+// StartAgent starts an agent beside target i and takes over the addresses of an earlier one. Agents stays as it is, so
+// that Close does not close the new one.
 func (b *Bed) StartAgent(i int) (*app.Process, error) {
 	return b.startProcess(fmt.Sprintf("agent-%d", i+1), func(s *settings.Settings) {
 		a := settings.DefaultAgent()
@@ -232,7 +239,8 @@
 	})
 }
 
-// StartEntry starts entry i and takes over the address of an earlier one.
+// StartEntry starts entry i and takes over the address of an earlier one. Entries stays as it is, so that Close does
+// not close the new one.
 func (b *Bed) StartEntry(i int) (*app.Process, error) {
 	return b.startProcess(fmt.Sprintf("entry-%d", i+1), func(s *settings.Settings) {
 		e := settings.DefaultEntry()
--- a/pkg/testbed/caller.go
+++ b/pkg/testbed/caller.go
@@ -36,12 +36,12 @@
 // Answer is what a caller received.
 type Answer struct {
 	Ending  Ending
-	Request string
-	Status  int
-	Code    string
-	Retry   string
-	Body    string
-	Tokens  int
+	Request string // the id that the entry gave the request
+	Status  int    // 0 if no answer began
+	Code    string // the error code of a refusal
+	Retry   string // the Retry-After header
+	Body    string // what arrived of it, or the error if no answer began
+	Tokens  int    // counted by Chat in a whole answer of status 200
 }
 
 // Caller sends requests to one entry, as an OpenAI client does.
@@ -70,13 +70,14 @@
 	return answer
 }
 
-// Do makes one call. It does not check the content of a complete body.
+// Do makes one call with Key. It does not check the content of a complete body. A call that got no answer ends as
+// Truncated.
 func (c *Caller) Do(ctx context.Context, method, path, body string, header http.Header) Answer {
 	call, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader([]byte(body)))
 	if err != nil {
 		return Answer{Ending: Truncated, Body: err.Error()}
 	}
-	call.GetBody = nil
+	call.GetBody = nil // else net/http may repeat the call on its own
 	call.Header.Set("Authorization", "Bearer "+Key)
 	for name, values := range header {
 		call.Header[name] = values
@@ -89,6 +90,8 @@
 	return read(response)
 }
 
+// read reads a response to its end. Its Ending is Complete unless the body is truncated or the outcome header says
+// otherwise.
 func read(response *http.Response) Answer {
 	body, err := io.ReadAll(response.Body)
 	answer := Answer{
@@ -113,6 +116,7 @@
 	return answer
 }
 
+// errorCode returns the error code in a refusal's body, empty if there is none.
 func errorCode(body []byte) string {
 	var envelope struct {
 		Error struct {
