--- a/pkg/ablation/ablation_test.go
+++ b/pkg/ablation/ablation_test.go
@@ -7,6 +7,7 @@
 	"quaydock/pkg/ablation"
 )
 
+// TestParseReadsEveryMechanism checks that each mechanism's name switches off that mechanism and no other.
 func TestParseReadsEveryMechanism(t *testing.T) {
 	for _, m := range ablation.All() {
 		s, err := ablation.Parse(m.String())
--- a/pkg/ctl/quarantine_test.go
+++ b/pkg/ctl/quarantine_test.go
@@ -21,10 +21,10 @@
 	}}
 	scenarios := []struct {
 		name    string
-		reports []quarantine.Report
-		args    []string
-		code    int
-		want    []string
+		reports []quarantine.Report // of the entry
+		args    []string            // after the address
+		code    int                 // the exit code
+		want    []string            // parts of the output or of the errors
 	}{
 		{"none", nil, nil, ctl.ExitOK, []string{"no request is held back"}},
 		{"one", held, nil, ctl.ExitOK, []string{digest.String(), "acme", "chat", "61 s", "4 s", "t1 t2"}},
--- a/pkg/ctl/rollout_test.go
+++ b/pkg/ctl/rollout_test.go
@@ -15,8 +15,8 @@
 func TestRolloutPrintsReports(t *testing.T) {
 	scenarios := []struct {
 		name    string
-		reports []rollout.Report
-		want    []string
+		reports []rollout.Report // of the entry
+		want    []string         // parts of the output
 	}{
 		{"none", nil, []string{"no roll-out is known"}},
 		{"at the entry that evaluates it", []rollout.Report{{
--- a/pkg/ctl/status_test.go
+++ b/pkg/ctl/status_test.go
@@ -18,8 +18,8 @@
 	scenarios := []struct {
 		name    string
 		reports []advisory.Report // nil if the process does not serve the path
-		want    []string
-		without string
+		want    []string          // parts of the output
+		without string            // must not be in the output
 	}{
 		{"a process without targets", nil, []string{" ready", `{"links":{}}`}, "own word"},
 		{"no advice", []advisory.Report{}, []string{"no target leaves or rests"}, "in the list"},
@@ -59,8 +59,8 @@
 	scenarios := []struct {
 		name    string
 		reports []domains.Report
-		want    string
-		without string
+		want    string // part of the output
+		without string // must not be in the output
 	}{
 		{"drained", []domains.Report{{Domain: "d1", Drained: true, Targets: 17}}, "failure domain d1 is drained: its 17 targets", "cold"},
 		{"cold", []domains.Report{{Domain: "d2", Targets: 5, Cold: 3}}, "failure domain d2: 3 of 5 targets are cold", "drained"},
--- a/pkg/declaration/change_test.go
+++ b/pkg/declaration/change_test.go
@@ -36,6 +36,8 @@
 	})
 }
 
+// drawSet draws a set with one to three tiers and some of four targets, with the placements of these. It need not pass
+// Set.Check.
 func drawSet(r *rapid.T) declaration.Set {
 	var s declaration.Set
 	for i := range rapid.IntRange(1, 3).Draw(r, "tiers") {
--- a/pkg/declaration/check_test.go
+++ b/pkg/declaration/check_test.go
@@ -15,8 +15,8 @@
 	}
 	scenarios := []struct {
 		name   string
-		change func(string) string
-		fault  string // empty: valid
+		change func(string) string // of the example declarations
+		fault  string              // what the error must contain; empty if the changed declarations are valid
 	}{
 		{"example declarations", func(s string) string { return s }, ""},
 		{"unknown tier of an account", replace(`"default_tier": "summary"`, `"default_tier": "none"`), `accounts[0].default_tier: unknown tier "none"`},
@@ -40,6 +40,7 @@
 	}
 }
 
+// replace returns a change of the first occurrence of from.
 func replace(from, to string) func(string) string {
 	return func(s string) string { return strings.Replace(s, from, to, 1) }
 }
--- a/pkg/experiment/experiment_test.go
+++ b/pkg/experiment/experiment_test.go
@@ -44,6 +44,7 @@
 	}
 }
 
+// runOne runs a scenario under a policy in virtual time, and fails the test for violations of invariants.
 func runOne(t *testing.T, s experiment.Scenario, policy string) *experiment.Result {
 	var result *experiment.Result
 	synctest.Test(t, func(t *testing.T) {
--- a/pkg/ids/ids_test.go
+++ b/pkg/ids/ids_test.go
@@ -19,7 +19,7 @@
 	scenarios := []struct {
 		name  string
 		text  string
-		want  ids.Grant
+		want  ids.Grant // zero if the text is not valid
 		valid bool
 	}{
 		{name: "valid", text: "ab-10", want: ids.Grant{Agent: 0xab, Sequence: 16}, valid: true},
--- a/pkg/loadmodel/load_test.go
+++ b/pkg/loadmodel/load_test.go
@@ -11,6 +11,7 @@
 )
 
 func TestInvalidDescriptionsAreRefused(t *testing.T) {
+	// The error must contain says.
 	scenarios := []struct{ name, text, says string }{
 		{"no length", `{"kinds": [{"name": "a", "objective_ms": 1, "deadline_ms": 1}], "targets": [{"count": 1, "slots": 1, "factor": 1}]}`, "length_ms"},
 		{"unknown field", `{"length": 1}`, "unknown field"},
@@ -27,7 +28,8 @@
 	}
 }
 
-// TestExampleLoadIsSimulated simulates the example load of the repository.
+// TestExampleLoadIsSimulated simulates the example load of the repository twice. The results must be equal, and every
+// caller must be counted once.
 func TestExampleLoadIsSimulated(t *testing.T) {
 	file, err := os.Open("../../examples/loads/overload.json")
 	if err != nil {
--- a/pkg/losses/losses_test.go
+++ b/pkg/losses/losses_test.go
@@ -13,6 +13,8 @@
 	"quaydock/pkg/requestlog"
 )
 
+// logs are the lines of two processes, of which only a logged its failure domain. r3 was late and r4 in time; one line
+// tells of suppressed lines, one is no JSON, and one does not concern requests.
 const logs = `  0.0 a {"msg":"started","process":"a","domain":"north","time":"2026-05-10T10:00:00.000Z"}
   2.1 a {"msg":"request not answered","process":"a","request":"r1","cause":"Overloaded","tier":1,"account":"acme","prompt_tokens":100,"held_ms":100,"time":"2026-05-10T10:00:02.100Z"}
   2.2 a {"msg":"request not answered","process":"a","request":"r2","cause":"Overloaded","tier":2,"account":"acme","prompt_tokens":50,"before_ms":900,"held_ms":4,"time":"2026-05-10T10:00:02.200Z"}
@@ -32,6 +34,7 @@
 	return losses.Find(lines)
 }
 
+// at returns the time ms milliseconds after that of the first line.
 func at(ms int) time.Time {
 	return time.Date(2026, 5, 10, 10, 0, 0, ms*int(time.Millisecond), time.UTC)
 }
--- a/pkg/losses/table.go
+++ b/pkg/losses/table.go
@@ -55,9 +55,9 @@
 
 // subtotal adds up the losses that share one value of a grouping.
 type subtotal struct {
-	count         int
-	refusedBefore int   // those whose caller had been refused before
-	promptTokens  int64 // of those whose log line was not suppressed
+	// refusedBefore counts those whose caller had been refused before.
+	count, refusedBefore int
+	promptTokens         int64 // of those whose log line was not suppressed
 }
 
 // subtotals adds up losses by their key.
--- a/pkg/settings/load_test.go
+++ b/pkg/settings/load_test.go
@@ -11,6 +11,7 @@
 	"quaydock/pkg/settings"
 )
 
+// complete is a valid document with nothing but what is required, for an entry.
 const complete = `{"process":"p","failure_domain":"a","operators":{"listen":"127.0.0.1:1"},
 "platform":{"table":"http://127.0.0.1:2"},"entry":{"listen":"127.0.0.1:3"}}`
 
@@ -69,6 +70,7 @@
 	}
 }
 
+// FuzzParse checks that Parse accepts only settings that pass Check, and that its errors are all of kind NotValid.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(complete))
 	example, err := os.ReadFile("../../examples/local/settings.json")
--- a/pkg/telemetry/telemetry_test.go
+++ b/pkg/telemetry/telemetry_test.go
@@ -30,6 +30,8 @@
 	return b.got.Write(p)
 }
 
+// TestQueuedWriterDoesNotBlockItsCallers: the output blocks while 5,000 lines are logged. Write drops what does not fit
+// into the queue of 1,024 lines, and a line tells how many were dropped.
 func TestQueuedWriterDoesNotBlockItsCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &blockedOutput{release: make(chan struct{})}
@@ -55,6 +57,8 @@
 	})
 }
 
+// TestSamplerLimitsEachKindAndReportsDroppedLines: lines of one kind come 1,000 times a second for 3 s, which
+// touch up to four seconds of the clock. At most 10 are allowed in each, and another kind is not affected.
 func TestSamplerLimitsEachKindAndReportsDroppedLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
--- a/pkg/testbed/backoff_test.go
+++ b/pkg/testbed/backoff_test.go
@@ -19,7 +19,7 @@
 	const (
 		backoff = 3 * time.Second
 		calls   = 300
-		each    = 20 * time.Millisecond
+		each    = 20 * time.Millisecond // between the starts of two calls
 	)
 	synctest.Test(t, func(t *testing.T) {
 		bed := startTestbed(t, testbed.Options{Entries: 2, Engines: engines(3), Slots: 2, Seed: 1})
@@ -47,8 +47,8 @@
 	})
 }
 
-// TestAllEnginesBehindAgentsBackOff: while all engines are backed off, a request that cannot wait is refused at once with a
-// Retry-After of the remaining back-off; one that can wait is served after it.
+// TestAllEnginesBehindAgentsBackOff: while all engines are backed off, a request that cannot wait is refused at
+// once with a Retry-After of the remaining back-off; one that can wait is served after it.
 func TestAllEnginesBehindAgentsBackOff(t *testing.T) {
 	const backoff = 4 * time.Second
 	synctest.Test(t, func(t *testing.T) {
--- a/pkg/testbed/breakable_conns_test.go
+++ b/pkg/testbed/breakable_conns_test.go
@@ -11,8 +11,8 @@
 // breakableConns tracks the connections of a testbed. The test can break them, and delay what is written on them.
 type breakableConns struct {
 	mu        sync.Mutex
-	conns     map[string][]net.Conn
-	heldUntil map[string]time.Time // per address, until when writes of the dialling side are delayed
+	conns     map[string][]net.Conn // by address, without those that breakAll has closed
+	heldUntil map[string]time.Time  // per address, until when writes of the dialling side are delayed
 }
 
 func newBreakableConns() *breakableConns {
@@ -46,6 +46,7 @@
 	b.heldUntil[address] = time.Now().Add(length.Duration())
 }
 
+// holdTime returns for how long writes to an address are still to be delayed, 0 or less if not at all.
 func (b *breakableConns) holdTime(address string) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -60,8 +61,8 @@
 	// sem guards the fields below. It is a channel because virtual
 	// time does not advance while a goroutine waits for a mutex.
 	sem     chan struct{}
-	pending []byte
-	holding bool
+	pending []byte // what was written while holding
+	holding bool   // writes are delayed, from the first one in the hold time until release
 }
 
 // Write sends p, or buffers it while writes are delayed, as a kernel does.
--- a/pkg/testbed/breaks_test.go
+++ b/pkg/testbed/breaks_test.go
@@ -20,9 +20,9 @@
 
 var breakSeeds = flag.Uint64("breaks", 20, "number of random series of connection breaks to run")
 
-// TestRandomConnectionBreaks breaks and delays connections between entries, agents and targets, removes targets from the declarations and
-// restores them, and drains and replaces agents, all at random from a seed. The targets work throughout and deadlines are long, so
-// no answer may be truncated and no outcome may be unknown.
+// TestRandomConnectionBreaks breaks and delays connections between entries, agents and targets, removes targets
+// from the declarations and restores them, and drains and replaces agents, all at random from a seed. The targets
+// work throughout and deadlines are long, so no answer may be truncated and no outcome may be unknown.
 func TestRandomConnectionBreaks(t *testing.T) {
 	endings := make(map[testbed.Ending]int)
 	for seed := uint64(1); seed <= *breakSeeds; seed++ {
@@ -38,6 +38,8 @@
 	t.Logf("%d series: %v", *breakSeeds, endings)
 }
 
+// runRandomBreaks runs one series and returns the number of calls by how they ended. Of two calls in three the
+// answer is a stream.
 func runRandomBreaks(t *testing.T, seed uint64) map[testbed.Ending]int {
 	const (
 		targets = 3
@@ -90,13 +92,15 @@
 	return l.all.Write(p)
 }
 
+// String returns all lines so far.
 func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.all.String()
 }
 
-// breakRandomly breaks or delays a connection, or changes the declarations, at random moments.
+// breakRandomly breaks or delays the connections to a random address, removes and restores a target, or replaces an
+// agent, at random moments for a length of time.
 func (s *scenario) breakRandomly(random *rand.Rand, targets int, length time.Duration) {
 	const maxHold = 3 * clock.Second
 	for until := time.Now().Add(length); time.Now().Before(until); {
--- a/pkg/testbed/broken_connections_test.go
+++ b/pkg/testbed/broken_connections_test.go
@@ -12,6 +12,7 @@
 	"quaydock/pkg/testbed"
 )
 
+// engines returns the settings of n engines that generate a token every 4 ms.
 func engines(n int) []settings.EngineStandIn {
 	list := make([]settings.EngineStandIn, n)
 	for i := range list {
@@ -91,8 +92,11 @@
 	}
 }
 
+// maxMessages limits the messages of a link at which its connection is broken.
 const maxMessages = 60
 
+// breakEachMessage applies the fault at message 0, 1 and so on, each time in a new test bed, until it no longer takes
+// effect.
 func breakEachMessage(t *testing.T, fault network.Fault) {
 	endings := make(map[testbed.Ending]int)
 	for fault.Message = 0; fault.Message < maxMessages; fault.Message++ {
@@ -110,6 +114,8 @@
 	}
 }
 
+// breakOnce sends a call while faults are in force, of which one affects the message of that number, and returns how it
+// ended. A call sent 30 s later must be complete. Every second call is a stream.
 func breakOnce(t *testing.T, faults *network.Faults, message int) testbed.Ending {
 	bed, err := testbed.Start(testbed.Options{Entries: 1, Engines: engines(1), Slots: 4, Faults: faults})
 	if err != nil {
--- a/pkg/testbed/claim_test.go
+++ b/pkg/testbed/claim_test.go
@@ -34,6 +34,7 @@
 	return n
 }
 
+// newCallers returns a caller of each entry, in their order.
 func newCallers(t *testing.T, bed *testbed.Bed) []*testbed.Caller {
 	t.Helper()
 	callers := make([]*testbed.Caller, len(bed.Entries))
--- a/pkg/testbed/configuration_test.go
+++ b/pkg/testbed/configuration_test.go
@@ -22,6 +22,7 @@
 	table *table.Table
 }
 
+// newOperator returns an operator with connections to the table of its own.
 func newOperator(t *testing.T, bed *testbed.Bed) *operator {
 	t.Helper()
 	table := table.NewTable(bed.Network, "http://"+testbed.TableAddress, 2*clock.Second)
@@ -29,6 +30,7 @@
 	return &operator{t: t, table: table}
 }
 
+// read returns the newest configuration.
 func (o *operator) read() table.State {
 	o.t.Helper()
 	state, err := o.table.Configuration(context.Background())
@@ -53,6 +55,7 @@
 	return change
 }
 
+// publish publishes a change of the configuration base. It fails if another change came first.
 func (o *operator) publish(base table.State, change declaration.Change) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
@@ -95,8 +98,8 @@
 	})
 }
 
-// TestStaleReadsKeepNewerRevision: an entry whose reads return an old state of the table keeps the newer revision that it
-// has. The program itself checks that no revision goes back.
+// TestStaleReadsKeepNewerRevision: an entry whose reads return an old state of the table keeps the newer revision
+// that it has. The program itself checks that no revision goes back.
 func TestStaleReadsKeepNewerRevision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 4})
@@ -125,8 +128,8 @@
 	})
 }
 
-// TestConcurrentOperators: two operators change the same state at the same moment, and the connection to the table breaks
-// at each message in turn. Exactly one change is made, and each operator gets the true result.
+// TestConcurrentOperators: two operators change the same state at the same moment, and the connection to the table
+// breaks at each message in turn. Exactly one change is made, and each operator gets the true result.
 func TestConcurrentOperators(t *testing.T) {
 	for _, direction := range []network.Direction{network.Request, network.Reply} {
 		for _, effect := range []network.Effect{network.BreakBefore, network.BreakAfter} {
@@ -138,6 +141,8 @@
 	}
 }
 
+// raceOperators has two operators publish different changes of the same state at once. The fault may hit the reading of
+// that state, which is therefore tried up to three times.
 func raceOperators(t *testing.T, faults *network.Faults) {
 	bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 4, Faults: faults})
 	operators := []*operator{newOperator(t, bed), newOperator(t, bed)}
@@ -176,6 +181,7 @@
 }
 
 // TestLateStartReadsSnapshotAndChanges: a process that starts late reads the newest snapshot and the changes since.
+// There is a snapshot of revision 1 and of every 50th after it.
 func TestLateStartReadsSnapshotAndChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(1), Slots: 4})
--- a/pkg/testbed/deadline_test.go
+++ b/pkg/testbed/deadline_test.go
@@ -15,11 +15,13 @@
 	"quaydock/pkg/testbed"
 )
 
-// A write deadline stays on its connection. An entry sets one for the last bytes of an answer. A plain service that ended its answer
-// later than that, without further bytes, had the final chunk written under the expired deadline: the write failed at once, and a
-// caller that was reading saw a truncated answer. It happened 40 s after the last byte but not after 1 s. The tests also check the
-// next call on a connection, on which the old deadline has no effect.
+// A write deadline stays on its connection. An entry sets one for the last bytes of an answer. A plain service
+// that ended its answer later than that, without further bytes, had the final chunk written under the expired
+// deadline: the write failed at once, and a caller that was reading saw a truncated answer. It happened 40 s after
+// the last byte but not after 1 s. The tests also check the next call on a connection, on which the old deadline
+// has no effect.
 
+// afterWriteDeadline is longer than the time limit of a write to a caller, 30 s by default.
 const afterWriteDeadline = 40 * time.Second
 
 // rawCaller is a caller's connection on which the test writes requests itself.
@@ -29,6 +31,7 @@
 	in   *bufio.Reader
 }
 
+// newRawCaller opens a connection to the first entry.
 func newRawCaller(t *testing.T, bed *testbed.Bed) *rawCaller {
 	t.Helper()
 	conn, err := bed.Network.Dial(context.Background(), testbed.EntryAddress(0))
@@ -39,7 +42,7 @@
 	return &rawCaller{t: t, conn: conn, in: bufio.NewReader(conn)}
 }
 
-// send writes the head of a request and its body.
+// send writes a request: its request line without the version, header lines that each end with CRLF, and its body.
 func (r *rawCaller) send(line, header, body string) {
 	r.t.Helper()
 	_, err := fmt.Fprintf(r.conn, "%s HTTP/1.1\r\nHost: entry\r\nAuthorization: Bearer %s\r\n%s\r\n%s", line, testbed.Key, header, body)
@@ -59,16 +62,18 @@
 	return response.StatusCode, string(all), err
 }
 
+// withBody returns the header line for a body.
 func withBody(body string) string {
 	return fmt.Sprintf("Content-Length: %d\r\n", len(body))
 }
 
-// TestConnectionServesAfterWriteDeadline: the second call on a connection is served after the write deadline of the first answer.
+// TestConnectionServesAfterWriteDeadline: the second call on a connection is served after the write deadline of
+// the first answer.
 func TestConnectionServesAfterWriteDeadline(t *testing.T) {
 	const call = `{"model":"chart-small","stream":true,"max_tokens":3,"messages":[]}`
 	cases := []struct {
 		name string
-		next func(*rawCaller)
+		next func(*rawCaller) // sends the second call
 	}{
 		{"chat call", func(r *rawCaller) { r.send("POST /v1/chat/completions", withBody(call), call) }},
 		{"list of models", func(r *rawCaller) { r.send("GET /v1/models", "", "") }},
@@ -105,7 +110,8 @@
 	}
 }
 
-// TestAnswerEndsAfterWriteDeadline: a plain service ends its answer after the write deadline of its last byte. The answer is complete.
+// TestAnswerEndsAfterWriteDeadline: a plain service ends its answer after the write deadline of its last byte. The
+// answer is complete.
 func TestAnswerEndsAfterWriteDeadline(t *testing.T) {
 	for _, pause := range []time.Duration{time.Second, afterWriteDeadline, 2 * time.Minute} {
 		t.Run(fmt.Sprint(pause), func(t *testing.T) {
--- a/pkg/testbed/failure_test.go
+++ b/pkg/testbed/failure_test.go
@@ -33,6 +33,7 @@
 	return bed
 }
 
+// newCaller returns a caller of the first entry.
 func newCaller(t *testing.T, bed *testbed.Bed) *testbed.Caller {
 	t.Helper()
 	caller := testbed.NewCaller(bed.Network, testbed.EntryAddress(0))
@@ -51,6 +52,7 @@
 	return answers
 }
 
+// checkAnswers checks the invariants for each answer and returns the number of answers by how they ended.
 func checkAnswers(t *testing.T, bed *testbed.Bed, answers []testbed.Answer) map[testbed.Ending]int {
 	t.Helper()
 	endings := make(map[testbed.Ending]int)
@@ -152,7 +154,8 @@
 	}
 }
 
-// TestEngineEndsDuringCall: an engine's process ends while it runs a call. The call must not run again at the other engine.
+// TestEngineEndsDuringCall: an engine's process ends while it runs a call. The call must not run again at the
+// other engine.
 //
 // An agent did not distinguish a failed dial for resuming an answer from one for sending the call. It reported
 // the call as never dispatched, and the entry had another engine run it: two runs of one request.
@@ -179,9 +182,10 @@
 	}
 }
 
-// TestConnectionBreaksDuringDial: a target leaves connection attempts unanswered, and the connection between its agent and the
-// entry breaks while the agent, which has dispatched the request, still dials. The agent reports "dispatched" first, and "never
-// dispatched" once it has given up: the entry waits again, and another target serves the call.
+// TestConnectionBreaksDuringDial: a target leaves connection attempts unanswered, and the connection between its
+// agent and the entry breaks while the agent, which has dispatched the request, still dials. The agent reports
+// "dispatched" first, and "never dispatched" once it has given up: the entry waits again, and another target
+// serves the call.
 func TestConnectionBreaksDuringDial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		conns := newBreakableConns()
--- a/pkg/testbed/grant_test.go
+++ b/pkg/testbed/grant_test.go
@@ -24,6 +24,7 @@
 	data    *http.Client
 }
 
+// newAgentClient opens a session with the agent of the first target.
 func newAgentClient(t *testing.T, net network.Network) *agentClient {
 	t.Helper()
 	conn, err := net.Dial(context.Background(), testbed.ControlAddress(0))
@@ -38,6 +39,7 @@
 	return c
 }
 
+// requestGrant places a ticket and returns the agent's verdict on it.
 func (c *agentClient) requestGrant(id ids.Request) control.Verdict {
 	c.t.Helper()
 	ticket := control.Ticket{Request: id, Service: testbed.Model, Remaining: 10_000, Decode: 10}
@@ -60,7 +62,8 @@
 	return response.StatusCode, response.Header.Get(control.HeaderFate)
 }
 
-// begin sends a request body under a grant and returns the open response.
+// begin sends a request body under a grant and returns the open response. The answer is a stream if it has more
+// than three tokens.
 func (c *agentClient) begin(id ids.Request, grant ids.Grant, tokens int) *http.Response {
 	c.t.Helper()
 	body := fmt.Sprintf(`{"model":"chart-small","stream":%t,"max_tokens":%d}`, tokens > 3, tokens)
@@ -75,6 +78,7 @@
 	return c.send(http.MethodGet, control.PathAnswer, id, grant, "", http.Header{control.HeaderOffset: {fmt.Sprint(offset)}})
 }
 
+// send calls a path of the agent's data port for a request and its grant.
 func (c *agentClient) send(method, path string, id ids.Request, grant ids.Grant, body string, header http.Header) *http.Response {
 	c.t.Helper()
 	call, err := http.NewRequest(method, "http://"+testbed.DataAddress(0)+path, strings.NewReader(body))
@@ -91,6 +95,7 @@
 	return response
 }
 
+// fate queries the agent for the outcome of a grant.
 func (c *agentClient) fate(id ids.Request, grant ids.Grant) control.Fate {
 	c.t.Helper()
 	reply, err := c.control.Outcome(context.Background(), &control.OutcomeArgs{Request: id, Grant: grant})
@@ -108,10 +113,10 @@
 		name string
 		// between runs between the grant and the dispatch that is checked.
 		between func(t *testing.T, c *agentClient, bed *testbed.Bed, grant ids.Grant)
-		as      ids.Request
-		status  int
-		fate    string
-		runs    int
+		as      ids.Request // the request that the checked dispatch names
+		status  int         // of that dispatch
+		fate    string      // that the agent reports with it; empty for none
+		runs    int         // of both requests together, at the engine
 	}{
 		{name: "used once", as: id, status: http.StatusOK, runs: 1},
 		{name: "used twice", as: id, status: http.StatusConflict, runs: 1,
--- a/pkg/testbed/large_event_test.go
+++ b/pkg/testbed/large_event_test.go
@@ -11,10 +11,12 @@
 	"quaydock/pkg/testbed"
 )
 
-// TestLargeEvents: an event is forwarded whatever its length, and a caller can see that an answer broke off in the middle of one.
+// TestLargeEvents: an event is forwarded whatever its length, and a caller can see that an answer broke off in the
+// middle of one.
 //
-// Events are forwarded only when complete, so that a truncated answer can end with an error event. An event above the buffer limit
-// of 1 MiB for that used to end the stream, although its engine went on, and the call was logged as cancelled by its caller.
+// Events are forwarded only when complete, so that a truncated answer can end with an error event. An event above
+// the buffer limit of 1 MiB for that used to end the stream, although its engine went on, and the call was logged
+// as cancelled by its caller.
 func TestLargeEvents(t *testing.T) {
 	cases := []struct {
 		name       string
--- a/pkg/testbed/malformed_test.go
+++ b/pkg/testbed/malformed_test.go
@@ -24,8 +24,8 @@
 		path   string
 		body   string
 		header http.Header
-		status int
-		code   refusal.Code
+		status int          // of the refusal
+		code   refusal.Code // in its body
 	}{
 		{"invalid JSON", "POST", chat, `{`, nil, 400, refusal.CodeMalformed},
 		{"an array", "POST", chat, `[]`, nil, 400, refusal.CodeMalformed},
--- a/pkg/testbed/openai_client_test.go
+++ b/pkg/testbed/openai_client_test.go
@@ -28,6 +28,7 @@
 	)
 }
 
+// chatRequest returns a request for an answer of five tokens.
 func chatRequest(model string) openai.ChatCompletionNewParams {
 	return openai.ChatCompletionNewParams{
 		Model:     model,
--- a/pkg/testbed/random_test.go
+++ b/pkg/testbed/random_test.go
@@ -39,19 +39,22 @@
 	t.Logf("%d histories: %v", *seeds, endings)
 }
 
+// randomHistory is one run of TestRandomHistories.
 type randomHistory struct {
 	t      *testing.T
 	seed   uint64
-	random *rand.Rand
+	random *rand.Rand // draws the faults and the requests; injectFailures has a generator of its own
 	bed    *testbed.Bed
 }
 
 const (
 	randomEngines = 3
 	randomEntries = 2
-	historyLength = 20 * time.Second
+	historyLength = 20 * time.Second // within which requests are sent and failures begin
 )
 
+// run returns the number of requests by how they ended. A request sent a minute after all faults ended must be
+// complete.
 func (h *randomHistory) run() map[testbed.Ending]int {
 	faults := network.NewFaults(h.faults()...)
 	h.bed = startTestbed(h.t, testbed.Options{
@@ -133,6 +136,7 @@
 		h.t.Cleanup(callers[i].Close)
 	}
 	type draw struct {
+		// The request is sent at this time from now, and cancelled by its caller after timeout.
 		at, timeout time.Duration
 		tier        string
 		tokens      int
--- a/pkg/testbed/running_answers_test.go
+++ b/pkg/testbed/running_answers_test.go
@@ -19,12 +19,14 @@
 	"quaydock/pkg/testbed"
 )
 
-// An answer whose connection between entry, agent and target breaks is resumed where it broke off. The tests below guard against
-// answers that ended in the middle with "answer_cut" or "outcome_unknown" although their target was healthy, because what a resume
-// needs had been discarded. This happened in five ways:
+// An answer whose connection between entry, agent and target breaks is resumed where it broke off. The tests below
+// guard against answers that ended in the middle with "answer_cut" or "outcome_unknown" although their target was
+// healthy, because what a resume needs had been discarded. This happened in five ways:
 //   - breaks were counted over the length of an answer instead of as a streak (cases that break repeatedly);
-//   - the time after which an unread answer is discarded ran on from an earlier break (a break long after an earlier one);
-//   - the session with an agent was closed when its target was removed or got another address, while answers still needed it;
+//   - the time after which an unread answer is discarded ran on from an earlier break (a break long after an earlier
+//     one);
+//   - the session with an agent was closed when its target was removed or got another address, while answers still
+//     needed it;
 //   - a target's finished answer was dropped while its reader was slow;
 //   - a draining agent did not wait for a reader that was reconnecting (a break just before the end of a drain).
 
@@ -74,15 +76,18 @@
 	})
 }
 
+// removeFirstTarget removes target 0 and its placement.
 func removeFirstTarget(set *declaration.Set) {
 	set.Targets = set.Targets[1:]
 	set.Placements = set.Placements[1:]
 }
 
+// removeFirstPlacement removes the placement of target 0.
 func removeFirstPlacement(set *declaration.Set) {
 	set.Placements = set.Placements[1:]
 }
 
+// every returns n times, a step apart, the first after one step.
 func every(step time.Duration, n int) []time.Duration {
 	moments := make([]time.Duration, n)
 	for i := range moments {
@@ -91,13 +96,13 @@
 	return moments
 }
 
-// TestRunningAnswerSurvivesFailures: whatever fails between the caller and a target that works, and however often, the caller gets a
-// complete answer.
+// TestRunningAnswerSurvivesFailures: whatever fails between the caller and a target that works, and however often,
+// the caller gets a complete answer.
 func TestRunningAnswerSurvivesFailures(t *testing.T) {
 	control, data, target := testbed.ControlAddress(0), testbed.DataAddress(0), testbed.TargetAddress(0)
 	cases := []struct {
 		name string
-		act  func(*scenario)
+		act  func(*scenario) // schedules the failures, from the sending of the request on
 	}{
 		{"no failure", func(*scenario) {}},
 		{"target stalls for 10 s", func(s *scenario) {
@@ -217,12 +222,12 @@
 	}
 }
 
-// TestSlowCallerGetsCompleteAnswer: a caller reads slowly, so that its answer waits at the agent long after the target has
-// finished it. The data connection breaks meanwhile, and the caller still gets the complete answer.
+// TestSlowCallerGetsCompleteAnswer: a caller reads slowly, so that its answer waits at the agent long after the
+// target has finished it. The data connection breaks meanwhile, and the caller still gets the complete answer.
 func TestSlowCallerGetsCompleteAnswer(t *testing.T) {
 	const (
-		tokens = 1000 // 4 s, 190 kB
-		piece  = 4 << 10
+		tokens = 1000    // 4 s, 190 kB
+		piece  = 4 << 10 // bytes that are read at once
 		pause  = 3 * time.Second
 	)
 	for _, after := range []time.Duration{2 * time.Second, 10 * time.Second, 22 * time.Second, 60 * time.Second, 80 * time.Second} {
@@ -275,6 +280,7 @@
 	}
 }
 
+// tail returns the beginning of a text's last line.
 func tail(text string) string {
 	lines := strings.Split(strings.TrimSpace(text), "\n")
 	last := lines[len(lines)-1]
--- a/pkg/testbed/shedding_test.go
+++ b/pkg/testbed/shedding_test.go
@@ -16,7 +16,7 @@
 // served is one request: its answer, the time of its end, and when its engine generated its first token.
 type served struct {
 	answer testbed.Answer
-	tier   int
+	tier   int       // its rank
 	first  time.Time // zero if there is none
 	end    time.Time
 }
@@ -61,6 +61,7 @@
 	t.Logf("%d requests above the lowest tier were shed", shed)
 }
 
+// firstToken returns when an engine generated the first token of a request, or the zero time.
 func firstToken(bed *testbed.Bed, request string) time.Time {
 	for _, e := range bed.Engines {
 		if at, found := e.FirstToken(request); found {
--- a/pkg/testbed/unusable_grant_test.go
+++ b/pkg/testbed/unusable_grant_test.go
@@ -12,6 +12,7 @@
 	"quaydock/pkg/testbed"
 )
 
+// codes returns the error code of each answer, empty without one.
 func codes(answers []testbed.Answer) []string {
 	list := make([]string, len(answers))
 	for i, a := range answers {
@@ -23,15 +24,16 @@
 // TestUnusableGrant: one of two agents grants at once, but its grants cannot be used. The requests wait for the
 // other agent, whose target is free, or busy for two seconds.
 //
-// Entries did not remember grants that had failed. The agent of an ended target always had a free slot and granted each request at
-// once; the entry withdrew the ticket at the working target, could not use the grant, and tried both again, eight times within a
-// millisecond. Callers got "no target can be reached" at once, although the working target would have served them within two seconds.
-// This happens only if the target has ended: a target or data port that leaves connection attempts unanswered occupies its one slot
-// meanwhile, so that the entry tries other targets.
+// Entries did not remember grants that had failed. The agent of an ended target always had a free slot and granted
+// each request at once; the entry withdrew the ticket at the working target, could not use the grant, and tried
+// both again, eight times within a millisecond. Callers got "no target can be reached" at once, although the
+// working target would have served them within two seconds. This happens only if the target has ended: a target or
+// data port that leaves connection attempts unanswered occupies its one slot meanwhile, so that the entry tries
+// other targets.
 func TestUnusableGrant(t *testing.T) {
 	cases := []struct {
 		name string
-		fail func(*testing.T, *testbed.Bed)
+		fail func(*testing.T, *testbed.Bed) // makes the grants of the first target's agent unusable
 	}{
 		{"target has ended", func(_ *testing.T, b *testbed.Bed) { b.EndTarget(0) }},
 		{"target leaves connection attempts unanswered", func(t *testing.T, b *testbed.Bed) {
@@ -57,6 +59,8 @@
 	}
 }
 
+// checkUnusableGrant has fail make the first target's grants unusable and sends calls, all of which must be answered
+// within 6 s by the other target. If busy is set, each target is first given a call of 2 s.
 func checkUnusableGrant(t *testing.T, fail func(*testing.T, *testbed.Bed), busy bool) {
 	bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 1})
 	caller := newCaller(t, bed)
@@ -80,9 +84,10 @@
 	}
 }
 
-// TestRequestKeepsQueuePosition: a request waits at a busy target and gets a grant for another target, which leaves connection attempts
-// unanswered. If its ticket at the first target is withdrawn, other requests fill the queue there while the connection is attempted,
-// and the oldest request is refused because of a full queue in which it had a position before.
+// TestRequestKeepsQueuePosition: a request waits at a busy target and gets a grant for another target, which
+// leaves connection attempts unanswered. If its ticket at the first target is withdrawn, other requests fill the
+// queue there while the connection is attempted, and the oldest request is refused because of a full queue in
+// which it had a position before.
 func TestRequestKeepsQueuePosition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 1, Adjust: func(s *settings.Settings) {
