--- a/pkg/ctl/quarantine_test.go
+++ b/pkg/ctl/quarantine_test.go
@@ -13,6 +13,7 @@
 	"quaydock/pkg/quarantine"
 )
 
+// TestQuarantineListsAndReleasesRequests runs quayctl quarantine against an entry that can release one request only.
 func TestQuarantineListsAndReleasesRequests(t *testing.T) {
 	digest := quarantine.Identify("acme", "/chat/q", []byte("question"))
 	held := []quarantine.Report{{
--- a/pkg/ctl/rollout_test.go
+++ b/pkg/ctl/rollout_test.go
@@ -12,6 +12,7 @@
 	"quaydock/pkg/rollout"
 )
 
+// TestRolloutPrintsReports runs quayctl rollout against an entry with these reports.
 func TestRolloutPrintsReports(t *testing.T) {
 	scenarios := []struct {
 		name    string
--- a/pkg/ctl/status_test.go
+++ b/pkg/ctl/status_test.go
@@ -14,6 +14,8 @@
 	"quaydock/pkg/operators"
 )
 
+// TestStatusShowsTargetAdvice: an entry without advice is told apart from a process that serves no advice, for which
+// nothing is printed.
 func TestStatusShowsTargetAdvice(t *testing.T) {
 	scenarios := []struct {
 		name    string
@@ -55,6 +57,7 @@
 	}
 }
 
+// TestStatusShowsFailureDomains checks that drained and cold failure domains are printed, and no others.
 func TestStatusShowsFailureDomains(t *testing.T) {
 	scenarios := []struct {
 		name    string
--- a/pkg/declaration/change.go
+++ b/pkg/declaration/change.go
@@ -16,7 +16,7 @@
 	// ID is chosen at random by the writer of the change. After a lost answer the
 	// writer recognizes its own change by it.
 	ID string `json:"id"`
-	// Who is the operator who made the change, Why the operator's reason, and At the Unix time.
+	// Who is the operator who made the change, Why the operator's reason, and At the Unix time in milliseconds.
 	Who string       `json:"who"`
 	Why string       `json:"why"`
 	At  clock.Millis `json:"at"`
--- a/pkg/declaration/check_test.go
+++ b/pkg/declaration/check_test.go
@@ -8,6 +8,8 @@
 	"quaydock/pkg/declaration"
 )
 
+// TestParse makes one fault at a time in the example declarations. The error must name its path, for operators to
+// find it.
 func TestParse(t *testing.T) {
 	example, err := os.ReadFile("../../examples/local/declarations.json")
 	if err != nil {
--- a/pkg/declaration/index.go
+++ b/pkg/declaration/index.go
@@ -8,6 +8,7 @@
 	"quaydock/pkg/ids"
 )
 
+// keySumBytes is the length of the SHA-256 sum of an API key.
 const keySumBytes = sha256.Size
 
 // Revision numbers configurations. A process never goes back to a lower one.
--- a/pkg/experiment/result.go
+++ b/pkg/experiment/result.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	maxFirstTokenMS = 600_000 // longer times count as this one
-	significant     = 3       // digits of the times in histograms
-	percent         = 100     // times a fraction
+	maxFirstTokenMS   = 600_000 // longer times count as this one
+	significantDigits = 3       // digits of the times in histograms
+	percent           = 100     // times a fraction
 )
 
 // Result is the outcome of a scenario under one policy.
@@ -46,7 +46,7 @@
 	for _, c := range s.Classes {
 		if r.Tiers[c.Tier] == nil {
 			r.tierOrder = append(r.tierOrder, c.Tier)
-			r.Tiers[c.Tier] = &TierResult{FirstTokenMS: hdrhistogram.New(1, maxFirstTokenMS, significant)}
+			r.Tiers[c.Tier] = &TierResult{FirstTokenMS: hdrhistogram.New(1, maxFirstTokenMS, significantDigits)}
 		}
 	}
 	return r
--- a/pkg/experiment/run.go
+++ b/pkg/experiment/run.go
@@ -110,6 +110,7 @@
 	running.Wait()
 }
 
+// applyEvent applies an event. An agent that it closes is not replaced.
 func (r *run) applyEvent(e Event) {
 	for i := e.FirstEngine; i < e.EndEngine; i++ {
 		if e.SlowDown > 0 {
--- a/pkg/ids/target_incarnation_test.go
+++ b/pkg/ids/target_incarnation_test.go
@@ -14,6 +14,7 @@
 	// Output: false
 }
 
+// TestTargetIncarnationSame checks Same both ways round.
 func TestTargetIncarnationSame(t *testing.T) {
 	scenarios := []struct {
 		name string
--- a/pkg/load/generator.go
+++ b/pkg/load/generator.go
@@ -184,6 +184,7 @@
 	return nil
 }
 
+// record adds a latency in microseconds.
 func record(h *hdrhistogram.Histogram, latency time.Duration) {
 	// A latency above the histogram's maximum counts as the maximum.
 	_ = h.RecordValue(min(latency, maxLatency).Microseconds())
--- a/pkg/loadmodel/caller.go
+++ b/pkg/loadmodel/caller.go
@@ -53,8 +53,8 @@
 // returnsAt returns when a refused caller tries again: after the given Retry-After, but at most after a third of
 // its remaining time.
 func (c *caller) returnsAt(now, after clock.Millis) clock.Millis {
-	const honoured = 3
-	return now + min(after, (c.deadline()-now)/honoured)
+	const waitDivisor = 3
+	return now + min(after, (c.deadline()-now)/waitDivisor)
 }
 
 // worth returns the value of a caller's answer, 0 without one.
--- a/pkg/loadmodel/events.go
+++ b/pkg/loadmodel/events.go
@@ -32,8 +32,8 @@
 	return last
 }
 
-// at schedules do for a time of the simulation.
-func (s *simulation) at(moment clock.Millis, do func(now clock.Millis)) {
-	s.number++
-	heap.Push(&s.events, event{moment, s.number, do})
+// schedule schedules do for a time of the simulation.
+func (s *simulation) schedule(moment clock.Millis, do func(now clock.Millis)) {
+	s.scheduled++
+	heap.Push(&s.events, event{moment, s.scheduled, do})
 }
--- a/pkg/loadmodel/load_test.go
+++ b/pkg/loadmodel/load_test.go
@@ -10,6 +10,7 @@
 	"quaydock/pkg/loadmodel"
 )
 
+// TestInvalidDescriptionsAreRefused: a description with a fault gives an error that names it, not a simulation.
 func TestInvalidDescriptionsAreRefused(t *testing.T) {
 	// The error must contain says.
 	scenarios := []struct{ name, text, says string }{
--- a/pkg/loadmodel/result.go
+++ b/pkg/loadmodel/result.go
@@ -60,6 +60,7 @@
 	return all
 }
 
+// result returns the outcome of each kind.
 func (s *simulation) result() Result {
 	var r Result
 	for i := range s.load.Kinds {
@@ -68,6 +69,7 @@
 	return r
 }
 
+// outcome adds up what the callers of a kind got. Served of the largest tenth is 0 for fewer than ten callers.
 func (s *simulation) outcome(k *Kind) Outcome {
 	o := Outcome{Kind: k.Name, Tier: k.Tier}
 	var callers []*caller
@@ -85,6 +87,7 @@
 	return o
 }
 
+// count adds a caller to all but the fractions.
 func (o *Outcome) count(c *caller) {
 	o.Callers++
 	o.MaxWorth += c.kind.Worth * c.weight()
--- a/pkg/loadmodel/simulation.go
+++ b/pkg/loadmodel/simulation.go
@@ -38,18 +38,18 @@
 
 // simulation is one simulation of a load.
 type simulation struct {
-	load     *Load
-	observer Observer
-	random   *rand.Rand
-	planner  *planner.Planner
-	targets  []*target
-	byID     map[ids.Target]*target
-	callers  []*caller
-	waiting  map[planner.JobID]*caller // tries that are submitted and neither granted nor refused
-	running  map[planner.JobID]*caller // tries that are granted and not ended
-	events   events                    // the actions still to come
-	number   int                       // events scheduled so far
-	tries    uint64                    // tries of all callers so far, the number of the latest job id
+	load      *Load
+	observer  Observer
+	random    *rand.Rand
+	planner   *planner.Planner
+	targets   []*target
+	byID      map[ids.Target]*target
+	callers   []*caller
+	waiting   map[planner.JobID]*caller // tries that are submitted and neither granted nor refused
+	running   map[planner.JobID]*caller // tries that are granted and not ended
+	events    events                    // the actions still to come
+	scheduled int                       // events scheduled so far
+	tries     uint64                    // tries of all callers so far, the number of the latest job id
 }
 
 // startTime is the time at which a simulation begins. It is not 0 because planners take that for unknown.
@@ -68,6 +68,7 @@
 	return s.result()
 }
 
+// newSimulation returns a simulation without callers, targets and a planner.
 func newSimulation(load *Load, observer Observer) *simulation {
 	return &simulation{
 		load: load, observer: observer, random: rand.New(rand.NewPCG(load.Seed, 1)),
@@ -101,20 +102,20 @@
 	end := startTime + s.load.Length
 	s.drawAll()
 	for _, c := range s.callers {
-		s.at(c.firstTryAt, func(now clock.Millis) { s.submit(now, c) })
+		s.schedule(c.firstTryAt, func(now clock.Millis) { s.submit(now, c) })
 	}
 	for _, o := range s.load.Outages {
-		s.at(startTime+o.At, func(now clock.Millis) { s.startOutage(now, o) })
+		s.schedule(startTime+o.At, func(now clock.Millis) { s.startOutage(now, o) })
 	}
 	for _, at := range s.load.Restarts {
-		s.at(startTime+at, s.restart)
+		s.schedule(startTime+at, s.restart)
 	}
 	longest := clock.Millis(0)
 	for _, k := range s.load.Kinds {
 		longest = max(longest, k.Deadline)
 	}
 	for at := startTime; at < end+longest; at += tickEvery {
-		s.at(at, s.tick)
+		s.schedule(at, s.tick)
 	}
 }
 
@@ -132,9 +133,9 @@
 	s.applyDecisions(now)
 	id := c.id
 	leave := func(now clock.Millis) { s.leave(now, c, id) }
-	s.at(c.deadline(), leave)
+	s.schedule(c.deadline(), leave)
 	if patienceEnd := now + c.kind.Patience; patienceEnd > now && patienceEnd < c.deadline() {
-		s.at(patienceEnd, leave)
+		s.schedule(patienceEnd, leave)
 	}
 }
 
@@ -190,7 +191,7 @@
 		return
 	}
 	if again := c.returnsAt(now, after); again < c.deadline() {
-		s.at(again, func(now clock.Millis) { s.submit(now, c) })
+		s.schedule(again, func(now clock.Millis) { s.submit(now, c) })
 		return
 	}
 	c.status = refused
--- a/pkg/loadmodel/targets.go
+++ b/pkg/loadmodel/targets.go
@@ -44,7 +44,7 @@
 	const thousand = 1000
 	first := t.factor * (s.load.Speed.FirstEvent + s.load.Speed.PerThousandTokens*float64(t.prefilling)/thousand)
 	id := c.id
-	s.at(now+clock.Millis(first), func(now clock.Millis) { s.firstEvent(now, c, id) })
+	s.schedule(now+clock.Millis(first), func(now clock.Millis) { s.firstEvent(now, c, id) })
 }
 
 // firstEvent records the first event of the try id and schedules its end, unless the try has ended by now.
@@ -57,7 +57,7 @@
 	s.planner.RecordFirstEvent(now, id, nil)
 	s.applyDecisions(now)
 	decode := c.target.factor * s.load.Speed.Event * float64(c.events)
-	s.at(now+clock.Millis(decode), func(now clock.Millis) { s.finish(now, c, id) })
+	s.schedule(now+clock.Millis(decode), func(now clock.Millis) { s.finish(now, c, id) })
 }
 
 // finish ends the try id with a complete answer, unless the try has ended by now. The answer is in time if its
@@ -102,7 +102,7 @@
 	}
 	s.setTargets(now)
 	s.applyDecisions(now)
-	s.at(now+o.For, func(now clock.Millis) {
+	s.schedule(now+o.For, func(now clock.Millis) {
 		for _, t := range stopped {
 			t.down = false
 		}
--- a/pkg/losses/losses_test.go
+++ b/pkg/losses/losses_test.go
@@ -25,6 +25,7 @@
   6.5 b {"msg":"configuration in force","process":"b","revision":3,"time":"2026-05-10T10:00:06.500Z"}
 `
 
+// find returns the losses in logs.
 func find(t *testing.T) []losses.Loss {
 	t.Helper()
 	lines, err := requestlog.Read(strings.NewReader(logs))
@@ -39,6 +40,8 @@
 	return time.Date(2026, 5, 10, 10, 0, 0, ms*int(time.Millisecond), time.UTC)
 }
 
+// TestFindLosses: a loss counts at the request's arrival, held_ms before its line; suppressed lines count by their
+// number, and what a line does not have is "?".
 func TestFindLosses(t *testing.T) {
 	want := []losses.Loss{
 		{At: at(2000), Cause: "Overloaded", Tier: "1", Account: "acme", Entry: "a", Domain: "north", PromptTokens: 100, Count: 1},
@@ -52,6 +55,8 @@
 	}
 }
 
+// TestLossesByWindow counts the losses in windows of 2 s. Windows without losses have a row; 4 s in windows of a
+// microsecond are above the limit.
 func TestLossesByWindow(t *testing.T) {
 	table, err := losses.Tabulate(find(t), 2*time.Second)
 	if err != nil {
@@ -72,6 +77,8 @@
 	}
 }
 
+// TestPlotNamesCausesAndTimes checks that the plot is written with its legend and time labels, and that an extension
+// without a format is an error.
 func TestPlotNamesCausesAndTimes(t *testing.T) {
 	table, err := losses.Tabulate(find(t), 2*time.Second)
 	if err != nil {
--- a/pkg/network/faults.go
+++ b/pkg/network/faults.go
@@ -70,7 +70,7 @@
 	return &Faults{faults: faults, counts: make(map[messageKey]int)}
 }
 
-// Add adds a fault.
+// Add adds a fault. Its message number counts from the first message of all, not from now on.
 func (f *Faults) Add(fault Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/pkg/network/memory_conn.go
+++ b/pkg/network/memory_conn.go
@@ -27,8 +27,8 @@
 // deadline is the read or write deadline of one side. The mutex of its stream guards it.
 type deadline struct {
 	expired    bool
-	timer      *time.Timer
-	generation int // incremented by each setDeadline, so that an old timer has no effect
+	timer      *time.Timer // nil if no deadline was set, or one in the past
+	generation int         // incremented by each setDeadline, so that an old timer has no effect
 }
 
 func newStream() *stream {
--- a/pkg/settings/load_test.go
+++ b/pkg/settings/load_test.go
@@ -15,6 +15,7 @@
 const complete = `{"process":"p","failure_domain":"a","operators":{"listen":"127.0.0.1:1"},
 "platform":{"table":"http://127.0.0.1:2"},"entry":{"listen":"127.0.0.1:3"}}`
 
+// TestParse checks that the error names every fault of a document at once, not only the first.
 func TestParse(t *testing.T) {
 	scenarios := []struct {
 		name     string
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -93,6 +93,7 @@
 
 // EntryLimits limit what callers control.
 type EntryLimits struct {
+	// BodyBytes and HeaderBytes limit one request, Connections the open connections of all callers.
 	BodyBytes   int64 `json:"body_bytes"`
 	HeaderBytes int   `json:"header_bytes"`
 	Connections int   `json:"connections"`
--- a/pkg/standin/engine.go
+++ b/pkg/standin/engine.go
@@ -163,14 +163,14 @@
 		call.MaxTokens = defaultMaxTokens
 	}
 	s := &sequence{
-		id:        r.Header.Get("X-Request-Id"),
-		prefill:   (len(call.Messages) + len(call.Prompt)) / bytesPerToken,
-		prompt:    (len(call.Messages) + len(call.Prompt)) / bytesPerToken,
-		blocks:    promptBlocks(append(call.Messages, call.Prompt...)),
-		remaining: call.MaxTokens,
-		stream:    call.Stream,
-		usage:     call.Options.Usage,
-		text:      ExpectedToken(body),
+		id:         r.Header.Get("X-Request-Id"),
+		prefill:    (len(call.Messages) + len(call.Prompt)) / bytesPerToken,
+		prompt:     (len(call.Messages) + len(call.Prompt)) / bytesPerToken,
+		blocks:     promptBlocks(append(call.Messages, call.Prompt...)),
+		remaining:  call.MaxTokens,
+		stream:     call.Stream,
+		usage:      call.Options.Usage,
+		firstToken: ExpectedToken(body),
 	}
 	s.changed.L = &s.mu
 	e.begin(s)
--- a/pkg/standin/sequence.go
+++ b/pkg/standin/sequence.go
@@ -9,15 +9,15 @@
 
 // sequence is one request in the engine.
 type sequence struct {
-	prefill   int      // tokens of the prompt still to be prefilled; guarded by the engine's mutex
-	blocks    []uint64 // of the prompt
-	remaining int      // tokens still to be generated; guarded by mu, as is generated
-	generated int
-	stream    bool
-	usage     bool   // whether a stream ends with its token usage
-	prompt    int    // tokens of the prompt
-	id        string // of the request
-	text      string // the first token, which identifies the request
+	prefill    int      // tokens of the prompt still to be prefilled; guarded by the engine's mutex
+	blocks     []uint64 // of the prompt
+	remaining  int      // tokens still to be generated; guarded by mu, as is generated
+	generated  int
+	stream     bool
+	usage      bool   // whether a stream ends with its token usage
+	prompt     int    // tokens of the prompt
+	id         string // of the request
+	firstToken string // the first token, which identifies the request
 
 	mu      sync.Mutex // taken after the engine's, if both are held
 	changed sync.Cond  // of mu; any change of the fields below
@@ -40,7 +40,7 @@
 	if s.done {
 		return
 	}
-	token := s.text
+	token := s.firstToken
 	if s.generated > 0 {
 		token = " t" + strconv.Itoa(s.generated)
 	}
--- a/pkg/standin/service.go
+++ b/pkg/standin/service.go
@@ -26,7 +26,7 @@
 	return &Service{runs: make(map[string]int)}
 }
 
-// Runs returns how often the service received a request.
+// Runs returns how often the service received the request of that id.
 func (s *Service) Runs(request string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/telemetry/metrics.go
+++ b/pkg/telemetry/metrics.go
@@ -14,7 +14,7 @@
 	Requests *expvar.Map
 	// Refusals counts refusals at an entry by code.
 	Refusals *expvar.Map
-	// Tickets counts tickets by outcome.
+	// Tickets counts the tickets that an entry placed, as "placed", and the agents' verdicts on them by kind.
 	Tickets *expvar.Map
 	// Dispatches counts dispatches at an agent by how they ended.
 	Dispatches *expvar.Map
--- a/pkg/telemetry/prometheus.go
+++ b/pkg/telemetry/prometheus.go
@@ -10,7 +10,7 @@
 )
 
 // PrometheusMetrics holds the counters, gauges and histograms of one process in the text
-// format of Prometheus. The configuration limits the number of label values.
+// format of Prometheus. Accounts and services in labels are those of the configuration, which limits their number.
 type PrometheusMetrics struct {
 	set *metrics.Set
 }
--- a/pkg/telemetry/telemetry_test.go
+++ b/pkg/telemetry/telemetry_test.go
@@ -23,6 +23,7 @@
 	got     bytes.Buffer
 }
 
+// Write appends p to got once the output is released.
 func (b *blockedOutput) Write(p []byte) (int, error) {
 	<-b.release
 	b.mu.Lock()
@@ -84,6 +85,7 @@
 	})
 }
 
+// TestPrometheusMetrics checks the names, labels and values of lines, which operators' tools read.
 func TestPrometheusMetrics(t *testing.T) {
 	f := telemetry.NewPrometheusMetrics()
 	f.Count(telemetry.Request{Service: "s", Account: "a", Tier: 1, Outcome: "answered", First: 30, Held: 200})
--- a/pkg/testbed/caller.go
+++ b/pkg/testbed/caller.go
@@ -87,12 +87,12 @@
 		return Answer{Ending: Truncated, Body: err.Error()}
 	}
 	defer func() { _ = response.Body.Close() }()
-	return read(response)
+	return readAnswer(response)
 }
 
-// read reads a response to its end. Its Ending is Complete unless the body is truncated or the outcome header says
-// otherwise.
-func read(response *http.Response) Answer {
+// readAnswer reads a response to its end. Its Ending is Complete unless the body is truncated or the outcome
+// header says otherwise.
+func readAnswer(response *http.Response) Answer {
 	body, err := io.ReadAll(response.Body)
 	answer := Answer{
 		Request: response.Header.Get("Quaydock-Request-Id"),
