--- a/pkg/invariant/checker.go
+++ b/pkg/invariant/checker.go
@@ -12,8 +12,8 @@
 // Checker records violations. The zero value is not usable; use NewChecker.
 type Checker struct {
 	log    *logrus.Entry
-	counts *expvar.Map
-	strict bool
+	counts *expvar.Map // violations by the name of the invariant
+	strict bool        // a violation stops the process
 }
 
 // NewChecker returns a checker that counts violations by name in counts. With
--- a/pkg/losses/losses.go
+++ b/pkg/losses/losses.go
@@ -45,7 +45,7 @@
 	At    time.Time
 	Cause string // of a late answer with latePrefix
 	Tier  string // the rank in decimal, or unknown
-	// Account may be unknown.
+	// Account is unknown if the line names none.
 	Account string
 	// Entry is the process that logged the loss, and Domain its failure domain, or unknown.
 	Entry  ids.Process
--- a/pkg/standin/engine.go
+++ b/pkg/standin/engine.go
@@ -44,7 +44,7 @@
 	retryAfter  time.Duration        // if above 0, all calls are rejected with this Retry-After
 	rejected    int
 	stepping    bool           // run is running
-	steps       sync.WaitGroup // run
+	steps       sync.WaitGroup // by it Close waits for the end of run
 }
 
 // NewEngine returns an idle engine.
--- a/pkg/standin/sequence.go
+++ b/pkg/standin/sequence.go
@@ -10,7 +10,7 @@
 // sequence is one request in the engine.
 type sequence struct {
 	prefill    int      // tokens of the prompt still to be prefilled; guarded by the engine's mutex
-	blocks     []uint64 // of the prompt
+	blocks     []uint64 // the hashes of the prompt by promptBlocks
 	remaining  int      // tokens still to be generated; guarded by mu, as is generated
 	generated  int
 	stream     bool
--- a/pkg/telemetry/queued_writer.go
+++ b/pkg/telemetry/queued_writer.go
@@ -12,7 +12,7 @@
 type QueuedWriter struct {
 	lines    chan []byte
 	dropped  atomic.Int64   // lines dropped since run last reported them
-	finished sync.WaitGroup // run
+	finished sync.WaitGroup // by it Close waits for the end of run
 }
 
 // queueCapacity is how many lines may wait, which is about what the sampler lets
