--- a/pkg/ablation/ablation.go
+++ b/pkg/ablation/ablation.go
@@ -49,8 +49,8 @@
 	PeerNews // peer-news
 	// QuickGreetings: some changes of membership are told by an early heartbeat.
 	QuickGreetings // quick-greetings
-	// KeyTrust: unless the limit on revoked keys is strict, an entry that holds its membership lease uses keys
-	// for longer without a confirmation.
+	// KeyTrust: unless the limit on revoked keys is strict, entries use keys for longer without a confirmation,
+	// and for longest while they hold their membership lease.
 	KeyTrust // key-trust
 	// Resumption: a broken-off stream is resumed at another target if its route allows that.
 	Resumption // resumption
