--- a/pkg/ctl/rollout_test.go
+++ b/pkg/ctl/rollout_test.go
@@ -12,11 +12,12 @@
 	"quaydock/pkg/rollout"
 )
 
+// TestRolloutPrintsReports runs quayctl rollout against an entry with these reports.
 func TestRolloutPrintsReports(t *testing.T) {
 	scenarios := []struct {
 		name    string
-		reports []rollout.Report
-		want    []string
+		reports []rollout.Report // of the entry
+		want    []string         // parts of the output
 	}{
 		{"none", nil, []string{"no roll-out is known"}},
 		{"at the entry that evaluates it", []rollout.Report{{
--- a/pkg/loadmodel/events.go
+++ b/pkg/loadmodel/events.go
@@ -13,6 +13,7 @@
 	do     func(now clock.Millis)
 }
 
+// events is a heap (container/heap) of the actions still to come, the earliest first.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -31,7 +32,8 @@
 	return last
 }
 
-func (s *simulation) at(moment clock.Millis, do func(now clock.Millis)) {
-	s.number++
-	heap.Push(&s.events, event{moment, s.number, do})
+// schedule schedules do for a time of the simulation.
+func (s *simulation) schedule(moment clock.Millis, do func(now clock.Millis)) {
+	s.scheduled++
+	heap.Push(&s.events, event{moment, s.scheduled, do})
 }
--- a/pkg/loadmodel/result.go
+++ b/pkg/loadmodel/result.go
@@ -60,6 +60,7 @@
 	return all
 }
 
+// result returns the outcome of each kind.
 func (s *simulation) result() Result {
 	var r Result
 	for i := range s.load.Kinds {
@@ -68,6 +69,7 @@
 	return r
 }
 
+// outcome adds up what the callers of a kind got. Served of the largest tenth is 0 for fewer than ten callers.
 func (s *simulation) outcome(k *Kind) Outcome {
 	o := Outcome{Kind: k.Name, Tier: k.Tier}
 	var callers []*caller
@@ -85,6 +87,7 @@
 	return o
 }
 
+// count adds a caller to all but the fractions.
 func (o *Outcome) count(c *caller) {
 	o.Callers++
 	o.MaxWorth += c.kind.Worth * c.weight()
@@ -121,6 +124,8 @@
 	fullCostWaitFraction = 0.75
 )
 
+// cost returns the cost to a caller that got no answer: for the time that it waited, and for returning unless it
+// was refused too late to return again.
 func (c *caller) cost() float64 {
 	if c.status == inTime || c.status == late {
 		return 0
@@ -135,6 +140,7 @@
 	return cost
 }
 
+// servedFraction returns the fraction of callers that were answered, in time or late, 0 without callers.
 func servedFraction(callers []*caller) float64 {
 	if len(callers) == 0 {
 		return 0
--- a/pkg/loadmodel/simulation.go
+++ b/pkg/loadmodel/simulation.go
@@ -26,28 +26,30 @@
 }
 
 const (
+	// tickEvery is how often the planner's Tick is called.
 	tickEvery = 25 * clock.Millisecond
 	// resubmitEvery is how often entries submit waiting tries again.
 	resubmitEvery = 60 * clock.Millisecond
 	// service is the service of all simulated targets.
 	service = ids.Service("modelled")
-	entry   = "10.0.0.1:7600"
+	// entry is the entry in the job ids of all tries.
+	entry = "10.0.0.1:7600"
 )
 
 // simulation is one simulation of a load.
 type simulation struct {
-	load     *Load
-	observer Observer
-	random   *rand.Rand
-	planner  *planner.Planner
-	targets  []*target
-	byID     map[ids.Target]*target
-	callers  []*caller
-	waiting  map[planner.JobID]*caller
-	running  map[planner.JobID]*caller
-	events   events
-	number   int
-	tries    uint64
+	load      *Load
+	observer  Observer
+	random    *rand.Rand
+	planner   *planner.Planner
+	targets   []*target
+	byID      map[ids.Target]*target
+	callers   []*caller
+	waiting   map[planner.JobID]*caller // tries that are submitted and neither granted nor refused
+	running   map[planner.JobID]*caller // tries that are granted and not ended
+	events    events                    // the actions still to come
+	scheduled int                       // events scheduled so far
+	tries     uint64                    // tries of all callers so far, the number of the latest job id
 }
 
 // startTime is the time at which a simulation begins. It is not 0 because planners take that for unknown.
@@ -66,6 +68,7 @@
 	return s.result()
 }
 
+// newSimulation returns a simulation without callers, targets and a planner.
 func newSimulation(load *Load, observer Observer) *simulation {
 	return &simulation{
 		load: load, observer: observer, random: rand.New(rand.NewPCG(load.Seed, 1)),
@@ -82,6 +85,7 @@
 	s.setTargets(now)
 }
 
+// setTargets gives the planner the targets that no outage has stopped.
 func (s *simulation) setTargets(now clock.Millis) {
 	var offered []*routing.Target
 	for _, t := range s.targets {
@@ -92,25 +96,26 @@
 	s.planner.SetTargets(now, offered)
 }
 
-// scheduleInputs schedules the callers, the outages, the restarts and the ticks.
+// scheduleInputs schedules the callers, the outages, the restarts and the ticks. The ticks go on until the
+// deadline of every caller is over.
 func (s *simulation) scheduleInputs() {
 	end := startTime + s.load.Length
 	s.drawAll()
 	for _, c := range s.callers {
-		s.at(c.firstTryAt, func(now clock.Millis) { s.submit(now, c) })
+		s.schedule(c.firstTryAt, func(now clock.Millis) { s.submit(now, c) })
 	}
 	for _, o := range s.load.Outages {
-		s.at(startTime+o.At, func(now clock.Millis) { s.startOutage(now, o) })
+		s.schedule(startTime+o.At, func(now clock.Millis) { s.startOutage(now, o) })
 	}
 	for _, at := range s.load.Restarts {
-		s.at(startTime+at, s.restart)
+		s.schedule(startTime+at, s.restart)
 	}
 	longest := clock.Millis(0)
 	for _, k := range s.load.Kinds {
 		longest = max(longest, k.Deadline)
 	}
 	for at := startTime; at < end+longest; at += tickEvery {
-		s.at(at, s.tick)
+		s.schedule(at, s.tick)
 	}
 }
 
@@ -128,13 +133,13 @@
 	s.applyDecisions(now)
 	id := c.id
 	leave := func(now clock.Millis) { s.leave(now, c, id) }
-	s.at(c.deadline(), leave)
+	s.schedule(c.deadline(), leave)
 	if patienceEnd := now + c.kind.Patience; patienceEnd > now && patienceEnd < c.deadline() {
-		s.at(patienceEnd, leave)
+		s.schedule(patienceEnd, leave)
 	}
 }
 
-// leave ends a try that has seen no event yet, or any try at the deadline.
+// leave ends the try id if it is the caller's latest and has seen no event yet, or at the deadline in any case.
 func (s *simulation) leave(now clock.Millis, c *caller, id planner.JobID) {
 	if c.id != id || c.status != unfinished || c.firstEventAt > 0 && now < c.deadline() {
 		return
@@ -171,6 +176,7 @@
 	}
 }
 
+// refuse ends a try. The caller returns if it has a return left and would be back before its deadline.
 func (s *simulation) refuse(now clock.Millis, c *caller, after clock.Millis) {
 	delete(s.waiting, c.id)
 	c.heldFor += now - c.triedAt
@@ -185,7 +191,7 @@
 		return
 	}
 	if again := c.returnsAt(now, after); again < c.deadline() {
-		s.at(again, func(now clock.Millis) { s.submit(now, c) })
+		s.schedule(again, func(now clock.Millis) { s.submit(now, c) })
 		return
 	}
 	c.status = refused
@@ -211,6 +217,8 @@
 	s.applyDecisions(now)
 }
 
+// tick calls the planner's Tick, in the first tick of each resubmitEvery after submitting again the tries that
+// it still has queued.
 func (s *simulation) tick(now clock.Millis) {
 	if (now-startTime)%resubmitEvery < tickEvery {
 		for _, id := range sortedTries(s.waiting) {
--- a/pkg/losses/losses_test.go
+++ b/pkg/losses/losses_test.go
@@ -13,6 +13,8 @@
 	"quaydock/pkg/requestlog"
 )
 
+// logs are the lines of two processes, of which only a logged its failure domain. r3 was late and r4 in time; one line
+// tells of suppressed lines, one is no JSON, and one does not concern requests.
 const logs = `  0.0 a {"msg":"started","process":"a","domain":"north","time":"2026-05-10T10:00:00.000Z"}
   2.1 a {"msg":"request not answered","process":"a","request":"r1","cause":"Overloaded","tier":1,"account":"acme","prompt_tokens":100,"held_ms":100,"time":"2026-05-10T10:00:02.100Z"}
   2.2 a {"msg":"request not answered","process":"a","request":"r2","cause":"Overloaded","tier":2,"account":"acme","prompt_tokens":50,"before_ms":900,"held_ms":4,"time":"2026-05-10T10:00:02.200Z"}
@@ -23,6 +25,7 @@
   6.5 b {"msg":"configuration in force","process":"b","revision":3,"time":"2026-05-10T10:00:06.500Z"}
 `
 
+// find returns the losses in logs.
 func find(t *testing.T) []losses.Loss {
 	t.Helper()
 	lines, err := requestlog.Read(strings.NewReader(logs))
@@ -32,10 +35,13 @@
 	return losses.Find(lines)
 }
 
+// at returns the time ms milliseconds after that of the first line.
 func at(ms int) time.Time {
 	return time.Date(2026, 5, 10, 10, 0, 0, ms*int(time.Millisecond), time.UTC)
 }
 
+// TestFindLosses: a loss counts at the request's arrival, held_ms before its line; suppressed lines count by their
+// number, and what a line does not have is "?".
 func TestFindLosses(t *testing.T) {
 	want := []losses.Loss{
 		{At: at(2000), Cause: "Overloaded", Tier: "1", Account: "acme", Entry: "a", Domain: "north", PromptTokens: 100, Count: 1},
@@ -49,6 +55,8 @@
 	}
 }
 
+// TestLossesByWindow counts the losses in windows of 2 s. Windows without losses have a row; 4 s in windows of a
+// microsecond are above the limit.
 func TestLossesByWindow(t *testing.T) {
 	table, err := losses.Tabulate(find(t), 2*time.Second)
 	if err != nil {
@@ -69,6 +77,8 @@
 	}
 }
 
+// TestPlotNamesCausesAndTimes checks that the plot is written with its legend and time labels, and that an extension
+// without a format is an error.
 func TestPlotNamesCausesAndTimes(t *testing.T) {
 	table, err := losses.Tabulate(find(t), 2*time.Second)
 	if err != nil {
--- a/pkg/settings/check.go
+++ b/pkg/settings/check.go
@@ -12,9 +12,11 @@
 )
 
 // minFloorHold is the shortest time for which a refusal of a tier also rejects
-// lower tiers. Entries rely on a refusal for half of this time.
+// lower tiers. It must be above the time for which entries rely on a refusal, which is half of it
+// (declineValidity of package entry).
 const minFloorHold = 2 * clock.Second
 
+// exporters are the values of trace.exporter.
 var exporters = []string{"none", "file", "otlp"}
 
 // Check returns one error that names every fault with its path, or nil.
@@ -44,6 +46,7 @@
 	return f.Err("settings")
 }
 
+// positive records a fault at path unless value is above 0.
 func positive[N ~int | ~int64](f *declaration.Faults, path string, value N) {
 	f.Unless(value > 0, path, "must be above 0")
 }
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -49,7 +49,8 @@
 	File string `json:"file,omitempty"`
 	// Endpoint is the base URL for "otlp".
 	Endpoint string `json:"endpoint,omitempty"`
-	// Ratio is the fraction of requests that are traced, from 0 to 1.
+	// Ratio is the fraction of requests that are traced, from 0 to 1. An entry draws it for each request, and
+	// agents follow its choice.
 	Ratio float64 `json:"ratio"`
 }
 
@@ -92,6 +93,7 @@
 
 // EntryLimits limit what callers control.
 type EntryLimits struct {
+	// BodyBytes and HeaderBytes limit one request, Connections the open connections of all callers.
 	BodyBytes   int64 `json:"body_bytes"`
 	HeaderBytes int   `json:"header_bytes"`
 	Connections int   `json:"connections"`
--- a/pkg/telemetry/metrics.go
+++ b/pkg/telemetry/metrics.go
@@ -14,7 +14,7 @@
 	Requests *expvar.Map
 	// Refusals counts refusals at an entry by code.
 	Refusals *expvar.Map
-	// Tickets counts tickets by outcome.
+	// Tickets counts the tickets that an entry placed, as "placed", and the agents' verdicts on them by kind.
 	Tickets *expvar.Map
 	// Dispatches counts dispatches at an agent by how they ended.
 	Dispatches *expvar.Map
@@ -46,6 +46,7 @@
 	return m
 }
 
+// group publishes an empty map of counters under name in m.
 func (m *Metrics) group(name string) *expvar.Map {
 	group := new(expvar.Map).Init()
 	m.root.Set(name, group)
@@ -59,6 +60,7 @@
 	SysBytes   uint64 `json:"sys_bytes"`
 }
 
+// memory returns a memoryState, as expvar.Func wants it.
 func memory() any {
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/pkg/telemetry/telemetry_test.go
+++ b/pkg/telemetry/telemetry_test.go
@@ -23,6 +23,7 @@
 	got     bytes.Buffer
 }
 
+// Write appends p to got once the output is released.
 func (b *blockedOutput) Write(p []byte) (int, error) {
 	<-b.release
 	b.mu.Lock()
@@ -30,6 +31,8 @@
 	return b.got.Write(p)
 }
 
+// TestQueuedWriterDoesNotBlockItsCallers: the output blocks while 5,000 lines are logged. Write drops what does not fit
+// into the queue of 1,024 lines, and a line tells how many were dropped.
 func TestQueuedWriterDoesNotBlockItsCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &blockedOutput{release: make(chan struct{})}
@@ -55,6 +58,8 @@
 	})
 }
 
+// TestSamplerLimitsEachKindAndReportsDroppedLines: lines of one kind come 1,000 times a second for 3 s, which
+// touch up to four seconds of the clock. At most 10 are allowed in each, and another kind is not affected.
 func TestSamplerLimitsEachKindAndReportsDroppedLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
@@ -80,6 +85,7 @@
 	})
 }
 
+// TestPrometheusMetrics checks the names, labels and values of lines, which operators' tools read.
 func TestPrometheusMetrics(t *testing.T) {
 	f := telemetry.NewPrometheusMetrics()
 	f.Count(telemetry.Request{Service: "s", Account: "a", Tier: 1, Outcome: "answered", First: 30, Held: 200})
