--- a/pkg/dispatch/advice.go
+++ b/pkg/dispatch/advice.go
@@ -29,8 +29,8 @@
 	_           struct{} `cbor:",toarray"`
 	Incarnation ids.TargetIncarnation
 	Leaving     bool
-	Backoff     clock.Millis // remaining
-	Limit       *ratelimit.AgedReport
+	Backoff     clock.Millis          // remaining, for the entry that sends the message
+	Limit       *ratelimit.AgedReport // nil if unknown
 }
 
 // receiveAdvice applies the advice that an entry has received from targets.
@@ -66,6 +66,7 @@
 	}
 }
 
+// sendAdvice sends the advice of targets of one service to its owner, in as many datagrams as it takes.
 func (d *Dispatcher) sendAdvice(service ids.Service, list []advisory.Status) {
 	now := d.Clock.Now()
 	for len(list) > 0 {
@@ -79,9 +80,9 @@
 	}
 }
 
-// sendAllAdvice sends each owner all advice that this entry has about its targets. It runs when a grant is returned, so that
-// an owner that has just taken over, or has missed a message, receives everything then; sending it every second as well
-// would cost more datagrams and save nothing.
+// sendAllAdvice sends each owner all advice that this entry has about its targets. It runs when a grant is returned, so
+// that an owner that has just taken over, or has missed a message, receives everything then; sending it every second as
+// well would cost more datagrams and save nothing.
 func (d *Dispatcher) sendAllAdvice() {
 	lists := make(map[ids.Service][]advisory.Status)
 	for _, status := range d.advice.All() {
@@ -100,8 +101,8 @@
 }
 
 // blockedByAdvice reports whether a grant must not be used, as its target has told this entry to send nothing, or has a
-// rate limit against which the owner did not count the grant. If the owner's limit is out of date, the current one is sent
-// to it.
+// rate limit against which the owner did not count the grant. If the owner's limit is out of date, the current one is
+// sent to it. It returns false if this entry lists no such incarnation, for which usableTarget returns nil.
 func (d *Dispatcher) blockedByAdvice(a *decisionMessage) bool {
 	t := d.view.Directory().Target(a.Incarnation.Target)
 	if t == nil || !t.Incarnation().Same(a.Incarnation) {
@@ -119,8 +120,8 @@
 // returns: by then the owner is evidently not receiving the advice.
 const maxWithheld = 3
 
-// withhold returns a grant for a target that has told this entry to send nothing. All advice that this entry has is sent
-// to the owner first, so that an owner that knows none of it costs the request only one round trip.
+// withhold returns a grant for a target that has told this entry to send nothing. All advice that this entry has is
+// sent to the owner first, so that an owner that knows none of it costs the request only one round trip.
 func (d *Dispatcher) withhold(p *pending, incarnation ids.TargetIncarnation) {
 	d.Metrics.Links.Add("grants_withheld", 1)
 	d.sendAllAdvice()
--- a/pkg/dispatch/advice_test.go
+++ b/pkg/dispatch/advice_test.go
@@ -14,8 +14,8 @@
 )
 
 // Guards against requests to targets that have told this entry to send nothing. The owner may not know the advice: the
-// message was lost, the owner is partitioned, another entry has become the owner, or this entry chooses targets by its own
-// counts. All requests must be served, by the one target without advice.
+// message was lost, the owner is partitioned, another entry has become the owner, or this entry chooses targets by its
+// own counts. All requests must be served, by the one target without advice.
 func TestGrantsForBlockedTargetsAreNotUsed(t *testing.T) {
 	advices := []struct {
 		name   string
--- a/pkg/dispatch/assignment.go
+++ b/pkg/dispatch/assignment.go
@@ -10,6 +10,8 @@
 	"quaydock/pkg/schedule"
 )
 
+// startAssignment records that a request goes to a target. Until Done, the lists for the owner include it. The
+// assignment local is that of the entry's own scheduler, nil if the owner chose the target.
 func (d *Dispatcher) startAssignment(number uint64, request *schedule.Request, t *routing.Target, local schedule.Assignment) *assignment {
 	p := &assignment{dispatcher: d, number: number, target: t, request: request, local: local, sentAt: d.Clock.Now(), redispatched: make(chan struct{}), order: d.trials.currentOrder(request.Service)}
 	d.mu.Lock()
@@ -24,12 +26,12 @@
 	number       uint64
 	target       *routing.Target
 	request      *schedule.Request
-	local        schedule.Assignment // set if the entry chose the target by its own counts
+	local        schedule.Assignment // nil unless the entry chose the target by its own counts
 	order        rollout.Revision    // the roll-out during which it was sent, or 0
 	sentAt       clock.Millis
-	begun        bool // guarded by the dispatcher's lock
-	redispatched chan struct{}
-	moveOnce     sync.Once
+	begun        bool          // the target has begun to answer; guarded by the dispatcher's lock
+	redispatched chan struct{} // closed when the owner decides that the request should be re-dispatched
+	moveOnce     sync.Once     // closes redispatched
 }
 
 func (a *assignment) Target() *routing.Target { return a.target }
--- a/pkg/dispatch/dispatcher.go
+++ b/pkg/dispatch/dispatcher.go
@@ -37,17 +37,17 @@
 	view    *view.View
 	members *membership.Members
 	link    *packets.Link
-	address netip.AddrPort
+	address netip.AddrPort // of this entry, as domain
 	domain  ids.FailureDomain
-	owner   *Owner
-	local   schedule.Scheduler
+	owner   *Owner             // the planners that this entry runs, also for its own requests
+	local   schedule.Scheduler // assigns requests while no owner answers
 	trials  *trials
 	advice  *advisory.Tracker
 
 	mu         sync.Mutex
-	lastNumber uint64
-	waiting    map[uint64]chan decisionMessage
-	running    map[uint64]*assignment
+	lastNumber uint64                          // of a request; starts at random, so that a restart does not reuse numbers
+	waiting    map[uint64]chan decisionMessage // by the number of the waiting request
+	running    map[uint64]*assignment          // by the number of the request
 	// syncsLeft is how many more times the owner of each service gets a list of this entry's running requests, even
 	// if there are none.
 	syncsLeft map[ids.Service]int
@@ -104,6 +104,8 @@
 	}
 }
 
+// deliverDecision sends a decision of this entry's planners to the entry of the request, or handles it here if that is
+// this entry.
 func (d *Dispatcher) deliverDecision(to netip.AddrPort, a decisionMessage) {
 	if to == d.address {
 		d.receiveDecision(to, &a)
@@ -113,7 +115,7 @@
 }
 
 // sendToOwner sends a message to the owner of a service, or calls the handler directly if this entry is
-// the owner.
+// the owner. It returns the owner's address; the message may be lost.
 func sendToOwner[M any](d *Dispatcher, service ids.Service, kind packets.Kind, handle func(netip.AddrPort, *M), message *M) netip.AddrPort {
 	owner, self := d.members.HeavyOwner(plannerShard(service))
 	if self {
@@ -128,7 +130,8 @@
 	sendToOwner(d, s.Service, packets.KindJobProgress, d.owner.receiveProgress, &s)
 }
 
-// receiveDecision handles a decision from an owner.
+// receiveDecision handles a decision from an owner. A grant whose request neither waits nor runs came too late: it is
+// not returned, and the owner drops it when a list of running requests lacks it.
 func (d *Dispatcher) receiveDecision(_ netip.AddrPort, a *decisionMessage) {
 	d.mu.Lock()
 	decisions, isWaiting := d.waiting[a.Number]
@@ -148,9 +151,10 @@
 	}
 }
 
-// usableTarget returns the target of a grant, or nil if this entry knows that the request must not go there. An owner that
-// is partitioned from the store may not know that the target is leaving or has restarted; after a restart the request would
-// be counted in another incarnation than the one that runs it.
+// usableTarget returns the target of a grant, or nil if this entry knows that the request must not go there. An owner
+// that is partitioned from the store may not know that the target is leaving or has restarted; after a restart the
+// request would be counted in another incarnation than the one that runs it. For a target with a canary version it uses
+// the request's reservation.
 func (d *Dispatcher) usableTarget(p *pending, incarnation ids.TargetIncarnation) *routing.Target {
 	t := d.view.Directory().Target(incarnation.Target)
 	switch {
@@ -177,8 +181,8 @@
 	return d.owner.plannedCounts()
 }
 
-// finalSyncs is how many lists an owner gets after this entry's last request has ended. Both the message about the end and
-// some of the lists may be lost, and the owner would go on counting the request as running.
+// finalSyncs is how many lists an owner gets after this entry's last request has ended. Both the message about the end
+// and some of the lists may be lost, and the owner would go on counting the request as running.
 const finalSyncs = 8
 
 // syncAll sends each owner the list of this entry's running requests.
--- a/pkg/dispatch/estimates.go
+++ b/pkg/dispatch/estimates.go
@@ -40,7 +40,7 @@
 type estimatesMessage struct {
 	_         struct{} `cbor:",toarray"`
 	Service   ids.Service
-	Page      int
+	Page      int // from 0
 	Estimates planner.Estimates
 }
 
@@ -54,7 +54,7 @@
 	faults  *follow.Faults
 
 	mu       sync.Mutex
-	received map[ids.Service]*planner.Estimates // from the owners
+	received map[ids.Service]*planner.Estimates // the newest: from an owner, from the store, or this entry's own as owner
 	savedAt  map[ids.Service]clock.Millis       // time of this entry's last write to the store
 }
 
@@ -83,8 +83,9 @@
 	return c.received[service]
 }
 
-// replicate sends the estimates for a service to the successor of this owner, and saves them in the store from time to time.
-// The traffic, one message per second for some two dozen targets, does not grow with the number of entries.
+// replicate sends the estimates for a service to the successor of this owner, and saves them in the store every
+// saveInterval. It deletes factors beyond maxFactors, any of them, from l. The traffic, one message per second for some
+// two dozen targets, does not grow with the number of entries.
 func (c *estimateCache) replicate(ctx context.Context, now clock.Millis, service ids.Service, l *planner.Estimates) {
 	for id := range l.Factors {
 		if len(l.Factors) <= maxFactors {
@@ -127,6 +128,8 @@
 	return append(list, page)
 }
 
+// save writes the estimates for a service to the store. An error is only logged: the next save is due after
+// saveInterval.
 func (c *estimateCache) save(ctx context.Context, service ids.Service, l *planner.Estimates) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout.Duration())
 	defer cancel()
@@ -139,8 +142,8 @@
 	}
 }
 
-// load reads the saved estimates for all services, for example after this entry has started, and
-// calls done for each valid row.
+// load reads the saved estimates for all services, and calls done for each valid row. Estimates that an owner has sent
+// stay, as they are newer.
 func (c *estimateCache) load(ctx context.Context, done func(ids.Service, *planner.Estimates)) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout.Duration())
 	defer cancel()
--- a/pkg/dispatch/incarnations_test.go
+++ b/pkg/dispatch/incarnations_test.go
@@ -75,8 +75,8 @@
 }
 
 // A target restarts while all slots are taken, and each entry reads of it at another time, the owner first, in between
-// or last. Over both incarnations the target must never run more requests than it has slots, and must get requests again
-// once all entries have read of the restart.
+// or last. Over both incarnations the target must never run more requests than it has slots, and must get requests
+// again once all entries have read of the restart.
 func TestTargetRestartUnderLoadStaysWithinSlots(t *testing.T) {
 	for _, ownerReads := range []time.Duration{0, 150 * time.Millisecond, 400 * time.Millisecond} {
 		t.Run(ownerReads.String(), func(t *testing.T) {
--- a/pkg/dispatch/messages.go
+++ b/pkg/dispatch/messages.go
@@ -19,7 +19,7 @@
 // cleared and sent as durations beside it.
 type submitMessage struct {
 	_         struct{} `cbor:",toarray"`
-	Number    uint64
+	Number    uint64   // identifies the request at its entry, until a grant for it is returned
 	Service   ids.Service
 	Waited    clock.Millis // since its arrival at the entry
 	Remaining clock.Millis // until its deadline
@@ -39,10 +39,10 @@
 type decisionKind int
 
 const (
-	queued decisionKind = iota
+	queued decisionKind = iota // not decided yet: the request waits at the owner
 	granted
-	refused
-	noTarget
+	refused    // the service is overloaded
+	noTarget   // the service has no eligible target
 	redispatch // the running request should be re-dispatched
 	backedOff  // refused, as all targets have asked its entry for a back-off
 )
@@ -53,7 +53,7 @@
 	Number      uint64
 	Kind        decisionKind
 	Incarnation ids.TargetIncarnation // the granted target
-	RetryAfter  clock.Millis
+	RetryAfter  clock.Millis          // set with a refusal
 	// Ahead and Wait explain a refusal: the requests ahead, and the expected wait.
 	Ahead int
 	Wait  clock.Millis
@@ -67,9 +67,9 @@
 type progress int
 
 const (
-	begun progress = iota
-	done
-	withdrawn
+	begun     progress = iota // the target has begun to answer
+	done                      // the request has ended, or its grant was not used
+	withdrawn                 // the entry no longer wants a grant for the request
 )
 
 // progressMessage reports the progress of a request.
@@ -98,12 +98,12 @@
 	_           struct{} `cbor:",toarray"`
 	Number      uint64
 	Incarnation ids.TargetIncarnation // of its target
-	Begun       bool
+	Begun       bool                  // the target has begun to answer
 	Tier        ids.TierRank
 	Prompt      ids.Tokens
-	Events      int
+	Events      int // as in planner.Job
 	Account     ids.Account
-	Movable     bool
+	Movable     bool // as in planner.Job
 }
 
 // itemsPerPage is the number of items that always fit into one datagram.
--- a/pkg/dispatch/owner.go
+++ b/pkg/dispatch/owner.go
@@ -26,16 +26,16 @@
 	logLinesPerSecond = 20
 )
 
-// servicePlanner is the planner of one service's targets with its state at this owner.
+// servicePlanner is the planner of one service's targets with its state at this owner. The owner's lock guards it.
 type servicePlanner struct {
 	planner       *planner.Planner
-	directory     *routing.Directory
+	directory     *routing.Directory      // the one whose targets the planner has
 	lastMessageAt map[string]clock.Millis // by entry address
-	lastLogged    clock.Millis
-	trial         *rollout.Trial // of a version; nil without an order
-	plan          rollout.Plan   // the last result of trial.Step
-	rampingUp     bool           // the new version of a completed roll-out does not get all requests yet
-	startedAt     clock.Millis
+	lastLogged    clock.Millis            // when logSummary last wrote a line
+	trial         *rollout.Trial          // of a version; nil without an order
+	plan          rollout.Plan            // the last result of trial.Step
+	rampingUp     bool                    // the new version of a completed roll-out does not get all requests yet
+	startedAt     clock.Millis            // when this entry became the owner
 	writer        recordWriter
 }
 
@@ -55,7 +55,8 @@
 	coldBounds func() planner.ColdBounds
 
 	sampler *telemetry.Sampler
-	// stalls records when this process was stalled, whether or not it is an owner.
+	// stalls records when this process was stalled, whether or not it is an owner: what it reports of its own
+	// requests includes them.
 	stalls clock.Stalls
 
 	mu       sync.Mutex
@@ -72,6 +73,7 @@
 	}
 }
 
+// plannerShard returns the shard whose owner plans for a service.
 func plannerShard(service ids.Service) string {
 	return "targets/" + string(service)
 }
@@ -86,7 +88,8 @@
 	return g
 }
 
-// plannerFor returns the up-to-date planner of a service, or nil if another entry is its owner; the caller holds the lock.
+// plannerFor returns the up-to-date planner of a service, or nil if another entry is its owner; the caller holds the
+// lock.
 func (owner *Owner) plannerFor(now clock.Millis, service ids.Service) *servicePlanner {
 	directory := owner.view.Directory()
 	if _, self := owner.members.HeavyOwner(plannerShard(service)); !self || directory == nil {
@@ -119,9 +122,9 @@
 	owner.adoptEstimates(g, service)
 }
 
-// updateLimits sets how many requests the planner may send to cold and rate-limited targets; the caller holds the lock. The
-// owner counts as just started for a while: a former owner that is partitioned may go on planning until it has received no
-// heartbeat from this entry for as long as an entry without a heartbeat still counts as alive.
+// updateLimits sets how many requests the planner may send to cold and rate-limited targets; the caller holds the lock.
+// The owner counts as just started for a while: a former owner that is partitioned may go on planning until it has
+// received no heartbeat from this entry for as long as an entry without a heartbeat still counts as alive.
 func (owner *Owner) updateLimits(now clock.Millis, g *servicePlanner, service ids.Service) {
 	s := owner.view.Catalog().Service(service)
 	limitsCold := s != nil && s.ColdPerSecond > 0
@@ -154,6 +157,8 @@
 	}
 }
 
+// tick updates the planners of this entry, drops those of services that another entry owns now, and returns the
+// decisions that are due.
 func (owner *Owner) tick(ctx context.Context) []planner.Decision {
 	now := owner.Clock.Now()
 	owner.mu.Lock()
--- a/pkg/dispatch/owner_messages.go
+++ b/pkg/dispatch/owner_messages.go
@@ -27,7 +27,8 @@
 	owner.sendDecisions(decisions)
 }
 
-// stillQueued is the decision for a job that was submitted again while it waits.
+// stillQueued is the decision for a job that waits on after a submission. Its embedded Decision is nil and only makes
+// it a planner.Decision.
 type stillQueued struct {
 	planner.Decision
 	id planner.JobID
@@ -41,6 +42,7 @@
 	return stillQueued{id: id}
 }
 
+// decides reports whether one of the decisions grants or refuses a job.
 func decides(decisions []planner.Decision, id planner.JobID) bool {
 	for _, d := range decisions {
 		switch d := d.(type) {
@@ -57,6 +59,8 @@
 	return false
 }
 
+// sendDecisions sends each decision to the entry of its job. The caller must not hold the lock, as for this entry's own
+// jobs the decision is handled in the call.
 func (owner *Owner) sendDecisions(decisions []planner.Decision) {
 	for _, d := range decisions {
 		switch d := d.(type) {
@@ -113,7 +117,8 @@
 	})
 }
 
-// receiveSync reconciles the planner with the list of an entry's running requests.
+// receiveSync reconciles the planner with one page of the list of an entry's running requests: it restores those that
+// the planner lacks, and ends those of this page that are not listed.
 func (owner *Owner) receiveSync(from netip.AddrPort, s *syncMessage) {
 	now := owner.Clock.Now()
 	owner.withPlanner(now, s.Service, from, func(p *planner.Planner) {
@@ -133,7 +138,8 @@
 	})
 }
 
-// withPlanner runs do on the planner of a service and sends the resulting decisions.
+// withPlanner runs do on the planner of a service, with the lock held, and then sends the resulting decisions. If
+// another entry is the owner, it does nothing: the sender repeats its message to that one.
 func (owner *Owner) withPlanner(now clock.Millis, service ids.Service, from netip.AddrPort, do func(*planner.Planner)) {
 	owner.mu.Lock()
 	g := owner.plannerForSender(now, service, from)
--- a/pkg/dispatch/owner_summary.go
+++ b/pkg/dispatch/owner_summary.go
@@ -12,6 +12,7 @@
 // summaryInterval is the time between two log lines with a planner's estimates.
 const summaryInterval = 5 * clock.Second
 
+// logSummary logs a planner's counts and estimates every summaryInterval; the caller holds the lock.
 func (owner *Owner) logSummary(now clock.Millis, service ids.Service, g *servicePlanner) {
 	if now-g.lastLogged < summaryInterval {
 		return
@@ -27,7 +28,7 @@
 	}).Info("planning")
 }
 
-// roundToTenth rounds for logs.
+// roundToTenth rounds to one decimal, for logs.
 func roundToTenth(x float64) float64 {
 	const tenth = 10
 	return math.Round(x*tenth) / tenth
--- a/pkg/dispatch/owner_trials.go
+++ b/pkg/dispatch/owner_trials.go
@@ -24,11 +24,11 @@
 	recordInterval = 200 * clock.Millisecond
 )
 
-// recordWriter is the state of writing one service's roll-out record, one call at a time.
+// recordWriter is the state of writing one service's roll-out record, one call at a time. The owner's lock guards it.
 type recordWriter struct {
-	busy       bool
+	busy       bool         // a call to the store is running
 	notBefore  clock.Millis // earliest time of the next call
-	evidenceAt clock.Millis // time of the last write of evidence
+	evidenceAt clock.Millis // when the last write began; each one includes the evidence
 	// lastRevision is the newest revision of the record that is known here.
 	lastRevision rollout.Revision
 }
@@ -46,7 +46,8 @@
 	}
 }
 
-// stepTrial advances the roll-out of a service; the caller holds the lock.
+// stepTrial advances the roll-out of a service, or ends it here if its order is no longer open; the caller holds the
+// lock.
 func (owner *Owner) stepTrial(ctx context.Context, now clock.Millis, service ids.Service, g *servicePlanner) {
 	if owner.rollouts == nil {
 		return
@@ -116,7 +117,8 @@
 	return list
 }
 
-// startTrial begins the trial of an order at this owner, with the evidence that a former owner has written.
+// startTrial begins the trial of an order at this owner, with the evidence that a former owner has written. A withdrawn
+// order gets a trial too, which ends it.
 func (owner *Owner) startTrial(now clock.Millis, g *servicePlanner, order rollout.Order, record *rollout.Record) {
 	tracker := owner.rollouts.Tracker
 	times := tracker.Times(order, *record)
@@ -127,7 +129,7 @@
 	}).Info("this entry now runs the roll-out")
 }
 
-// situation returns the input of the next trial step.
+// situation returns the input of the next trial step; the caller holds the lock.
 func (owner *Owner) situation(now clock.Millis, g *servicePlanner, record rollout.Record) rollout.Situation {
 	onTrial, others := g.planner.TrialTargets()
 	return rollout.Situation{
@@ -148,7 +150,8 @@
 	return len(targets) > 0
 }
 
-// writeTrialState writes the record's next state if the plan has one, or else the evidence every evidenceInterval.
+// writeTrialState writes the record's next state if the plan has one, or else, while the roll-out is running, the
+// evidence every evidenceInterval. rollout.Pending as the state to write means none. The caller holds the lock.
 func (owner *Owner) writeTrialState(ctx context.Context, now clock.Millis, g *servicePlanner, record rollout.Record) {
 	state := g.plan.Write
 	if state == rollout.Pending && record.State == rollout.Running && now-g.writer.evidenceAt >= evidenceInterval {
@@ -167,8 +170,9 @@
 	go owner.writeRecord(ctx, g, next, record.State != state)
 }
 
-// writeRecord makes one call to the store. If its outcome is unknown, the row that is read later
-// shows it.
+// writeRecord writes a record to the store, in one call. If its outcome is unknown, the row that is read later
+// shows it. The lock is only taken after the call. stateChanged says that the write is of a new state, not only of
+// evidence.
 func (owner *Owner) writeRecord(ctx context.Context, g *servicePlanner, r rollout.Record, stateChanged bool) {
 	limited, cancel := context.WithTimeout(ctx, recordTimeout.Duration())
 	defer cancel()
@@ -194,7 +198,7 @@
 	g.writer.notBefore = owner.Clock.Now() + recordInterval
 }
 
-// describe adds to a report what only the owner of its service knows.
+// describe adds to a report what only the owner of its service knows; at other entries it adds nothing.
 func (owner *Owner) describe(r *rollout.Report) {
 	owner.mu.Lock()
 	defer owner.mu.Unlock()
--- a/pkg/dispatch/pending.go
+++ b/pkg/dispatch/pending.go
@@ -16,20 +16,20 @@
 type pending struct {
 	request   schedule.Request
 	number    uint64
-	decisions chan decisionMessage
-	owner     netip.AddrPort // to which it was submitted last
+	decisions chan decisionMessage // on this request; receiveDecision never blocks on it
+	owner     netip.AddrPort       // to which it was submitted last
 	// unanswered counts the submissions since the owner's last decision. It starts below
 	// zero after the owner has queued the request.
 	unanswered int
-	// trialReserved says that the request may go to a canary version: this entry has reserved a part of its exposure
-	// for it.
+	// trialReserved says that the request may go to a canary version: this entry has reserved one request of its
+	// exposure for it.
 	trialReserved bool
 	// withheld is how many grants were returned because their targets had told this entry to send nothing.
 	withheld int
 }
 
-// Acquire waits for an assignment by the owner of the service, or makes one itself if no owner answers. It returns a refusal
-// if the request should be retried later, and the cause as an error if ctx ends first.
+// Acquire waits for an assignment by the owner of the service, or makes one itself if no owner answers. It returns a
+// refusal if the request should be retried later, and the cause as an error if ctx ends first.
 func (d *Dispatcher) Acquire(ctx context.Context, request schedule.Request) (schedule.Assignment, *schedule.Refused, error) {
 	p := &pending{request: request}
 	d.register(p)
@@ -103,12 +103,14 @@
 	d.syncsLeft[p.request.Service] = finalSyncs
 }
 
+// unregister drops later decisions on a request; a grant among them is only counted as too late.
 func (d *Dispatcher) unregister(number uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.waiting, number)
 }
 
+// submit sends a request to the owner of its service, and returns the owner.
 func (d *Dispatcher) submit(p *pending) netip.AddrPort {
 	now := d.Clock.Now()
 	w := &p.request
@@ -127,7 +129,8 @@
 	d.returnGrant(p, planner.Moved)
 }
 
-// returnGrant returns a grant and registers the request under a new number.
+// returnGrant ends the run of a grant at the owner, with an outcome that says why it was not used, and registers the
+// request under a new number.
 func (d *Dispatcher) returnGrant(p *pending, outcome planner.Outcome) {
 	d.unregister(p.number)
 	d.sendProgress(progressMessage{Number: p.number, Service: p.request.Service, Progress: done, Outcome: outcome})
@@ -135,8 +138,8 @@
 	d.register(p)
 }
 
-// assignLocally chooses a target by this entry's own counts, as the owner has not answered. The owner learns of
-// the request from the next list of running requests.
+// assignLocally chooses a target by this entry's own counts, as the owner has not answered, and suspects the owner. The
+// owner learns of the request from the next list of running requests.
 func (d *Dispatcher) assignLocally(ctx context.Context, p *pending) (schedule.Assignment, *schedule.Refused, error) {
 	d.Metrics.Links.Add("placed_alone", 1)
 	d.members.Suspect(p.owner)
--- a/pkg/dispatch/trials.go
+++ b/pkg/dispatch/trials.go
@@ -18,7 +18,7 @@
 	// Bounds returns the current bounds.
 	Bounds func() rollout.Bounds
 	Store  RolloutStore
-	// Changed is called after this entry has written a record.
+	// Changed is called after this entry has written a record, so that the list of targets follows it at once.
 	Changed func()
 	// Excused lists incarnations of targets whose ends do not count against the canary version: they ran requests under
 	// which targets of any version end. It is nil if that is not known.
@@ -38,7 +38,7 @@
 	common.Common
 	rollouts *Rollouts
 	members  *membership.Members
-	exposure *rollout.Exposure
+	exposure *rollout.Exposure // what this entry has sent to canary versions and may still send
 }
 
 func newTrials(c common.Common, rollouts *Rollouts, members *membership.Members) *trials {
@@ -48,8 +48,8 @@
 // rolloutShard is the shard by which entries are ranked to divide the slack of a roll-out among them.
 func rolloutShard(service ids.Service) string { return "rollout/" + string(service) }
 
-// reserve reserves a request for the canary version of its service, if this entry's share of the exposure is not used up.
-// release gives the reservation back, useReservation uses it.
+// reserve reserves a request for the canary version of its service, if this entry's share of the exposure is not used
+// up. release gives the reservation back, useReservation uses it.
 func (t *trials) reserve(p *pending) {
 	service := p.request.Service
 	if t.rollouts == nil || !t.refreshOrder(service) || !t.feedIsFresh() {
@@ -71,8 +71,9 @@
 	return record.State == rollout.Running
 }
 
-// slackCredit returns this entry's share of the slack. It is 0 if the entry has not followed the order from its start, or
-// does not know the other entries: it would take itself for the first of them, as each of the others would.
+// slackCredit returns this entry's share of the slack, in requests. It is 0 if the entry has not followed the order
+// from its start, or does not know the other entries: it would take itself for the first of them, as each of the others
+// would.
 func (t *trials) slackCredit(order rollout.Order) int {
 	entries, known := t.members.Entries()
 	if !known || !t.rollouts.Tracker.ObservedFromStart(order) {
@@ -87,6 +88,7 @@
 	return t.rollouts.Tracker.Age(t.Clock.Now()) <= t.rollouts.Bounds().Grace()
 }
 
+// release gives back a reservation that was not used.
 func (t *trials) release(p *pending) {
 	if p.trialReserved {
 		p.trialReserved = false
@@ -94,7 +96,9 @@
 	}
 }
 
-// useReservation uses the reservation of a request that goes to a canary target, and reports whether it may go there.
+// useReservation uses the reservation of a request that goes to a canary target, and reports whether it may go there:
+// false without a reservation, if this entry's copy of the records is too old, or if the version is no longer the
+// canary.
 func (t *trials) useReservation(p *pending, target *routing.Target) bool {
 	if !p.trialReserved || !t.feedIsFresh() || !t.exposure.Commit(target.Service, target.Version) {
 		return false
