--- a/pkg/feedrelay/feed_query.go
+++ b/pkg/feedrelay/feed_query.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// randomPeers returns up to n of the other entries, chosen at random.
+// randomPeers returns up to n of the other entries, chosen at random: of those on the list, or, if there are none, of
+// those that sent this entry a heartbeat before it had read the list.
 func (r *Relay) randomPeers(by *random.Source, n int) []netip.AddrPort {
 	others := r.members.Others()
 	if len(others) == 0 {
@@ -57,7 +58,7 @@
 
 // sample returns up to n random elements of a list, which it reorders.
 func sample(by *random.Source, from []netip.AddrPort, n int) []netip.AddrPort {
-	slices.SortFunc(from, netip.AddrPort.Compare) // their order comes from a map
+	slices.SortFunc(from, netip.AddrPort.Compare) // their order comes from a map, and a seed must give the same sample
 	by.Fork().Shuffle(len(from), func(i, j int) { from[i], from[j] = from[j], from[i] })
 	return from[:min(n, len(from))]
 }
--- a/pkg/feedrelay/fetch.go
+++ b/pkg/feedrelay/fetch.go
@@ -17,10 +17,10 @@
 
 // fetchResult is the outcome of a request for missed changes or for a snapshot.
 type fetchResult struct {
-	batch       follow.Batch
+	batch       follow.Batch // with its Age set if it came from a peer
 	err         error
 	fromStore   bool
-	requestedAt clock.Millis
+	requestedAt clock.Millis // when the query was sent
 }
 
 // fetch gets the changes that this entry missed: from a peer, or from the store if no peer answers
@@ -56,7 +56,7 @@
 	return follow.Batch{}, fmt.Errorf("fetching missed changes: %w", failed)
 }
 
-// applyFetched applies the outcome of a request for missed changes.
+// applyFetched applies the outcome of a request for missed changes, and returns its error if it failed.
 func (s *Source) applyFetched(after int64, a fetchResult) error {
 	switch {
 	case a.fromStore:
@@ -70,6 +70,7 @@
 	return nil
 }
 
+// changesFromStore requests the changes after a version from the store, which must not hold the query.
 func (s *Source) changesFromStore(ctx context.Context, after int64) fetchResult {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout.Duration())
 	defer cancel()
@@ -78,8 +79,8 @@
 	return fetchResult{batch: batch, err: err, fromStore: true, requestedAt: requestedAt}
 }
 
-// changesFromPeers requests the changes after a version from other entries, in rounds until
-// the time within is over, from when on the store is read too.
+// changesFromPeers requests the changes after a version from other entries, in rounds until one has them, until there
+// is no peer to query, or until the time within is over, from when on the store is read too.
 func (s *Source) changesFromPeers(ctx context.Context, after int64, within clock.Millis) fetchResult {
 	end := s.relay.Clock.Now() + within
 	for round := 0; ; round++ {
--- a/pkg/feedrelay/listen.go
+++ b/pkg/feedrelay/listen.go
@@ -23,7 +23,7 @@
 )
 
 // listen waits for a newer feed state, until this entry is to read the store itself, or until
-// there has been no feed state to rely on for storeLostAfter.
+// there has been no feed state to rely on for storeLostAfter. The batch is set with newState only.
 func (s *Source) listen(ctx context.Context, after int64) (follow.Batch, listenResult) {
 	relay := s.relay
 	again := time.NewTicker(minReadPause.Duration())
@@ -66,7 +66,7 @@
 }
 
 // since returns what a message adds for an entry that has the table up to version after, with
-// freshness confirmed up to the store time confirmedAt.
+// freshness confirmed up to the store time confirmedAt. A newState without rows only confirms the freshness.
 func (m *message) since(after int64, confirmedAt clock.Millis) (follow.Batch, listenResult) {
 	b := follow.Batch{Version: m.To, StoreTime: m.StoreTime, Relayed: true}
 	switch {
--- a/pkg/feedrelay/packing.go
+++ b/pkg/feedrelay/packing.go
@@ -29,6 +29,7 @@
 	return packed.Bytes(), nil
 }
 
+// unpack reverses pack.
 func unpack(packed []byte) ([]follow.Row, error) {
 	if len(packed) == 0 {
 		return nil, nil
--- a/pkg/feedrelay/peer_conn.go
+++ b/pkg/feedrelay/peer_conn.go
@@ -16,6 +16,7 @@
 	client *rpc.Client
 }
 
+// dial connects to a peer. The caller closes the connection, which ends a call that still runs.
 func (r *Relay) dial(ctx context.Context, peer netip.AddrPort) (*peerConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout.Duration())
 	defer cancel()
@@ -28,6 +29,8 @@
 
 func (c *peerConn) close() { _ = c.client.Close() }
 
+// call calls a method of the peer. It returns errPeerTimeout if there is no answer within the time or before ctx ends,
+// and errNotNewer if the peer does not hold what was requested.
 func (c *peerConn) call(ctx context.Context, method string, query FeedQuery, within clock.Millis) (*FeedState, error) {
 	ctx, cancel := context.WithTimeout(ctx, within.Duration())
 	defer cancel()
@@ -47,7 +50,7 @@
 	return state, nil
 }
 
-// batch unpacks the answer of a peer.
+// batch unpacks the answer of a peer. The batch has its Age set.
 func (s *FeedState) batch() (follow.Batch, error) {
 	rows, err := unpack(s.Rows)
 	if err != nil {
@@ -57,7 +60,7 @@
 	return follow.Batch{Rows: rows, Version: s.Version, StoreTime: s.StoreTime, Relayed: true, Age: &age}, nil
 }
 
-// requestChanges requests the changes after a version from a peer.
+// requestChanges requests the changes after a version from a peer. It returns errNotNewer if the peer has none.
 func (s *Source) requestChanges(ctx context.Context, peer netip.AddrPort, after int64) (follow.Batch, error) {
 	c, err := s.relay.dial(ctx, peer)
 	if err != nil {
@@ -75,7 +78,8 @@
 }
 
 // requestSnapshot requests a snapshot from a peer: first whether the peer has one, which it
-// answers at once, then the rows, which may take long.
+// answers at once, then the rows, which may take long: their transfer does not end with ctx, which may only limit the
+// search for a peer. It returns errNotNewer if the peer's snapshot is older than version atLeast.
 func (s *Source) requestSnapshot(ctx context.Context, peer netip.AddrPort, atLeast int64) (follow.Batch, error) {
 	c, err := s.relay.dial(ctx, peer)
 	if err != nil {
--- a/pkg/feedrelay/peer_server.go
+++ b/pkg/feedrelay/peer_server.go
@@ -31,6 +31,7 @@
 	return s.answer(q, state, func(t *table) (follow.Batch, bool) { return t.replica.snapshot() })
 }
 
+// answer fills in the answer to a query with what read returns of the table, which it calls with the lock held.
 func (s *peerServer) answer(q *FeedQuery, state *FeedState, read func(*table) (follow.Batch, bool)) error {
 	now := s.relay.Clock.Now()
 	s.relay.mu.Lock()
--- a/pkg/feedrelay/peers.go
+++ b/pkg/feedrelay/peers.go
@@ -19,7 +19,7 @@
 	changesMethod  = peerService + ".Changes"
 	hasMethod      = peerService + ".Has"
 	snapshotMethod = peerService + ".Whole"
-	// peerTimeout limits one call to a peer, including the connection: peers are a few ms
+	// peerTimeout limits connecting to a peer, and one call for changes: peers are a few ms
 	// away, and the next one may be quicker.
 	peerTimeout = 300 * clock.Millisecond
 	// nextPeerDelay is after what time the next peer is queried too: a VM that has lost power
@@ -66,7 +66,7 @@
 }
 
 // queryPeers requests the changes after a version from candidate peers, each next one if the
-// one before does not answer soon. It returns the first answer that is newer.
+// one before fails or does not answer within nextPeerDelay. It returns the first answer that is newer.
 func (s *Source) queryPeers(ctx context.Context, after int64, round int) (follow.Batch, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -113,10 +113,9 @@
 	errPeerTimeout = errors.New("no answer within the time limit")
 )
 
-// candidatePeers lists the peers to query for a table's feed state: those of the own failure
-// domain first, so that a change is transferred into each domain only once. The domain owner
-// queries the sender of the last message; the others query that one only from the second round
-// on.
+// candidatePeers lists up to maxPeers peers to query for a table's feed state in a round, counted from 0: those of the
+// own failure domain first, so that a change is transferred into each domain only once. The domain owner queries the
+// sender of the last message; the others query that one only from the second round on.
 func (s *Source) candidatePeers(round int) []netip.AddrPort {
 	relay := s.relay
 	if relay.Ablation.Off(ablation.PeerNews) {
--- a/pkg/feedrelay/read_decision.go
+++ b/pkg/feedrelay/read_decision.go
@@ -29,11 +29,12 @@
 // outage too, few read for all: the total load on the store does not grow with the number of
 // entries, since all of them would read the same store at the same moment.
 type readDecision struct {
-	// rank is this entry's rank as feed reader: how many entries precede it.
+	// rank is this entry's rank as feed reader: how many entries that are believed to reach the store precede it.
 	rank int
 	// aliveRank is the same among all living entries, whether they reach the store or not.
 	aliveRank int
-	entries   int
+	// entries is how many entries may be serving.
+	entries int
 	// unreliableFor is for how long there has been no feed state to rely on.
 	unreliableFor clock.Millis
 	// sinceRead is how long ago this entry last read the store, answeredLast whether the store
@@ -47,7 +48,8 @@
 	fallbackAge  clock.Millis
 }
 
-// shouldRead reports whether this entry reads the store.
+// shouldRead reports whether this entry reads the store: as the feed reader, as a backup reader, or with a fallback
+// read.
 func (t readDecision) shouldRead() bool {
 	if t.rank == 0 || t.actsAsBackup() {
 		return true
@@ -66,7 +68,8 @@
 	return t.answeredLast || t.sinceRead >= min(maxBackupPause, backupInterval*order*order)
 }
 
-// fallbackSpan is the time in which each entry makes one fallback read.
+// fallbackSpan is the time in which each entry makes one fallback read, so that all of them together keep to
+// fallbackSpacing.
 func fallbackSpan(entries int) clock.Millis {
 	return max(backupInterval, clock.Millis(entries)*fallbackSpacing)
 }
--- a/pkg/feedrelay/relay.go
+++ b/pkg/feedrelay/relay.go
@@ -55,12 +55,13 @@
 	Age       clock.Millis
 }
 
+// row is one changed row of a table, or the tombstone of a deleted one (Gone).
 type row struct {
 	_     struct{} `cbor:",toarray"`
 	Key   string
 	Value []byte
 	Gone  bool
-	// Version is the table version at which the row was written.
+	// Version is the table version at which the row was written, 0 if it is not known.
 	Version int64
 }
 
@@ -72,27 +73,27 @@
 	link    *packets.Link
 
 	mu     sync.Mutex
-	tables map[string]*table
+	tables map[string]*table // by name
 	// storeFailing says that this entry's last query to the store, for any table, got no
 	// answer. recovered is closed, and replaced, when a query is answered again.
 	storeFailing bool
 	recovered    chan struct{}
 }
 
-// table is the state kept of one table.
+// table is the state kept of one table. The relay's lock guards it.
 type table struct {
-	createdAt clock.Millis
+	createdAt clock.Millis // when the table was first used here: followed, sent by another entry or queried by one
 	replica   replica
 	changedAt clock.Millis // when rows last changed
-	readAt    clock.Millis // when the store last answered this entry
+	readAt    clock.Millis // when the store last answered this entry; 0 before the first answer
 	// currentAt is a moment at which the replica was current. The transit time of the
 	// messages that reported it is not included.
 	currentAt clock.Millis
 
-	received     message // the newest from the feed reader or another entry
-	receivedAt   clock.Millis
-	receivedFrom netip.AddrPort
-	updated      chan struct{} // closed and replaced by the next message
+	received     message        // the newest from the feed reader or another entry
+	receivedAt   clock.Millis   // 0 before the first one
+	receivedFrom netip.AddrPort // its sender; not valid before the first one
+	updated      chan struct{}  // closed and replaced by the next message
 }
 
 // NewRelay returns a relay without any feed state and registers its handlers on the link.
@@ -122,7 +123,8 @@
 	return rank == 0
 }
 
-// recordStoreReply records whether the store has answered a query.
+// recordStoreReply records whether the store has answered a query, and wakes the followers if it does so again after a
+// failure.
 func (r *Relay) recordStoreReply(answered bool) {
 	r.members.RecordStoreReply(answered)
 	r.mu.Lock()
@@ -134,6 +136,7 @@
 	r.storeFailing = !answered
 }
 
+// table returns the state of a table, a new one if there is none; the caller holds the lock.
 func (r *Relay) table(name string) *table {
 	t := r.tables[name]
 	if t == nil {
@@ -143,7 +146,8 @@
 	return t
 }
 
-// reliableUntil returns until when the received feed state is relied on.
+// reliableUntil returns until when the received feed state is relied on: until it is too old, or was received too long
+// ago.
 func (t *table) reliableUntil() clock.Millis {
 	if t.receivedAt == 0 {
 		return t.createdAt + silenceLimit // the feed reader may be about to send
@@ -168,6 +172,7 @@
 	return t.readAt > 0 && now-t.readAt <= maxFeedAge
 }
 
+// sendAll sends the feed states that this entry should send. The lock is not held while it sends.
 func (r *Relay) sendAll() {
 	isFeedReader := r.isFeedReader()
 	now := r.Clock.Now()
@@ -182,7 +187,7 @@
 	r.send(messages)
 }
 
-// message returns the feed state of the table as known here.
+// message returns the feed state of the table as known here, with its newest change while that is repeated.
 func (t *table) message(name string, now clock.Millis) message {
 	r := &t.replica
 	m := message{Table: name, Since: r.last, To: r.to, Before: r.before, StoreTime: r.storeTime, Age: now - t.currentAt}
@@ -203,6 +208,7 @@
 	}
 }
 
+// receiveState keeps a feed state that another entry sent, and wakes those that listen for one.
 func (r *Relay) receiveState(from netip.AddrPort, m *message) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -217,7 +223,8 @@
 	t.updated = make(chan struct{})
 }
 
-// publish applies an answer of the store, and sends a change to the others at once.
+// publish applies the store's answer to a query for the changes after a version, and sends a change to the others at
+// once.
 func (r *Relay) publish(name string, after int64, batch follow.Batch) {
 	isFeedReader := r.isFeedReader()
 	now := r.Clock.Now()
@@ -229,7 +236,8 @@
 	r.send(messages)
 }
 
-// publishSnapshot applies a snapshot read from the store, and sends a change to the others at once.
+// publishSnapshot applies a snapshot read from the store, and sends a change to the others at once. It counts as
+// a change only if the replica had all rows before.
 func (r *Relay) publishSnapshot(name string, batch follow.Batch) {
 	isFeedReader := r.isFeedReader()
 	now := r.Clock.Now()
@@ -257,7 +265,8 @@
 	return []message{t.message(name, now)}
 }
 
-// applyRelayed applies changes that another entry relayed, so that this entry can relay them too.
+// applyRelayed applies changes after a version that another entry relayed, so that this entry can relay them too. They
+// were current at currentAt.
 func (r *Relay) applyRelayed(name string, after int64, batch follow.Batch, currentAt clock.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/feedrelay/replica.go
+++ b/pkg/feedrelay/replica.go
@@ -16,22 +16,24 @@
 // since some version. The rows, the version up to which it has them and the store's time at that
 // version come from the same answers: freshness is never relayed without the rows that it covers.
 type replica struct {
-	known    bool
+	known    bool  // it has been read or received; the other fields are not set before
 	complete bool  // it has all rows, not only changes
 	from, to int64 // it has every change after version from, up to version to
 	// last and before are the versions of the newest change and of the one before it.
 	last, before int64
-	storeTime    clock.Millis
-	rows         map[string]versioned
+	storeTime    clock.Millis         // the store's clock at version to
+	rows         map[string]versioned // by key, with tombstones
 }
 
-// versioned is a row and a version at which it already had this value.
+// versioned is a row and a version of the table at which it already had this value: that of the answer that brought it,
+// which may be later than the row's own.
 type versioned struct {
 	row     follow.Row
 	version int64
 }
 
-// apply applies the changes after a version. It reports whether there was anything new.
+// apply applies the changes after a version. It reports whether there was anything new. If there is a gap between the
+// replica and the changes, the replica starts again from these.
 func (r *replica) apply(after int64, batch follow.Batch) bool {
 	switch {
 	case !r.known, after > r.to:
@@ -86,6 +88,7 @@
 	return changes
 }
 
+// put stores the rows of a change that the table had at a version.
 func (r *replica) put(rows []follow.Row, version int64) {
 	for _, row := range rows {
 		r.rows[row.Key] = versioned{row, version}
@@ -94,12 +97,14 @@
 	r.prune()
 }
 
+// advance moves the replica up to the version and store time of a batch whose rows it has.
 func (r *replica) advance(batch follow.Batch) {
 	r.to = max(r.to, batch.Version)
 	r.storeTime = max(r.storeTime, batch.StoreTime)
 }
 
-// prune deletes the oldest tombstones down to half of maxTombstones, if there are more than that limit.
+// prune deletes the oldest tombstones down to half of maxTombstones, if there are more than that limit. The changes
+// before the newest of the deleted ones can then no longer be served.
 func (r *replica) prune() {
 	var tombstones []versioned
 	for _, v := range r.rows {
@@ -145,7 +150,7 @@
 	return batch, true
 }
 
-// newestChange returns the rows of the newest change, or nil if they are too large for one message.
+// newestChange returns the rows of the newest change, or nil if they are larger than maxChangeBytes.
 func (r *replica) newestChange() []row {
 	size := 0
 	var rows []row
--- a/pkg/feedrelay/snapshot.go
+++ b/pkg/feedrelay/snapshot.go
@@ -11,18 +11,19 @@
 )
 
 // Snapshot reads all rows of the table: the feed reader from the store, the others from their own
-// replica or from a peer that has all rows, and otherwise from the store.
+// replica or from a peer that has all rows, and otherwise from the store. If the store has trimmed changes that this
+// entry lacks, its own replica is too old.
 func (s *Source) Snapshot(ctx context.Context) (follow.Batch, error) {
 	rank, _ := s.relay.members.FeedReaderRank(feedShard)
 	_, domainOwner := s.relay.members.DomainOwner(feedShard)
-	reads := rank == 0 || s.relay.Ablation.Off(ablation.OneReader)
-	if !reads && !s.trimmed {
+	isFeedReader := rank == 0 || s.relay.Ablation.Off(ablation.OneReader)
+	if !isFeedReader && !s.trimmed {
 		if batch, has := s.ownSnapshot(); has {
 			return batch, nil
 		}
 	}
 	_, listed := s.relay.members.Entries()
-	if !reads && (rank >= initialReaders && !domainOwner || s.trimmed || !listed) {
+	if !isFeedReader && (rank >= initialReaders && !domainOwner || s.trimmed || !listed) {
 		peersTime := peersFirstTime
 		if !listed {
 			peersTime = unlistedPeersFirstTime // it serves no requests until it is listed
@@ -82,7 +83,7 @@
 	return follow.Batch{}, fmt.Errorf("reading a snapshot from the store or a peer: %w", failed)
 }
 
-// applyFetchedSnapshot applies the outcome of a request for a snapshot.
+// applyFetchedSnapshot applies the outcome of a request for a snapshot, and returns its error if it failed.
 func (s *Source) applyFetchedSnapshot(a fetchResult) error {
 	if a.fromStore {
 		s.readAt = a.requestedAt
@@ -112,7 +113,8 @@
 }
 
 // snapshotFromPeers requests a snapshot of at least some version from peers, in rounds until one
-// has it, until the store has failed and this entry is to read it again, or until ctx ends.
+// has it, until the store has failed and this entry is to read it again, or until ctx ends. storeFailed is closed when
+// the store has failed, nil if it is not read.
 func (s *Source) snapshotFromPeers(ctx context.Context, atLeast int64, storeFailed <-chan struct{}) fetchResult {
 	for round := 0; ; round++ {
 		failed := errNoPeer
--- a/pkg/feedrelay/source.go
+++ b/pkg/feedrelay/source.go
@@ -12,20 +12,21 @@
 )
 
 // Source reads one table through the relay: from the store if this entry is the feed reader,
-// otherwise from relayed feed states. It is for one follower.
+// otherwise from relayed feed states. It is for one follower, whose calls come one after the other; they alone change
+// the fields.
 type Source struct {
 	relay  *Relay
-	name   string
-	direct follow.Source
+	name   string        // of the table
+	direct follow.Source // reads the store itself
 	// random is for this table alone: with a shared source, followers that start together would
 	// draw from it in an arbitrary order.
 	random *random.Source
 	// confirmedAt is the newest store time that was returned.
 	confirmedAt  clock.Millis
 	version      int64        // the newest version that was returned
-	trimmed      bool         // the store has trimmed the changes after that version
+	trimmed      bool         // the store has trimmed the changes after that version; false again with the next batch
 	readAt       clock.Millis // when the store was last read
-	answeredLast bool         // whether the store answered then
+	answeredLast bool         // whether the store answered then; that it has trimmed the changes is an answer too
 	fallbackAge  clock.Millis // the freshness age from which this entry makes fallback reads; 0 if not yet chosen
 }
 
@@ -74,6 +75,7 @@
 	return s.relay.recovered
 }
 
+// recordReturned records that the follower gets a batch.
 func (s *Source) recordReturned(batch follow.Batch) {
 	s.confirmedAt = max(s.confirmedAt, batch.StoreTime)
 	s.version = max(s.version, batch.Version)
@@ -81,7 +83,8 @@
 	s.fallbackAge = 0
 }
 
-// Changes returns the changes after a version, received from others or read from the store.
+// Changes returns the changes after a version, received from others or read from the store. It returns errNoFeedState
+// if it neither received any nor is to read the store.
 func (s *Source) Changes(ctx context.Context, after int64, wait clock.Millis) (follow.Batch, error) {
 	if s.relay.isFeedReader() {
 		return s.readStore(ctx, after, min(wait, MaxStoreWait))
@@ -125,7 +128,8 @@
 	return batch, s.storeAnswered(after, batch, err)
 }
 
-// storeAnswered records the outcome of a read of changes from the store.
+// storeAnswered records the outcome of a read of changes from the store, and publishes the changes. It returns the
+// error of a read that failed.
 func (s *Source) storeAnswered(after int64, batch follow.Batch, err error) error {
 	s.trimmed = errors.Is(err, follow.ErrTrimmed)
 	s.answeredLast = err == nil || s.trimmed
