--- a/pkg/app/advice_incarnations_test.go
+++ b/pkg/app/advice_incarnations_test.go
@@ -22,7 +22,8 @@
 	return fmt.Sprintf("clock %v ahead, answers dated %t", c.ahead, c.dates)
 }
 
-// vmClocks are the clocks that the tests use. From targets without dated answers an entry knows only the start in the row.
+// vmClocks are the clocks that the tests use. From targets without dated answers an entry knows only the start in the
+// row.
 var vmClocks = []vmClock{
 	{0, true}, {2 * time.Second, true}, {-2 * time.Second, true}, {20 * time.Second, true}, {-20 * time.Second, true},
 	{0, false}, {2 * time.Second, false}, {-2 * time.Second, false},
@@ -81,8 +82,8 @@
 
 // TestTargetLeavingSoonAfterRestart: while the store was unreachable, a target started again under its id and was
 // stopped at once, as in a release that is rolled back. An entry passed on its report that it was leaving, and recorded
-// it for the former incarnation, whose row was the newest that it had. When the store was back, with a row that was still
-// ready, the entry sent the target requests again: it attributed the report to the former incarnation, since the
+// it for the former incarnation, whose row was the newest that it had. When the store was back, with a row that was
+// still ready, the entry sent the target requests again: it attributed the report to the former incarnation, since the
 // connection had been made less than 3 s after the new start, and the clocks of two VMs may differ by that. A leaving
 // target that had started 3 s before its first connection got nothing.
 func TestTargetLeavingSoonAfterRestart(t *testing.T) {
@@ -117,10 +118,10 @@
 	}
 }
 
-// TestBackoffRequestedBeforeRestartIsRead: a target started again under its id while the store was unreachable, rejected
-// requests and asked for a back-off. Its VM's clock was ahead, so that the start in its row seemed to be later than the
-// connections of these answers. The entries attributed the back-off to the former incarnation, and sent three or more
-// requests at once when they had read the row.
+// TestBackoffRequestedBeforeRestartIsRead: a target started again under its id while the store was unreachable,
+// rejected requests and asked for a back-off. Its VM's clock was ahead, so that the start in its row seemed to be later
+// than the connections of these answers. The entries attributed the back-off to the former incarnation, and sent three
+// or more requests at once when they had read the row.
 func TestBackoffRequestedBeforeRestartIsRead(t *testing.T) {
 	for _, c := range vmClocks {
 		t.Run(c.String(), func(t *testing.T) {
@@ -150,8 +151,8 @@
 	}
 }
 
-// TestBackoffOfFormerIncarnationIsDropped: a target asked for a back-off of a minute, ended, and started again under its
-// id on a VM whose clock was behind. The start in its row seemed to be earlier than the connections of its former
+// TestBackoffOfFormerIncarnationIsDropped: a target asked for a back-off of a minute, ended, and started again under
+// its id on a VM whose clock was behind. The start in its row seemed to be earlier than the connections of its former
 // incarnation; the entries applied the back-off to the new one, which got nothing for the remainder of the minute.
 func TestBackoffOfFormerIncarnationIsDropped(t *testing.T) {
 	for _, c := range vmClocks {
--- a/pkg/app/advice_test.go
+++ b/pkg/app/advice_test.go
@@ -67,10 +67,10 @@
 }
 
 // TestTargetBackoffIsRespected guards against entries that read from a rejection only that the request had not run, and
-// not the back-off that the target asked for. Targets rejected requests with a back-off of three seconds. The entry that
-// got the rejection sent them three or four more requests in that time, which ran elsewhere after one or two failed
-// tries. Without the fix, a target that rejects all requests is mostly spared, by the count of its failures in a row;
-// one that serves some requests in between, which resets that count, never is.
+// not the back-off that the target asked for. Targets rejected requests with a back-off of three seconds. The entry
+// that got the rejection sent them three or four more requests in that time, which ran elsewhere after one or two
+// failed tries. Without the fix, a target that rejects all requests is mostly spared, by the count of its failures in a
+// row; one that serves some requests in between, which resets that count, never is.
 func TestTargetBackoffIsRespected(t *testing.T) {
 	const length = 8 * time.Second
 	faults := []struct {
@@ -185,8 +185,8 @@
 	})
 }
 
-// TestReplacementOfLeavingTargetGetsRequests: a target reported that it was leaving, and ended; it starts again under its
-// id, or another target starts at its address. The report of the former incarnation doesn't apply to these.
+// TestReplacementOfLeavingTargetGetsRequests: a target reported that it was leaving, and ended; it starts again under
+// its id, or another target starts at its address. The report of the former incarnation doesn't apply to these.
 func TestReplacementOfLeavingTargetGetsRequests(t *testing.T) {
 	for _, sameID := range []bool{false, true} {
 		for _, unreachable := range []bool{false, true} {
--- a/pkg/app/app.go
+++ b/pkg/app/app.go
@@ -24,18 +24,20 @@
 // Exit codes of the daemon.
 const (
 	ExitOK      = 0
-	ExitFailed  = 1
-	ExitUsage   = 2
-	ExitInvalid = 3
+	ExitFailed  = 1 // not built, not started, or ended before all requests had
+	ExitUsage   = 2 // invalid command line
+	ExitInvalid = 3 // invalid settings file
 )
 
 // options are the values of the command line's flags.
 type options struct {
+	// role is empty for a process that settings describe, the path of its settings file. A process on the platform has
+	// a role instead, and the environment names its settings; policy, trace and what follows check apply to it alone.
 	role     string
 	policy   string
 	trace    settings.Trace
 	settings string
-	check    bool
+	check    bool // only check the settings
 	// ablation names the mechanisms that are switched off; it is only accepted with experiment.
 	ablation   string
 	experiment bool
@@ -81,6 +83,7 @@
 // defaultTraceRatio keeps the cost of spans far below the cost of the requests.
 const defaultTraceRatio = 0.01
 
+// runRole runs a process on the platform in its role, until it is stopped, and returns the exit code.
 func runRole(o options, logs io.Writer) int {
 	policy := schedule.Policy(o.policy)
 	known := []schedule.Policy{schedule.Planned, schedule.RoundRobin, schedule.LeastReported}
@@ -108,6 +111,8 @@
 	_, _ = fmt.Fprintln(to, what)
 }
 
+// parse parses the command line. Package flag writes its own errors, with the list of flags, to usage; others are only
+// returned. The error wraps flag.ErrHelp if help was requested.
 func parse(args []string, usage io.Writer) (options, error) {
 	var o options
 	flags := flag.NewFlagSet("quaydock", flag.ContinueOnError)
--- a/pkg/app/cold_test.go
+++ b/pkg/app/cold_test.go
@@ -97,10 +97,10 @@
 	}
 }
 
-// TestColdTargetsGetLimitedRate guards against entries that read the slow-start time in the targets' rows and ignore it.
-// Targets that had just started got as many requests at once as warm ones, far more than they could take, and failed. The
-// fault needs no partition: with all entries in touch and one planner for all, the targets of a failure domain that came
-// back got their first requests as fast as the callers sent them.
+// TestColdTargetsGetLimitedRate guards against entries that read the slow-start time in the targets' rows and ignore
+// it. Targets that had just started got as many requests at once as warm ones, far more than they could take, and
+// failed. The fault needs no partition: with all entries in touch and one planner for all, the targets of a failure
+// domain that came back got their first requests as fast as the callers sent them.
 func TestColdTargetsGetLimitedRate(t *testing.T) {
 	const length = 12 * time.Second
 	scenarios := []struct {
--- a/pkg/app/configuration_handler.go
+++ b/pkg/app/configuration_handler.go
@@ -13,15 +13,16 @@
 type configurationHandler struct {
 	common.Common
 	view      *view.View
-	onApplied func(*routing.Catalog)
-	orders    orderReceiver // nil if roll-outs are disabled in this deployment
+	onApplied func(*routing.Catalog) // called after a configuration was put in force
+	orders    orderReceiver          // nil if roll-outs are disabled in this deployment
 	domains   *domains.Filter
-	faults    *follow.Faults
+	faults    *follow.Faults // the invalid rows of the configuration; those of orders are in orders
 	// faulty reports whether the newest row of the configuration is invalid.
 	faulty bool
 }
 
-// orderReceiver applies the operators' rows with roll-out orders.
+// orderReceiver applies the operators' rows with roll-out orders, and ignores others; all says that they are a
+// snapshot.
 type orderReceiver interface {
 	applyOrders(rows []follow.Row, all bool, freshness follow.Freshness)
 }
@@ -37,6 +38,7 @@
 	h.apply(rows, false, freshness)
 }
 
+// apply applies rows of the table; all says that they are a snapshot.
 func (h *configurationHandler) apply(rows []follow.Row, all bool, freshness follow.Freshness) {
 	if h.orders != nil {
 		h.orders.applyOrders(rows, all, freshness)
@@ -58,7 +60,8 @@
 	}
 }
 
-// applyDrainOrders applies the operators' rows that drain failure domains.
+// applyDrainOrders applies the operators' rows that drain failure domains. In a snapshot, a domain without one is
+// restored.
 func (h *configurationHandler) applyDrainOrders(rows []follow.Row, all bool) {
 	var orders []domains.DrainOrder
 	for _, row := range rows {
--- a/pkg/app/crash_test.go
+++ b/pkg/app/crash_test.go
@@ -184,8 +184,8 @@
 
 // TestAccountWithManyFatalRequestsLeavesOthersServed guards against a client account that sends new fatal bodies four
 // times a second, each of them repeatedly. Each body ended one or two targets before it was quarantined, and one more
-// 5 s later: 88 targets ended under 50 bodies, and only half of another account's requests were served. Only the account
-// is common to the bodies.
+// 5 s later: 88 targets ended under 50 bodies, and only half of another account's requests were served. Only the
+// account is common to the bodies.
 func TestAccountWithManyFatalRequestsLeavesOthersServed(t *testing.T) {
 	const perSecond = 4 // bodies
 	scenarios := []struct {
--- a/pkg/app/domains_test.go
+++ b/pkg/app/domains_test.go
@@ -12,7 +12,8 @@
 	"quaydock/platform/wiretest"
 )
 
-// domainDrainSlack is how long requests may still reach the targets of a failure domain after operators have drained it.
+// domainDrainSlack is how long requests may still reach the targets of a failure domain after operators have drained
+// it.
 const domainDrainSlack = 5 * time.Second
 
 // domainsBed is a test bed of complete entries in front of targets in three failure domains, which operators drain and
@@ -66,10 +67,10 @@
 	b.store.Remove(platform.TableOperators, wiretest.DrainKey(domain))
 }
 
-// TestDrainedFailureDomainGetsNoRequests guards against entries that read the drain order and ignore its row as unknown.
-// Operators drained a failure domain to take its VMs away, and a third of all requests went on reaching its targets. These
-// got as many requests as those of the other domains, from all entries, whether or not the store and the other entries
-// were reachable.
+// TestDrainedFailureDomainGetsNoRequests guards against entries that read the drain order and ignore its row as
+// unknown. Operators drained a failure domain to take its VMs away, and a third of all requests went on reaching its
+// targets. These got as many requests as those of the other domains, from all entries, whether or not the store and the
+// other entries were reachable.
 func TestDrainedFailureDomainGetsNoRequests(t *testing.T) {
 	const (
 		drainAt = 2 * time.Second
--- a/pkg/app/entries_handler.go
+++ b/pkg/app/entries_handler.go
@@ -10,8 +10,8 @@
 // entriesHandler follows the table of the entries, which also holds the records of roll-outs and of
 // quarantined requests, and passes each row to the component that it is for.
 type entriesHandler struct {
-	members  follow.Handler
-	rollouts *rollouts // nil if they are disabled in this deployment
+	members  follow.Handler // gets the rows of entries, and those of unknown keys
+	rollouts *rollouts      // nil if they are disabled in this deployment
 	guard    *quarantine.Guard
 	// faults are the invalid records of requests.
 	faults *follow.Faults
@@ -51,6 +51,8 @@
 // rowsBySubject are the rows of the table, split by what they describe.
 type rowsBySubject struct{ entries, rollouts, requests []follow.Row }
 
+// splitRows splits rows by their keys. Rows of unknown keys, and of roll-outs if these are disabled, are among the
+// entries.
 func (h *entriesHandler) splitRows(rows []follow.Row) rowsBySubject {
 	var d rowsBySubject
 	for _, row := range rows {
@@ -68,7 +70,8 @@
 	return d
 }
 
-// applyQuarantine applies the records of suspected requests. If a row is invalid, its former record stays.
+// applyQuarantine applies the records of suspected requests; all says that they are a snapshot. If a row is invalid,
+// its former record stays.
 func (h *entriesHandler) applyQuarantine(rows []follow.Row, all bool) {
 	if len(rows) == 0 && !all {
 		return
--- a/pkg/app/entry_bounds.go
+++ b/pkg/app/entry_bounds.go
@@ -11,6 +11,7 @@
 	"quaydock/platform"
 )
 
+// seconds converts seconds to the clock's unit.
 func seconds(s float64) clock.Millis {
 	return clock.Millis(s * float64(clock.Second))
 }
@@ -27,6 +28,8 @@
 	p.meter.SetBounds(quotaBounds(s.Bounds))
 }
 
+// keyGrace returns how long a removed key may still be used. An entry serves keyed requests beyond that, on the
+// strength of the others' heartbeats, only where the limit is not strict.
 func (p *entryProcess) keyGrace(b platform.Bounds) ingress.KeyGrace {
 	keys := ingress.KeyGrace{Limit: b.Revoke, Strict: b.RevokeStrict}
 	if !keys.Strict && !p.Ablation.Off(ablation.KeyTrust) {
--- a/pkg/app/entry_drain_test.go
+++ b/pkg/app/entry_drain_test.go
@@ -307,11 +307,12 @@
 	})
 }
 
-// TestUnfinishedRequestsAreAnsweredAtDrainEnd: requests that arrived within seconds of SIGTERM, while the balancer still
-// sends callers here, and that had no answer at the end of the grace had their connections closed without an answer. One
-// that waited for an assignment could have been retried elsewhere, but its caller didn't learn that it had not run; one
-// whose target was at work was not logged. Cause: at its end the process closed all remaining connections alike. On the
-// recorded day three of four entries log `stopped` with 2 or 3 requests running, and no line names these requests.
+// TestUnfinishedRequestsAreAnsweredAtDrainEnd: requests that arrived within seconds of SIGTERM, while the balancer
+// still sends callers here, and that had no answer at the end of the grace had their connections closed without an
+// answer. One that waited for an assignment could have been retried elsewhere, but its caller didn't learn that it had
+// not run; one whose target was at work was not logged. Cause: at its end the process closed all remaining connections
+// alike. On the recorded day three of four entries log `stopped` with 2 or 3 requests running, and no line names these
+// requests.
 func TestUnfinishedRequestsAreAnsweredAtDrainEnd(t *testing.T) {
 	scenarios := []struct {
 		name     string
--- a/pkg/app/entry_follow.go
+++ b/pkg/app/entry_follow.go
@@ -37,6 +37,7 @@
 	go p.follower(platform.TableTargets, targets, follow.Options{Wait: targetlist.WaitForChanges, AnswerTimeout: storeTimeout}).Run(ctx)
 }
 
+// follower returns a follower that reads a table of the store through the feed relay.
 func (p *entryProcess) follower(table string, handler follow.Handler, options follow.Options) *follow.Follower {
 	c := p.Common
 	c.Log = c.Log.WithField("table", table)
@@ -55,6 +56,8 @@
 	p.meter.Forget(func(name ids.Account) bool { return known[name] })
 }
 
+// prune closes connections to targets that are no longer listed and drops advice that has expired, every pruneInterval
+// until ctx ends.
 func (p *entryProcess) prune(ctx context.Context) {
 	for ctx.Err() == nil {
 		clock.Pause(ctx, pruneInterval)
--- a/pkg/app/entry_metrics.go
+++ b/pkg/app/entry_metrics.go
@@ -16,7 +16,8 @@
 	metricsPath = "/metrics"
 )
 
-// metrics serves the metrics in Prometheus's text format, the expvar counters and the operators' pages.
+// metrics registers the gauges of the entry, and returns a handler for the metrics in Prometheus's text format, the
+// expvar counters and the operators' pages.
 func (p *entryProcess) metrics() http.Handler {
 	f := p.Metrics.Prometheus
 	f.Gauge("configuration_proof_age_seconds", func() float64 { return p.view.Age(p.Clock.Now()).Duration().Seconds() })
@@ -113,7 +114,8 @@
 	}
 }
 
-// release lifts the quarantine of the request with the digest in the form.
+// release lifts the quarantine of the request with the digest in the form. It answers with 404 if nothing is known
+// against that request.
 func (p *entryProcess) release(w http.ResponseWriter, r *http.Request) {
 	digest, err := quarantine.ParseDigest(r.FormValue("digest"))
 	if err != nil {
--- a/pkg/app/entry_process.go
+++ b/pkg/app/entry_process.go
@@ -47,18 +47,22 @@
 	// configurationWait is how long the store holds a query for a newer configuration; while the
 	// store answers, the freshness of the keys is at most that old.
 	configurationWait = 1200 * clock.Millisecond
-	membersWait       = 20 * clock.Second
+	// membersWait is how long the store holds a query for changes of the table of entries.
+	membersWait = 20 * clock.Second
 	// firstListTimeout is how long reading the other tables waits at the start for the list of
 	// entries, which a reachable store returns within a few ms.
 	firstListTimeout = 300 * clock.Millisecond
-	storeTimeout     = 800 * clock.Millisecond
+	// storeTimeout limits how long an answer of the store may take beyond the time that it holds the query.
+	storeTimeout = 800 * clock.Millisecond
 	// configurationReread limits how long a change stays unseen that the store failed to
 	// report.
 	configurationReread = 10 * clock.Second
-	pruneInterval       = clock.Second
+	// pruneInterval is how often connections and advice that are no longer of use are dropped.
+	pruneInterval = clock.Second
 	// minWeight is the weight of an entry whose settings name no fraction of a
 	// core.
-	minWeight     = 0.01
+	minWeight = 0.01
+	// headerTimeout limits reading a request's headers at the ports for metrics and readiness.
 	headerTimeout = 10 * clock.Second
 	idleTimeout   = 60 * clock.Second
 )
@@ -70,22 +74,22 @@
 	store         *platform.Store
 	view          *view.View
 	members       *membership.Members
-	pool          *forward.Pool
+	pool          *forward.Pool // of connections to targets
 	controller    *ingress.Controller
-	link          *packets.Link
-	meter         *metering.Meter
+	link          *packets.Link   // to the other entries
+	meter         *metering.Meter // counts accounts' usage against their quotas
 	dispatcher    *dispatch.Dispatcher
 	relay         *feedrelay.Relay
 	callers       *ingress.Server
-	readiness     *http.Server
-	metricsServer *http.Server
+	readiness     *http.Server // answers the balancer
+	metricsServer *http.Server // also serves the operators' pages
 	retries       *quota.RetryBudget
-	grace         atomic.Int64 // from SIGTERM to the kill, in clock.Millis
-	bounds        atomic.Pointer[platform.Bounds]
+	grace         atomic.Int64                    // from SIGTERM to the kill, in clock.Millis
+	bounds        atomic.Pointer[platform.Bounds] // those of the settings that were read last
 	guard         *quarantine.Guard
 	advice        *advisory.Tracker
-	rollouts      *rollouts // nil if they are disabled in this deployment
-	domains       *domains.Filter
+	rollouts      *rollouts       // nil if they are disabled in this deployment
+	domains       *domains.Filter // gets the target list first and passes it on, by way of rollouts if there are any
 	// maxKeyGrace is entryOptions.maxKeyGrace.
 	maxKeyGrace clock.Millis
 	// descriptors is how many descriptors the process may have for connections.
@@ -102,7 +106,8 @@
 	maxKeyGrace clock.Millis
 }
 
-// runEntry runs an entry on the platform until SIGTERM.
+// runEntry runs an entry on the platform until SIGTERM or an interrupt, then drains it. SIGHUP reads the settings
+// again.
 func runEntry(o entryOptions, logs io.Writer) error {
 	s, err := platform.LoadSettings()
 	if err != nil {
@@ -150,7 +155,8 @@
 // spansTimeout limits how long a stopping process sends its last spans.
 const spansTimeout = 100 * clock.Millisecond
 
-// limitMemory keeps the heap well below the VM's memory.
+// limitMemory keeps the heap well below the VM's memory: from the limit on, garbage is collected more often. There is
+// no limit if the memory is not known.
 func limitMemory(megabytes int) {
 	const fraction = 0.6
 	if megabytes > 0 {
@@ -179,6 +185,7 @@
 	}
 }
 
+// newEntryProcess builds the components of an entry without starting them. The link has its address already.
 func newEntryProcess(c common.Common, s platform.Settings, o entryOptions, link *packets.Link) (*entryProcess, error) {
 	address, err := netip.ParseAddrPort(s.InternalAddress(0))
 	if err != nil {
@@ -233,6 +240,8 @@
 	return p.advice.Status(incarnation).Leaving
 }
 
+// scheduler returns the scheduler of a policy. An experiment without planners at owners lets the entry choose targets
+// by its own counts.
 func (p *entryProcess) scheduler(policy schedule.Policy) schedule.Scheduler {
 	switch {
 	case p.Ablation.Off(ablation.PlannerHome):
@@ -243,6 +252,7 @@
 	return schedule.NewBaseline(p.Common, p.view, policy, p.advice)
 }
 
+// start opens the ports and starts all components, which run until ctx ends. Readiness is served first.
 func (p *entryProcess) start(ctx context.Context) error {
 	if err := p.serve(p.readiness, p.settings.Listen.Ready); err != nil {
 		return fmt.Errorf("serving readiness: %w", err)
@@ -271,6 +281,7 @@
 	return nil
 }
 
+// serve listens at an address and serves it in the background.
 func (p *entryProcess) serve(server *http.Server, address string) error {
 	listener, err := p.Network.Listen(address)
 	if err != nil {
--- a/pkg/app/entry_stop.go
+++ b/pkg/app/entry_stop.go
@@ -20,12 +20,12 @@
 	// closeMargin is how long before its end a process stops accepting connections, even if
 	// no other entry is ready.
 	closeMargin        = 500 * clock.Millisecond
-	closeCheckInterval = 50 * clock.Millisecond
+	closeCheckInterval = 50 * clock.Millisecond // between two checks whether to stop accepting connections
 )
 
 // acceptState determines whether an entry that is being stopped goes on accepting connections.
 type acceptState struct {
-	// minorityReady reports whether less than half of the entries are ready.
+	// minorityReady says that less than half of the listed entries are alive and not leaving.
 	minorityReady bool
 	// running is the number of running requests that keep the process alive anyway.
 	running int
@@ -83,6 +83,7 @@
 	done()
 }
 
+// acceptState returns the present state of a drain that ends at a moment.
 func (p *entryProcess) acceptState(end clock.Millis) acceptState {
 	return acceptState{minorityReady: p.members.MinorityRemains(), running: p.controller.RunningUnrestricted(), remaining: end - p.Clock.Now()}
 }
--- a/pkg/app/fleet_test.go
+++ b/pkg/app/fleet_test.go
@@ -23,7 +23,8 @@
 	fleetTimeout         = 24 * time.Second       // callers come this long after the first start
 )
 
-// fleetBed is a test bed of a whole fleet of entries that start at once, with a store that accepts fleetWritesPerSecond.
+// fleetBed is a test bed of a whole fleet of entries that start at once, with a store that accepts
+// fleetWritesPerSecond.
 type fleetBed struct{ *crashBed }
 
 func newFleetBed(t *testing.T, seed uint64, entries int) *fleetBed {
--- a/pkg/app/limit_bed_test.go
+++ b/pkg/app/limit_bed_test.go
@@ -13,9 +13,9 @@
 	"quaydock/platform/wiretest"
 )
 
-// A target that has reported a limit may get limitOver times the limit plus limitSlack requests in any limitWindow. This
-// holds from propagationTime after its first report, for the sum over the entries that had passed on such an answer at least
-// limitReactionTime before.
+// A target that has reported a limit may get limitOver times the limit plus limitSlack requests in any limitWindow.
+// This holds from propagationTime after its first report, for the sum over the entries that had passed on such an
+// answer at least limitReactionTime before.
 const (
 	limitWindow       = 4 * time.Second
 	limitOver         = 1.5
--- a/pkg/app/limit_test.go
+++ b/pkg/app/limit_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// limitCases are limits that targets report, and the fraction of the limits that must be used if all targets report one.
+// limitCases are limits that targets report, and the fraction of the limits that must be used if all targets report
+// one.
 var limitCases = []struct {
 	name    string
 	targets int // that report limits, of twelve
@@ -58,8 +59,8 @@
 	}
 }
 
-// TestTargetLimitsHoldDuringFailures guards against owners that don't know a limit, that give out what another owner has
-// given out, or that have just become owner.
+// TestTargetLimitsHoldDuringFailures guards against owners that don't know a limit, that give out what another owner
+// has given out, or that have just become owner.
 func TestTargetLimitsHoldDuringFailures(t *testing.T) {
 	const length = 16 * time.Second
 	faults := []struct {
@@ -147,8 +148,8 @@
 	}
 }
 
-// TestTargetGetsRequestsAfterLimitIsLifted guards against limits whose end no entry notices because hardly any request is
-// sent to the target.
+// TestTargetGetsRequestsAfterLimitIsLifted guards against limits whose end no entry notices because hardly any request
+// is sent to the target.
 func TestTargetGetsRequestsAfterLimitIsLifted(t *testing.T) {
 	const (
 		liftAt = 8 * time.Second
--- a/pkg/app/process.go
+++ b/pkg/app/process.go
@@ -26,14 +26,14 @@
 	common.Common
 	settings settings.Settings
 	tracing  *telemetry.Tracing
-	standIns *standIns
-	table    *table.Table
-	follower *table.Follower
+	standIns *standIns       // nil without any, and before Start
+	table    *table.Table    // holds the configuration
+	follower *table.Follower // applies new configurations to agents and entry
 	agents   []*agent.Agent
-	entry    *entry.Entry
+	entry    *entry.Entry // nil if the process has none
 	port     *operators.Port
-	stop     context.CancelFunc
-	running  sync.WaitGroup
+	stop     context.CancelFunc // ends the follower; set by Start
+	running  sync.WaitGroup     // the follower's goroutine
 	reserve  heapReserve
 }
 
@@ -98,6 +98,7 @@
 	return nil
 }
 
+// apply passes a new configuration to all components; the follower calls it.
 func (p *Process) apply(index *declaration.Index) {
 	for _, a := range p.agents {
 		a.Apply(index)
@@ -107,6 +108,7 @@
 	}
 }
 
+// ready returns nil if the process can serve, or else the refusal that says why not.
 func (p *Process) ready() *refusal.Refusal {
 	if p.entry != nil {
 		return p.entry.Ready()
@@ -139,7 +141,7 @@
 	return nil
 }
 
-// Close stops at once all components that still run.
+// Close stops at once all components that still run. It must only be called after Start.
 func (p *Process) Close() {
 	p.stop()
 	defer p.reserve.keep()
--- a/pkg/app/rollout_bed_test.go
+++ b/pkg/app/rollout_bed_test.go
@@ -20,8 +20,8 @@
 	"quaydock/platform/storetest"
 )
 
-// rolloutBed simulates a roll-out in virtual time: a few entries, the targets of one service, a stand-in of the store and
-// an operator who rolls out a version. It leaves out only the callers' connections and the connections to targets.
+// rolloutBed simulates a roll-out in virtual time: a few entries, the targets of one service, a stand-in of the store
+// and an operator who rolls out a version. It leaves out only the callers' connections and the connections to targets.
 type rolloutBed struct {
 	t         *testing.T
 	random    *rand.Rand
--- a/pkg/app/rollout_incarnations_test.go
+++ b/pkg/app/rollout_incarnations_test.go
@@ -13,9 +13,9 @@
 )
 
 // TestRestartOntoAVersionBeforeItsOrderIsRead guards against requests to a version before any entry has read its order.
-// Targets of the old version had started again with the new one under their ids, and counted as established, so that the
-// new version got requests too early and beyond its fraction. Here the entries can't read the orders for a while but
-// read the targets' rows; afterwards the roll-out has to proceed as usual.
+// Targets of the old version had started again with the new one under their ids, and counted as established, so that
+// the new version got requests too early and beyond its fraction. Here the entries can't read the orders for a while
+// but read the targets' rows; afterwards the roll-out has to proceed as usual.
 func TestRestartOntoAVersionBeforeItsOrderIsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
--- a/pkg/app/rollout_stalls_test.go
+++ b/pkg/app/rollout_stalls_test.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// stallEntry stalls the VM of an entry, as the entry sees it: its clock goes ahead by the length at once and stands until
-// that time has passed, so that everything that happens meanwhile appears to happen when the stall ends. Requests that
-// end at the entry meanwhile are reported to the others after the stall.
+// stallEntry stalls the VM of an entry, as the entry sees it: its clock goes ahead by the length at once and stands
+// until that time has passed, so that everything that happens meanwhile appears to happen when the stall ends. Requests
+// that end at the entry meanwhile are reported to the others after the stall.
 func (b *rolloutBed) stallEntry(i int, length time.Duration) {
 	owner := b.planner()
 	b.mu.Lock()
--- a/pkg/app/rollouts.go
+++ b/pkg/app/rollouts.go
@@ -36,7 +36,8 @@
 	return &dispatch.Rollouts{Tracker: r.tracker, Bounds: bounds, Store: store, Changed: r.filter.Changed, Excused: g.EndedIncarnations}
 }
 
-// applyOrders applies the operators' orders.
+// applyOrders applies the operators' orders among the rows of their table; all says that these are a snapshot. While a
+// row is invalid, the former order stays in force.
 func (r *rollouts) applyOrders(rows []follow.Row, all bool, freshness follow.Freshness) {
 	var orders []rollout.Order
 	var gone []ids.Service
@@ -71,7 +72,7 @@
 	r.filter.Confirmed()
 }
 
-// orderInForce returns the order of a service that stays in force while its row is invalid.
+// orderInForce returns the order of a service that stays in force while its row is invalid, or none.
 func (r *rollouts) orderInForce(service ids.Service) []rollout.Order {
 	if o, known := r.tracker.Order(service); known {
 		return []rollout.Order{o}
@@ -79,6 +80,7 @@
 	return nil
 }
 
+// logOrder logs an order that is not known yet; it must be called before the tracker gets the order.
 func (r *rollouts) logOrder(o rollout.Order) {
 	if !r.tracker.Knows(o) {
 		r.Log.WithField("service", string(o.Service)).WithField("version", string(o.Version)).
@@ -86,6 +88,7 @@
 	}
 }
 
+// freshness translates the freshness of a table, read just now, for the tracker.
 func (r *rollouts) freshness(p follow.Freshness) rollout.Freshness {
 	return rollout.Freshness{ReadAt: r.Clock.Now(), At: p.CurrentAt, StoreTime: p.StoreTime, Revision: rollout.Revision(p.Version)}
 }
@@ -133,6 +136,7 @@
 	return []rollout.Record{known}
 }
 
+// logState logs a record whose state or order has changed; it must be called before the tracker gets the record.
 func (r *rollouts) logState(record rollout.Record) {
 	if known, _ := r.tracker.Record(record.Service); known.State != record.State || known.Order != record.Order {
 		r.Log.WithField("service", string(record.Service)).WithField("version", string(record.Version)).
--- a/pkg/app/settings_watcher.go
+++ b/pkg/app/settings_watcher.go
@@ -19,7 +19,7 @@
 type settingsWatcher struct {
 	common.Common
 	path  string
-	last  []byte
+	last  []byte // the document that was read at the start or applied last; nil if the first read failed
 	apply func(platform.Settings)
 }
 
@@ -31,7 +31,7 @@
 	return w
 }
 
-// run checks the file at each signal and every watchInterval, until ctx ends.
+// run checks the file at each signal on now, and when there was none for watchInterval, until ctx ends.
 func (w *settingsWatcher) run(ctx context.Context, now <-chan os.Signal) {
 	for ctx.Err() == nil {
 		wait, stop := context.WithTimeout(ctx, watchInterval.Duration())
@@ -46,6 +46,7 @@
 	}
 }
 
+// reload reads the file and applies the settings if it has changed.
 func (w *settingsWatcher) reload() error {
 	document, err := os.ReadFile(w.path)
 	if err != nil {
--- a/pkg/app/stand_ins.go
+++ b/pkg/app/stand_ins.go
@@ -14,6 +14,7 @@
 	"quaydock/pkg/table"
 )
 
+// standInHeaderTimeout limits reading a request's headers at a stand-in.
 const standInHeaderTimeout = 10 * clock.Second
 
 // standIns are simulated outside systems that run inside this process for trials.
@@ -42,7 +43,7 @@
 	return started, nil
 }
 
-// platform starts a table whose first revision holds the declarations of a file.
+// platform starts the platform's table whose first revision holds the declarations of a file.
 func (s *standIns) platform(p settings.PlatformStandIn) error {
 	document, err := os.ReadFile(p.Declarations)
 	if err != nil {
@@ -61,6 +62,7 @@
 	return s.serve(p.Listen, stored.Handler())
 }
 
+// serve listens at an address and serves it in the background until close.
 func (s *standIns) serve(address string, handler http.Handler) error {
 	listener, err := s.Network.Listen(address)
 	if err != nil {
