--- a/pkg/domains/filter.go
+++ b/pkg/domains/filter.go
@@ -15,14 +15,14 @@
 )
 
 // Filter marks the targets of drained failure domains in the directory, again whenever the directory
-// or the set of drained domains changes.
+// or the set of drained domains changes. It is safe for concurrent use.
 type Filter struct {
 	common.Common
 	onChange func(*routing.Directory)
 
 	mu      sync.Mutex
-	listed  []*routing.Target // as listed; nil before the first directory
-	drained map[ids.FailureDomain]bool
+	listed  []*routing.Target          // as listed; nil before the first directory
+	drained map[ids.FailureDomain]bool // has no entry for a domain that is not drained
 	// restoredAt is when this entry last read that a domain was restored.
 	restoredAt map[ids.FailureDomain]clock.Millis
 }
--- a/pkg/domains/report.go
+++ b/pkg/domains/report.go
@@ -19,7 +19,8 @@
 	Cold int `json:"cold"`
 }
 
-// Reports describes the failure domains of the listed targets, ordered by name. The catalog may be nil if none was read yet.
+// Reports describes the failure domains of the listed targets, ordered by name. The catalog may be nil if none was read
+// yet.
 func Reports(now clock.Millis, listed *routing.Directory, catalog *routing.Catalog) []Report {
 	known := make(map[ids.FailureDomain]Report)
 	for _, t := range listed.All() {
--- a/pkg/follow/faults.go
+++ b/pkg/follow/faults.go
@@ -45,7 +45,7 @@
 	return len(f.faulty)
 }
 
-// Add records a row that cannot be used, and why.
+// Add records a row that cannot be used, and why. It counts and logs the row unless that revision was recorded before.
 func (f *Faults) Add(row Row, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,6 +66,7 @@
 	f.unlogged = 0
 }
 
+// quoted quotes a text from another writer, up to maxQuoted characters of it.
 func quoted(text string) string { return fmt.Sprintf("%.*q", maxQuoted, text) }
 
 // Clear records that a row can be used again, or has been deleted.
--- a/pkg/follow/follower.go
+++ b/pkg/follow/follower.go
@@ -26,7 +26,7 @@
 	Version int64
 }
 
-// Batch is an answer of a source.
+// Batch is an answer of a source: a snapshot or changes.
 type Batch struct {
 	Rows []Row
 	// Version is the version up to which the table has been read.
@@ -56,7 +56,7 @@
 	Recovered() <-chan struct{}
 }
 
-// Freshness says at which moment an answer of the store was current.
+// Freshness says at which moment an answer of the store was current. Only Version is set if no moment is known.
 type Freshness struct {
 	// RequestedAt is when the query was sent: the store was reachable from about then on.
 	RequestedAt clock.Millis
@@ -74,7 +74,7 @@
 	Snapshot(rows []Row, freshness Freshness)
 	// Changed applies changes; an empty list only updates the freshness.
 	Changed(rows []Row, freshness Freshness)
-	// ReadFailed reports that the store could not be read.
+	// ReadFailed reports that a read failed. It is called for each failed read of an outage.
 	ReadFailed(err error)
 }
 
@@ -99,17 +99,17 @@
 	maxSnapshotBackoff = 1600 * clock.Millisecond
 )
 
-// Follower follows one table.
+// Follower follows one table. Its fields are used from the goroutine of Run only.
 type Follower struct {
 	common.Common
 	source  Source
 	handler Handler
 	options Options
 
-	version     int64
-	hasSnapshot bool
-	snapshotAt  clock.Millis
-	clockOffset clock.Millis // the least offset seen from the store's clock to ours
+	version     int64        // up to which the table has been read
+	hasSnapshot bool         // false before the first one, and when the store has trimmed the changes since
+	snapshotAt  clock.Millis // when the last one was requested; 0 before the first
+	clockOffset clock.Millis // what to add to the store's clock to get ours: the least offset seen
 	offsetKnown bool
 	// offsetRelayed says that clockOffset is a lower limit, derived from an answer of another process.
 	offsetRelayed bool
@@ -136,6 +136,7 @@
 	}
 }
 
+// step reads once. After a failure it pauses; when the store has trimmed the changes, the next step reads a snapshot.
 func (f *Follower) step(ctx context.Context, backoff *random.Backoff) {
 	recovered := f.recovered()
 	err := f.read(ctx)
@@ -202,6 +203,7 @@
 	f.outageSince = 0
 }
 
+// read reads the changes, or a snapshot if there is none or it is due again, and passes them to the handler.
 func (f *Follower) read(ctx context.Context) error {
 	requestedAt := f.Clock.Now()
 	if !f.hasSnapshot || f.options.SnapshotInterval > 0 && requestedAt-f.snapshotAt >= f.options.SnapshotInterval {
@@ -222,6 +224,7 @@
 // in pages of some hundred rows, each an answer of its own.
 const snapshotAnswers = 4
 
+// readSnapshot reads a snapshot and passes it to the handler.
 func (f *Follower) readSnapshot(ctx context.Context, requestedAt clock.Millis) error {
 	ctx, cancel := context.WithTimeout(ctx, snapshotAnswers*f.options.AnswerTimeout.Duration())
 	defer cancel()
@@ -236,6 +239,8 @@
 	return nil
 }
 
+// snapshotFreshness returns the freshness of a snapshot. One that was read from the store counts as current when it was
+// requested; its store time only updates the clock offset.
 func (f *Follower) snapshotFreshness(requestedAt clock.Millis, batch Batch) Freshness {
 	if batch.Relayed {
 		return f.freshness(requestedAt, batch)
@@ -248,6 +253,8 @@
 // brought the state to the queried process.
 const maxRelayTime = 200 * clock.Millisecond
 
+// freshness returns the freshness of an answer that was requested at a moment. That of a relayed answer is derived from
+// the store's time and the clock offset; there is none while neither the offset nor the answer's age is known.
 func (f *Follower) freshness(requestedAt clock.Millis, batch Batch) Freshness {
 	if batch.Relayed && !f.offsetKnown && batch.Age == nil {
 		return Freshness{Version: batch.Version} // the offset of the store's clock is not known yet
--- a/pkg/table/configuration.go
+++ b/pkg/table/configuration.go
@@ -16,9 +16,9 @@
 
 // Keys of the rows of the configuration.
 const (
-	KeyHead      Key = "config/head" // names the newest revision
-	prefixSet    Key = "config/set/"
-	prefixChange Key = "config/change/"
+	KeyHead      Key = "config/head"    // names the newest revision
+	prefixSet    Key = "config/set/"    // precedes the revision of a complete set (snapshot)
+	prefixChange Key = "config/change/" // precedes the revision that a change made
 )
 
 // snapshotEvery is the number of changes between two snapshots: a new process reads at most so many.
@@ -31,11 +31,13 @@
 	Snapshot declaration.Revision `json:"snapshot"`
 }
 
+// keySet and keyChange return the keys of the complete set at a revision, and of the change that made the revision.
 func keySet(revision declaration.Revision) Key    { return numbered(prefixSet, revision) }
 func keyChange(revision declaration.Revision) Key { return numbered(prefixChange, revision) }
 func numbered(p Key, r declaration.Revision) Key  { return p + Key(strconv.FormatInt(int64(r), 10)) }
 
-// FirstRevision returns the transaction that writes the first configuration into an empty table.
+// FirstRevision returns the transaction that writes the first configuration into an empty table. Its condition fails if
+// there is a configuration.
 func FirstRevision(set declaration.Set) (Transaction, error) {
 	const first = 1
 	t := Transaction{Conditions: []Condition{{Key: KeyHead}}}
@@ -59,8 +61,8 @@
 // State is a configuration as read from the table.
 type State struct {
 	Head    Head
-	Set     declaration.Set
-	version Version
+	Set     declaration.Set // at Head.Revision
+	version Version         // of the row of the head, by which Publish detects other changes
 }
 
 // Configuration reads the newest configuration.
@@ -106,6 +108,7 @@
 	return fmt.Sprintf("revision %d was made meanwhile by %s: %s", c.Revision, c.Who, c.Why)
 }
 
+// publishBackoff is the pause between two tries to publish a change.
 const publishBackoff = 100 * clock.Millisecond
 
 // Publish commits a change to the state that it was planned on. It tries until ctx ends, and resolves
@@ -137,7 +140,8 @@
 	}
 }
 
-// publication returns the transaction of a change, conditional on the version of the head.
+// publication returns the transaction of a change, conditional on the version of the head. It also writes a snapshot if
+// the last one is snapshotEvery changes old, and returns an error if the resulting set is invalid.
 func publication(base State, change declaration.Change) (Transaction, error) {
 	made := change.Apply(base.Set)
 	if err := made.Check(); err != nil {
--- a/pkg/table/follower.go
+++ b/pkg/table/follower.go
@@ -17,8 +17,8 @@
 type Follower struct {
 	common.Common
 	table   *Table
-	poll    clock.Millis
-	index   atomic.Pointer[declaration.Index]
+	poll    clock.Millis                      // the time between two reads of the head
+	index   atomic.Pointer[declaration.Index] // nil before the first configuration
 	applied func(*declaration.Index)
 }
 
@@ -51,6 +51,7 @@
 // firstPoll is the time between polls before there is any configuration.
 const firstPoll = 100 * clock.Millisecond
 
+// wait returns the time until the next poll.
 func (f *Follower) wait() clock.Millis {
 	if f.Index() == nil {
 		return min(f.poll, firstPoll)
@@ -58,6 +59,7 @@
 	return f.poll
 }
 
+// pollHead reads the head, and the configuration if that has a higher revision than the one in force.
 func (f *Follower) pollHead(ctx context.Context) error {
 	var head Head
 	if err := f.table.readValue(ctx, KeyHead, &head); err != nil {
@@ -93,6 +95,7 @@
 	return nil
 }
 
+// apply puts a configuration in force.
 func (f *Follower) apply(index *declaration.Index) {
 	before := f.index.Swap(index)
 	f.Check.Verify(before == nil || before.Revision < index.Revision, invariant.RevisionUpward,
--- a/pkg/table/table.go
+++ b/pkg/table/table.go
@@ -55,9 +55,9 @@
 
 // Table is the client of the transactional table.
 type Table struct {
-	base    string
+	base    string // the URL before the paths
 	client  *http.Client
-	timeout clock.Millis
+	timeout clock.Millis // of one call
 	closed  atomic.Bool
 }
 
@@ -135,6 +135,8 @@
 	}
 }
 
+// do makes one call, within the timeout, and decodes the answer into a value unless that is nil. The caller checks the
+// status.
 func (t *Table) do(ctx context.Context, call *sling.Sling, into any) (*http.Response, error) {
 	if t.closed.Load() {
 		return nil, ErrClosed
