--- a/pkg/advisory/advice.go
+++ b/pkg/advisory/advice.go
@@ -1,7 +1,7 @@
 // Package advisory tracks the advice of targets: what they report of themselves in the heads of their answers to this
 // entry. They report that they are leaving, for how long they want no requests from this entry (back-off), and how many
-// requests per second they take from all entries (limit). The target list also shows that a target is leaving, but later,
-// or never; back-off and limit are reported nowhere else.
+// requests per second they take from all entries (limit). The target list also shows that a target is leaving, but
+// later, or never; back-off and limit are reported nowhere else.
 package advisory
 
 import (
--- a/pkg/advisory/backoff.go
+++ b/pkg/advisory/backoff.go
@@ -17,8 +17,8 @@
 	maxBackoff = 366 * 24 * 3600 * clock.Second
 )
 
-// ReadBackoff returns for how long the target that sent an answer wants no requests, by the answer's header. If there are
-// several values, it returns the longest time. The field is HTTP's Retry-After, with fractions of seconds allowed.
+// ReadBackoff returns for how long the target that sent an answer wants no requests, by the answer's header. If there
+// are several values, it returns the longest time. The field is HTTP's Retry-After, with fractions of seconds allowed.
 func ReadBackoff(h http.Header) clock.Millis {
 	var longest clock.Millis
 	for _, value := range h[headerRetryAfter] {
@@ -27,7 +27,8 @@
 	return longest
 }
 
-// ReadDate returns when the target sent an answer, by its own clock and in whole seconds; 0 if the answer has no valid date.
+// ReadDate returns when the target sent an answer, by its own clock and in whole seconds; 0 if the answer has no valid
+// date.
 func ReadDate(h http.Header) ids.Start {
 	sent, err := http.ParseTime(h.Get(headerDate))
 	if err != nil {
--- a/pkg/advisory/incarnation.go
+++ b/pkg/advisory/incarnation.go
@@ -13,7 +13,7 @@
 const maxBackoffs = 4
 
 // incarnationState is the advice of one incarnation of a target. Until this entry reads of the next incarnation, it
-// includes the advice of that one.
+// includes the advice of that one. The tracker's lock guards it.
 type incarnationState struct {
 	incarnation ids.TargetIncarnation
 	leaving     bool
@@ -26,7 +26,7 @@
 	limit     ratelimit.Report
 	limitAt   clock.Millis
 	limitSeen reportTime
-	listedAt  clock.Millis // when it was last listed, or last gave advice
+	listedAt  clock.Millis // when it was last listed while leaving or limited, or last gave advice
 	// next is the incarnation that is listed in its place, and nextAt since when.
 	next   ids.TargetIncarnation
 	nextAt clock.Millis
@@ -35,7 +35,7 @@
 // backoff is a time for which a target wants no requests from this entry.
 type backoff struct {
 	until clock.Millis
-	seen  reportTime
+	seen  reportTime // when it was asked for; of several that were merged, the latest
 }
 
 // setLeaving records that the target is leaving, and reports whether that is new.
@@ -45,7 +45,8 @@
 	return isNew
 }
 
-// mergeLimit merges a report of the limit with the one in force before, and reports whether the limit changes.
+// mergeLimit merges a report of the limit with the one in force before, keeps the result, and reports whether the limit
+// changes.
 func (r *incarnationState) mergeLimit(now clock.Millis, before, w ratelimit.Report) bool {
 	r.limit = before.Merge(w)
 	changed := r.limit.Differs(before)
@@ -55,7 +56,8 @@
 	return changed
 }
 
-// addBackoff records that the target wants no requests for a time.
+// addBackoff records that the target wants no requests for a time. It drops back-offs that have ended, or end no later
+// than this one. If maxBackoffs longer ones are kept already, the shortest of them stands for it.
 func (r *incarnationState) addBackoff(now, long clock.Millis, at reportTime) {
 	if long <= 0 {
 		return
@@ -78,14 +80,15 @@
 	return max(0, r.backoffs[0].until-now)
 }
 
+// status returns the advice for the incarnation itself.
 func (r *incarnationState) status(now clock.Millis) Status {
 	return Status{Incarnation: r.incarnation, Leaving: r.leaving, Backoff: r.backoffLeft(now), Limit: r.limit}
 }
 
-// adviceFor returns the advice for an incarnation. An entry that had not read of a target's new start took its reports for
-// the former incarnation's. A report that may be either's counts for a short time, as a back-off. Without this, a new
-// incarnation that is leaving or backing off would get requests as soon as its row is read; if it counted for longer, a
-// healthy one would be kept without requests.
+// adviceFor returns the advice for an incarnation. An entry that had not read of a target's new start took its reports
+// for the former incarnation's. A report that may be either's counts for a short time, as a back-off. Without this, a
+// new incarnation that is leaving or backing off would get requests as soon as its row is read; if it counted for
+// longer, a healthy one would be kept without requests.
 func (r *incarnationState) adviceFor(incarnation ids.TargetIncarnation, now clock.Millis) (leaving bool, left clock.Millis) {
 	if r.incarnation.Same(incarnation) {
 		return r.leaving, r.backoffLeft(now)
@@ -118,7 +121,8 @@
 	return max(0, r.nextAt+unclearHold-now)
 }
 
-// setListed takes what is listed under the target's id, nil if nothing is.
+// setListed takes what is listed under the target's id, nil if nothing is: a new incarnation as next, and the present
+// time as listedAt if the report that it leaves, or the limit, applies to what is listed.
 func (r *incarnationState) setListed(now clock.Millis, listed *routing.Target) {
 	if listed == nil {
 		return
@@ -133,7 +137,8 @@
 	}
 }
 
-// expired reports whether no advice is in force any more.
+// expired reports whether no advice is in force any more: no back-off, no limit that was lifted within
+// liftedLimitRetention, and neither leaving nor a limit that was listed within unlistedRetention.
 func (r *incarnationState) expired(now clock.Millis) bool {
 	inForce := r.leaving || r.limit.IsLimited()
 	fresh := r.limit.Known && now-r.limitAt <= liftedLimitRetention
--- a/pkg/advisory/limit.go
+++ b/pkg/advisory/limit.go
@@ -8,12 +8,13 @@
 	"quaydock/pkg/ratelimit"
 )
 
-// liftedLimitRetention is how long this entry remembers that a target no longer reports a limit, so that an older report
-// from another entry does not restore it.
+// liftedLimitRetention is how long this entry remembers that a target no longer reports a limit, so that an older
+// report from another entry does not restore it.
 const liftedLimitRetention = clock.Minute
 
-// observeLimit takes what an answer reports of the limit, and reports whether the limit in force has changed; the caller
-// holds the lock.
+// observeLimit takes what an answer reports of the limit, and reports whether the limit in force has changed; the
+// caller holds the lock. An answer without a limit lifts the one that was reported before; an unreadable limit changes
+// nothing.
 func (tr *Tracker) observeLimit(now clock.Millis, r *incarnationState, a *Advice, at reportTime) (changed bool) {
 	before := tr.limitOf(r.incarnation)
 	if a.Limit.Unreadable() || !a.Limit.Given && !before.Known {
@@ -25,8 +26,8 @@
 	return r.mergeLimit(now, before, ratelimit.NewReport(a.Limit, a.RequestedAt, now))
 }
 
-// limitOf returns the limit of an incarnation: its own report, or else those of former incarnations that may be its own.
-// The caller holds the lock.
+// limitOf returns the limit of an incarnation: its own report, or else those of former incarnations that may be its
+// own. The caller holds the lock.
 func (tr *Tracker) limitOf(incarnation ids.TargetIncarnation) ratelimit.Report {
 	var inherited ratelimit.Report
 	for _, r := range tr.states[incarnation.Target] {
@@ -40,8 +41,8 @@
 	return inherited
 }
 
-// ObserveOwner takes the limit of an incarnation that the owner of its service knows from other entries, and returns the
-// status that is in force then.
+// ObserveOwner takes the limit of an incarnation that the owner of its service knows from other entries, and returns
+// the status that is in force then. It does not call the function of OnChange.
 func (tr *Tracker) ObserveOwner(incarnation ids.TargetIncarnation, w ratelimit.Report) Status {
 	s := tr.Status(incarnation)
 	if tr == nil || !w.Known || s.Limit.Merge(w) == s.Limit || !w.IsLimited() && !s.Limit.IsLimited() {
@@ -58,18 +59,18 @@
 	return s
 }
 
-// hasReportedLimit reports whether an incarnation has reported a limit, so that an answer without one means something. It
-// stays true for a while after the first such answer: the owner may not have been able to tell that this report was the
-// later one.
+// hasReportedLimit reports whether an incarnation has reported a limit, so that an answer without one means something.
+// It stays true for a while after the first such answer: the owner may not have been able to tell that this report was
+// the later one.
 func (tr *Tracker) hasReportedLimit(incarnation ids.TargetIncarnation) bool {
 	tr.mu.RLock()
 	defer tr.mu.RUnlock()
 	return tr.limitOf(incarnation).Known
 }
 
-// limitMayBeOf reports whether the limit that was taken for a former incarnation's may be that of an incarnation that this
-// entry had not read yet. A limit that is applied in error ends with the first answer; one that is omitted in error lets
-// as many requests as there are free slots go to the target.
+// limitMayBeOf reports whether the limit that was taken for a former incarnation's may be that of an incarnation that
+// this entry had not read yet. A limit that is applied in error ends with the first answer; one that is omitted in
+// error lets as many requests as there are free slots go to the target.
 func (r *incarnationState) limitMayBeOf(incarnation ids.TargetIncarnation) bool {
 	return r.limit.IsLimited() && r.limitSeen.senderOf(incarnation.Start) != formerIncarnation
 }
--- a/pkg/advisory/limit_test.go
+++ b/pkg/advisory/limit_test.go
@@ -114,8 +114,8 @@
 	})
 }
 
-// Guards against an owner that keeps applying a lifted limit, as it could not tell that the first answer without the limit
-// was the later one. A further answer without it must still be passed on.
+// Guards against an owner that keeps applying a lifted limit, as it could not tell that the first answer without the
+// limit was the later one. A further answer without it must still be passed on.
 func TestFurtherAnswersWithoutALimitAreReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTracker()
--- a/pkg/advisory/report.go
+++ b/pkg/advisory/report.go
@@ -18,7 +18,7 @@
 	// Listed is "ready", "leaving", "started again" or "not listed".
 	Listed  string       `json:"listed"`
 	Leaving bool         `json:"leaving"`
-	Backoff clock.Millis `json:"rest_ms"`
+	Backoff clock.Millis `json:"rest_ms"` // remaining
 	// Limit is how many requests per second it takes from all entries; it is 0, and Limited false, without a limit.
 	Limited bool    `json:"limited,omitempty"`
 	Limit   float64 `json:"limit_per_second,omitempty"`
@@ -46,6 +46,7 @@
 	return reports
 }
 
+// listedState returns Report.Listed for a listed target and the incarnation that gave the advice.
 func listedState(t *routing.Target, incarnation ids.TargetIncarnation) string {
 	switch {
 	case !t.Incarnation().Same(incarnation):
--- a/pkg/advisory/sender.go
+++ b/pkg/advisory/sender.go
@@ -33,8 +33,8 @@
 	unclearHold = 4 * clock.Second
 )
 
-// senderOf returns whether the incarnation with a start has sent a report that was taken for its former incarnation's. The
-// answer's date is by the same clock as the start, so it takes precedence over times by the clocks of other VMs.
+// senderOf returns whether the incarnation with a start has sent a report that was taken for its former incarnation's.
+// The answer's date is by the same clock as the start, so it takes precedence over times by the clocks of other VMs.
 func (t reportTime) senderOf(start ids.Start) sender {
 	switch {
 	case t.sent > 0 && t.sent+dateResolution <= start:
@@ -51,7 +51,7 @@
 	return unclearSender
 }
 
-// latest returns the later time of two reports.
+// latest returns the later times of two reports, each clock for itself.
 func (t reportTime) latest(other reportTime) reportTime {
 	return reportTime{connected: max(t.connected, other.connected), sent: max(t.sent, other.sent)}
 }
--- a/pkg/advisory/tracker.go
+++ b/pkg/advisory/tracker.go
@@ -18,8 +18,8 @@
 // are replaced; lines beyond that are only counted.
 const logLinesPerSecond = 20
 
-// unlistedRetention is how long the advice of an incarnation is kept that is not listed. Its row may expire while the store
-// is unreachable, and come back while the target, which goes on serving for some seconds, is still leaving.
+// unlistedRetention is how long the advice of an incarnation is kept that is not listed. Its row may expire while the
+// store is unreachable, and come back while the target, which goes on serving for some seconds, is still leaving.
 const unlistedRetention = 10 * clock.Minute
 
 // Tracker keeps the advice of targets at one entry. A nil tracker has no advice.
@@ -32,7 +32,7 @@
 	stateCount atomic.Int64
 
 	mu     sync.RWMutex
-	states map[ids.Target][]*incarnationState
+	states map[ids.Target][]*incarnationState // those of one target in the order in which they were added
 }
 
 // NewTracker returns a tracker without advice.
@@ -44,7 +44,7 @@
 func (tr *Tracker) OnChange(onChange func(Status)) { tr.onChange = onChange }
 
 // Observe takes the advice in an answer from an incarnation of a target. Connected is the Unix time in ms at which the
-// answer's connection was made, 0 if unknown.
+// answer's connection was made, 0 if unknown. The id of the request is for logs.
 func (tr *Tracker) Observe(incarnation ids.TargetIncarnation, connected ids.Start, request string, a Advice) {
 	if tr == nil || a.Empty() && (tr.stateCount.Load() == 0 || !tr.hasReportedLimit(incarnation)) {
 		return
@@ -106,6 +106,7 @@
 	}
 }
 
+// log counts advice under a kind, and writes a log line of that kind unless there were too many within the second.
 func (tr *Tracker) log(kind, line string, s Status, fields logrus.Fields) {
 	tr.Metrics.Prometheus.Add("advice", "kind", kind)
 	if tr.sampler.Allow(kind) {
@@ -149,7 +150,8 @@
 	return shortest
 }
 
-// All lists the incarnations that are leaving, backing off, or have reported a limit, in no particular order.
+// All lists the incarnations that are leaving, backing off, or have reported a limit, even one that was lifted since,
+// in no particular order.
 func (tr *Tracker) All() []Status {
 	if tr == nil || tr.stateCount.Load() == 0 {
 		return nil
@@ -169,8 +171,8 @@
 }
 
 // SetDirectory takes the newest directory. For each incarnation that is new in it, it starts the limited time for which
-// reports count that may be the new incarnation's or its former one's. It must be called before any request is sent to a
-// target by that directory.
+// reports count that may be the new incarnation's or its former one's. It must be called before any request is sent to
+// a target by that directory.
 func (tr *Tracker) SetDirectory(listed *routing.Directory) {
 	if tr == nil || tr.stateCount.Load() == 0 {
 		return
@@ -185,7 +187,7 @@
 	}
 }
 
-// Prune removes back-offs that have ended, and incarnations that have not been listed for a long time.
+// Prune removes the incarnations none of whose advice is in force any more, by the newest directory.
 func (tr *Tracker) Prune(listed *routing.Directory) {
 	if tr.stateCount.Load() == 0 {
 		return
--- a/pkg/advisory/tracker_test.go
+++ b/pkg/advisory/tracker_test.go
@@ -64,9 +64,9 @@
 }
 
 // An entry took a restarted target for its former incarnation, and then read of the new one. Which of them has sent the
-// advice is recognized by the date of the answer, which is by the same clock as the start; or, without a date, by the time of the
-// connection, which is by the clock of another VM. If it remains unclear, the advice counts for 4 s after the new
-// incarnation is listed.
+// advice is recognized by the date of the answer, which is by the same clock as the start; or, without a date, by the
+// time of the connection, which is by the clock of another VM. If it remains unclear, the advice counts for 4 s after
+// the new incarnation is listed.
 func TestAdviceOfAnIncarnationThatWasNotReadYet(t *testing.T) {
 	const (
 		start   = 2_000_000
@@ -131,8 +131,8 @@
 	}
 }
 
-// A former incarnation had asked for a long back-off. The next one asked for a shorter one before its row was read: once it
-// is read, the shorter back-off applies to it, and the longer one must not.
+// A former incarnation had asked for a long back-off. The next one asked for a shorter one before its row was read:
+// once it is read, the shorter back-off applies to it, and the longer one must not.
 func TestShorterBackoffOfAnIncarnationThatWasNotReadYet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTracker()
@@ -160,8 +160,8 @@
 }
 
 // Guards against requests to a leaving target whose row has expired for some time while the store was unreachable, and
-// which came back with a row that said that it was ready. The advice of incarnations that do not come back must be removed
-// eventually.
+// which came back with a row that said that it was ready. The advice of incarnations that do not come back must be
+// removed eventually.
 func TestAdviceOutlastsAnExpiredRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTracker()
@@ -233,7 +233,8 @@
 	}
 }
 
-// BenchmarkHundredLeaving measures the check before a request is sent, while 100 targets are leaving. 124 ns, no allocation.
+// BenchmarkHundredLeaving measures the check before a request is sent, while 100 targets are leaving. 124 ns, no
+// allocation.
 func BenchmarkHundredLeaving(b *testing.B) {
 	tracker := newTracker()
 	for n := range 100 {
--- a/pkg/packets/kinds.go
+++ b/pkg/packets/kinds.go
@@ -1,6 +1,7 @@
 package packets
 
-// The kinds of datagrams between entries. Owner means the owner of the shard that is named.
+// The kinds of datagrams between entries. Owner means the owner of the shard that is named. The numbers go over the
+// wire.
 const (
 	KindHeartbeat   Kind = iota + 1 // entry to entry: heartbeat, with the entries that it takes for alive
 	KindQuotaTake                   // entry to the owner of an account: takes from the account's quota for a request
--- a/pkg/packets/link.go
+++ b/pkg/packets/link.go
@@ -35,7 +35,7 @@
 type Link struct {
 	common.Common
 	socket   Socket
-	handlers map[Kind]Handler
+	handlers map[Kind]Handler // not changed after Run has begun
 }
 
 // Open listens for datagrams at an address (IP:port).
@@ -83,7 +83,8 @@
 	}
 }
 
-// Send sends a message, which may be lost. Errors are counted and logged at debug level.
+// Send sends a message, which may be lost. Errors are counted and logged at debug level, also that a message is too
+// long for a datagram.
 func (l *Link) Send(to netip.AddrPort, kind Kind, message any) {
 	body, err := cbor.Marshal(message)
 	if err == nil && len(body) >= maxDatagram {
--- a/pkg/packets/memory.go
+++ b/pkg/packets/memory.go
@@ -10,7 +10,7 @@
 type Memory struct {
 	mu      sync.Mutex
 	sockets map[netip.AddrPort]*memorySocket
-	// loses reports whether a datagram is lost.
+	// loses reports whether a datagram is lost; nil if none is.
 	loses func(from, to netip.AddrPort, kind Kind) bool
 }
 
@@ -30,23 +30,25 @@
 func (m *Memory) Socket(at netip.AddrPort) Socket {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	const bufferSize = 4096
+	const bufferSize = 4096 // datagrams that were not read yet
 	s := &memorySocket{net: m, at: at, arriving: make(chan memoryDatagram, bufferSize), closed: make(chan struct{})}
 	m.sockets[at] = s
 	return s
 }
 
+// memoryDatagram is a datagram as received; body includes the kind.
 type memoryDatagram struct {
 	from netip.AddrPort
 	body []byte
 }
 
+// memorySocket is a socket of a Memory network.
 type memorySocket struct {
 	net      *Memory
 	at       netip.AddrPort
 	arriving chan memoryDatagram
 	closed   chan struct{}
-	once     sync.Once
+	once     sync.Once // closes closed
 }
 
 func (s *memorySocket) ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error) {
@@ -58,6 +60,7 @@
 	}
 }
 
+// WriteToUDPAddrPort never blocks and never fails: a datagram that is lost, or has no receiver, counts as sent.
 func (s *memorySocket) WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error) {
 	s.net.mu.Lock()
 	peer, loses := s.net.sockets[to], s.net.loses
--- a/pkg/view/view.go
+++ b/pkg/view/view.go
@@ -11,18 +11,19 @@
 	"quaydock/pkg/routing"
 )
 
-// View is read by every request and written by the followers of the store. It is safe for concurrent use.
+// View is read by every request and written by the followers of the store. It is safe for concurrent use, but only one
+// goroutine may call SetCatalog and Confirmed.
 type View struct {
 	check       *invariant.Checker
-	catalog     atomic.Pointer[routing.Catalog]
-	directory   atomic.Pointer[routing.Directory]
-	confirmedAt atomic.Int64
-	known       chan struct{} // closed once there are a confirmed configuration and targets
-	once        sync.Once
-
-	mu     sync.Mutex // held while the directory is replaced
-	before []func(*routing.Directory)
-	after  []func(*routing.Directory)
+	catalog     atomic.Pointer[routing.Catalog]   // nil before the first
+	directory   atomic.Pointer[routing.Directory] // nil before the first
+	confirmedAt atomic.Int64                      // in clock.Millis; 0 before the first confirmation
+	known       chan struct{}                     // closed once there are a confirmed configuration and targets
+	once        sync.Once                         // closes known
+
+	mu     sync.Mutex                 // held while the directory is replaced and the watchers are called
+	before []func(*routing.Directory) // called before the directory is replaced; see Watch
+	after  []func(*routing.Directory) // called after that; see WatchAfter
 }
 
 // New returns an empty view.
@@ -66,6 +67,7 @@
 	v.watch(&v.after, notify)
 }
 
+// watch adds a watcher to before or after.
 func (v *View) watch(watchers *[]func(*routing.Directory), notify func(*routing.Directory)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -99,7 +101,8 @@
 	}
 }
 
-// Confirmed records that the configuration in force was the newest at a moment.
+// Confirmed records that the configuration in force was the newest at a moment; earlier moments than the last are
+// ignored.
 func (v *View) Confirmed(at clock.Millis) {
 	if v.confirmedAt.Load() < int64(at) {
 		v.confirmedAt.Store(int64(at))
@@ -107,7 +110,8 @@
 	}
 }
 
-// Age returns how long ago the configuration in force was last confirmed as the newest.
+// Age returns how long ago the configuration in force was last confirmed as the newest; before the first confirmation
+// it returns now.
 func (v *View) Age(now clock.Millis) clock.Millis {
 	return now - clock.Millis(v.confirmedAt.Load())
 }
