--- a/pkg/app/app.go
+++ b/pkg/app/app.go
@@ -31,8 +31,8 @@
 
 // options are the values of the command line's flags.
 type options struct {
-	// role is empty for a process that settings describe, the path of its settings file. A process on the platform has
-	// a role instead, and the environment names its settings; policy, trace and what follows check apply to it alone.
+	// settings is the path of the settings file of a process that has no role. A process on the platform has a role
+	// instead, and the environment names its settings; only settings and check do not apply to it.
 	role     string
 	policy   string
 	trace    settings.Trace
