--- a/pkg/app/entries_handler.go
+++ b/pkg/app/entries_handler.go
@@ -19,6 +19,7 @@
 
 var _ follow.Handler = (*entriesHandler)(nil)
 
+// newEntriesHandler returns a handler; r is nil if roll-outs are disabled.
 func newEntriesHandler(c common.Common, members follow.Handler, r *rollouts, g *quarantine.Guard) *entriesHandler {
 	return &entriesHandler{members: members, rollouts: r, guard: g, faults: follow.NewFaults(c, "records of requests")}
 }
--- a/pkg/app/rollouts.go
+++ b/pkg/app/rollouts.go
@@ -23,6 +23,7 @@
 	recordFaults *follow.Faults
 }
 
+// newRollouts returns the state without orders or records. Its filter passes the list of targets on to the view.
 func newRollouts(c common.Common, v *view.View) *rollouts {
 	tracker := rollout.NewTracker()
 	return &rollouts{
--- a/pkg/app/settings_watcher.go
+++ b/pkg/app/settings_watcher.go
@@ -23,6 +23,7 @@
 	apply func(platform.Settings)
 }
 
+// newSettingsWatcher returns a watcher that takes the present file as applied: it applies the next one that differs.
 func newSettingsWatcher(c common.Common, path string, apply func(platform.Settings)) *settingsWatcher {
 	w := &settingsWatcher{Common: c, path: path, apply: apply}
 	if document, err := os.ReadFile(path); err == nil {
--- a/pkg/app/stand_ins.go
+++ b/pkg/app/stand_ins.go
@@ -23,6 +23,7 @@
 	servers []*http.Server
 }
 
+// startStandIns starts the stand-ins that the settings name. After an error, those already started are not stopped.
 func startStandIns(c common.Common, s settings.StandIns) (*standIns, error) {
 	started := &standIns{Common: c}
 	if s.Platform != nil {
@@ -78,6 +79,7 @@
 	return nil
 }
 
+// close stops all stand-ins at once.
 func (s *standIns) close() {
 	for _, server := range s.servers {
 		// The only error is that the server was closed before.
--- a/pkg/dispatch/assignment.go
+++ b/pkg/dispatch/assignment.go
@@ -38,6 +38,8 @@
 
 func (a *assignment) Redispatched() <-chan struct{} { return a.redispatched }
 
+// Began counts the request as one that reached its service, for a roll-out, and informs the owner. From then on the
+// owner can no longer have it re-dispatched.
 func (a *assignment) Began(load *planner.Load) {
 	a.dispatcher.mu.Lock()
 	a.begun = true
@@ -46,6 +48,8 @@
 	a.dispatcher.sendProgress(progressMessage{Number: a.number, Service: a.request.Service, Progress: begun, Load: load})
 }
 
+// Done informs the owner, with the time for which this process was stalled meanwhile. If the message is lost, the next
+// lists of running requests show it.
 func (a *assignment) Done(outcome planner.Outcome, flow planner.StreamStats) {
 	a.dispatcher.mu.Lock()
 	delete(a.dispatcher.running, a.number)
--- a/pkg/dispatch/dispatcher.go
+++ b/pkg/dispatch/dispatcher.go
@@ -126,6 +126,7 @@
 	return owner
 }
 
+// sendProgress reports the progress of a request to the owner of its service. The message may be lost.
 func (d *Dispatcher) sendProgress(s progressMessage) {
 	sendToOwner(d, s.Service, packets.KindJobProgress, d.owner.receiveProgress, &s)
 }
--- a/pkg/dispatch/estimates.go
+++ b/pkg/dispatch/estimates.go
@@ -58,6 +58,7 @@
 	savedAt  map[ids.Service]clock.Millis       // time of this entry's last write to the store
 }
 
+// newEstimateCache returns an empty cache, and registers its handler for the estimates of owners on the link.
 func newEstimateCache(c common.Common, members *membership.Members, link *packets.Link, store EstimateStore) *estimateCache {
 	m := &estimateCache{Common: c, members: members, link: link, store: store, faults: follow.NewFaults(c, "notes"), received: make(map[ids.Service]*planner.Estimates), savedAt: make(map[ids.Service]clock.Millis)}
 	link.Handle(packets.KindEstimates, packets.Receive(link, m.receive))
--- a/pkg/dispatch/owner.go
+++ b/pkg/dispatch/owner.go
@@ -66,6 +66,7 @@
 	loadEstimates sync.Once
 }
 
+// newOwner returns an owner without planners. It passes decisions to send, without its lock.
 func newOwner(c common.Common, deps Dependencies, send func(netip.AddrPort, decisionMessage)) *Owner {
 	return &Owner{
 		Common: c, view: deps.View, members: deps.Members, estimates: newEstimateCache(c, deps.Members, deps.Link, deps.Estimates),
--- a/pkg/dispatch/owner_messages.go
+++ b/pkg/dispatch/owner_messages.go
@@ -86,6 +86,7 @@
 	}
 }
 
+// sendDecision sends a decision to the entry whose address is in the job's id.
 func (owner *Owner) sendDecision(id planner.JobID, a decisionMessage) {
 	to, err := netip.ParseAddrPort(id.Entry)
 	if err != nil {
--- a/pkg/feedrelay/relay.go
+++ b/pkg/feedrelay/relay.go
@@ -197,6 +197,7 @@
 	return m
 }
 
+// send sends feed states to all other listed entries; the caller must not hold the lock.
 func (r *Relay) send(messages []message) {
 	if len(messages) == 0 {
 		return
--- a/pkg/packets/memory.go
+++ b/pkg/packets/memory.go
@@ -51,6 +51,7 @@
 	once     sync.Once // closes closed
 }
 
+// ReadFromUDPAddrPort waits for a datagram, or until the socket is closed. What does not fit into b is cut off.
 func (s *memorySocket) ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error) {
 	select {
 	case d := <-s.arriving:
