--- a/pkg/advisory/advice.go
+++ b/pkg/advisory/advice.go
@@ -16,7 +16,8 @@
 	Leaving bool
 	// Backoff is how long the target wants no requests from this entry; 0 if it does not ask for a back-off.
 	Backoff clock.Millis
-	// SentAt is when the answer was sent, by the clock of the target's VM, in whole seconds; 0 if the answer has no date.
+	// SentAt is when the answer was sent, by the clock of the target's VM, cut to whole seconds; 0 if the answer has no
+	// date.
 	SentAt ids.Start
 	// Limit is how many requests per second the target takes, and RequestedAt when the request was sent.
 	Limit       ratelimit.ParsedLimit
--- a/pkg/advisory/backoff.go
+++ b/pkg/advisory/backoff.go
@@ -27,8 +27,8 @@
 	return longest
 }
 
-// ReadDate returns when the target sent an answer, by its own clock and in whole seconds; 0 if the answer has no valid
-// date.
+// ReadDate returns when the target sent an answer, by its own clock and cut to whole seconds; 0 if the answer has no
+// valid date.
 func ReadDate(h http.Header) ids.Start {
 	sent, err := http.ParseTime(h.Get(headerDate))
 	if err != nil {
--- a/pkg/advisory/sender.go
+++ b/pkg/advisory/sender.go
@@ -9,7 +9,7 @@
 // restarted under its id and this entry had not read that yet.
 type reportTime struct {
 	// connected is when the connection was made, by the clock of this VM. sent is when the answer was sent, by the clock
-	// of the target's VM, in whole seconds. Each is 0 if unknown.
+	// of the target's VM, cut to whole seconds. Both are Unix times in ms, 0 if unknown.
 	connected, sent ids.Start
 }
 
--- a/pkg/dispatch/advice_test.go
+++ b/pkg/dispatch/advice_test.go
@@ -27,7 +27,8 @@
 	scenarios := []struct {
 		name    string
 		disrupt func(b *cluster, owner, requester int)
-		// max is how many grants the requester may return: one for each target and each owner that lacks the advice.
+		// max is how many grants the requester may return: one for each target and each owner that lacks the advice, or any
+		// number if the owner never receives it.
 		max int64
 	}{
 		{"the owner receives the advice", func(*cluster, int, int) {}, 0},
--- a/pkg/dispatch/dispatcher_test.go
+++ b/pkg/dispatch/dispatcher_test.go
@@ -31,37 +31,39 @@
 type cluster struct {
 	common.Common
 	net     *packets.Memory
-	entries []*dispatch.Dispatcher
+	entries []*dispatch.Dispatcher // as members, views, stops and advice, by entry
 	views   []*view.View
-	targets []*routing.Target
+	targets []*routing.Target // all of service "s"
 	members []*membership.Members
-	stops   []context.CancelFunc
+	stops   []context.CancelFunc // each stops one entry
 	advice  []*advisory.Tracker
 
-	slowdown map[ids.Target]time.Duration // factor by which their answers take longer
+	slowdown map[ids.Target]time.Duration // factor by which their answers take longer; 0 counts as 1
 
 	mu         sync.Mutex
-	running    map[ids.Target]int
-	total      map[ids.Target]int
-	maxRunning int
+	running    map[ids.Target]int // requests at present, as a target would count them
+	total      map[ids.Target]int // requests so far
+	maxRunning int                // the most that ran at once on any one target
 	served     int
-	failed     int
+	failed     int // requests refused or cancelled before they got a target
 }
 
 const (
 	entryCount  = 3
 	targetCount = 4
-	slots       = 2
+	slots       = 2 // of each target
 )
 
 func entryAddress(i int) netip.AddrPort {
 	return netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:7600", i+1))
 }
 
+// newCluster starts all entries, which keep no estimates in a store.
 func newCluster(t *testing.T) *cluster {
 	return newClusterWith(t, commontest.NoEstimates{})
 }
 
+// newClusterWith starts all entries with a store for estimates, and waits until their membership has settled.
 func newClusterWith(t *testing.T, store dispatch.EstimateStore) *cluster {
 	b := &cluster{Common: commontest.New(network.NewMemory(nil)), net: packets.NewMemory(), running: make(map[ids.Target]int), total: make(map[ids.Target]int)}
 	var rows []follow.Row
@@ -103,7 +105,7 @@
 	return b
 }
 
-// ownerIndex returns the entry that plans for the service, as seen by the first entry other than except.
+// ownerIndex returns the entry that plans for the service, as seen by the first entry other than except, or -1.
 func (b *cluster) ownerIndex(except int) int {
 	for i, m := range b.members {
 		if i == except {
@@ -134,7 +136,8 @@
 	return n.Value()
 }
 
-// runRequest runs one request that takes length at its target, or a multiple if the target is slow.
+// runRequest runs one request that takes length at its target, or a multiple if the target is slow. The first quarter
+// of that passes before its first event.
 func (b *cluster) runRequest(ctx context.Context, entry int, length time.Duration) {
 	now := b.Clock.Now()
 	request := schedule.Request{Service: "s", Job: planner.Job{Arrived: now, Objective: 200 * clock.Second, Deadline: now + 400*clock.Second}}
@@ -172,6 +175,7 @@
 	all.Wait()
 }
 
+// Guards against entries that together give a target more requests than it has slots, as each counts only its own.
 func TestEntriesTogetherStayWithinTargetSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newCluster(t)
@@ -182,6 +186,7 @@
 	})
 }
 
+// Guards against requests that wait forever, or for a refusal, since one datagram in 20 is lost.
 func TestRequestsSurviveLostMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newCluster(t)
@@ -238,6 +243,7 @@
 	})
 }
 
+// Guards against a new owner that takes slots for free in which requests run that the former owner granted.
 func TestAnotherEntryTakesOverFromADeadOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newCluster(t)
@@ -267,6 +273,7 @@
 	})
 }
 
+// Guards against refusals by an entry that reaches no owner: it chooses targets by its own counts.
 func TestPartitionedEntryUsesItsOwnCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newCluster(t)
@@ -278,6 +285,7 @@
 	})
 }
 
+// Guards against an owner that grants a slot to a request that was cancelled while it waited, and counts it as running.
 func TestCancelledRequestGivesUpItsSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newCluster(t)
@@ -343,6 +351,7 @@
 	return b, nil
 }
 
+// slowTarget is the target that answers slower than the others.
 const slowTarget = ids.Target("t1")
 
 // learnSlowTarget runs requests until the owner's estimates show that one target is slow.
@@ -360,6 +369,8 @@
 	return b.total[slowTarget] - before
 }
 
+// Guards against a new owner that sends requests to a slow target, as it knows nothing of the estimates of the former
+// owner.
 func TestNewOwnerHasTheEstimatesOfTheFormerOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newCluster(t)
@@ -376,8 +387,10 @@
 	})
 }
 
+// Guards against owners that start without estimates after all entries were lost, though a former owner saved some.
+// Without saved estimates the slow target gets requests again, which shows that they make the difference.
 func TestEstimatesSurviveTheLossOfAllEntries(t *testing.T) {
-	for _, noted := range []bool{false, true} {
+	for _, saved := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			store := &memoryStore{rows: make(map[string][]byte)}
 			b := newClusterWith(t, store)
@@ -386,13 +399,13 @@
 			for _, stop := range b.stops {
 				stop()
 			}
-			if !noted {
+			if !saved {
 				clear(store.rows)
 			}
 			again := newClusterWith(t, store)
 			again.slowdown = b.slowdown
-			if n := again.countOnSlow([]int{0, 1, 2}); noted != (n == 0) {
-				t.Errorf("saved %t: %d of 16 requests on the slow target", noted, n)
+			if n := again.countOnSlow([]int{0, 1, 2}); saved != (n == 0) {
+				t.Errorf("saved %t: %d of 16 requests on the slow target", saved, n)
 			}
 		})
 	}
--- a/pkg/dispatch/estimates_test.go
+++ b/pkg/dispatch/estimates_test.go
@@ -70,9 +70,9 @@
 			}
 			entries[0].replicate(ctx, c.Clock.Now(), "s", l)
 			time.Sleep(saveInterval.Duration() + time.Second)
-			request := min(targets, maxFactors)
-			if got := len(entries[1].get("s").Factors); got != request {
-				t.Errorf("the successor keeps %d factors of %d targets, want %d", got, targets, request)
+			want := min(targets, maxFactors)
+			if got := len(entries[1].get("s").Factors); got != want {
+				t.Errorf("the successor keeps %d factors of %d targets, want %d", got, targets, want)
 			}
 			const rowBytes = 65_536
 			row.mu.Lock()
@@ -100,7 +100,7 @@
 func TestInvalidEstimateRowsAreRejected(t *testing.T) {
 	line := planner.LineFit{N: 9, X: 1, Y: 1, XX: 1, XY: 1}
 	cases := []struct {
-		service   string
+		service   string // the row's key, which says what is wrong
 		estimates planner.Estimates
 		valid     bool
 	}{
--- a/pkg/dispatch/incarnations_test.go
+++ b/pkg/dispatch/incarnations_test.go
@@ -14,6 +14,7 @@
 	"quaydock/pkg/schedule"
 )
 
+// The starts of the two incarnations of the first target.
 const (
 	formerStart ids.Start = 5000
 	nextStart   ids.Start = 4000 // lower, as if the VM's clock had been set back
@@ -35,9 +36,9 @@
 func TestEntryAndOwnerKnowDifferentIncarnations(t *testing.T) {
 	scenarios := []struct {
 		name             string
-		owner, requester ids.Start
+		owner, requester ids.Start             // of the first target, as the owner and the requester know it
 		more             func(*routing.Target) // changes what the requester knows
-		wantOnRestart    bool
+		wantOnRestart    bool                  // whether the first target gets requests
 	}{
 		{"the owner lags", formerStart, nextStart, nil, false},
 		{"the entry lags", nextStart, formerStart, nil, false},
--- a/pkg/dispatch/owner_trials.go
+++ b/pkg/dispatch/owner_trials.go
@@ -106,7 +106,8 @@
 	return rampingUp
 }
 
-// asOnTrial returns copies of targets that are marked as running a canary version.
+// asOnTrial returns copies of targets that are marked as running a canary version: while the new version of a completed
+// roll-out ramps up, the planner limits them like canaries.
 func asOnTrial(targets []*routing.Target) []*routing.Target {
 	list := make([]*routing.Target, 0, len(targets))
 	for _, t := range targets {
--- a/pkg/feedrelay/cluster_test.go
+++ b/pkg/feedrelay/cluster_test.go
@@ -22,22 +22,23 @@
 
 // store simulates the store with one table that entries read. It may reject some entries or not answer them.
 type store struct {
-	began time.Time
+	began time.Time // when the store's clock was 0
 
 	mu             sync.Mutex
 	version        int64
-	log            []follow.Row
-	at             []int64
+	log            []follow.Row   // the rows in the order in which they were put
+	at             []int64        // the version of each of them
 	putAt          []clock.Millis // when each row was put, since began
-	changed        chan struct{}
-	calls          int
-	rejected       map[int]bool
-	unanswered     map[int]bool // entries whose new calls get no answer
-	heldUnanswered map[int]bool // entries whose held calls get no answer
+	changed        chan struct{}  // closed and replaced by the next put
+	calls          int            // of all entries
+	rejected       map[int]bool   // entries whose calls are rejected
+	unanswered     map[int]bool   // entries whose new calls get no answer
+	heldUnanswered map[int]bool   // entries whose held calls get no answer
 }
 
 var errRejected = errors.New("rejected by the store")
 
+// put writes a row, and answers the calls that wait for a change.
 func (s *store) put(key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,11 +50,12 @@
 	s.changed = make(chan struct{})
 }
 
+// now returns the store's clock.
 func (s *store) now() clock.Millis {
 	return clock.Millis(time.Since(s.began).Milliseconds())
 }
 
-// since returns the changes after a version.
+// since returns the changes after a version, and a channel that is closed by the next change.
 func (s *store) since(after int64) (follow.Batch, chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,6 +74,7 @@
 	entry int
 }
 
+// call counts a call, and returns an error if the entry is rejected, or when ctx ends if it gets no answer.
 func (c client) call(ctx context.Context) error {
 	c.mu.Lock()
 	c.calls++
@@ -126,8 +129,8 @@
 type entry struct {
 	mu         sync.Mutex
 	rows       map[string]string
-	receivedAt map[string]time.Time
-	freshAt    clock.Millis
+	receivedAt map[string]time.Time // when each key was first received
+	freshAt    clock.Millis         // the latest moment at which it claims to have been current
 }
 
 func newEntry() *entry {
@@ -163,36 +166,41 @@
 	return e.freshAt
 }
 
+// entryCount is the number of entries of most tests.
 const entryCount = 5
 
+// cluster is some entries that follow the table of one store, with faults between all of them.
 type cluster struct {
 	common.Common
 	net     *packets.Memory
 	faults  *network.Faults // faults of the streams between entries
 	store   *store
-	entries []*entry
+	entries []*entry // as members and stops, by entry; nil for one that was never started
 	members []*membership.Members
-	stops   []context.CancelFunc
+	stops   []context.CancelFunc // each stops one entry
 	// contexts are those of the running entries.
 	contexts map[int]context.Context
-	listed   []follow.Row
+	listed   []follow.Row // the rows of all entries in the list of entries
 
 	mu   sync.Mutex
 	lost map[[2]netip.AddrPort]bool // sender and receiver of lost datagrams
 }
 
+// reject has the store reject the calls of an entry.
 func (b *cluster) reject(entry int) {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
 	b.store.rejected[entry] = true
 }
 
+// accept ends reject.
 func (b *cluster) accept(entry int) {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
 	b.store.rejected[entry] = false
 }
 
+// leaveUnanswered has the store never answer the further calls of an entry.
 func (b *cluster) leaveUnanswered(entry int) {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
@@ -321,6 +329,7 @@
 	go f.Run(ctx)
 }
 
+// feedReader returns the feed reader as entry 0 sees it, or -1.
 func (b *cluster) feedReader() int {
 	at, _ := b.members[0].Owner("store")
 	for i := range b.members {
@@ -349,10 +358,12 @@
 	return longest
 }
 
+// calls returns how many calls the store has got.
 func (b *cluster) calls() int {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
 	return b.store.calls
 }
 
+// everyone is for slowest: all entries count.
 func everyone(int) bool { return true }
--- a/pkg/feedrelay/packing_test.go
+++ b/pkg/feedrelay/packing_test.go
@@ -20,6 +20,8 @@
 	return rows, size
 }
 
+// Guards against traffic between failure domains that grows with the rows sent as they are, and against truncated rows
+// that are taken for all.
 func TestRowsArePackedForPeers(t *testing.T) {
 	rows, size := targets(3000)
 	packed, err := pack(rows)
--- a/pkg/feedrelay/peers_test.go
+++ b/pkg/feedrelay/peers_test.go
@@ -19,8 +19,8 @@
 func TestLargeChangesReachEntriesWithoutStore(t *testing.T) {
 	scenarios := []struct {
 		name  string
-		fault func(b *cluster, reader int)
-		limit time.Duration
+		fault func(b *cluster, reader int) // begins before the changes; reader is the feed reader
+		limit time.Duration                // within which each change must reach all entries
 	}{
 		{"one entry is rejected", func(b *cluster, reader int) { b.reject((reader + 1) % entryCount) }, 500 * time.Millisecond},
 		{"all but the feed reader are rejected", func(b *cluster, reader int) {
--- a/pkg/feedrelay/replica.go
+++ b/pkg/feedrelay/replica.go
@@ -49,7 +49,8 @@
 	return changed
 }
 
-// replace applies a snapshot. It reports whether the snapshot differed from the replica.
+// replace applies a snapshot. It reports whether the snapshot differed from the replica. If the replica lacks rows, or
+// is newer, it becomes the snapshot, which then counts as different.
 func (r *replica) replace(batch follow.Batch) bool {
 	if r.known && r.complete && batch.Version >= r.to {
 		changes := r.differences(batch)
--- a/pkg/feedrelay/source.go
+++ b/pkg/feedrelay/source.go
@@ -75,7 +75,7 @@
 	return s.relay.recovered
 }
 
-// recordReturned records that the follower gets a batch.
+// recordReturned records that the follower gets a batch. The age for fallback reads is then drawn anew.
 func (s *Source) recordReturned(batch follow.Batch) {
 	s.confirmedAt = max(s.confirmedAt, batch.StoreTime)
 	s.version = max(s.version, batch.Version)
