--- a/pkg/advisory/limit_test.go
+++ b/pkg/advisory/limit_test.go
@@ -11,12 +11,13 @@
 	"quaydock/pkg/ratelimit"
 )
 
-// answer is one answer of a target. Its request was sent the given time before the answer arrived.
+// answer is one answer of a target.
 type answer struct {
 	limit ratelimit.ParsedLimit
-	sent  clock.Millis
+	sent  clock.Millis // how long before the answer arrived its request was sent
 }
 
+// limited returns a limit as an answer reports it.
 func limited(perSecond ratelimit.Rate) ratelimit.ParsedLimit {
 	return ratelimit.ParsedLimit{Given: true, Readable: true, Rate: perSecond}
 }
@@ -66,8 +67,8 @@
 	before, next := ids.TargetIncarnation{Target: "t", Start: 1_000_000}, ids.TargetIncarnation{Target: "t", Start: start}
 	scenarios := []struct {
 		name            string
-		connected, sent ids.Start
-		holds           bool
+		connected, sent ids.Start // when the connection was made, and the date of the answer; 0 if unknown
+		holds           bool      // whether the limit applies to the new incarnation
 	}{
 		{"dated before", start + 1000, start - 1000, false},
 		{"dated after", start - 1000, start, true},
--- a/pkg/advisory/tracker_test.go
+++ b/pkg/advisory/tracker_test.go
@@ -15,10 +15,12 @@
 	"quaydock/pkg/routing"
 )
 
+// newTracker returns a tracker without advice.
 func newTracker() *advisory.Tracker {
 	return advisory.NewTracker(commontest.New(network.NewMemory(nil)))
 }
 
+// incarnation is the one that gives advice in most tests.
 var incarnation = ids.TargetIncarnation{Target: "t", Start: 5000}
 
 // An incarnation gives advice, and its status is checked some time later.
@@ -26,11 +28,11 @@
 	const second = clock.Second
 	scenarios := []struct {
 		name    string
-		advice  []advisory.Advice // given half a second apart
-		after   time.Duration     // time from the last advice to the check
-		of      ids.TargetIncarnation
+		advice  []advisory.Advice     // given half a second apart
+		after   time.Duration         // time from the last advice to the check
+		of      ids.TargetIncarnation // whose status is checked
 		leaving bool
-		backoff clock.Millis
+		backoff clock.Millis // remaining at the check
 	}{
 		{"no advice", nil, 0, incarnation, false, 0},
 		{"leaving", []advisory.Advice{{Leaving: true}}, time.Hour, incarnation, true, 0},
@@ -77,8 +79,8 @@
 	before, next := ids.TargetIncarnation{Target: "t", Start: 1_000_000}, ids.TargetIncarnation{Target: "t", Start: start}
 	scenarios := []struct {
 		name            string
-		connected, sent ids.Start
-		leaving         bool
+		connected, sent ids.Start // when the connection was made, and the date of the answer; 0 if unknown
+		leaving         bool      // whether the new incarnation counts as leaving
 		// back-offs of the new incarnation after a report of leaving, and after one of a back-off of 30 s
 		leavingBackoff, backingOff clock.Millis
 	}{
@@ -151,6 +153,7 @@
 	})
 }
 
+// listed returns a directory of targets of one service.
 func listed(incarnations ...ids.TargetIncarnation) *routing.Directory {
 	var targets []*routing.Target
 	for _, l := range incarnations {
--- a/pkg/domains/filter_test.go
+++ b/pkg/domains/filter_test.go
@@ -16,6 +16,7 @@
 	"quaydock/pkg/routing"
 )
 
+// listed has two targets of a service, one in each failure domain, and one on trial in d1.
 var listed = routing.NewDirectory([]*routing.Target{
 	{ID: "a", Service: "s", Domain: "d0"}, {ID: "b", Service: "s", Domain: "d1"},
 	{ID: "c", Service: "s", Domain: "d1", Admission: routing.OnTrial},
@@ -27,6 +28,8 @@
 
 func restore(d ids.FailureDomain) domains.DrainOrder { return domains.DrainOrder{Domain: d} }
 
+// Guards against orders that are lost or undone when they are read in snapshots, in one read with others, or before a
+// newer directory.
 func TestOrders(t *testing.T) {
 	scenarios := []struct {
 		name     string
@@ -124,7 +127,7 @@
 	target := &routing.Target{ID: "a", Service: "s", RestoredAt: 1000, ColdUntil: 2000}
 	scenarios := []struct {
 		at      clock.Millis
-		service *routing.Service
+		service *routing.Service // nil if the configuration has not been read
 		cold    bool
 	}{
 		{1500, service, true},
--- a/pkg/feedrelay/read_decision_test.go
+++ b/pkg/feedrelay/read_decision_test.go
@@ -6,6 +6,8 @@
 	"quaydock/pkg/clock"
 )
 
+// Guards against entries that all read the store themselves while there is no feed state, or none of which does. Times
+// are in ms.
 func TestReadDecision(t *testing.T) {
 	const long = clock.Minute
 	scenarios := []struct {
--- a/pkg/feedrelay/relay_test.go
+++ b/pkg/feedrelay/relay_test.go
@@ -11,6 +11,7 @@
 	"quaydock/pkg/packets"
 )
 
+// Guards against entries that each read the store for themselves while the feed reader sends its feed states.
 func TestOneEntryReadsForAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newCluster(t)
@@ -36,12 +37,13 @@
 	})
 }
 
+// Guards against entries that wait for the feed reader although it, the store or the network fails on the way to them.
 func TestChangesReachAllDespiteFaults(t *testing.T) {
 	scenarios := []struct {
 		name   string
-		fault  func(b *cluster, reader int)
-		exempt func(i, reader int) bool // entries that need not receive the change
-		limit  time.Duration
+		fault  func(b *cluster, reader int) // begins just before the change; reader is the feed reader
+		exempt func(i, reader int) bool     // entries that need not receive the change; nil if there are none
+		limit  time.Duration                // within which the change must reach the others
 	}{
 		{"every third datagram is lost", func(b *cluster, _ int) {
 			var n atomic.Int64
@@ -110,6 +112,7 @@
 	})
 }
 
+// Guards against a change that is too large for a datagram and therefore reaches nobody but the feed reader.
 func TestALargeChangeIsFetched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newCluster(t)
--- a/pkg/feedrelay/replica_test.go
+++ b/pkg/feedrelay/replica_test.go
@@ -8,6 +8,7 @@
 	"quaydock/pkg/follow"
 )
 
+// batch returns an answer of the store at a version, whose clock shows the same number.
 func batch(version int64, rows ...follow.Row) follow.Batch {
 	return follow.Batch{Version: version, StoreTime: clock.Millis(version), Rows: rows}
 }
@@ -31,6 +32,7 @@
 	}
 }
 
+// Guards against a replica that serves changes of which it lacks some, or a snapshot after a gap.
 func TestReplicaSinceAndSnapshot(t *testing.T) {
 	var r replica
 	if _, has := r.snapshot(); has {
@@ -41,8 +43,8 @@
 	r.apply(20, batch(30, follow.Row{Key: "b", Gone: true}, follow.Row{Key: "c", Value: []byte("1")}))
 	scenarios := []struct {
 		after int64
-		known bool
-		keys  int
+		known bool // whether the replica has all changes after that version
+		keys  int  // how many rows it returns then
 	}{
 		{5, false, 0}, {10, true, 3}, {20, true, 2}, {25, true, 2}, {30, true, 0}, {31, false, 0},
 	}
@@ -79,6 +81,7 @@
 	}
 }
 
+// Guards against tombstones that are kept forever, and against changes that are served without those that were dropped.
 func TestTombstonesAreLimited(t *testing.T) {
 	var r replica
 	r.replace(batch(1))
--- a/pkg/feedrelay/snapshot_test.go
+++ b/pkg/feedrelay/snapshot_test.go
@@ -25,7 +25,7 @@
 func TestFailedFirstSnapshotIsRetriedSoon(t *testing.T) {
 	scenarios := []struct {
 		name   string
-		listed bool
+		listed bool // whether each entry knows the list of entries from its start
 	}{
 		{"the other entries are not known", false},
 		{"the other entries are known and have not read it either", true},
--- a/pkg/follow/faults_test.go
+++ b/pkg/follow/faults_test.go
@@ -54,6 +54,7 @@
 	})
 }
 
+// Guards against rows that count as faulty forever after they were corrected or deleted.
 func TestFaultyRowCount(t *testing.T) {
 	f := follow.NewFaults(commontest.New(network.NewMemory(nil)), "targets")
 	for i := range 4 {
--- a/pkg/follow/follower_test.go
+++ b/pkg/follow/follower_test.go
@@ -29,10 +29,11 @@
 	return s.changes(after, wait)
 }
 
+// handler records what a follower passes to it.
 type handler struct {
 	snapshots int
-	changed   []string
-	freshness []follow.Freshness
+	changed   []string           // the keys of changed rows, in order
+	freshness []follow.Freshness // of each snapshot and change
 	failures  int
 }
 
@@ -50,6 +51,7 @@
 
 func (h *handler) ReadFailed(error) { h.failures++ }
 
+// run runs a follower for a length of time.
 func run(s *source, h *handler, options follow.Options, length time.Duration) {
 	ctx, stop := context.WithTimeout(context.Background(), length)
 	defer stop()
@@ -58,6 +60,8 @@
 
 var options = follow.Options{Wait: clock.Second, AnswerTimeout: 500}
 
+// Guards against changes that are read again, or left out, as they are requested after another version than the last
+// one.
 func TestChangesFollowSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var versions []int64
@@ -77,6 +81,7 @@
 	})
 }
 
+// Guards against a follower that reports an outage, or goes on asking for changes, when the store has trimmed them.
 func TestTrimmedHistoryIsReadAsSnapshot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls := 0
@@ -135,6 +140,7 @@
 	return batch, err
 }
 
+// Guards against an outage that is not reported to the handler, and against reads in quick succession while it lasts.
 func TestOutageIsReportedAndEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
--- a/pkg/table/table_test.go
+++ b/pkg/table/table_test.go
@@ -12,6 +12,7 @@
 	"quaydock/pkg/table"
 )
 
+// tableAt is the address of the table service.
 const tableAt = "10.0.0.1:80"
 
 // TestClosedTableIsNotCalled guards against connections that are never closed: work in the background
