--- a/pkg/app/advice_bed_test.go
+++ b/pkg/app/advice_bed_test.go
@@ -39,10 +39,10 @@
 	// afterLeaving counts the requests that reached leaving targets too late, and duringBackoff those beyond
 	// maxInBackoff.
 	afterLeaving, duringBackoff int
-	pairs                       map[entryTarget]bool // that violated a report
-	rejected                    int
-	arrivals                    map[string]int // by target
-	lastArrival                 map[string]time.Duration
+	pairs                       map[entryTarget]bool     // between which a request came in spite of a report
+	rejected                    int                      // requests rejected by targets
+	arrivals                    map[string]int           // requests that reached targets, by target id
+	lastArrival                 map[string]time.Duration // by target id
 }
 
 // entryTarget is an entry and an incarnation of a target.
@@ -53,11 +53,12 @@
 
 // rejection is how a target rejects requests.
 type rejection struct {
-	fraction float64
-	backoff  time.Duration
-	unmarked bool // without the header that says that the request did not run
+	fraction float64       // of the requests
+	backoff  time.Duration // that it asks for
+	unmarked bool          // without the header that says that the request did not run
 }
 
+// sentCall is when a caller sent a request, and to which entry.
 type sentCall struct {
 	entry int
 	at    time.Duration
@@ -66,11 +67,12 @@
 // backoffPeriod is one back-off that a target has asked an entry for.
 type backoffPeriod struct {
 	from, until time.Duration
-	reached     int
+	reached     int // requests from that entry later than backoffSlack after its beginning
 }
 
 func newAdviceBed(t *testing.T) *adviceBed { return newAdviceBedOf(t, 1, 3, crashTargets) }
 
+// newAdviceBedOf starts a bed, with its targets in the entries' failure domain.
 func newAdviceBedOf(t *testing.T, seed uint64, entries, targets int) *adviceBed {
 	b := &adviceBed{
 		crashBed: newCrashBedOf(t, seed, entries, targets), leaving: make(map[int]bool), rejections: make(map[int]rejection),
@@ -155,8 +157,8 @@
 
 // adviceAnswer is what a caller got.
 type adviceAnswer struct {
-	at, took   time.Duration
-	status     int
+	at, took   time.Duration // when the request was sent, and the time to the whole answer
+	status     int           // 0 without an answer
 	retryAfter time.Duration // the answer's Retry-After, 0 without one
 }
 
@@ -186,6 +188,7 @@
 	return answers
 }
 
+// callOnce sends a request to an entry, and records whether the answer passes on that its target is leaving.
 func (b *adviceBed) callOnce(entry int) adviceAnswer {
 	a, head := b.callTraced(entry)
 	if wiretest.IsLeaving(head) {
--- a/pkg/app/advice_size_test.go
+++ b/pkg/app/advice_size_test.go
@@ -26,8 +26,8 @@
 func TestAdviceOfManyTargets(t *testing.T) {
 	const (
 		length    = 12 * time.Second
-		perTarget = 3 // requests a second
-		storeLate = 3 * time.Second
+		perTarget = 3               // requests a second
+		storeLate = 3 * time.Second // from a target's first report until its row says that it is leaving
 		serveOn   = 5 * time.Second // of a leaving target
 	)
 	for seed := range *adviceSeeds {
--- a/pkg/app/app_test.go
+++ b/pkg/app/app_test.go
@@ -14,6 +14,7 @@
 	"quaydock/pkg/ctl"
 )
 
+// TestMain lets the scripts run the daemon and quayctl as commands of this test binary.
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){
 		"quaydock": func() { os.Exit(app.Main(os.Args[1:], os.Stdout, os.Stderr)) },
--- a/pkg/app/cold_test.go
+++ b/pkg/app/cold_test.go
@@ -16,7 +16,7 @@
 	coldPerSecond = 20
 	coldOver      = 1.5
 	coldSlack     = 5
-	coldMax       = coldPerSecond*coldOver + coldSlack
+	coldMax       = coldPerSecond*coldOver + coldSlack // requests that may reach a cold target within a second
 	coldTargets   = 6
 	coldLoad      = 300 // requests per second of all callers; for each target two and a half times coldPerSecond
 )
@@ -26,11 +26,13 @@
 	*domainsBed
 
 	countMu     sync.Mutex
-	coldUntil   map[string]time.Duration
-	arrived     map[string][]time.Duration // at cold targets, by id
+	coldUntil   map[string]time.Duration   // by target id; set with its first request, or by makeDomainCold
+	arrived     map[string][]time.Duration // at cold targets within the last second, by target id
 	maxInSecond int                        // the most requests that reached a cold target within a second
 }
 
+// newColdBed starts a bed and configures the limit, with which the entries start again. Targets that start from then on
+// are cold.
 func newColdBed(t *testing.T, seed uint64) *coldBed {
 	b := &coldBed{domainsBed: newDomainsBed(t, seed, coldTargets), coldUntil: make(map[string]time.Duration), arrived: make(map[string][]time.Duration)}
 	b.intercept = b.countCold
@@ -76,6 +78,7 @@
 	}
 }
 
+// currentEngines returns the present incarnations of all targets.
 func (b *coldBed) currentEngines() []*crashEngine {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/app/counted_socket_test.go
+++ b/pkg/app/counted_socket_test.go
@@ -12,6 +12,7 @@
 	bed *crashBed
 }
 
+// counted returns a socket of an entry whose bytes the bed counts.
 func (b *crashBed) counted(s packets.Socket) packets.Socket { return countedSocket{s, b} }
 
 func (s countedSocket) WriteToUDPAddrPort(body []byte, to netip.AddrPort) (int, error) {
--- a/pkg/app/crash_bed_test.go
+++ b/pkg/app/crash_bed_test.go
@@ -30,13 +30,13 @@
 	store     *storetest.Store
 	net       *network.Memory
 	datagrams *packets.Memory
-	began     time.Time
-	entries   []*crashEntry
+	began     time.Time     // 0 of the bed's times: after all has started
+	entries   []*crashEntry // nil for an entry that does not run
 
 	mu               sync.Mutex
 	random           *rand.Rand
-	engines          []*crashEngine
-	started          int
+	engines          []*crashEngine             // the present or last incarnation of each target
+	started          int                        // starts of targets and entries, for new ids and seeds
 	longRuns         bool                       // some requests run longer by longWork
 	domains          int                        // number of the targets' failure domains; 0 puts them into the entries' own
 	entryDomains     int                        // number of the entries' failure domains; 0 is one for all
@@ -51,7 +51,7 @@
 	unreachableCalls int                        // store calls of these entries
 	ends             map[string][]time.Duration // by body: when each target ended under it
 	reached          map[string][]time.Duration // by fatal body: when each attempt reached a target
-	backgroundCalls  []backgroundCall
+	backgroundCalls  []backgroundCall           // in the order of their answers
 	// bytes counts the bytes that the entries have sent in datagrams, by kind.
 	bytes map[packets.Kind]int
 	// bounds apply to entries that start from now on.
@@ -65,17 +65,17 @@
 
 // backgroundCall is a request of the background load and its result.
 type backgroundCall struct {
-	at     time.Duration
+	at     time.Duration // when it was sent
 	body   string
-	status int
-	text   string
+	status int    // 0 without an answer
+	text   string // of the answer
 }
 
 // crashEntry is one run of an entry's process.
 type crashEntry struct {
 	process *entryProcess
 	net     *processNetwork
-	stop    context.CancelFunc
+	stop    context.CancelFunc // ends what start started
 }
 
 const (
@@ -85,15 +85,16 @@
 	crashWork       = 15 * time.Millisecond   // run time of an ordinary request
 	longWork        = 250 * time.Millisecond  // additional run time of one request in longOneIn
 	longOneIn       = 5
-	crashTargets    = 12
+	crashTargets    = 12              // number of targets, unless a test gives another one
 	coldTime        = 3 * time.Second // length of the slow start in the service's configuration
-	crashSlots      = 8
+	crashSlots      = 8               // of each target
 	propagationTime = 3 * time.Second // within which all entries must know of a target end
 )
 
 // fatalPrefix begins the bodies of requests under which targets end.
 const fatalPrefix = "fatal"
 
+// newCrashBed starts a store, targets and entries, and waits until they have settled.
 func newCrashBed(t *testing.T, seed uint64, entries int) *crashBed {
 	return newCrashBedOf(t, seed, entries, crashTargets)
 }
@@ -177,12 +178,14 @@
 	b.t.Cleanup(func() { _ = server.Close() })
 }
 
+// address is the address of an entry for messages between entries.
 func (b *crashBed) address(i int) netip.AddrPort {
 	return netip.MustParseAddrPort(entryIP(i) + ":7600")
 }
 
 func entryIP(i int) string { return fmt.Sprintf("10.0.%d.%d", i/200, 1+i%200) }
 
+// startEntry starts an entry, with the present bounds and a new seed.
 func (b *crashBed) startEntry(i int) {
 	b.mu.Lock()
 	b.started++
@@ -252,6 +255,7 @@
 	}
 }
 
+// close ends all entries and targets when the test ends.
 func (b *crashBed) close() {
 	for i := range b.entries {
 		b.killEntry(i)
@@ -268,6 +272,7 @@
 	time.Sleep(time.Minute) // until all goroutines have ended
 }
 
+// now is the time since all has started.
 func (b *crashBed) now() time.Duration { return time.Since(b.began) }
 
 // setStoreDown makes the store unreachable for all entries, or reachable again.
--- a/pkg/app/crash_engines_test.go
+++ b/pkg/app/crash_engines_test.go
@@ -17,13 +17,13 @@
 // crashEngine is one incarnation of a simulated target.
 type crashEngine struct {
 	bed     *crashBed
-	n       int
+	n       int // it is the nth target in all its incarnations
 	id      string
 	version ids.Version
 	born    ids.Start
-	row     wiretest.Engine
+	row     wiretest.Engine // as it wrote it when it started
 	server  *http.Server
-	once    sync.Once
+	once    sync.Once // ends it
 }
 
 // address is where the target listens; it is the same for all incarnations of the nth target.
@@ -39,6 +39,7 @@
 
 func targetAddress(n int) string { return fmt.Sprintf("10.9.%d.%d:80", n/200, 1+n%200) }
 
+// startEngine starts the nth target under a new id.
 func (b *crashBed) startEngine(n int) { b.startEngineAs(n, "") }
 
 // startEngineAs starts the nth target under an id; if id is empty, under a new one.
@@ -66,6 +67,7 @@
 	b.store.Put(platform.TableTargets, e.id, row.Row())
 }
 
+// end ends the target for good; its row stays.
 func (e *crashEngine) end() { e.once.Do(func() { _ = e.server.Close() }) }
 
 // crash ends the target with all requests that it runs, and starts another one in its place after restartDelay.
@@ -86,6 +88,7 @@
 	})
 }
 
+// ServeHTTP runs a request that is meant for this incarnation. Under a fatal body the target ends after fatalWork.
 func (e *crashEngine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	wiretest.SetRequestID(w.Header(), wiretest.RequestID(r.Header))
 	if wiretest.IntendedEngine(r.Header) != e.id {
--- a/pkg/app/crash_test.go
+++ b/pkg/app/crash_test.go
@@ -133,7 +133,7 @@
 	const (
 		length  = 15 * time.Second
 		bodies  = 50
-		sources = 4 // a second: 200 bodies would take 50 s
+		sources = 4 // new bodies a second: 200 bodies would take 50 s
 	)
 	synctest.Test(t, func(t *testing.T) {
 		b := newCrashBed(t, 1, 3)
@@ -190,9 +190,9 @@
 	const perSecond = 4 // bodies
 	scenarios := []struct {
 		name   string
-		bodies int
+		bodies int // how many fatal bodies the account sends
 		path   string
-		fault  func(b *crashBed)
+		fault  func(b *crashBed) // injected during the load; nil if there is none
 	}{
 		{"50, not repeatable", 50, "/unsafe/q", nil},
 		{"50, repeatable", 50, "/safe/q", nil},
--- a/pkg/app/domains_test.go
+++ b/pkg/app/domains_test.go
@@ -24,9 +24,10 @@
 	ordersMu sync.Mutex
 	drained  map[ids.FailureDomain]time.Duration // since when
 	late     map[ids.FailureDomain]int           // requests that reached its targets too late
-	arrivals map[ids.FailureDomain]int
+	arrivals map[ids.FailureDomain]int           // requests that reached its targets since the last order or its removal
 }
 
+// newDomainsBed starts four entries and targets in three failure domains, some of whose requests run long.
 func newDomainsBed(t *testing.T, seed uint64, targets int) *domainsBed {
 	b := &domainsBed{
 		crashBed: newCrashBedIn(t, seed, 4, targets, 3), drained: make(map[ids.FailureDomain]time.Duration),
--- a/pkg/app/endings_test.go
+++ b/pkg/app/endings_test.go
@@ -35,23 +35,24 @@
 	configuration wiretest.Configuration
 
 	runsMu  sync.Mutex
-	arrived map[string]int // number of runs, by request id
-	onTrial map[string]int // of these, the runs on targets of a failing version
-	failing map[ids.Version]bool
+	arrived map[string]int       // number of runs, by request id
+	onTrial map[string]int       // of these, the runs on targets of a failing version
+	failing map[ids.Version]bool // versions whose targets fail all requests but streams
 }
 
 const (
 	endingsEntries = 3
-	endingsEvents  = 12
-	endingsGap     = 50 * time.Millisecond
-	endingsWait    = 8 * time.Second // callers' time-out, longer than any answer takes
-	endingsLoad    = 50              // requests a second
+	endingsEvents  = 12                    // of a stream
+	endingsGap     = 50 * time.Millisecond // between two events
+	endingsWait    = 8 * time.Second       // callers' time-out, longer than any answer takes
+	endingsLoad    = 50                    // requests a second
 	endingsLength  = 6 * time.Second
 )
 
 // endingsKinds names the kinds of requests; each has a route of its name.
 var endingsKinds = []string{"safe", "unsafe", "stream", "resume"}
 
+// newEndingsBed starts a bed and waits until the entries have applied its configuration.
 func newEndingsBed(t *testing.T, seed uint64) *endingsBed {
 	b := &endingsBed{arrived: make(map[string]int), onTrial: make(map[string]int), failing: make(map[ids.Version]bool)}
 	b.crashBed = newCrashBedOf(t, seed, endingsEntries, crashTargets)
@@ -100,6 +101,7 @@
 	return time.Duration(500+b.draw(2000)) * time.Millisecond
 }
 
+// endingsEvent is the nth event of the stream that answers a request.
 func endingsEvent(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s/%d\n\n", n, id, n) }
 
 // endingsAnswer is the complete answer to a request.
@@ -138,6 +140,7 @@
 	return true
 }
 
+// stream answers with the events after the last one that the caller has, with one pause among them.
 func (b *endingsBed) stream(w http.ResponseWriter, r *http.Request, id string) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	control := http.NewResponseController(w)
@@ -163,12 +166,13 @@
 type endingsCall struct {
 	entry    int
 	path, id string
-	at, end  time.Duration
-	status   int
+	at, end  time.Duration // when it was sent, and when its answer ended
+	status   int           // 0 without an answer
 	body     string
-	complete bool
+	complete bool // the answer was not broken off
 }
 
+// callOnce sends a request to an entry, on a new connection.
 func (b *endingsBed) callOnce(entry int, path string) endingsCall {
 	c := endingsCall{entry: entry, path: path, id: b.newRequestID(), at: b.now()}
 	transport := &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -228,6 +232,7 @@
 	}
 }
 
+// runCount returns the number for a request in arrived or onTrial.
 func (b *endingsBed) runCount(of map[string]int, id string) int {
 	b.runsMu.Lock()
 	defer b.runsMu.Unlock()
--- a/pkg/app/entry_drain_test.go
+++ b/pkg/app/entry_drain_test.go
@@ -32,9 +32,9 @@
 )
 
 const (
-	drainCallers = "10.0.0.1:80"
-	drainTarget  = "10.0.1.1:80"
-	drainGrace   = 8 * time.Second
+	drainCallers = "10.0.0.1:80"   // where the entry serves callers
+	drainTarget  = "10.0.1.1:80"   // the target's address
+	drainGrace   = 8 * time.Second // from the signal to the kill, in most tests
 )
 
 // drainBed is a test bed of an entry with its real server for callers, its controller and its list of
@@ -96,6 +96,7 @@
 	}
 }
 
+// drainAssignment is an assignment to the only target; its outcome is dropped.
 type drainAssignment struct{}
 
 func (drainAssignment) Target() *routing.Target {
@@ -105,6 +106,7 @@
 func (drainAssignment) Redispatched() <-chan struct{}             { return nil }
 func (drainAssignment) Done(planner.Outcome, planner.StreamStats) {}
 
+// newDrainBed starts the entry and the target, with a grace from the signal to the kill.
 func newDrainBed(t *testing.T, grace time.Duration) *drainBed {
 	b := &drainBed{t: t, network: network.NewMemory(nil), drained: make(chan struct{}), workTimes: make(map[string]time.Duration), assignmentDelays: make(map[ids.Route]time.Duration)}
 	c := commontest.New(b.network)
@@ -137,6 +139,7 @@
 	return b
 }
 
+// drainRoutes returns four routes to the same service; draft is the one that streams.
 func drainRoutes() []*routing.Route {
 	var routes []*routing.Route
 	for _, name := range []string{"call", "keep", "draft", "wait"} {
@@ -150,6 +153,7 @@
 	return routes
 }
 
+// drainListing returns the rows of a number of entries; the first is the one under test.
 func drainListing(entries int) []follow.Row {
 	var rows []follow.Row
 	for i := range entries {
@@ -158,6 +162,7 @@
 	return rows
 }
 
+// listen listens at an address of the bed's network.
 func (b *drainBed) listen(address string) net.Listener {
 	listener, err := b.network.Listen(address)
 	if err != nil {
@@ -185,12 +190,14 @@
 	}
 }
 
+// setWorkTime sets how long the target works on requests for a path.
 func (b *drainBed) setWorkTime(path string, long time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.workTimes[path] = long
 }
 
+// reached returns how many requests for a path have reached the target.
 func (b *drainBed) reached(path string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -214,8 +221,8 @@
 
 // drainReply is the result of a call.
 type drainReply struct {
-	status     int // 0 if the connection was closed without a status
-	complete   bool
+	status     int  // 0 if the connection was closed without a status
+	complete   bool // the answer was not broken off
 	retryAfter string
 }
 
@@ -226,6 +233,7 @@
 	return replies
 }
 
+// exchange makes one request whose caller waits for a deadline, and returns the reply.
 func (b *drainBed) exchange(path string, deadline time.Duration, body io.Reader) drainReply {
 	transport := &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return b.network.Dial(ctx, drainCallers)
@@ -262,6 +270,8 @@
 	}
 }
 
+// expect checks the status of a reply, that it is complete, and that a 503 names the time after which to retry. A
+// status of 0 stands for no reply.
 func (b *drainBed) expect(what string, replies <-chan drainReply, status int) {
 	b.t.Helper()
 	got := b.await(replies)
@@ -318,8 +328,8 @@
 		name     string
 		path     string
 		status   int
-		complete bool
-		reached  int
+		complete bool // whether the answer is complete
+		reached  int  // how often the request reaches the target
 	}{
 		{"waits for an assignment", "/wait/a", http.StatusServiceUnavailable, true, 0},
 		{"its target works on it", "/call/a", http.StatusBadGateway, true, 1},
@@ -357,10 +367,10 @@
 func TestRequestAssignedLateInDrainIsNotSent(t *testing.T) {
 	scenarios := []struct {
 		name          string
-		workTime      time.Duration
+		workTime      time.Duration // of the target
 		assignedAfter time.Duration // how long after its arrival the request is assigned
 		status        int
-		reached       int
+		reached       int // how often the request reaches the target
 	}{
 		{"too little time for a usual request", 2 * time.Second, 4500 * time.Millisecond, http.StatusServiceUnavailable, 0},
 		{"time enough", 2 * time.Second, 2500 * time.Millisecond, http.StatusOK, 1},
--- a/pkg/app/entry_stop_test.go
+++ b/pkg/app/entry_stop_test.go
@@ -6,11 +6,13 @@
 	"quaydock/pkg/clock"
 )
 
+// Guards against a stopped entry that closes its port while most others are stopped too, or stays longer than its
+// requests need.
 func TestStoppingEntryAcceptsConnections(t *testing.T) {
 	scenarios := []struct {
-		name string
-		door acceptState
-		want bool
+		name  string
+		state acceptState
+		want  bool
 	}{
 		{"enough others are ready", acceptState{minorityReady: false, running: 3, remaining: 4 * clock.Second}, false},
 		{"few others are ready, and requests still run", acceptState{minorityReady: true, running: 1, remaining: 4 * clock.Second}, true},
@@ -19,13 +21,14 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			if got := s.door.accepts(); got != s.want {
+			if got := s.state.accepts(); got != s.want {
 				t.Errorf("open: %t, want %t", got, s.want)
 			}
 		})
 	}
 }
 
+// Guards against a restriction that starts only after the process was killed, where the grace is short.
 func TestStopSchedule(t *testing.T) {
 	const now = 100 * clock.Second
 	scenarios := []struct {
--- a/pkg/app/fleet_test.go
+++ b/pkg/app/fleet_test.go
@@ -16,9 +16,9 @@
 var fleetEntries = flag.Int("fleet.entries", 60, "how `many` entries start at once")
 
 const (
-	fleetDomains         = 6
-	fleetWritesPerSecond = 200 // per second, of one part of the store
-	fleetStoreDelay      = 4 * time.Millisecond
+	fleetDomains         = 6                      // the entries' failure domains
+	fleetWritesPerSecond = 200                    // per second, of one part of the store
+	fleetStoreDelay      = 4 * time.Millisecond   // of each answer of the store
 	fleetStartSpan       = 300 * time.Millisecond // all VMs start within this time
 	fleetTimeout         = 24 * time.Second       // callers come this long after the first start
 )
@@ -27,6 +27,7 @@
 // fleetWritesPerSecond.
 type fleetBed struct{ *crashBed }
 
+// newFleetBed returns a bed with the rows of targets and no entry that runs.
 func newFleetBed(t *testing.T, seed uint64, entries int) *fleetBed {
 	b := &fleetBed{newBed(t, seed, entries, entries*10/3, 0, true)}
 	b.entryDomains = fleetDomains
@@ -59,6 +60,7 @@
 	return timeout
 }
 
+// serving returns how many entries are ready and know the list of entries.
 func (b *fleetBed) serving() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -85,11 +87,11 @@
 )
 
 // TestSimultaneousStartOfAllEntries: a start of 385 entries cost 7.9 calls to the store per entry, 411 of which it
-// rejected, and a restart of all in the middle of a day 2.0. Each entry wrote its own row, 385 at once into a part of the
-// store that accepts 200 writes a second, and retried when it was rejected. Entries that found the list still empty, before the
-// first rows were written, each read all tables and followed them as if there were no other entry. On a day without
-// disruption all calls came before the first request; of 60 entries each made 5. Run by hand with -fleet.entries 385 and
-// 1000.
+// rejected, and a restart of all in the middle of a day 2.0. Each entry wrote its own row, 385 at once into a part
+// of the store that accepts 200 writes a second, and retried when it was rejected. Entries that found the list
+// still empty, before the first rows were written, each read all tables and followed them as if there were no other
+// entry. On a day without disruption all calls came before the first request; of 60 entries each made 5. Run by
+// hand with -fleet.entries 385 and 1000.
 func TestSimultaneousStartOfAllEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newFleetBed(t, 1, *fleetEntries)
--- a/pkg/app/foreign_rows_test.go
+++ b/pkg/app/foreign_rows_test.go
@@ -15,10 +15,12 @@
 	"quaydock/platform"
 )
 
+// configurationRow returns a row with a document in place of the operators' configuration.
 func configurationRow(version int, document string) follow.Row {
 	return follow.Row{Key: platform.KeyConfiguration, Value: []byte(document), Version: int64(version)}
 }
 
+// validConfiguration returns a row with a valid configuration, whose revision is the row's version.
 func validConfiguration(version int) follow.Row {
 	return configurationRow(version, fmt.Sprintf(
 		`{"version":%d,"routes":[{"name":"r","host":"h","path_prefix":"/","kind":"safe","timeout_ms":1000,"service":"s"}],"services":[{"name":"s"}],"limits":{}}`, version))
--- a/pkg/app/limit_bed_test.go
+++ b/pkg/app/limit_bed_test.go
@@ -39,9 +39,9 @@
 	limitPassedOnAt map[entryTarget]time.Duration // when an entry first passed on a limit
 	counted         map[string][]time.Duration    // arrivals within the last window that count, by target
 	arrived         map[int][]time.Duration       // all arrivals, by target
-	worst           windowCount
-	firstLimitAt    map[string]time.Duration // when a target first reported a limit
-	exceeded        map[int]bool             // targets that got more than allowed
+	worst           windowCount                   // the count that used the most of what was allowed
+	firstLimitAt    map[string]time.Duration      // when a target first reported a limit
+	exceeded        map[int]bool                  // targets that got more than allowed
 }
 
 // reportedLimit is the limit that a target reports from a given time on.
@@ -59,6 +59,7 @@
 	allowed float64
 }
 
+// newLimitBed starts a bed whose targets report no limit.
 func newLimitBed(t *testing.T, seed uint64, entries int) *limitBed {
 	b := &limitBed{
 		adviceBed: newAdviceBedOf(t, seed, entries, crashTargets), limits: make(map[int][]reportedLimit), limitPassedOnAt: make(map[entryTarget]time.Duration),
--- a/pkg/app/limit_test.go
+++ b/pkg/app/limit_test.go
@@ -14,7 +14,7 @@
 	name    string
 	targets int // that report limits, of twelve
 	report  func(b *limitBed, targets int)
-	minUse  float64
+	minUse  float64 // fraction of the limits; 0 is not checked
 }{
 	{"1 of 12 reports 2.5", 1, func(b *limitBed, n int) { b.limitFirst(n, 2.5) }, 0},
 	{"4 of 12 report 1.4", 4, func(b *limitBed, n int) { b.limitFirst(n, 1.4) }, 0},
@@ -194,7 +194,7 @@
 	const length = 16 * time.Second
 	texts := []struct {
 		text      string
-		perSecond float64
+		perSecond float64 // the limit that the text means
 	}{
 		{"0", 0},
 		{"-3", 0},
--- a/pkg/app/process_network_test.go
+++ b/pkg/app/process_network_test.go
@@ -15,12 +15,14 @@
 	network.Network
 
 	mu    sync.Mutex
-	open  []interface{ Close() error }
+	open  []interface{ Close() error } // all that was opened so far, also what is closed again
 	ended bool
 }
 
+// errProcessEnded is returned for connections and listeners that are opened after the end.
 var errProcessEnded = errors.New("the process has ended")
 
+// newProcessNetwork returns the network of a process that runs.
 func newProcessNetwork(n network.Network) *processNetwork { return &processNetwork{Network: n} }
 
 // Dial connects to an address.
@@ -42,6 +44,7 @@
 	return own, p.track(l)
 }
 
+// track registers what the process has opened, or closes it if the process has ended.
 func (p *processNetwork) track(c interface{ Close() error }) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/app/rollout_bed_test.go
+++ b/pkg/app/rollout_bed_test.go
@@ -30,7 +30,7 @@
 	datagrams *packets.Memory
 	delays    *linkDelays
 	stalls    stalls
-	began     time.Time
+	began     time.Time // start of the simulation, warmUp before the order
 	order     rolloutOrder
 
 	mu          sync.Mutex
@@ -38,7 +38,7 @@
 	engines     map[ids.Target]*bedEngine
 	partitioned map[netip.AddrPort]bool // entries partitioned from the other entries
 	rejected    map[int]bool            // entries whose calls the store rejects
-	state       string                  // of the roll-out, as the operator reads it
+	state       string                  // row of the roll-out's state, as the operator reads it
 	states      []string                // all states so far, each with its time
 	rateFactor  float64                 // factor on playRate
 
@@ -54,7 +54,7 @@
 
 const (
 	bedService = "s"
-	bedSlots   = 8
+	bedSlots   = 8 // of each target
 	oldVersion = "v1"
 	newVersion = "v2"
 	warmUp     = 3 * time.Second // from the start of the simulation to the order
@@ -74,8 +74,10 @@
 	{"lookup", 0.3, 0, false, 0.1},
 }
 
+// storeAddress is the address at which the store serves the ith entry.
 func storeAddress(i int) string { return fmt.Sprintf("10.200.1.%d:80", i+1) }
 
+// newRolloutBed starts the store, the targets of the old version and the entries. The order is placed by operate.
 func newRolloutBed(t *testing.T, seed uint64, order rolloutOrder) *rolloutBed {
 	b := &rolloutBed{
 		t: t, random: rand.New(rand.NewPCG(seed, 3)), store: storetest.New(), net: network.NewMemory(nil), datagrams: packets.NewMemory(), delays: &linkDelays{seed: seed, began: time.Now()}, stalls: stalls{entries: make(map[int]time.Time), targets: make(map[ids.Target]time.Time)},
@@ -121,6 +123,7 @@
 	})
 }
 
+// close ends all entries and targets when the test ends.
 func (b *rolloutBed) close() {
 	for i := range b.entries {
 		b.stopEntry(i)
@@ -259,6 +262,7 @@
 	}
 }
 
+// The entries' bounds: ExposeShare, ExposeSlack and Rollback of platform.Bounds.
 const (
 	exposeFraction = 0.1
 	exposeSlack    = 50
--- a/pkg/app/rollout_crash_test.go
+++ b/pkg/app/rollout_crash_test.go
@@ -35,6 +35,8 @@
 	}
 }
 
+// playWithFatalRequest plays the roll-out of a good version. If ends is set, a request ends three of its targets
+// meanwhile.
 func playWithFatalRequest(t *testing.T, seed uint64, ends bool) outcome {
 	var o outcome
 	synctest.Test(t, func(t *testing.T) {
--- a/pkg/app/rollout_engines_test.go
+++ b/pkg/app/rollout_engines_test.go
@@ -28,15 +28,17 @@
 	id      ids.Target
 	version string
 	start   ids.Start
-	speed   float64
-	running int
-	flaky   bool
-	stopped chan struct{}
-	once    sync.Once
+	speed   float64       // factor on the time of answers
+	running int           // requests
+	flaky   bool          // many of its answers fail, whatever its version
+	stopped chan struct{} // closed at its end
+	once    sync.Once     // closes stopped
 }
 
+// end ends the engine with all that it runs; its row stays.
 func (e *bedEngine) end() { e.once.Do(func() { close(e.stopped) }) }
 
+// startEngine starts the nth target of a version. The targets of each version have different speeds.
 func (b *rolloutBed) startEngine(version string, n int) {
 	speeds := []float64{0.36, 1, 1.8}
 	e := &bedEngine{id: ids.Target(fmt.Sprint(version, "-", n)), version: version, start: b.now(), speed: speeds[n%len(speeds)], stopped: make(chan struct{})}
@@ -93,7 +95,7 @@
 }
 
 // answer draws how long an answer takes, whether it fails, and whether it is slow or fails because of the version's
-// defect. The caller holds b.mu.
+// defect. errors is the fraction of answers that fail on any version. The caller holds b.mu.
 func (b *rolloutBed) answer(e *bedEngine, route ids.Route, errors float64, events int, random *rand.Rand) (took time.Duration, failed, bad bool) {
 	const first, event = 40.0, 20.0 // ms
 	ms := (first + event*float64(events)) * e.speed * (1 + 0.04*float64(e.running)) * math.Exp(0.2*random.NormFloat64())
--- a/pkg/app/rollout_entries_test.go
+++ b/pkg/app/rollout_entries_test.go
@@ -29,17 +29,19 @@
 	process *entryProcess
 	// suspension moves the entry's clock ahead.
 	suspension *clock.Suspension
-	stop       context.CancelFunc
-	peers      net.Listener
+	stop       context.CancelFunc // ends what startEntry started
+	peers      net.Listener       // for other entries that query the feed state
 }
 
 // bedLog, if set, returns the log of entries of all beds.
 var bedLog func() *logrus.Entry
 
+// entryAddress is the address of the ith entry for messages between entries.
 func entryAddress(i int) netip.AddrPort {
 	return netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:7600", i+1))
 }
 
+// startEntry starts an entry without its servers for callers, with a seed that its number and the time determine.
 func (b *rolloutBed) startEntry(i int) {
 	name := fmt.Sprint("entry ", i)
 	others := delayedNetwork{Network: b.net, delays: b.delays, name: name, ignoreContents: true}
--- a/pkg/app/rollout_links_test.go
+++ b/pkg/app/rollout_links_test.go
@@ -25,7 +25,7 @@
 
 const (
 	minDelay   = 100 * time.Microsecond
-	delayRange = 50 * time.Microsecond
+	delayRange = 50 * time.Microsecond // delays are less than minDelay plus this
 )
 
 // delay returns the delay of a message. It does not depend on the order of the message's bytes, as lists in it may be
@@ -56,7 +56,7 @@
 type delayedSocket struct {
 	packets.Socket
 	delays *linkDelays
-	at     netip.AddrPort
+	at     netip.AddrPort // its own address
 }
 
 func (s delayedSocket) WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error) {
@@ -93,6 +93,7 @@
 	return delayedListener{Listener: l, delays: n.delays, ignoreContents: n.ignoreContents}, nil
 }
 
+// delayedListener accepts connections whose writes are delayed.
 type delayedListener struct {
 	net.Listener
 	delays         *linkDelays
@@ -112,8 +113,8 @@
 type delayedConn struct {
 	net.Conn
 	delays         *linkDelays
-	link           string
-	ignoreContents bool
+	link           string // its two ends, of which the delays are a function
+	ignoreContents bool   // see delayedNetwork
 
 	mu      sync.Mutex
 	written []byte // not delivered yet
@@ -134,6 +135,7 @@
 	return len(p), nil
 }
 
+// deliver writes all that was written since the last delivery.
 func (c *delayedConn) deliver() {
 	c.mu.Lock()
 	written := c.written
--- a/pkg/app/rollout_play_test.go
+++ b/pkg/app/rollout_play_test.go
@@ -26,8 +26,8 @@
 
 // outcome is the result of a play, which is one simulated roll-out.
 type outcome struct {
-	state     string
-	reached   int
+	state     string // the last one that the operator read, or "nothing"
+	reached   int    // as in rolloutBed, like exposed, brokenOff, served and failed
 	exposed   int
 	bad       int // bad answers up to the end of the order's duration
 	late      int // requests to a bad version later than rollbackTime after its 50th bad answer
@@ -48,6 +48,7 @@
 	return -1
 }
 
+// arrival returns the nth arrival, or nothing if there were fewer.
 func (o outcome) arrival(n int) string {
 	if n >= len(o.arrivals) {
 		return ""
@@ -62,12 +63,12 @@
 // injectedFault is a fault that is injected into a play.
 type injectedFault struct {
 	name string
-	do   func(b *rolloutBed)
+	do   func(b *rolloutBed) // begins the fault, and ends it before it returns
 }
 
 const (
 	playEntries = 4
-	playEngines = 9
+	playEngines = 9     // of each version
 	playRate    = 140.0 // requests a second
 )
 
@@ -98,6 +99,7 @@
 	return o
 }
 
+// outcome returns the result once the play has ended.
 func (b *rolloutBed) outcome() outcome {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -178,6 +180,7 @@
 	b.store.InjectFaults(nil)
 }
 
+// injectedFaults returns the faults from which random plays draw.
 func injectedFaults() []injectedFault {
 	return []injectedFault{
 		{"an entry is killed", func(b *rolloutBed) { b.restart(1) }},
@@ -238,6 +241,7 @@
 	}
 }
 
+// drawDefect draws in what way a version is bad.
 func drawDefect(random *rand.Rand) defect {
 	v := defect{fraction: []float64{0.25, 0.5, 0.9}[random.IntN(3)]}
 	if random.IntN(2) == 0 {
@@ -362,7 +366,7 @@
 func TestRolloutSeedsThatFailedBefore(t *testing.T) {
 	scenarios := []struct {
 		seed  uint64
-		cause string
+		cause string // why the seed violated a bound
 	}{
 		{74, "a new owner opened a completed version 0.2 s before the end of the order"},
 	}
@@ -412,6 +416,7 @@
 	}
 }
 
+// faultNamed returns one of injectedFaults, or nil if there is none of that name.
 func faultNamed(name string) func(b *rolloutBed) {
 	for _, fault := range injectedFaults() {
 		if fault.name == name {
--- a/pkg/app/rollout_stalls_test.go
+++ b/pkg/app/rollout_stalls_test.go
@@ -113,6 +113,7 @@
 	}
 }
 
+// playWithStalls plays a roll-out while VMs are stalled.
 func playWithStalls(t *testing.T, seed uint64, kind stallKind, v defect) outcome {
 	var o outcome
 	synctest.Test(t, func(t *testing.T) {
--- a/pkg/app/settings_watcher_test.go
+++ b/pkg/app/settings_watcher_test.go
@@ -14,8 +14,10 @@
 	"quaydock/platform"
 )
 
+// settingsText is a settings file; %REVOKE% stands for its revoke_ms.
 const settingsText = `{"node":"n","ip":"10.1.0.25","internal_ports":[7600,7615],"platform":{"address":"10.200.1.7:80"},"bounds":{"revoke_ms":%REVOKE%,"grace_s":8}}`
 
+// writeSettings writes the settings file with a value of revoke_ms.
 func writeSettings(t *testing.T, path, revoke string) {
 	t.Helper()
 	text := strings.Replace(settingsText, "%REVOKE%", revoke, 1)
@@ -24,6 +26,8 @@
 	}
 }
 
+// Guards against changed settings that apply only after a restart, and against invalid ones that replace those in
+// force.
 func TestChangedSettingsAreAppliedOnASignal(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "local.json")
 	writeSettings(t, path, "5000")
