--- a/pkg/app/app.go
+++ b/pkg/app/app.go
@@ -31,8 +31,8 @@
 
 // options are the values of the command line's flags.
 type options struct {
-	// settings is the path of the settings file of a process that has no role. A process on the platform has a role
-	// instead, and the environment names its settings; only settings and check do not apply to it.
+	// role is empty for a process whose settings file is at the path settings. A process on the platform has a role, and
+	// the environment names its settings file; the options settings and check do not apply to it.
 	role     string
 	policy   string
 	trace    settings.Trace
--- a/pkg/app/cold_test.go
+++ b/pkg/app/cold_test.go
@@ -48,7 +48,7 @@
 	return b
 }
 
-// countCold counts a request that has reached a cold target.
+// countCold counts a request that has reached a cold target. It leaves the answer to the target.
 func (b *coldBed) countCold(e *crashEngine, w http.ResponseWriter, r *http.Request) bool {
 	b.count(e, w, r)
 	now := b.now()
--- a/pkg/app/crash_bed_test.go
+++ b/pkg/app/crash_bed_test.go
@@ -38,7 +38,7 @@
 	engines          []*crashEngine             // the present or last incarnation of each target
 	started          int                        // starts of targets and entries, for new ids and seeds
 	longRuns         bool                       // some requests run longer by longWork
-	domains          int                        // number of the targets' failure domains; 0 puts them into the entries' own
+	domains          int                        // number of the targets' failure domains; 0 is the entries' own
 	entryDomains     int                        // number of the entries' failure domains; 0 is one for all
 	cold             time.Duration              // slow start of targets that start from now on
 	coldRate         float64                    // requests a second that a cold target can take; 0 is no limit
--- a/pkg/app/domains_test.go
+++ b/pkg/app/domains_test.go
@@ -38,7 +38,7 @@
 	return b
 }
 
-// count counts a request that has reached a target.
+// count counts a request that has reached a target. It leaves the answer to the target.
 func (b *domainsBed) count(e *crashEngine, _ http.ResponseWriter, _ *http.Request) bool {
 	b.ordersMu.Lock()
 	defer b.ordersMu.Unlock()
@@ -161,8 +161,8 @@
 	}
 }
 
-// TestFailureDomainsDrainedRepeatedly: failure domains are drained and restored several times, also within one read of
-// the store.
+// TestFailureDomainsDrainedRepeatedly guards against an order, or its removal, that is lost when failure domains are
+// drained and restored several times, also within one read of the store.
 func TestFailureDomainsDrainedRepeatedly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const length = 40 * time.Second
--- a/pkg/dispatch/owner.go
+++ b/pkg/dispatch/owner.go
@@ -59,7 +59,7 @@
 	// requests includes them.
 	stalls clock.Stalls
 
-	mu       sync.Mutex
+	mu       sync.Mutex // guards planners and all that they hold
 	planners map[ids.Service]*servicePlanner
 	// loadEstimates reads the store when this entry first becomes an owner and has no estimates: most entries never
 	// become one.
--- a/pkg/dispatch/owner_summary.go
+++ b/pkg/dispatch/owner_summary.go
@@ -34,6 +34,7 @@
 	return math.Round(x*tenth) / tenth
 }
 
+// roundFactors rounds speed factors by target, for logs.
 func roundFactors(m map[ids.Target]float64) map[string]float64 {
 	rounded := make(map[string]float64, len(m))
 	for id, f := range m {
--- a/pkg/dispatch/trials.go
+++ b/pkg/dispatch/trials.go
@@ -36,7 +36,7 @@
 // trials decides which of this entry's requests may go to a canary version.
 type trials struct {
 	common.Common
-	rollouts *Rollouts
+	rollouts *Rollouts // nil if the deployment does not use them
 	members  *membership.Members
 	exposure *rollout.Exposure // what this entry has sent to canary versions and may still send
 }
--- a/pkg/feedrelay/cluster_test.go
+++ b/pkg/feedrelay/cluster_test.go
@@ -221,6 +221,7 @@
 	b.lost[[2]netip.AddrPort{address(from), address(to)}] = draw == 0
 }
 
+// lossy reports whether datagrams from one address to another are lost.
 func (b *cluster) lossy(from, to netip.AddrPort) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
