--- a/pkg/app/process.go
+++ b/pkg/app/process.go
@@ -70,7 +70,7 @@
 	return p, nil
 }
 
-// Start starts all components.
+// Start starts all components. After an error, those already started go on running.
 func (p *Process) Start() error {
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
--- a/pkg/dispatch/advice.go
+++ b/pkg/dispatch/advice.go
@@ -46,7 +46,7 @@
 	})
 }
 
-// logLimit logs that the planner now uses another rate limit for a target.
+// logLimit logs that the planner now uses another rate limit for a target, up to logLinesPerSecond times a second.
 func (owner *Owner) logLimit(from netip.AddrPort, incarnation ids.TargetIncarnation, limit ratelimit.Report) {
 	if !owner.sampler.Allow("limit") {
 		return
--- a/pkg/dispatch/dispatcher_test.go
+++ b/pkg/dispatch/dispatcher_test.go
@@ -54,6 +54,7 @@
 	slots       = 2 // of each target
 )
 
+// entryAddress is the address of the ith entry for messages between entries.
 func entryAddress(i int) netip.AddrPort {
 	return netip.MustParseAddrPort(fmt.Sprintf("10.0.0.%d:7600", i+1))
 }
--- a/pkg/feedrelay/cluster_test.go
+++ b/pkg/feedrelay/cluster_test.go
@@ -96,6 +96,8 @@
 	return b, c.call(ctx)
 }
 
+// Changes answers at the next change, or after wait, as the store does, or never if the entry's held calls get no
+// answer.
 func (c client) Changes(ctx context.Context, after int64, wait clock.Millis) (follow.Batch, error) {
 	if err := c.call(ctx); err != nil {
 		return follow.Batch{}, err
@@ -137,6 +139,7 @@
 	return &entry{rows: make(map[string]string), receivedAt: make(map[string]time.Time)}
 }
 
+// knows reports whether the entry has a row of the table.
 func (e *entry) knows(key string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -160,6 +163,7 @@
 
 func (e *entry) ReadFailed(error) {}
 
+// freshnessTime returns the latest moment, by the entries' clock, at which the entry claims to have been current.
 func (e *entry) freshnessTime() clock.Millis {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -247,6 +251,7 @@
 	}
 }
 
+// address is the address of the ith entry for messages between entries.
 func address(i int) netip.AddrPort {
 	return netip.MustParseAddrPort(fmt.Sprintf("10.0.%d.%d:7600", i/200, i%200+1))
 }
--- a/pkg/feedrelay/relay.go
+++ b/pkg/feedrelay/relay.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// isFeedReader reports whether this entry is the feed reader.
+// isFeedReader reports whether this entry is the feed reader. In an experiment without that mechanism, each entry is.
 func (r *Relay) isFeedReader() bool {
 	if r.Ablation.Off(ablation.OneReader) {
 		return true
