--- a/pkg/advisory/advice.go
+++ b/pkg/advisory/advice.go
@@ -1,7 +1,7 @@
 // Package advisory tracks the advice of targets: what they report of themselves in the heads of their answers to this
 // entry. They report that they are leaving, for how long they want no requests from this entry (back-off), and how many
-// requests per second they take from all entries (limit). The target list also shows that a target is leaving, but later,
-// or never; back-off and limit are reported nowhere else.
+// requests per second they take from all entries (limit). The target list also shows that a target is leaving, but
+// later, or never; back-off and limit are reported nowhere else.
 package advisory
 
 import (
@@ -16,7 +16,8 @@
 	Leaving bool
 	// Backoff is how long the target wants no requests from this entry; 0 if it does not ask for a back-off.
 	Backoff clock.Millis
-	// SentAt is when the answer was sent, by the clock of the target's VM, in whole seconds; 0 if the answer has no date.
+	// SentAt is when the answer was sent, by the clock of the target's VM, cut to whole seconds; 0 if the answer has no
+	// date.
 	SentAt ids.Start
 	// Limit is how many requests per second the target takes, and RequestedAt when the request was sent.
 	Limit       ratelimit.ParsedLimit
--- a/pkg/advisory/tracker_test.go
+++ b/pkg/advisory/tracker_test.go
@@ -15,10 +15,12 @@
 	"quaydock/pkg/routing"
 )
 
+// newTracker returns a tracker without advice.
 func newTracker() *advisory.Tracker {
 	return advisory.NewTracker(commontest.New(network.NewMemory(nil)))
 }
 
+// incarnation is the one that gives advice in most tests.
 var incarnation = ids.TargetIncarnation{Target: "t", Start: 5000}
 
 // An incarnation gives advice, and its status is checked some time later.
@@ -26,11 +28,11 @@
 	const second = clock.Second
 	scenarios := []struct {
 		name    string
-		advice  []advisory.Advice // given half a second apart
-		after   time.Duration     // time from the last advice to the check
-		of      ids.TargetIncarnation
+		advice  []advisory.Advice     // given half a second apart
+		after   time.Duration         // time from the last advice to the check
+		of      ids.TargetIncarnation // whose status is checked
 		leaving bool
-		backoff clock.Millis
+		backoff clock.Millis // remaining at the check
 	}{
 		{"no advice", nil, 0, incarnation, false, 0},
 		{"leaving", []advisory.Advice{{Leaving: true}}, time.Hour, incarnation, true, 0},
@@ -64,9 +66,9 @@
 }
 
 // An entry took a restarted target for its former incarnation, and then read of the new one. Which of them has sent the
-// advice is recognized by the date of the answer, which is by the same clock as the start; or, without a date, by the time of the
-// connection, which is by the clock of another VM. If it remains unclear, the advice counts for 4 s after the new
-// incarnation is listed.
+// advice is recognized by the date of the answer, which is by the same clock as the start; or, without a date, by the
+// time of the connection, which is by the clock of another VM. If it remains unclear, the advice counts for 4 s after
+// the new incarnation is listed.
 func TestAdviceOfAnIncarnationThatWasNotReadYet(t *testing.T) {
 	const (
 		start   = 2_000_000
@@ -77,8 +79,8 @@
 	before, next := ids.TargetIncarnation{Target: "t", Start: 1_000_000}, ids.TargetIncarnation{Target: "t", Start: start}
 	scenarios := []struct {
 		name            string
-		connected, sent ids.Start
-		leaving         bool
+		connected, sent ids.Start // when the connection was made, and the date of the answer; 0 if unknown
+		leaving         bool      // whether the new incarnation counts as leaving
 		// back-offs of the new incarnation after a report of leaving, and after one of a back-off of 30 s
 		leavingBackoff, backingOff clock.Millis
 	}{
@@ -131,8 +133,8 @@
 	}
 }
 
-// A former incarnation had asked for a long back-off. The next one asked for a shorter one before its row was read: once it
-// is read, the shorter back-off applies to it, and the longer one must not.
+// A former incarnation had asked for a long back-off. The next one asked for a shorter one before its row was read:
+// once it is read, the shorter back-off applies to it, and the longer one must not.
 func TestShorterBackoffOfAnIncarnationThatWasNotReadYet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTracker()
@@ -151,6 +153,7 @@
 	})
 }
 
+// listed returns a directory of targets of one service.
 func listed(incarnations ...ids.TargetIncarnation) *routing.Directory {
 	var targets []*routing.Target
 	for _, l := range incarnations {
@@ -160,8 +163,8 @@
 }
 
 // Guards against requests to a leaving target whose row has expired for some time while the store was unreachable, and
-// which came back with a row that said that it was ready. The advice of incarnations that do not come back must be removed
-// eventually.
+// which came back with a row that said that it was ready. The advice of incarnations that do not come back must be
+// removed eventually.
 func TestAdviceOutlastsAnExpiredRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTracker()
@@ -233,7 +236,8 @@
 	}
 }
 
-// BenchmarkHundredLeaving measures the check before a request is sent, while 100 targets are leaving. 124 ns, no allocation.
+// BenchmarkHundredLeaving measures the check before a request is sent, while 100 targets are leaving. 124 ns, no
+// allocation.
 func BenchmarkHundredLeaving(b *testing.B) {
 	tracker := newTracker()
 	for n := range 100 {
--- a/pkg/app/crash_test.go
+++ b/pkg/app/crash_test.go
@@ -133,7 +133,7 @@
 	const (
 		length  = 15 * time.Second
 		bodies  = 50
-		sources = 4 // a second: 200 bodies would take 50 s
+		sources = 4 // new bodies a second: 200 bodies would take 50 s
 	)
 	synctest.Test(t, func(t *testing.T) {
 		b := newCrashBed(t, 1, 3)
@@ -184,15 +184,15 @@
 
 // TestAccountWithManyFatalRequestsLeavesOthersServed guards against a client account that sends new fatal bodies four
 // times a second, each of them repeatedly. Each body ended one or two targets before it was quarantined, and one more
-// 5 s later: 88 targets ended under 50 bodies, and only half of another account's requests were served. Only the account
-// is common to the bodies.
+// 5 s later: 88 targets ended under 50 bodies, and only half of another account's requests were served. Only the
+// account is common to the bodies.
 func TestAccountWithManyFatalRequestsLeavesOthersServed(t *testing.T) {
 	const perSecond = 4 // bodies
 	scenarios := []struct {
 		name   string
-		bodies int
+		bodies int // how many fatal bodies the account sends
 		path   string
-		fault  func(b *crashBed)
+		fault  func(b *crashBed) // injected during the load; nil if there is none
 	}{
 		{"50, not repeatable", 50, "/unsafe/q", nil},
 		{"50, repeatable", 50, "/safe/q", nil},
--- a/pkg/app/domains_test.go
+++ b/pkg/app/domains_test.go
@@ -12,7 +12,8 @@
 	"quaydock/platform/wiretest"
 )
 
-// domainDrainSlack is how long requests may still reach the targets of a failure domain after operators have drained it.
+// domainDrainSlack is how long requests may still reach the targets of a failure domain after operators have drained
+// it.
 const domainDrainSlack = 5 * time.Second
 
 // domainsBed is a test bed of complete entries in front of targets in three failure domains, which operators drain and
@@ -23,9 +24,10 @@
 	ordersMu sync.Mutex
 	drained  map[ids.FailureDomain]time.Duration // since when
 	late     map[ids.FailureDomain]int           // requests that reached its targets too late
-	arrivals map[ids.FailureDomain]int
+	arrivals map[ids.FailureDomain]int           // requests that reached its targets since the last order or its removal
 }
 
+// newDomainsBed starts four entries and targets in three failure domains, some of whose requests run long.
 func newDomainsBed(t *testing.T, seed uint64, targets int) *domainsBed {
 	b := &domainsBed{
 		crashBed: newCrashBedIn(t, seed, 4, targets, 3), drained: make(map[ids.FailureDomain]time.Duration),
@@ -36,7 +38,7 @@
 	return b
 }
 
-// count counts a request that has reached a target.
+// count counts a request that has reached a target. It leaves the answer to the target.
 func (b *domainsBed) count(e *crashEngine, _ http.ResponseWriter, _ *http.Request) bool {
 	b.ordersMu.Lock()
 	defer b.ordersMu.Unlock()
@@ -66,10 +68,10 @@
 	b.store.Remove(platform.TableOperators, wiretest.DrainKey(domain))
 }
 
-// TestDrainedFailureDomainGetsNoRequests guards against entries that read the drain order and ignore its row as unknown.
-// Operators drained a failure domain to take its VMs away, and a third of all requests went on reaching its targets. These
-// got as many requests as those of the other domains, from all entries, whether or not the store and the other entries
-// were reachable.
+// TestDrainedFailureDomainGetsNoRequests guards against entries that read the drain order and ignore its row as
+// unknown. Operators drained a failure domain to take its VMs away, and a third of all requests went on reaching its
+// targets. These got as many requests as those of the other domains, from all entries, whether or not the store and the
+// other entries were reachable.
 func TestDrainedFailureDomainGetsNoRequests(t *testing.T) {
 	const (
 		drainAt = 2 * time.Second
@@ -159,8 +161,8 @@
 	}
 }
 
-// TestFailureDomainsDrainedRepeatedly: failure domains are drained and restored several times, also within one read of
-// the store.
+// TestFailureDomainsDrainedRepeatedly guards against an order, or its removal, that is lost when failure domains are
+// drained and restored several times, also within one read of the store.
 func TestFailureDomainsDrainedRepeatedly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const length = 40 * time.Second
--- a/pkg/app/limit_test.go
+++ b/pkg/app/limit_test.go
@@ -8,12 +8,13 @@
 	"time"
 )
 
-// limitCases are limits that targets report, and the fraction of the limits that must be used if all targets report one.
+// limitCases are limits that targets report, and the fraction of the limits that must be used if all targets report
+// one.
 var limitCases = []struct {
 	name    string
 	targets int // that report limits, of twelve
 	report  func(b *limitBed, targets int)
-	minUse  float64
+	minUse  float64 // fraction of the limits; 0 is not checked
 }{
 	{"1 of 12 reports 2.5", 1, func(b *limitBed, n int) { b.limitFirst(n, 2.5) }, 0},
 	{"4 of 12 report 1.4", 4, func(b *limitBed, n int) { b.limitFirst(n, 1.4) }, 0},
@@ -58,8 +59,8 @@
 	}
 }
 
-// TestTargetLimitsHoldDuringFailures guards against owners that don't know a limit, that give out what another owner has
-// given out, or that have just become owner.
+// TestTargetLimitsHoldDuringFailures guards against owners that don't know a limit, that give out what another owner
+// has given out, or that have just become owner.
 func TestTargetLimitsHoldDuringFailures(t *testing.T) {
 	const length = 16 * time.Second
 	faults := []struct {
@@ -147,8 +148,8 @@
 	}
 }
 
-// TestTargetGetsRequestsAfterLimitIsLifted guards against limits whose end no entry notices because hardly any request is
-// sent to the target.
+// TestTargetGetsRequestsAfterLimitIsLifted guards against limits whose end no entry notices because hardly any request
+// is sent to the target.
 func TestTargetGetsRequestsAfterLimitIsLifted(t *testing.T) {
 	const (
 		liftAt = 8 * time.Second
@@ -193,7 +194,7 @@
 	const length = 16 * time.Second
 	texts := []struct {
 		text      string
-		perSecond float64
+		perSecond float64 // the limit that the text means
 	}{
 		{"0", 0},
 		{"-3", 0},
--- a/pkg/dispatch/advice_test.go
+++ b/pkg/dispatch/advice_test.go
@@ -14,8 +14,8 @@
 )
 
 // Guards against requests to targets that have told this entry to send nothing. The owner may not know the advice: the
-// message was lost, the owner is partitioned, another entry has become the owner, or this entry chooses targets by its own
-// counts. All requests must be served, by the one target without advice.
+// message was lost, the owner is partitioned, another entry has become the owner, or this entry chooses targets by its
+// own counts. All requests must be served, by the one target without advice.
 func TestGrantsForBlockedTargetsAreNotUsed(t *testing.T) {
 	advices := []struct {
 		name   string
@@ -27,7 +27,8 @@
 	scenarios := []struct {
 		name    string
 		disrupt func(b *cluster, owner, requester int)
-		// max is how many grants the requester may return: one for each target and each owner that lacks the advice.
+		// max is how many grants the requester may return: one for each target and each owner that lacks the advice, or any
+		// number if the owner never receives it.
 		max int64
 	}{
 		{"the owner receives the advice", func(*cluster, int, int) {}, 0},
--- a/pkg/dispatch/incarnations_test.go
+++ b/pkg/dispatch/incarnations_test.go
@@ -14,6 +14,7 @@
 	"quaydock/pkg/schedule"
 )
 
+// The starts of the two incarnations of the first target.
 const (
 	formerStart ids.Start = 5000
 	nextStart   ids.Start = 4000 // lower, as if the VM's clock had been set back
@@ -35,9 +36,9 @@
 func TestEntryAndOwnerKnowDifferentIncarnations(t *testing.T) {
 	scenarios := []struct {
 		name             string
-		owner, requester ids.Start
+		owner, requester ids.Start             // of the first target, as the owner and the requester know it
 		more             func(*routing.Target) // changes what the requester knows
-		wantOnRestart    bool
+		wantOnRestart    bool                  // whether the first target gets requests
 	}{
 		{"the owner lags", formerStart, nextStart, nil, false},
 		{"the entry lags", nextStart, formerStart, nil, false},
@@ -75,8 +76,8 @@
 }
 
 // A target restarts while all slots are taken, and each entry reads of it at another time, the owner first, in between
-// or last. Over both incarnations the target must never run more requests than it has slots, and must get requests again
-// once all entries have read of the restart.
+// or last. Over both incarnations the target must never run more requests than it has slots, and must get requests
+// again once all entries have read of the restart.
 func TestTargetRestartUnderLoadStaysWithinSlots(t *testing.T) {
 	for _, ownerReads := range []time.Duration{0, 150 * time.Millisecond, 400 * time.Millisecond} {
 		t.Run(ownerReads.String(), func(t *testing.T) {
--- a/pkg/feedrelay/cluster_test.go
+++ b/pkg/feedrelay/cluster_test.go
@@ -22,22 +22,23 @@
 
 // store simulates the store with one table that entries read. It may reject some entries or not answer them.
 type store struct {
-	began time.Time
+	began time.Time // when the store's clock was 0
 
 	mu             sync.Mutex
 	version        int64
-	log            []follow.Row
-	at             []int64
+	log            []follow.Row   // the rows in the order in which they were put
+	at             []int64        // the version of each of them
 	putAt          []clock.Millis // when each row was put, since began
-	changed        chan struct{}
-	calls          int
-	rejected       map[int]bool
-	unanswered     map[int]bool // entries whose new calls get no answer
-	heldUnanswered map[int]bool // entries whose held calls get no answer
+	changed        chan struct{}  // closed and replaced by the next put
+	calls          int            // of all entries
+	rejected       map[int]bool   // entries whose calls are rejected
+	unanswered     map[int]bool   // entries whose new calls get no answer
+	heldUnanswered map[int]bool   // entries whose held calls get no answer
 }
 
 var errRejected = errors.New("rejected by the store")
 
+// put writes a row, and answers the calls that wait for a change.
 func (s *store) put(key, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,11 +50,12 @@
 	s.changed = make(chan struct{})
 }
 
+// now returns the store's clock.
 func (s *store) now() clock.Millis {
 	return clock.Millis(time.Since(s.began).Milliseconds())
 }
 
-// since returns the changes after a version.
+// since returns the changes after a version, and a channel that is closed by the next change.
 func (s *store) since(after int64) (follow.Batch, chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,6 +74,7 @@
 	entry int
 }
 
+// call counts a call, and returns an error if the entry is rejected, or when ctx ends if it gets no answer.
 func (c client) call(ctx context.Context) error {
 	c.mu.Lock()
 	c.calls++
@@ -93,6 +96,8 @@
 	return b, c.call(ctx)
 }
 
+// Changes answers at the next change, or after wait, as the store does, or never if the entry's held calls get no
+// answer.
 func (c client) Changes(ctx context.Context, after int64, wait clock.Millis) (follow.Batch, error) {
 	if err := c.call(ctx); err != nil {
 		return follow.Batch{}, err
@@ -126,14 +131,15 @@
 type entry struct {
 	mu         sync.Mutex
 	rows       map[string]string
-	receivedAt map[string]time.Time
-	freshAt    clock.Millis
+	receivedAt map[string]time.Time // when each key was first received
+	freshAt    clock.Millis         // the latest moment at which it claims to have been current
 }
 
 func newEntry() *entry {
 	return &entry{rows: make(map[string]string), receivedAt: make(map[string]time.Time)}
 }
 
+// knows reports whether the entry has a row of the table.
 func (e *entry) knows(key string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -157,42 +163,48 @@
 
 func (e *entry) ReadFailed(error) {}
 
+// freshnessTime returns the latest moment, by the entries' clock, at which the entry claims to have been current.
 func (e *entry) freshnessTime() clock.Millis {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.freshAt
 }
 
+// entryCount is the number of entries of most tests.
 const entryCount = 5
 
+// cluster is some entries that follow the table of one store, with faults between all of them.
 type cluster struct {
 	common.Common
 	net     *packets.Memory
 	faults  *network.Faults // faults of the streams between entries
 	store   *store
-	entries []*entry
+	entries []*entry // as members and stops, by entry; nil for one that was never started
 	members []*membership.Members
-	stops   []context.CancelFunc
+	stops   []context.CancelFunc // each stops one entry
 	// contexts are those of the running entries.
 	contexts map[int]context.Context
-	listed   []follow.Row
+	listed   []follow.Row // the rows of all entries in the list of entries
 
 	mu   sync.Mutex
 	lost map[[2]netip.AddrPort]bool // sender and receiver of lost datagrams
 }
 
+// reject has the store reject the calls of an entry.
 func (b *cluster) reject(entry int) {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
 	b.store.rejected[entry] = true
 }
 
+// accept ends reject.
 func (b *cluster) accept(entry int) {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
 	b.store.rejected[entry] = false
 }
 
+// leaveUnanswered has the store never answer the further calls of an entry.
 func (b *cluster) leaveUnanswered(entry int) {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
@@ -213,6 +225,7 @@
 	b.lost[[2]netip.AddrPort{address(from), address(to)}] = draw == 0
 }
 
+// lossy reports whether datagrams from one address to another are lost.
 func (b *cluster) lossy(from, to netip.AddrPort) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -238,6 +251,7 @@
 	}
 }
 
+// address is the address of the ith entry for messages between entries.
 func address(i int) netip.AddrPort {
 	return netip.MustParseAddrPort(fmt.Sprintf("10.0.%d.%d:7600", i/200, i%200+1))
 }
@@ -321,6 +335,7 @@
 	go f.Run(ctx)
 }
 
+// feedReader returns the feed reader as entry 0 sees it, or -1.
 func (b *cluster) feedReader() int {
 	at, _ := b.members[0].Owner("store")
 	for i := range b.members {
@@ -349,10 +364,12 @@
 	return longest
 }
 
+// calls returns how many calls the store has got.
 func (b *cluster) calls() int {
 	b.store.mu.Lock()
 	defer b.store.mu.Unlock()
 	return b.store.calls
 }
 
+// everyone is for slowest: all entries count.
 func everyone(int) bool { return true }
