--- a/pkg/ablation/ablation.go
+++ b/pkg/ablation/ablation.go
@@ -14,9 +14,9 @@
 
 // The mechanisms, each with what it does. The name at the end of the line is that which Parse reads.
 const (
-	// PlannerHome: the planner at a service's owner assigns its requests. Without it each entry does so by what
+	// PlannerOwner: the planner at a service's owner assigns its requests. Without it each entry does so by what
 	// it alone knows.
-	PlannerHome Mechanism = iota // planner-home
+	PlannerOwner Mechanism = iota // planner-home
 	// TierFloor: after a refusal, lower tiers wait for a while.
 	TierFloor // tier-floor
 	// LateFloor: after the refusal of a first try, late requests of the same tier wait for a while.
@@ -29,8 +29,8 @@
 	EarlyRefusal // early-refusal
 	// Moves: a request that waits for its first event on a stuck target is sent to another one.
 	Moves // moves
-	// SetAside: targets that fail or are stuck are ejected.
-	SetAside // set-aside
+	// Ejection: targets that fail or are stuck are ejected.
+	Ejection // set-aside
 	// Disturbance: the choice of a target takes into account by how much a prompt delays the streams there.
 	Disturbance // disturbance
 	// InTime: a request that can be in time only gets targets on which it will probably be.
@@ -39,16 +39,16 @@
 	DomainCost // domain-cost
 	// Learned: planners take over the estimates of others.
 	Learned // learned
-	// QuotaHomes: the owner of an account meters it. Without it each entry does so by its own share.
-	QuotaHomes // quota-homes
-	// TierKeep: requests of lower tiers leave a part of their account's burst to higher ones.
-	TierKeep // tier-keep
+	// QuotaOwners: the owner of an account meters it. Without it each entry does so by its own share.
+	QuotaOwners // quota-homes
+	// TierReserve: requests of lower tiers leave a part of their account's burst to higher ones.
+	TierReserve // tier-keep
 	// OneReader: the feed reader reads a table for all entries. Without it each entry reads for itself.
 	OneReader // one-reader
 	// PeerNews: entries query others for feed states and rows.
 	PeerNews // peer-news
-	// QuickGreetings: some changes of membership are told by an early heartbeat.
-	QuickGreetings // quick-greetings
+	// EarlyHeartbeats: some changes of membership are told by an early heartbeat.
+	EarlyHeartbeats // quick-greetings
 	// KeyTrust: unless the limit on revoked keys is strict, entries use keys for longer without a confirmation,
 	// and for longest while they hold their membership lease.
 	KeyTrust // key-trust
--- a/pkg/ablation/ablation_test.go
+++ b/pkg/ablation/ablation_test.go
@@ -24,7 +24,7 @@
 
 func ExampleParse() {
 	off, err := ablation.Parse("tier-floor,moves")
-	fmt.Println(off.Off(ablation.Moves), off.Off(ablation.SetAside), err)
+	fmt.Println(off.Off(ablation.Moves), off.Off(ablation.Ejection), err)
 	_, err = ablation.Parse("gravity")
 	fmt.Println(err != nil)
 	// Output:
--- a/pkg/advisory/limit.go
+++ b/pkg/advisory/limit.go
@@ -41,9 +41,9 @@
 	return inherited
 }
 
-// ObserveOwner takes the limit of an incarnation that the owner of its service knows from other entries, and returns
+// MergeOwnerLimit takes the limit of an incarnation that the owner of its service knows from other entries, and returns
 // the status that is in force then. It does not call the function of OnChange.
-func (tr *Tracker) ObserveOwner(incarnation ids.TargetIncarnation, w ratelimit.Report) Status {
+func (tr *Tracker) MergeOwnerLimit(incarnation ids.TargetIncarnation, w ratelimit.Report) Status {
 	s := tr.Status(incarnation)
 	if tr == nil || !w.Known || s.Limit.Merge(w) == s.Limit || !w.IsLimited() && !s.Limit.IsLimited() {
 		return s
--- a/pkg/advisory/tracker.go
+++ b/pkg/advisory/tracker.go
@@ -133,9 +133,9 @@
 	return s
 }
 
-// AllBackoff returns the time until the first of the targets ends its back-off, without those that are leaving. It
+// ShortestBackoff returns the time until the first of the targets ends its back-off, without those that are leaving. It
 // returns 0 if one of them has no back-off, or if all are leaving.
-func (tr *Tracker) AllBackoff(targets []*routing.Target) clock.Millis {
+func (tr *Tracker) ShortestBackoff(targets []*routing.Target) clock.Millis {
 	var shortest clock.Millis
 	for _, t := range targets {
 		s := tr.Status(t.Incarnation())
--- a/pkg/agent/agent.go
+++ b/pkg/agent/agent.go
@@ -151,7 +151,7 @@
 		a.Log.WithError(err).Error("registering the RPC service failed")
 		return
 	}
-	server.ServeConn(network.LimitWrites(conn, control.WriteLimit))
+	server.ServeConn(network.LimitWrites(conn, control.WriteTimeout))
 	a.closeSession(s)
 }
 
@@ -181,7 +181,7 @@
 // deliverNotices passes the gate's notices to their sessions and sets the timer for the next change that time
 // brings. The lock must be held.
 func (a *Agent) deliverNotices() {
-	for _, n := range a.gate.Notices() {
+	for _, n := range a.gate.TakeNotices() {
 		if s := a.sessions[n.Session]; s != nil {
 			s.notify(n.Verdict)
 		}
@@ -299,7 +299,7 @@
 // long as it is kept.
 func (a *Agent) Drain(ctx context.Context) error {
 	a.mu.Lock()
-	a.gate.Leave()
+	a.gate.StopAdmission()
 	a.deliverNotices()
 	a.mu.Unlock()
 	defer a.Close()
--- a/pkg/app/entry_process.go
+++ b/pkg/app/entry_process.go
@@ -217,7 +217,7 @@
 	}
 	p.domains = domains.NewFilter(c, listed)
 	p.dispatcher = dispatch.New(dependencies)
-	p.advice.OnChange(p.dispatcher.Advise)
+	p.advice.OnChange(p.dispatcher.ForwardAdvice)
 	p.retries = quota.NewRetryBudget(retryBounds(s.Bounds), c.Clock.Now())
 	p.grace.Store(int64(seconds(s.Bounds.GraceSeconds)))
 	p.descriptors = descriptorLimit(c, s.Limits)
@@ -244,7 +244,7 @@
 // by its own counts.
 func (p *entryProcess) scheduler(policy schedule.Policy) schedule.Scheduler {
 	switch {
-	case p.Ablation.Off(ablation.PlannerHome):
+	case p.Ablation.Off(ablation.PlannerOwner):
 		return schedule.NewLocal(p.Common, p.view, p.advice)
 	case policy == schedule.Planned:
 		return p.dispatcher
--- a/pkg/app/rollout_crash_test.go
+++ b/pkg/app/rollout_crash_test.go
@@ -78,7 +78,7 @@
 		entry := b.entries[random.IntN(len(b.entries))]
 		b.mu.Unlock()
 		b.startAgain(e.id, newVersion)
-		entry.process.guard.Ended(quarantine.Run{Request: request, Incarnation: ids.TargetIncarnation{Target: e.id, Start: e.start}, Again: ended > 0})
+		entry.process.guard.RecordTargetEnd(quarantine.Run{Request: request, Incarnation: ids.TargetIncarnation{Target: e.id, Start: e.start}, Again: ended > 0})
 		ended++
 	}
 	if ended < 3 {
--- a/pkg/app/rollouts.go
+++ b/pkg/app/rollouts.go
@@ -34,7 +34,7 @@
 
 // dependencies returns what the dispatcher needs of the roll-outs.
 func (r *rollouts) dependencies(bounds func() rollout.Bounds, store dispatch.RolloutStore, g *quarantine.Guard) *dispatch.Rollouts {
-	return &dispatch.Rollouts{Tracker: r.tracker, Bounds: bounds, Store: store, Changed: r.filter.Changed, Excused: g.EndedIncarnations}
+	return &dispatch.Rollouts{Tracker: r.tracker, Bounds: bounds, Store: store, RefreshTargets: r.filter.Refresh, ExcusedIncarnations: g.EndedIncarnations}
 }
 
 // applyOrders applies the operators' orders among the rows of their table; all says that these are a snapshot. While a
@@ -67,10 +67,10 @@
 	}
 	r.tracker.PutOrders(orders, gone, all, r.freshness(freshness))
 	if len(orders)+len(gone) > 0 {
-		r.filter.Changed()
+		r.filter.Refresh()
 		return
 	}
-	r.filter.Confirmed()
+	r.filter.RefreshUndecided()
 }
 
 // orderInForce returns the order of a service that stays in force while its row is invalid, or none.
@@ -83,7 +83,7 @@
 
 // logOrder logs an order that is not known yet; it must be called before the tracker gets the order.
 func (r *rollouts) logOrder(o rollout.Order) {
-	if !r.tracker.Knows(o) {
+	if !r.tracker.IsKnownOrder(o) {
 		r.Log.WithField("service", string(o.Service)).WithField("version", string(o.Version)).
 			WithField("within_ms", int64(o.Within)).WithField("revision", int64(o.Placed)).Info("roll-out ordered")
 	}
@@ -120,7 +120,7 @@
 	}
 	r.tracker.PutRecords(records, r.freshness(freshness))
 	if len(records) > 0 {
-		r.filter.Changed()
+		r.filter.Refresh()
 	}
 }
 
--- a/pkg/claim/claimer.go
+++ b/pkg/claim/claimer.go
@@ -17,8 +17,8 @@
 	// minBackoff and maxBackoff limit the pauses between tries to write or read a claim.
 	minBackoff = 50 * clock.Millisecond
 	maxBackoff = 2 * clock.Second
-	// freeTimeout limits the attempts to free a claim whose request did not run.
-	freeTimeout = clock.Minute
+	// releaseTimeout limits the attempts to free a claim whose request did not run.
+	releaseTimeout = clock.Minute
 )
 
 // Claimer acquires and frees claims for one entry. It is safe for concurrent use.
@@ -65,17 +65,17 @@
 	}
 }
 
-// Free frees a claim after its request was refused as not run, so that a
+// Release frees a claim after its request was refused as not run, so that a
 // repeat may run. It goes on in the background; while the claim can't be freed, repeats
 // get the answer that the outcome is unknown.
-func (c *Claimer) Free(account ids.Account, key string, request ids.Request) {
-	go c.free(rowKey(account, key), request)
+func (c *Claimer) Release(account ids.Account, key string, request ids.Request) {
+	go c.release(rowKey(account, key), request)
 }
 
-// free tries to free a claim until it is freed, another attempt holds it, or freeTimeout has passed. A row that is not
-// found may still be written by a try of Claim whose answer was lost.
-func (c *Claimer) free(row table.Key, request ids.Request) {
-	ctx, cancel := context.WithTimeout(context.Background(), freeTimeout.Duration())
+// release tries to free a claim until it is freed, another attempt holds it, or releaseTimeout has passed. A row that
+// is not found may still be written by a try of Claim whose answer was lost.
+func (c *Claimer) release(row table.Key, request ids.Request) {
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout.Duration())
 	defer cancel()
 	backoff := c.Random.NewBackoff(minBackoff, maxBackoff)
 	for ctx.Err() == nil {
--- a/pkg/control/client.go
+++ b/pkg/control/client.go
@@ -23,8 +23,8 @@
 	methodCancel  = ServiceName + ".Cancel"
 )
 
-// WriteLimit is the time limit for one write of a message, on both sides.
-const WriteLimit = 2 * clock.Second
+// WriteTimeout is the time limit for one write of a message, on both sides.
+const WriteTimeout = 2 * clock.Second
 
 // Client sends messages to one agent over one connection. It cannot be used after a connection error.
 type Client struct {
@@ -33,7 +33,7 @@
 
 // NewClient returns a client on conn, which it owns.
 func NewClient(conn net.Conn) *Client {
-	return &Client{rpc: rpc.NewClient(network.LimitWrites(conn, WriteLimit))}
+	return &Client{rpc: rpc.NewClient(network.LimitWrites(conn, WriteTimeout))}
 }
 
 // Close closes the connection; calls under way return errors.
--- a/pkg/ctl/bound.go
+++ b/pkg/ctl/bound.go
@@ -45,8 +45,8 @@
 func writeBound(out io.Writer, simulated, bound loadmodel.Result) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "kind\tasked\tin time\tlate\trefused\trefused again\tlost\tearned\tbound\tnet\t")
-	upperBounds := append(bound.Outcomes, bound.All())
-	for i, o := range append(simulated.Outcomes, simulated.All()) {
+	upperBounds := append(bound.Outcomes, bound.Total())
+	for i, o := range append(simulated.Outcomes, simulated.Total()) {
 		_, _ = fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%.3f\t%.3f\t%.3f\t\n", o.Kind, o.Callers,
 			percent(o.InTime, o.Callers), percent(o.Late, o.Callers), percent(o.Refused, o.Callers), percent(o.RefusedAgain, o.Callers), percent(o.Lost, o.Callers),
 			o.EarnedFraction(), upperBounds[i].EarnedFraction(), o.NetFraction())
--- a/pkg/descriptors/limiter.go
+++ b/pkg/descriptors/limiter.go
@@ -143,8 +143,8 @@
 // AtLimit reports whether callers hold all connections that they may.
 func (l *Limiter) AtLimit() bool { return l.taken >= l.limits.Callers }
 
-// Taken returns how many connections callers hold.
-func (l *Limiter) Taken() int { return l.taken }
+// CallerConnections returns how many connections callers hold.
+func (l *Limiter) CallerConnections() int { return l.taken }
 
 // Rejecting returns how many connections are being rejected.
 func (l *Limiter) Rejecting() int { return l.rejecting }
--- a/pkg/dispatch/advice.go
+++ b/pkg/dispatch/advice.go
@@ -59,8 +59,8 @@
 	line.Info("planner no longer applies a rate limit to a target")
 }
 
-// Advise forwards the advice that a target has given this entry to the owner of the target's service.
-func (d *Dispatcher) Advise(s advisory.Status) {
+// ForwardAdvice forwards the advice that a target has given this entry to the owner of the target's service.
+func (d *Dispatcher) ForwardAdvice(s advisory.Status) {
 	if t := d.view.Directory().Target(s.Incarnation.Target); t != nil {
 		d.sendAdvice(t.Service, []advisory.Status{s})
 	}
@@ -109,7 +109,7 @@
 		return false
 	}
 	known := a.Limit.Report(d.Clock.Now())
-	s := d.advice.ObserveOwner(t.Incarnation(), known)
+	s := d.advice.MergeOwnerLimit(t.Incarnation(), known)
 	if s.Limit.Differs(known) {
 		d.sendAdvice(t.Service, []advisory.Status{s})
 	}
--- a/pkg/dispatch/dispatcher.go
+++ b/pkg/dispatch/dispatcher.go
@@ -176,9 +176,9 @@
 	return d.lastNumber
 }
 
-// Planned returns the numbers of waiting and running requests, of all entries, in the planners that
+// PlannedCounts returns the numbers of waiting and running requests, of all entries, in the planners that
 // this entry runs.
-func (d *Dispatcher) Planned() (waiting, running int) {
+func (d *Dispatcher) PlannedCounts() (waiting, running int) {
 	return d.owner.plannedCounts()
 }
 
--- a/pkg/dispatch/dispatcher_test.go
+++ b/pkg/dispatch/dispatcher_test.go
@@ -86,7 +86,7 @@
 			Common: b.Common, Address: entryAddress(i), Domain: "d", View: v, Members: m, Link: link, Estimates: store,
 			Local: schedule.NewLocal(b.Common, v, tracker), Advice: tracker,
 		})
-		tracker.OnChange(d.Advise)
+		tracker.OnChange(d.ForwardAdvice)
 		b.advice = append(b.advice, tracker)
 		go link.Run(ctx)
 		go m.Run(ctx)
--- a/pkg/dispatch/owner.go
+++ b/pkg/dispatch/owner.go
@@ -130,7 +130,7 @@
 	s := owner.view.Catalog().Service(service)
 	limitsCold := s != nil && s.ColdPerSecond > 0
 	perSecond := 0.0
-	if limitsCold || g.planner.Limited() { // otherwise owners need not divide anything
+	if limitsCold || g.planner.HasLimitedTargets() { // otherwise owners need not divide anything
 		agreement := planner.Agreement{Fraction: owner.members.Agreement(), JustStarted: now < g.startedAt+2*owner.members.SilenceLimit()}
 		g.planner.SetAgreement(agreement)
 		if limitsCold {
--- a/pkg/dispatch/owner_trials.go
+++ b/pkg/dispatch/owner_trials.go
@@ -69,8 +69,8 @@
 	for _, o := range g.planner.Observations() {
 		g.trial.Evidence.Add(o.Trial, rollout.Observation{At: now, Incarnation: o.Incarnation, Route: o.Route, Failed: o.Failed, Ratio: o.Ratio, Factor: o.Factor, Loaded: o.Loaded})
 	}
-	if owner.rollouts.Excused != nil {
-		g.trial.Evidence.Excuse(owner.rollouts.Excused())
+	if owner.rollouts.ExcusedIncarnations != nil {
+		g.trial.Evidence.Excuse(owner.rollouts.ExcusedIncarnations())
 	}
 	plan := g.trial.Step(owner.situation(now, g, record))
 	if plan.Fraction != g.plan.Fraction || plan.Write != g.plan.Write {
@@ -132,11 +132,11 @@
 
 // situation returns the input of the next trial step; the caller holds the lock.
 func (owner *Owner) situation(now clock.Millis, g *servicePlanner, record rollout.Record) rollout.Situation {
-	onTrial, others := g.planner.TrialTargets()
+	onTrial, others := g.planner.TargetCounts()
 	return rollout.Situation{
-		Now: now, Record: record, Targets: onTrial, Old: others, Factors: g.planner.Factors,
+		Now: now, Record: record, CanaryTargets: onTrial, OldTargets: others, KnownFactors: g.planner.KnownFactors,
 		Fresh:        owner.rollouts.Tracker.Age(now) <= owner.rollouts.Bounds().Grace(),
-		Unrepeatable: g.planner.Unrepeatable(), Agreement: owner.members.Agreement(),
+		Unrepeatable: g.planner.UnrepeatableRuns(), Agreement: owner.members.Agreement(),
 		AlreadyInUse: onTrial == 0 && allRun(g.directory.Serving(record.Service), record.Version) && owner.rollouts.Tracker.AlreadyInUse(record.Service, record.Version),
 	}
 }
@@ -163,7 +163,7 @@
 	}
 	g.writer.busy = true
 	g.writer.evidenceAt = now
-	next := g.trial.Record(record, state, g.plan.Why, owner.rollouts.Tracker.StoreTime)
+	next := g.trial.NextRecord(record, state, g.plan.Why, owner.rollouts.Tracker.StoreTime)
 	next.Owner = owner.id
 	if record.State == rollout.Pending {
 		next.TimedByOwner = owner.id
@@ -183,7 +183,7 @@
 	case err == nil:
 		r.Written = written
 		owner.rollouts.Tracker.PutRecords([]rollout.Record{r}, rollout.Freshness{})
-		owner.rollouts.Changed()
+		owner.rollouts.RefreshTargets()
 	case errors.Is(err, rollout.ErrRecordChanged):
 		owner.Log.WithError(err).WithFields(rolloutFields(&r)).Info("roll-out: record not written, another entry has written it since")
 	default:
--- a/pkg/dispatch/trials.go
+++ b/pkg/dispatch/trials.go
@@ -18,11 +18,11 @@
 	// Bounds returns the current bounds.
 	Bounds func() rollout.Bounds
 	Store  RolloutStore
-	// Changed is called after this entry has written a record, so that the list of targets follows it at once.
-	Changed func()
-	// Excused lists incarnations of targets whose ends do not count against the canary version: they ran requests under
-	// which targets of any version end. It is nil if that is not known.
-	Excused func() []ids.TargetIncarnation
+	// RefreshTargets is called after this entry has written a record, so that the list of targets follows it at once.
+	RefreshTargets func()
+	// ExcusedIncarnations lists incarnations of targets whose ends do not count against the canary version: they ran
+	// requests under which targets of any version end. It is nil if that is not known.
+	ExcusedIncarnations func() []ids.TargetIncarnation
 }
 
 // RolloutStore writes the records of roll-outs.
@@ -108,8 +108,8 @@
 	return true
 }
 
-// Rollouts returns this entry's reports on roll-outs, ordered by service.
-func (d *Dispatcher) Rollouts() []rollout.Report {
+// RolloutReports returns this entry's reports on roll-outs, ordered by service.
+func (d *Dispatcher) RolloutReports() []rollout.Report {
 	if d.trials.rollouts == nil {
 		return nil
 	}
--- a/pkg/entry/dispatcher.go
+++ b/pkg/entry/dispatcher.go
@@ -43,7 +43,7 @@
 	if won {
 		why := d.bindAndSend(ctx, r, out)
 		if r.state == lifecycle.Refused {
-			d.claimer.Free(r.account, r.key, r.id)
+			d.claimer.Release(r.account, r.key, r.id)
 		}
 		return why
 	}
@@ -52,7 +52,7 @@
 		return refusal.KeyTaken()
 	}
 	// Claim fails only when ctx has ended. The claim may have been written nevertheless, so it is freed.
-	d.claimer.Free(r.account, r.key, r.id)
+	d.claimer.Release(r.account, r.key, r.id)
 	if gave, ok := interrupted(ctx).(gaveUp); ok {
 		return gave.refusal
 	}
--- a/pkg/experiment/run.go
+++ b/pkg/experiment/run.go
@@ -205,6 +205,6 @@
 // finish adds up the prompt tokens that the engines computed.
 func (r *run) finish() {
 	for _, e := range r.bed.Engines {
-		r.result.ComputedPrompt += e.Computed()
+		r.result.ComputedPrompt += e.ComputedPromptTokens()
 	}
 }
--- a/pkg/feedrelay/listen.go
+++ b/pkg/feedrelay/listen.go
@@ -56,7 +56,7 @@
 func (s *Source) readDecision(silence, freshnessAge clock.Millis) readDecision {
 	entries, _ := s.relay.members.Entries()
 	if s.fallbackAge == 0 {
-		s.fallbackAge = fallbackReadAge + s.random.UpTo(fallbackSpan(entries))
+		s.fallbackAge = fallbackReadAge + s.random.DurationUpTo(fallbackSpan(entries))
 	}
 	rank, aliveRank := s.relay.members.FeedReaderRank(feedShard)
 	return readDecision{
--- a/pkg/feedrelay/snapshot.go
+++ b/pkg/feedrelay/snapshot.go
@@ -42,7 +42,7 @@
 // entries need it at the same moment, and the first one that has it spares the others the read.
 func (s *Source) storeDelay() clock.Millis {
 	entries, _ := s.relay.members.Entries()
-	return s.random.UpTo(min(maxSpread, clock.Millis(entries)*readSpacing))
+	return s.random.DurationUpTo(min(maxSpread, clock.Millis(entries)*readSpacing))
 }
 
 // snapshotPeersDelay is after what time without an answer of the store a snapshot is requested from
--- a/pkg/gate/attempts_test.go
+++ b/pkg/gate/attempts_test.go
@@ -78,7 +78,7 @@
 // the ticket with the attempt number newest is granted and its grant can be used.
 func newestIsServed(g *gate.Gate, newest int) bool {
 	for range 10 {
-		for _, n := range g.Notices() {
+		for _, n := range g.TakeNotices() {
 			switch {
 			case n.Verdict.Kind != control.Granted:
 			case n.Verdict.Turn == newest:
--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -69,7 +69,7 @@
 	floorUntil []clock.Millis // by tier: until when lower tiers are refused
 	drain      drainMeter
 	unit       unitMeter
-	notices    []Notice // since the last call of Notices
+	notices    []Notice // since the last call of TakeNotices
 }
 
 // fateExpiry is the time at which the outcome of an ended grant is dropped.
@@ -106,8 +106,8 @@
 	}
 }
 
-// Leave stops all new work. Queued tickets are declined; open grants stay valid until they expire.
-func (g *Gate) Leave() {
+// StopAdmission stops all new work. Queued tickets are declined; open grants stay valid until they expire.
+func (g *Gate) StopAdmission() {
 	g.leaving = true
 	for _, w := range g.queue.all() {
 		g.declineQueued(w, control.Leaving)
@@ -125,20 +125,20 @@
 	g.notify(w.session, control.Verdict{Request: w.ticket.Request, Turn: w.ticket.Turn, Kind: control.Declined, Reason: reason})
 }
 
-// notify stores a verdict for the next call of Notices.
+// notify stores a verdict for the next call of TakeNotices.
 func (g *Gate) notify(session Session, verdict control.Verdict) {
 	g.notices = append(g.notices, Notice{Session: session, Verdict: verdict})
 }
 
-// Notices returns and clears the verdicts that have become known since the last call.
-func (g *Gate) Notices() []Notice {
+// TakeNotices returns and clears the verdicts that have become known since the last call.
+func (g *Gate) TakeNotices() []Notice {
 	taken := g.notices
 	g.notices = nil
 	return taken
 }
 
 // Place decides on a ticket: it is declined, granted if a slot is free and no other ticket waits, or else queued. A
-// queued ticket's later verdict is among the Notices, possibly at once.
+// queued ticket's later verdict is among those that TakeNotices returns, possibly at once.
 func (g *Gate) Place(now clock.Millis, session Session, ticket control.Ticket) control.Verdict {
 	g.supersede(now, &ticket)
 	if reason := g.refusal(now, &ticket); reason != control.NoReason {
--- a/pkg/gate/gate_test.go
+++ b/pkg/gate/gate_test.go
@@ -51,7 +51,7 @@
 // returns the requests in the order of their grants.
 func useAllGrants(g *gate.Gate, now clock.Millis) []string {
 	var order []string
-	for notices := g.Notices(); len(notices) > 0; notices = g.Notices() {
+	for notices := g.TakeNotices(); len(notices) > 0; notices = g.TakeNotices() {
 		for _, n := range notices {
 			if n.Verdict.Kind != control.Granted {
 				continue
@@ -117,7 +117,7 @@
 	if v := g.Place(0, 1, ticket("pilot", 0, "a", 90)); v.Kind != control.Queued {
 		t.Fatalf("pilot: %v", v)
 	}
-	notices := g.Notices()
+	notices := g.TakeNotices()
 	if len(notices) != 1 || notices[0].Verdict.Request != "tag" || notices[0].Verdict.Reason != control.Full {
 		t.Fatalf("notices %v, want tag declined as full", notices)
 	}
@@ -182,7 +182,7 @@
 	case 6:
 		h.gate.Tick(h.now)
 	}
-	for _, n := range h.gate.Notices() {
+	for _, n := range h.gate.TakeNotices() {
 		h.recordGrant(n.Verdict)
 	}
 }
--- a/pkg/ingress/admission.go
+++ b/pkg/ingress/admission.go
@@ -147,7 +147,7 @@
 	if q.account != nil {
 		units := q.account.Units(q.Prompt + q.MaxOutput)
 		reserve := reserveFor(q, units)
-		if a.Ablation.Off(ablation.TierKeep) {
+		if a.Ablation.Off(ablation.TierReserve) {
 			reserve = 0
 		}
 		taken, wait := a.meter.Take(r.Context(), q.account, units, reserve)
@@ -210,7 +210,7 @@
 		return a.notFound(http.StatusNotFound, CauseNoRoute, age)
 	}
 	q.route = route
-	q.service = route.Pick(q.splitDraw)
+	q.service = route.PickService(q.splitDraw)
 	q.account = nil
 	if !catalog.RequiresKey() || route.Anonymous {
 		return nil
--- a/pkg/ingress/caller_conns.go
+++ b/pkg/ingress/caller_conns.go
@@ -48,7 +48,7 @@
 	}
 	step, shortageBegins := cc.limiter.Arrive(cc.Clock.Now(), oldest != nil)
 	if shortageBegins {
-		cc.Log.WithField("connections", cc.limiter.Taken()).Warn("caller connection limit reached")
+		cc.Log.WithField("connections", cc.limiter.CallerConnections()).Warn("caller connection limit reached")
 	}
 	switch step {
 	case descriptors.StepReplace:
@@ -138,7 +138,7 @@
 func (cc *callerConns) counts() (taken, rejecting int) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
-	return cc.limiter.Taken(), cc.limiter.Rejecting()
+	return cc.limiter.CallerConnections(), cc.limiter.Rejecting()
 }
 
 // logShortageEnd logs the end of a shortage, if it has ended.
--- a/pkg/ingress/controller.go
+++ b/pkg/ingress/controller.go
@@ -217,7 +217,7 @@
 		r.Tier = int(q.tier())
 	}
 	if q.firstAt > 0 {
-		r.First = q.firstAt - q.arrived
+		r.FirstEvent = q.firstAt - q.arrived
 	}
 	c.Metrics.Prometheus.Count(r)
 }
--- a/pkg/ingress/delivery.go
+++ b/pkg/ingress/delivery.go
@@ -252,7 +252,7 @@
 
 // retryAfterDeclined returns the Retry-After of a request that targets have declined.
 func (d *delivery) retryAfterDeclined(q *request) clock.Millis {
-	rest := d.advice.AllBackoff(d.admission.view.Directory().Serving(q.service))
+	rest := d.advice.ShortestBackoff(d.admission.view.Directory().Serving(q.service))
 	return max(declinedRetryAfter, planner.AfterBackoff(rest, d.Random.Fork().Float64()))
 }
 
--- a/pkg/ingress/endings_table_test.go
+++ b/pkg/ingress/endings_table_test.go
@@ -171,7 +171,7 @@
 func (b *testbed) endTargets(path string, targets int) {
 	request := quarantine.Request{Digest: quarantine.Identify("acme", path, []byte("question")), Account: "acme", Route: ids.Route(strings.Split(path, "/")[1])}
 	for n := range targets {
-		b.guard.Ended(quarantine.Run{Request: request, Incarnation: ids.TargetIncarnation{Target: ids.Target(fmt.Sprint("ended", n))}, Again: n > 0})
+		b.guard.RecordTargetEnd(quarantine.Run{Request: request, Incarnation: ids.TargetIncarnation{Target: ids.Target(fmt.Sprint("ended", n))}, Again: n > 0})
 	}
 }
 
--- a/pkg/ingress/quarantined.go
+++ b/pkg/ingress/quarantined.go
@@ -120,13 +120,13 @@
 // reset connection or a truncated answer alone does not show it.
 func (d *delivery) checkEnded(ctx context.Context, run *brokenRun) bool {
 	if !d.pool.Ended(ctx, run.target) {
-		d.guard.PossibleEnd(run.Run)
+		d.guard.RecordPossibleEnd(run.Run)
 		return false
 	}
 	d.Log.WithFields(logrus.Fields{
 		telemetry.FieldRequest: run.id, "digest": run.Digest.String(), "account": string(run.Account), "route": string(run.Route),
 		"target": string(run.target.ID), "start": int64(run.target.Start), "running_ms": int64(d.Clock.Now() - run.began), "again": run.Again,
 	}).Info("a target has ended while it ran a request")
-	d.guard.Ended(run.Run)
+	d.guard.RecordTargetEnd(run.Run)
 	return true
 }
--- a/pkg/loadmodel/load_test.go
+++ b/pkg/loadmodel/load_test.go
@@ -42,10 +42,10 @@
 		t.Fatal(err)
 	}
 	first, again := loadmodel.Simulate(load, loadmodel.Observer{}), loadmodel.Simulate(load, loadmodel.Observer{})
-	if first.All() != again.All() {
+	if first.Total() != again.Total() {
 		t.Error("two simulations with the same seed differ")
 	}
-	if all := first.All(); all.Callers != all.InTime+all.Late+all.Refused+all.RefusedAgain+all.Lost {
+	if all := first.Total(); all.Callers != all.InTime+all.Late+all.Refused+all.RefusedAgain+all.Lost {
 		t.Errorf("%d callers, but their results do not add up to that: %+v", all.Callers, all)
 	}
 }
@@ -58,7 +58,7 @@
 		Speed:   loadmodel.Speed{FirstEvent: 50, PerThousandTokens: 50, Event: 20},
 		Seed:    1,
 	}
-	earned := loadmodel.UpperBound(load).All().EarnedFraction()
+	earned := loadmodel.UpperBound(load).Total().EarnedFraction()
 	fmt.Println(earned > 0.4 && earned < 0.65)
 	// Output: true
 }
--- a/pkg/loadmodel/result.go
+++ b/pkg/loadmodel/result.go
@@ -43,8 +43,8 @@
 	return &r.Outcomes[i]
 }
 
-// All returns the sum over all kinds, without Served and LargestServed.
-func (r Result) All() Outcome {
+// Total returns the sum over all kinds, without Served and LargestServed.
+func (r Result) Total() Outcome {
 	all := Outcome{Kind: "all"}
 	for _, o := range r.Outcomes {
 		all.Callers += o.Callers
--- a/pkg/membership/heartbeats.go
+++ b/pkg/membership/heartbeats.go
@@ -66,7 +66,7 @@
 // requestHeartbeat has the next heartbeats sent early, minHeartbeatGap after the last ones at the earliest. It never
 // blocks.
 func (m *Members) requestHeartbeat() {
-	if m.Ablation.Off(ablation.QuickGreetings) {
+	if m.Ablation.Off(ablation.EarlyHeartbeats) {
 		return
 	}
 	select {
--- a/pkg/metering/meter.go
+++ b/pkg/metering/meter.go
@@ -213,11 +213,11 @@
 
 // take asks the owner, or counts here if this entry is the owner or none replies. It does not record the usage.
 func (m *Meter) take(ctx context.Context, account *routing.Account, units, reserve float64) (bool, clock.Millis) {
-	if m.Ablation.Off(ablation.QuotaHomes) {
+	if m.Ablation.Off(ablation.QuotaOwners) {
 		return m.takeLocally(account, units)
 	}
 	owner, self := m.members.Owner(shardOf(account.Name))
-	used := m.usage.Sum(m.Clock.Now(), account.Name, m.window())
+	used := m.usage.UsedInWindow(m.Clock.Now(), account.Name, m.window())
 	if self {
 		return m.takeAsOwner(netip.AddrPort{}, account, claim{Units: units, Reserve: reserve, Used: used, Incarnation: m.incarnation})
 	}
--- a/pkg/metering/owner.go
+++ b/pkg/metering/owner.go
@@ -110,7 +110,7 @@
 // no limit for an account does not know it. Admitting these claims lets an account that has just been added use 4.7
 // times its limit in a window.
 func (m *Meter) answerClaim(from netip.AddrPort, account *routing.Account, c *claim) claimReply {
-	used := m.usage.Sum(m.Clock.Now(), c.Account, m.window())
+	used := m.usage.UsedInWindow(m.Clock.Now(), c.Account, m.window())
 	if account == nil || account.PerSecond <= 0 {
 		return claimReply{Number: c.Number, Used: used, Incarnation: m.incarnation, Unknown: true}
 	}
--- a/pkg/planner/limit.go
+++ b/pkg/planner/limit.go
@@ -93,8 +93,8 @@
 	return t.limitBucket.hasToken(now, rate, p.agreement.burst()) && rate > 0
 }
 
-// Limited reports whether any offered target reports a limit.
-func (p *Planner) Limited() bool {
+// HasLimitedTargets reports whether any offered target reports a limit.
+func (p *Planner) HasLimitedTargets() bool {
 	return slices.ContainsFunc(p.offered, func(t *target) bool { return t.limitBucket != nil })
 }
 
--- a/pkg/planner/load_test.go
+++ b/pkg/planner/load_test.go
@@ -41,7 +41,7 @@
 // report logs the outcomes of each kind and of all together, as fractions of the callers.
 func report(t *testing.T, r loadmodel.Result) {
 	t.Helper()
-	for _, o := range append(r.Outcomes, r.All()) {
+	for _, o := range append(r.Outcomes, r.Total()) {
 		t.Logf("%-8s requested %4d in time %.2f late %.2f refused again %.2f lost %.2f worth %.2f net %.2f, largest tenth served %.2f",
 			o.Kind, o.Callers, fraction(o.InTime, o), fraction(o.Late, o), fraction(o.RefusedAgain, o), fraction(o.Lost, o), o.EarnedFraction(), o.NetFraction(), o.LargestServed)
 	}
@@ -82,7 +82,7 @@
 					t.Errorf("%s: fraction served %.2f of the largest tenth, %.2f of all", o.Kind, o.LargestServed, o.Served)
 				}
 			}
-			all, upper := got.All(), bound.All()
+			all, upper := got.Total(), bound.Total()
 			t.Logf("earned %.3f, upper bound %.3f", all.EarnedFraction(), upper.EarnedFraction())
 			if all.EarnedFraction() < s.ofBound*upper.EarnedFraction() || all.EarnedFraction() > upper.EarnedFraction()+0.005 {
 				t.Errorf("earned %.3f with an upper bound of %.3f", all.EarnedFraction(), upper.EarnedFraction())
@@ -126,9 +126,9 @@
 // rates.
 func TestPlannerRestartCostsLittle(t *testing.T) {
 	load := bursts(5)
-	before := loadmodel.Simulate(load, loadmodel.Observer{}).All()
+	before := loadmodel.Simulate(load, loadmodel.Observer{}).Total()
 	load.Restarts = []clock.Millis{4 * clock.Second}
-	after := loadmodel.Simulate(load, loadmodel.Observer{}).All()
+	after := loadmodel.Simulate(load, loadmodel.Observer{}).Total()
 	if after.EarnedFraction() < before.EarnedFraction()-0.03 {
 		t.Errorf("worth %.3f, without the restart %.3f", after.EarnedFraction(), before.EarnedFraction())
 	}
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -101,7 +101,7 @@
 func (p *Planner) Tick(now clock.Millis) {
 	for _, t := range p.eligible {
 		if t.stuck(now, &p.timings) {
-			if !p.off.Off(ablation.SetAside) {
+			if !p.off.Off(ablation.Ejection) {
 				t.health.EjectBriefly(now)
 				t.probing = true
 			}
--- a/pkg/planner/runs.go
+++ b/pkg/planner/runs.go
@@ -60,7 +60,7 @@
 		p.timings.learnInterval(&t.factor, (r.concurrency+len(t.runs))/2, float64(now-r.firstEventAt)/float64(flow.Events))
 		p.timings.learnPrefillStall(t.factor.get(), r.maxBacklog, len(t.runs), flow.LongestGap)
 	}
-	if !p.off.Off(ablation.SetAside) {
+	if !p.off.Off(ablation.Ejection) {
 		t.health.Record(now, outcome)
 	}
 	if outcome == Served {
--- a/pkg/planner/trial.go
+++ b/pkg/planner/trial.go
@@ -94,13 +94,13 @@
 	return taken
 }
 
-// TrialTargets returns the number of canary targets and of other eligible targets.
-func (p *Planner) TrialTargets() (canary, others int) {
+// TargetCounts returns the number of canary targets and of other eligible targets.
+func (p *Planner) TargetCounts() (canary, others int) {
 	return len(p.trial.targets), len(p.eligible)
 }
 
-// Factors returns the known factors of the targets that do not run the canary version.
-func (p *Planner) Factors() []float64 {
+// KnownFactors returns the known factors of the targets that do not run the canary version.
+func (p *Planner) KnownFactors() []float64 {
 	var list []float64
 	for _, t := range p.eligible {
 		if t.factor.known {
@@ -110,8 +110,8 @@
 	return list
 }
 
-// Unrepeatable returns the number of jobs that run on other than canary targets and could not be re-dispatched.
-func (p *Planner) Unrepeatable() int {
+// UnrepeatableRuns returns the number of jobs that run on other than canary targets and could not be re-dispatched.
+func (p *Planner) UnrepeatableRuns() int {
 	n := 0
 	for _, r := range p.runs {
 		if !r.canary && !r.Movable {
--- a/pkg/planner/trial_test.go
+++ b/pkg/planner/trial_test.go
@@ -172,7 +172,7 @@
 	if !b.IsQueued(waiting) {
 		t.Error("a job without a permitted target does not wait")
 	}
-	if n := b.Unrepeatable(); n != 1 {
+	if n := b.UnrepeatableRuns(); n != 1 {
 		t.Errorf("%d jobs that may not be repeated run on the old version", n)
 	}
 }
--- a/pkg/quarantine/accounts.go
+++ b/pkg/quarantine/accounts.go
@@ -97,9 +97,9 @@
 	c.succeeded[d] = true
 }
 
-// Suspected reports whether a request runs exclusively for its account, which is suspected, and how long it must wait
-// at least.
-func (r *Register) Suspected(now clock.Millis, q Request) (suspected bool, wait clock.Millis) {
+// AccountSuspicion reports whether a request runs exclusively for its account, which is suspected, and how long it must
+// wait at least.
+func (r *Register) AccountSuspicion(now clock.Millis, q Request) (suspected bool, wait clock.Millis) {
 	if r.count.Load() == 0 {
 		return false, 0
 	}
--- a/pkg/quarantine/accounts_test.go
+++ b/pkg/quarantine/accounts_test.go
@@ -68,7 +68,7 @@
 		r := NewRegister()
 		r.StoreRead(0)
 		s.do(r)
-		if got, _ := r.Suspected(start+s.after, s.request); got != s.suspected {
+		if got, _ := r.AccountSuspicion(start+s.after, s.request); got != s.suspected {
 			t.Errorf("%s: suspected %t, want %t", s.name, got, s.suspected)
 		}
 	}
@@ -81,23 +81,23 @@
 	r := NewRegister()
 	r.StoreRead(0)
 	holdBack(r, start, 1, 4)
-	if _, wait := r.Suspected(start, other(99)); wait != 0 {
+	if _, wait := r.AccountSuspicion(start, other(99)); wait != 0 {
 		t.Errorf("wait of %d ms before a further end, want none", wait)
 	}
 	now, n := clock.Millis(start), 10
 	for _, want := range []clock.Millis{1, 2, 4, 8, 16, 30, 30} {
 		r.Join(now, &Record{Digest: digest(n), Account: "acme", Route: "r", Ends: []TargetEnd{{Incarnation: incarnation(100 + n)}}})
 		n++
-		if _, wait := r.Suspected(now, other(99)); wait != want*clock.Second {
+		if _, wait := r.AccountSuspicion(now, other(99)); wait != want*clock.Second {
 			t.Errorf("wait of %d ms, want %d s", wait, want)
 		}
 		now += want * clock.Second
-		if suspected, wait := r.Suspected(now, other(99)); !suspected || wait != 0 {
+		if suspected, wait := r.AccountSuspicion(now, other(99)); !suspected || wait != 0 {
 			t.Errorf("after the pause: suspected %t, wait of %d ms", suspected, wait)
 		}
 	}
 	now += accountWindow
-	if suspected, _ := r.Suspected(now, other(99)); suspected {
+	if suspected, _ := r.AccountSuspicion(now, other(99)); suspected {
 		t.Error("still suspected after a minute without an end")
 	}
 }
@@ -128,7 +128,7 @@
 		if took := time.Since(began); second == nil || took < 300*time.Millisecond || took > 400*time.Millisecond {
 			t.Errorf("second request: refused %+v after %v, want a permit after 300 ms", refused, took)
 		}
-		g.Ended(Run{Request: other(51), Incarnation: incarnation(200)})
+		g.RecordTargetEnd(Run{Request: other(51), Incarnation: incarnation(200)})
 		second.Release(true)
 		if _, refused := g.Enter(context.Background(), other(52)); refused == nil || refused.Held || refused.RetryAfter != clock.Second {
 			t.Errorf("after one more end: refused %+v, want for 1 s", refused)
--- a/pkg/quarantine/guard.go
+++ b/pkg/quarantine/guard.go
@@ -169,7 +169,7 @@
 func (g *Guard) suspicion(r Request) suspicion {
 	now := g.Clock.Now()
 	s := suspicion{verdict: g.register.Verdict(now, r.Digest)}
-	s.accountRun, s.wait = g.register.Suspected(now, r)
+	s.accountRun, s.wait = g.register.AccountSuspicion(now, r)
 	return s
 }
 
@@ -229,20 +229,20 @@
 	if g.register.TakeReturnedRetrial(d) {
 		return true
 	}
-	w, due := g.register.Retry(g.Clock.Now(), d)
+	w, due := g.register.BeginRetrial(g.Clock.Now(), d)
 	if !due {
 		return false
 	}
 	limited, cancel := context.WithTimeout(ctx, writeTimeout.Duration())
 	defer cancel()
 	_, err := g.store.Write(limited, w)
-	g.register.WriteDone(&w, err == nil)
+	g.register.RetrialWritten(&w, err == nil)
 	g.log(&w.Record).WithError(err).WithField("retrials", w.Retrials).Info("retrial of a quarantined request")
 	return err == nil
 }
 
-// Ended records that the process of a target has ended while it ran a request.
-func (g *Guard) Ended(run Run) {
+// RecordTargetEnd records that the process of a target has ended while it ran a request.
+func (g *Guard) RecordTargetEnd(run Run) {
 	g.Metrics.Prometheus.Add("targets_ended_under_requests", "account", string(run.Account))
 	record := Record{Digest: run.Digest, Account: run.Account, Route: run.Route, Ends: []TargetEnd{{Incarnation: run.Incarnation, Again: run.Again}}}
 	g.publish(g.register.Join(g.Clock.Now(), &record))
@@ -295,8 +295,8 @@
 // EndedIncarnations lists the incarnations of targets that ended under quarantined requests.
 func (g *Guard) EndedIncarnations() []ids.TargetIncarnation { return g.register.HeldIncarnations() }
 
-// Held lists the quarantined requests.
-func (g *Guard) Held() []Report { return g.register.Held(g.Clock.Now()) }
+// HeldReports lists the quarantined requests.
+func (g *Guard) HeldReports() []Report { return g.register.HeldReports(g.Clock.Now()) }
 
 // Release releases a request from quarantine at all entries on an operator's order. It reports whether anything was
 // recorded against it.
--- a/pkg/quarantine/guard_test.go
+++ b/pkg/quarantine/guard_test.go
@@ -104,7 +104,7 @@
 		}
 		first := time.Now()
 		for n := range 4 {
-			b.guards[0].Ended(run(n, false))
+			b.guards[0].RecordTargetEnd(run(n, false))
 			time.Sleep(20 * time.Millisecond)
 		}
 		last := first.Add(60 * time.Millisecond)
@@ -119,7 +119,7 @@
 			permit.Release(true)
 		}
 		permit := enter(0)
-		b.guards[0].Ended(run(9, permit.Again))
+		b.guards[0].RecordTargetEnd(run(9, permit.Again))
 		permit.Release(true)
 		if _, refused := b.guards[0].Enter(context.Background(), request()); refused == nil || !refused.Held {
 			t.Errorf("after the end in an exclusive run: refused %+v, want quarantined", refused)
@@ -146,7 +146,7 @@
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newGuardCluster(t, 3)
-				b.guards[1].Ended(run(1, false))
+				b.guards[1].RecordTargetEnd(run(1, false))
 				time.Sleep(time.Second)
 				b.net.Lose(s.loses)
 				var running, highest, ran atomic.Int64
@@ -190,8 +190,8 @@
 			lost[to] = true
 			return !before
 		})
-		b.guards[7].Ended(run(1, false))
-		b.guards[9].Ended(run(2, true))
+		b.guards[7].RecordTargetEnd(run(1, false))
+		b.guards[9].RecordTargetEnd(run(2, true))
 		time.Sleep(500 * time.Millisecond)
 		for i, g := range b.guards {
 			if pass, refused := g.Enter(context.Background(), request()); pass != nil || refused == nil || !refused.Held {
@@ -208,10 +208,10 @@
 func TestOperatorReleasesRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newGuardCluster(t, 3)
-		b.guards[1].Ended(run(1, false))
-		b.guards[1].Ended(run(2, true))
+		b.guards[1].RecordTargetEnd(run(1, false))
+		b.guards[1].RecordTargetEnd(run(2, true))
 		time.Sleep(time.Second)
-		if held := b.guards[2].Held(); len(held) != 1 || held[0].Digest != digest(1) || held[0].For <= 0 {
+		if held := b.guards[2].HeldReports(); len(held) != 1 || held[0].Digest != digest(1) || held[0].For <= 0 {
 			t.Fatalf("quarantined requests: %+v, want one", held)
 		}
 		if !b.guards[2].Release(digest(1)) || b.guards[2].Release(digest(7)) {
@@ -219,7 +219,7 @@
 		}
 		time.Sleep(time.Second)
 		for i, g := range b.guards {
-			if len(g.Held()) > 0 {
+			if len(g.HeldReports()) > 0 {
 				t.Errorf("request is still quarantined at entry %d", i)
 			}
 		}
@@ -241,7 +241,7 @@
 				t.Fatal("a request without a record needs a permit")
 			}
 			b.guards[0].Completed(digest(1))
-			b.guards[0].PossibleEnd(run(1, false))
+			b.guards[0].RecordPossibleEnd(run(1, false))
 			time.Sleep(100 * time.Millisecond)
 		}
 		if sent.Load() > 0 || len(b.store.writes) > 0 {
@@ -274,7 +274,7 @@
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newGuardCluster(t, 2)
-				b.guards[0].PossibleEnd(Run{Request: request(), Incarnation: ids.TargetIncarnation{Target: "t1", Start: 4}})
+				b.guards[0].RecordPossibleEnd(Run{Request: request(), Incarnation: ids.TargetIncarnation{Target: "t1", Start: 4}})
 				for _, list := range s.lists {
 					time.Sleep(s.after)
 					b.guards[0].SetDirectory(routing.NewDirectory(list))
@@ -294,7 +294,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			c := commontest.New(network.NewMemory(nil))
 			g := New(Dependencies{Common: c, Leaves: func(l ids.TargetIncarnation) bool { return leaves && l.Target == "t1" }})
-			g.PossibleEnd(Run{Request: request(), Incarnation: ids.TargetIncarnation{Target: "t1", Start: 4}})
+			g.RecordPossibleEnd(Run{Request: request(), Incarnation: ids.TargetIncarnation{Target: "t1", Start: 4}})
 			time.Sleep(time.Second)
 			g.SetDirectory(routing.NewDirectory(nil))
 			if got := g.HasRecord("acme"); got == leaves {
--- a/pkg/quarantine/possible_ends.go
+++ b/pkg/quarantine/possible_ends.go
@@ -28,8 +28,8 @@
 	at  clock.Millis
 }
 
-// PossibleEnd records a broken run whose target may have ended.
-func (g *Guard) PossibleEnd(run Run) {
+// RecordPossibleEnd records a broken run whose target may have ended.
+func (g *Guard) RecordPossibleEnd(run Run) {
 	g.possibleEnds.mu.Lock()
 	defer g.possibleEnds.mu.Unlock()
 	if len(g.possibleEnds.list) < maxPossibleEnds {
@@ -59,7 +59,7 @@
 	g.possibleEnds.list = kept
 	g.possibleEnds.mu.Unlock()
 	for _, run := range ended {
-		g.Ended(run)
+		g.RecordTargetEnd(run)
 	}
 }
 
--- a/pkg/quarantine/register_report.go
+++ b/pkg/quarantine/register_report.go
@@ -18,8 +18,8 @@
 	RetryIn clock.Millis `json:"retry_in_ms"`
 }
 
-// Held lists the quarantined requests, the last one quarantined first.
-func (r *Register) Held(now clock.Millis) []Report {
+// HeldReports lists the quarantined requests, the last one quarantined first.
+func (r *Register) HeldReports(now clock.Millis) []Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var list []Report
--- a/pkg/quarantine/register_retrials.go
+++ b/pkg/quarantine/register_retrials.go
@@ -19,9 +19,9 @@
 	return e != nil && e.retrialDue(now)
 }
 
-// Retry returns the write that permits one more run of a quarantined request, if one is due. The caller must pass its
-// outcome to WriteDone; until then no other one is due.
-func (r *Register) Retry(now clock.Millis, d Digest) (Write, bool) {
+// BeginRetrial returns the write that permits one more run of a quarantined request, if one is due. The caller must
+// pass its outcome to RetrialWritten; until then no other one is due.
+func (r *Register) BeginRetrial(now clock.Millis, d Digest) (Write, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.records[d]
@@ -71,8 +71,8 @@
 	return now-e.heldAt >= wait
 }
 
-// WriteDone records the outcome of a write that Retry returned.
-func (r *Register) WriteDone(w *Write, written bool) {
+// RetrialWritten records the outcome of a write that BeginRetrial returned.
+func (r *Register) RetrialWritten(w *Write, written bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.records[w.Digest]
--- a/pkg/quarantine/register_test.go
+++ b/pkg/quarantine/register_test.go
@@ -173,31 +173,31 @@
 	r.StoreRead(1)
 	held := record(digest(1), "acme", 1, -2)
 	r.Join(1, held)
-	if _, due := r.Retry(1+firstRetrialDelay, digest(1)); due {
+	if _, due := r.BeginRetrial(1+firstRetrialDelay, digest(1)); due {
 		t.Error("a run is permitted that the store can't count")
 	}
 	r.RowRead(1, held, 7)
-	if _, due := r.Retry(firstRetrialDelay, digest(1)); due {
+	if _, due := r.BeginRetrial(firstRetrialDelay, digest(1)); due {
 		t.Error("a run is permitted too early")
 	}
-	w, due := r.Retry(1+firstRetrialDelay, digest(1))
+	w, due := r.BeginRetrial(1+firstRetrialDelay, digest(1))
 	if !due || w.Version != 7 || w.Retrials != 1 {
 		t.Fatalf("write %+v, due %t", w, due)
 	}
-	if _, due := r.Retry(1+firstRetrialDelay, digest(1)); due {
+	if _, due := r.BeginRetrial(1+firstRetrialDelay, digest(1)); due {
 		t.Error("two runs are permitted at once")
 	}
-	r.WriteDone(&w, true)
+	r.RetrialWritten(&w, true)
 	r.RowRead(2, &w.Record, 8)
-	if _, due := r.Retry(nextRetrialDelay, digest(1)); due {
+	if _, due := r.BeginRetrial(nextRetrialDelay, digest(1)); due {
 		t.Error("the next run is permitted too early")
 	}
-	w, due = r.Retry(1+nextRetrialDelay, digest(1))
+	w, due = r.BeginRetrial(1+nextRetrialDelay, digest(1))
 	if !due || w.Retrials != maxRetrials {
 		t.Fatalf("write %+v, due %t", w, due)
 	}
-	r.WriteDone(&w, true)
-	if _, due := r.Retry(100*nextRetrialDelay, digest(1)); due {
+	r.RetrialWritten(&w, true)
+	if _, due := r.BeginRetrial(100*nextRetrialDelay, digest(1)); due {
 		t.Error("more than maxRetrials runs are permitted")
 	}
 	r.ReturnRetrial(digest(1))
--- a/pkg/quota/ledger.go
+++ b/pkg/quota/ledger.go
@@ -62,8 +62,8 @@
 	return usage
 }
 
-// Sum is what an account has used in the window up to now, and never less.
-func (l *Ledger) Sum(now clock.Millis, account ids.Account, window clock.Millis) float64 {
+// UsedInWindow is what an account has used in the window up to now, and never less.
+func (l *Ledger) UsedInWindow(now clock.Millis, account ids.Account, window clock.Millis) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	usage := l.accounts[account]
--- a/pkg/quota/ledger_test.go
+++ b/pkg/quota/ledger_test.go
@@ -35,11 +35,11 @@
 					highest += e.units
 				}
 			}
-			if got := l.Sum(now, "a", window); got < lowest-1e-6 || got > highest+1e-6 {
+			if got := l.UsedInWindow(now, "a", window); got < lowest-1e-6 || got > highest+1e-6 {
 				t.Fatalf("sum %.3f, want between %.3f and %.3f", got, lowest, highest)
 			}
 		}
-		if got := l.Sum(now, "b", window); got != 0 {
+		if got := l.UsedInWindow(now, "b", window); got != 0 {
 			t.Fatalf("another account has used %.3f", got)
 		}
 	})
@@ -64,7 +64,7 @@
 			l.Add(start, "a", window, 100)
 			l.Add(start+clock.Second, "a", window, 50)
 			l.Refund(start+s.refund, start, "a", window, 100)
-			if got := l.Sum(start+s.sum, "a", window); got != s.want {
+			if got := l.UsedInWindow(start+s.sum, "a", window); got != s.want {
 				t.Errorf("sum %.0f, want %.0f", got, s.want)
 			}
 		})
--- a/pkg/random/source.go
+++ b/pkg/random/source.go
@@ -38,8 +38,8 @@
 	return wait/2 + clock.Millis(s.generator.Int64N(int64(wait/2)+1))
 }
 
-// UpTo returns a random duration from 0 to longest, inclusive. It panics if longest is negative.
-func (s *Source) UpTo(longest clock.Millis) clock.Millis {
+// DurationUpTo returns a random duration from 0 to longest, inclusive. It panics if longest is negative.
+func (s *Source) DurationUpTo(longest clock.Millis) clock.Millis {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return clock.Millis(s.generator.Int64N(int64(longest) + 1))
--- a/pkg/rollout/filter.go
+++ b/pkg/rollout/filter.go
@@ -33,8 +33,8 @@
 	f.update()
 }
 
-// Changed evaluates the list again after orders or records have changed.
-func (f *Filter) Changed() {
+// Refresh evaluates the list again after orders or records have changed.
+func (f *Filter) Refresh() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.listed != nil {
@@ -42,9 +42,9 @@
 	}
 }
 
-// Confirmed evaluates the list again if a target is undecided. It is called when the store has confirmed, without a
-// change, that the orders are known up to a later revision.
-func (f *Filter) Confirmed() {
+// RefreshUndecided evaluates the list again if a target is undecided. It is called when the store has confirmed,
+// without a change, that the orders are known up to a later revision.
+func (f *Filter) RefreshUndecided() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.undecided {
--- a/pkg/rollout/tracker.go
+++ b/pkg/rollout/tracker.go
@@ -182,8 +182,8 @@
 	return o, r, !r.State.Final()
 }
 
-// Knows reports whether this very order, by its revision, is the known one of its service.
-func (tr *Tracker) Knows(o Order) bool {
+// IsKnownOrder reports whether this very order, by its revision, is the known one of its service.
+func (tr *Tracker) IsKnownOrder(o Order) bool {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	return tr.orders[o.Service].Placed == o.Placed
--- a/pkg/rollout/trial.go
+++ b/pkg/rollout/trial.go
@@ -105,11 +105,11 @@
 	Record Record
 	// Fresh says that orders and records were last known to be current at most Bounds.Grace ago.
 	Fresh bool
-	// Factors returns the known factors of the old version's targets: how much slower than ordinary ones they are. It
+	// KnownFactors returns the known factors of the old version's targets: how much slower than ordinary ones they are. It
 	// is called when the evidence is evaluated, not at each step, and may be nil.
-	Factors func() []float64
-	// Targets is the number of canary targets that may receive work, Old that of other targets.
-	Targets, Old int
+	KnownFactors func() []float64
+	// CanaryTargets is the number of canary targets that may receive work, OldTargets that of other targets.
+	CanaryTargets, OldTargets int
 	// Unrepeatable is the number of requests running on the old version's targets that could not be re-dispatched.
 	Unrepeatable int
 	// Agreement is the fraction of the entries whose membership view is the same, so that they take this one for the
@@ -163,7 +163,7 @@
 	if s.Now-t.evaluatedAt >= evaluationInterval {
 		t.evaluatedAt = s.Now
 		t.updateFactors(s)
-		t.finding = t.Evidence.Evaluate(s.Now, s.Targets)
+		t.finding = t.Evidence.Evaluate(s.Now, s.CanaryTargets)
 		t.latencyFinding = t.Evidence.latency.finding()
 		t.objection = ""
 		if s.Now >= t.closeAt() {
@@ -174,10 +174,10 @@
 
 // updateFactors sets the factors of the old version's targets once those of half of them are known.
 func (t *Trial) updateFactors(s Situation) {
-	if s.Factors == nil {
+	if s.KnownFactors == nil {
 		return
 	}
-	if known := s.Factors(); 2*len(known) >= s.Old {
+	if known := s.KnownFactors(); 2*len(known) >= s.OldTargets {
 		t.Evidence.SetFactors(known)
 	}
 }
@@ -311,9 +311,9 @@
 // SummarySaved records that the store now holds the given evidence, written by this owner.
 func (t *Trial) SummarySaved(stored Summary) { t.recorded = stored }
 
-// Record returns the record to be written for a state: before, the newest known one, with the state, its reason and the
-// evidence, and in the first record of an order its times. storeTime converts moments to the store's clock.
-func (t *Trial) Record(before Record, state State, why string, storeTime func(clock.Millis) clock.Millis) Record {
+// NextRecord returns the record to be written for a state: before, the newest known one, with the state, its reason and
+// the evidence, and in the first record of an order its times. storeTime converts moments to the store's clock.
+func (t *Trial) NextRecord(before Record, state State, why string, storeTime func(clock.Millis) clock.Millis) Record {
 	r := before
 	r.State = state
 	r.Why = why
--- a/pkg/rollout/trial_test.go
+++ b/pkg/rollout/trial_test.go
@@ -41,7 +41,7 @@
 func TestSteps(t *testing.T) {
 	const late = ends - 200 // when a good version is completed
 	type situation = rollout.Situation
-	usual := situation{Now: placed + 5000, Record: recordIn(rollout.Running), Fresh: true, Targets: 8, Old: 8, Agreement: 1}
+	usual := situation{Now: placed + 5000, Record: recordIn(rollout.Running), Fresh: true, CanaryTargets: 8, OldTargets: 8, Agreement: 1}
 	with := func(change func(*situation)) situation {
 		s := usual
 		change(&s)
@@ -68,12 +68,12 @@
 		{"good, but the owner has just taken over", trialAt(late-500, true), with(func(s *situation) { s.Now = late }), rollout.Pending, true, true, ""},
 		{"good, after its time", trialAt(placed, true), with(func(s *situation) { s.Now = over + 5000 }), rollout.Completed, true, true, ""},
 		{"unrepeatable work never ends", trialAt(placed, true), with(func(s *situation) { s.Now = over + 16000; s.Unrepeatable = 1 }), rollout.RolledBack, false, false, "time is over"},
-		{"service already runs it", trialAt(placed, true), with(func(s *situation) { s.AlreadyInUse = true; s.Targets = 0 }), rollout.Completed, false, false, "already"},
+		{"service already runs it", trialAt(placed, true), with(func(s *situation) { s.AlreadyInUse = true; s.CanaryTargets = 0 }), rollout.Completed, false, false, "already"},
 		{"completed", trialAt(placed, true), with(func(s *situation) { s.Record = recordIn(rollout.Completed) }), rollout.Pending, false, false, ""},
 		{"bad, but completed", trialAt(placed, false), with(func(s *situation) { s.Record = recordIn(rollout.Completed) }), rollout.Pending, false, false, ""},
 		{"rolled back", trialAt(placed, false), with(func(s *situation) { s.Record = recordIn(rollout.RolledBack) }), rollout.Pending, false, false, ""},
 		{"no target has started", rollout.NewTrial(order("v2", 10), bounds, rollout.Summary{}, placed, rollout.Times{Started: placed, EarliestEnd: ends, LatestEnd: over}),
-			with(func(s *situation) { s.Now = ends - 1000; s.Targets = 0 }), rollout.RolledBack, false, false, "too little is known"},
+			with(func(s *situation) { s.Now = ends - 1000; s.CanaryTargets = 0 }), rollout.RolledBack, false, false, "too little is known"},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -138,7 +138,7 @@
 // still be written.
 func TestRollbackDecisionIsFinal(t *testing.T) {
 	trial := trialAt(placed, false)
-	s := rollout.Situation{Now: placed + 5000, Record: recordIn(rollout.Running), Fresh: true, Targets: 8, Old: 8, Agreement: 1}
+	s := rollout.Situation{Now: placed + 5000, Record: recordIn(rollout.Running), Fresh: true, CanaryTargets: 8, OldTargets: 8, Agreement: 1}
 	trial.Step(s)
 	for n := range 4000 {
 		trial.Evidence.Add(true, rollout.Observation{At: s.Now, Incarnation: ids.TargetIncarnation{Target: ids.Target(fmt.Sprint("new", n%8))}, Route: "r", Ratio: 1})
@@ -233,7 +233,7 @@
 			for range 400 {
 				trial.Evidence.Add(false, rollout.Observation{At: s.began, Incarnation: ids.TargetIncarnation{Target: "old"}, Route: "r", Ratio: 1, Factor: 1})
 			}
-			p := trial.Step(rollout.Situation{Now: s.now, Record: recordIn(rollout.Running), Fresh: true, Targets: 8, Old: 8, Agreement: s.agreement})
+			p := trial.Step(rollout.Situation{Now: s.now, Record: recordIn(rollout.Running), Fresh: true, CanaryTargets: 8, OldTargets: 8, Agreement: s.agreement})
 			if p.Write != s.want {
 				t.Errorf("plan %+v, want state %v", p, s.want)
 			}
--- a/pkg/routing/route.go
+++ b/pkg/routing/route.go
@@ -61,8 +61,8 @@
 	return r.Kind == Safe || r.Kind == Stream && r.Resumable
 }
 
-// Pick returns the service for a random number from [0, 1), by the weights of the split.
-func (r *Route) Pick(draw float64) ids.Service {
+// PickService returns the service for a random number from [0, 1), by the weights of the split.
+func (r *Route) PickService(draw float64) ids.Service {
 	total := 0
 	for _, s := range r.Split {
 		total += s.Weight
--- a/pkg/schedule/local.go
+++ b/pkg/schedule/local.go
@@ -43,7 +43,7 @@
 // refusalFor returns the refusal for a request that none of these targets may get from this entry: because all of them
 // back off, or because there is none.
 func refusalFor(c common.Common, advice *advisory.Tracker, targets []*routing.Target) *Refused {
-	if backoff := advice.AllBackoff(targets); backoff > 0 {
+	if backoff := advice.ShortestBackoff(targets); backoff > 0 {
 		return &Refused{BackedOff: true, Wait: backoff, RetryAfter: planner.AfterBackoff(backoff, c.Random.Fork().Float64())}
 	}
 	return &Refused{RetryAfter: noTargetRetry}
--- a/pkg/standin/engine.go
+++ b/pkg/standin/engine.go
@@ -211,8 +211,8 @@
 	e.steps.Wait()
 }
 
-// Computed returns the number of prompt tokens that the engine has computed.
-func (e *Engine) Computed() int {
+// ComputedPromptTokens returns the number of prompt tokens that the engine has computed.
+func (e *Engine) ComputedPromptTokens() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.computed
--- a/pkg/targetlist/incarnations_test.go
+++ b/pkg/targetlist/incarnations_test.go
@@ -138,7 +138,7 @@
 		t.Errorf("admission of the new incarnation before the order is read: %v", a)
 	}
 	tracker.PutOrders([]rollout.Order{{Service: "s", Version: "v2", Within: 30000, Placed: 20}}, nil, true, rollout.Freshness{Revision: 30})
-	filter.Changed()
+	filter.Refresh()
 	if a := got.Target("a").Admission; a != routing.Withheld {
 		t.Errorf("admission of the new incarnation once the order is read: %v", a)
 	}
--- a/pkg/telemetry/prometheus.go
+++ b/pkg/telemetry/prometheus.go
@@ -28,10 +28,10 @@
 	Tier int
 	// Outcome is "answered", "answered_late", or the reason why there was no answer.
 	Outcome string
-	// First is the time to the first event or answer, 0 without one. Held is how
+	// FirstEvent is the time to the first event or answer, 0 without one. Held is how
 	// long the request was at the entry.
-	First clock.Millis
-	Held  clock.Millis
+	FirstEvent clock.Millis
+	Held       clock.Millis
 }
 
 // Count adds a request to the metrics.
@@ -40,9 +40,9 @@
 		`quaydock_requests_total{service=%q,account=%q,tier="%d",outcome=%q}`, r.Service, r.Account, r.Tier, r.Outcome)).Inc()
 	m.set.GetOrCreateHistogram(fmt.Sprintf(
 		`quaydock_held_seconds{service=%q,tier="%d",outcome=%q}`, r.Service, r.Tier, r.Outcome)).Update(r.Held.Duration().Seconds())
-	if r.First > 0 {
+	if r.FirstEvent > 0 {
 		m.set.GetOrCreateHistogram(fmt.Sprintf(
-			`quaydock_first_event_seconds{service=%q,tier="%d"}`, r.Service, r.Tier)).Update(r.First.Duration().Seconds())
+			`quaydock_first_event_seconds{service=%q,tier="%d"}`, r.Service, r.Tier)).Update(r.FirstEvent.Duration().Seconds())
 	}
 }
 
--- a/pkg/telemetry/telemetry_test.go
+++ b/pkg/telemetry/telemetry_test.go
@@ -88,8 +88,8 @@
 // TestPrometheusMetrics checks the names, labels and values of lines, which operators' tools read.
 func TestPrometheusMetrics(t *testing.T) {
 	f := telemetry.NewPrometheusMetrics()
-	f.Count(telemetry.Request{Service: "s", Account: "a", Tier: 1, Outcome: "answered", First: 30, Held: 200})
-	f.Count(telemetry.Request{Service: "s", Account: "a", Tier: 1, Outcome: "answered", First: 40, Held: 300})
+	f.Count(telemetry.Request{Service: "s", Account: "a", Tier: 1, Outcome: "answered", FirstEvent: 30, Held: 200})
+	f.Count(telemetry.Request{Service: "s", Account: "a", Tier: 1, Outcome: "answered", FirstEvent: 40, Held: 300})
 	f.Add("store_calls", "outcome", "ok")
 	f.Gauge("waiting", func() float64 { return 7 })
 	recorder := httptest.NewRecorder()
--- a/pkg/testbed/backoff_test.go
+++ b/pkg/testbed/backoff_test.go
@@ -66,7 +66,7 @@
 		}
 		start := time.Now()
 		short := caller.Chat(context.Background(), "short", 10, false, http.Header{"Quaydock-Deadline-Ms": {"1000"}})
-		retryAfter, err := strconv.Atoi(short.Retry)
+		retryAfter, err := strconv.Atoi(short.RetryAfter)
 		if short.Ending != testbed.NotRun || err != nil || retryAfter < 2 || retryAfter > 4 || time.Since(start) > 300*time.Millisecond {
 			t.Errorf("a call that cannot wait got %+v after %v", short, time.Since(start))
 		}
--- a/pkg/testbed/caller.go
+++ b/pkg/testbed/caller.go
@@ -35,13 +35,13 @@
 
 // Answer is what a caller received.
 type Answer struct {
-	Ending  Ending
-	Request string // the id that the entry gave the request
-	Status  int    // 0 if no answer began
-	Code    string // the error code of a refusal
-	Retry   string // the Retry-After header
-	Body    string // what arrived of it, or the error if no answer began
-	Tokens  int    // counted by Chat in a whole answer of status 200
+	Ending     Ending
+	Request    string // the id that the entry gave the request
+	Status     int    // 0 if no answer began
+	Code       string // the error code of a refusal
+	RetryAfter string // the Retry-After header
+	Body       string // what arrived of it, or the error if no answer began
+	Tokens     int    // counted by Chat in a whole answer of status 200
 }
 
 // Caller sends requests to one entry, as an OpenAI client does.
@@ -95,10 +95,10 @@
 func readAnswer(response *http.Response) Answer {
 	body, err := io.ReadAll(response.Body)
 	answer := Answer{
-		Request: response.Header.Get("Quaydock-Request-Id"),
-		Status:  response.StatusCode,
-		Retry:   response.Header.Get("Retry-After"),
-		Body:    string(body),
+		Request:    response.Header.Get("Quaydock-Request-Id"),
+		Status:     response.StatusCode,
+		RetryAfter: response.Header.Get("Retry-After"),
+		Body:       string(body),
 	}
 	if err != nil {
 		answer.Ending = Truncated
--- a/pkg/testbed/malformed_test.go
+++ b/pkg/testbed/malformed_test.go
@@ -120,8 +120,8 @@
 			if i < 14 && i%2 == 0 && a.Ending != testbed.Complete {
 				t.Errorf("a request of tier pilot ended %v: %s", a.Ending, a.Body)
 			}
-			if a.Ending == testbed.NotRun && (a.Code != "overloaded" || a.Retry == "") {
-				t.Errorf("refused with code %q, Retry-After %q", a.Code, a.Retry)
+			if a.Ending == testbed.NotRun && (a.Code != "overloaded" || a.RetryAfter == "") {
+				t.Errorf("refused with code %q, Retry-After %q", a.Code, a.RetryAfter)
 			}
 		}
 	})
