--- a/pkg/dispatch/dispatcher.go
+++ b/pkg/dispatch/dispatcher.go
@@ -44,7 +44,7 @@
 	trials  *trials
 	advice  *advisory.Tracker
 
-	mu         sync.Mutex
+	mu         sync.Mutex                      // guards the fields below and assignment.begun
 	lastNumber uint64                          // of a request; starts at random, so that a restart does not reuse numbers
 	waiting    map[uint64]chan decisionMessage // by the number of the waiting request
 	running    map[uint64]*assignment          // by the number of the request
@@ -143,7 +143,7 @@
 	if isWaiting && a.Kind != redispatch {
 		select {
 		case decisions <- *a:
-		default: // the buffer is full of decisions that were not read yet
+		default: // the buffer is full of decisions that were not read yet: the entry submits again
 		}
 	}
 	d.mu.Unlock()
@@ -169,6 +169,7 @@
 	return t
 }
 
+// nextNumber returns an unused number for a request of this entry.
 func (d *Dispatcher) nextNumber() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/pkg/dispatch/estimates.go
+++ b/pkg/dispatch/estimates.go
@@ -51,7 +51,7 @@
 	members *membership.Members
 	link    *packets.Link
 	store   EstimateStore
-	faults  *follow.Faults
+	faults  *follow.Faults // counts and logs the rows that could not be read
 
 	mu       sync.Mutex
 	received map[ids.Service]*planner.Estimates // the newest: from an owner, from the store, or this entry's own as owner
@@ -65,7 +65,8 @@
 	return m
 }
 
-// receive stores the estimates that an owner has sent.
+// receive stores the estimates that an owner has sent. The first page replaces those held here; any further page adds
+// its factors to them, so a lost page leaves out only its own factors.
 func (c *estimateCache) receive(_ netip.AddrPort, l *estimatesMessage) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,7 +115,8 @@
 // maxFactors limits the number of factors that are kept for one service, so that they fit into a row of the store.
 const maxFactors = 1700
 
-// splitPages splits estimates so that each page fits into a datagram.
+// splitPages splits estimates so that each page fits into a datagram. It returns at least one page; the last may have
+// no factors.
 func splitPages(l *planner.Estimates) []planner.Estimates {
 	page := *l
 	page.Factors = make(map[ids.TargetIncarnation]float64)
--- a/pkg/dispatch/messages.go
+++ b/pkg/dispatch/messages.go
@@ -84,7 +84,7 @@
 }
 
 // syncMessage lists an entry's running requests on the targets of a service. It has those
-// whose number modulo Pages is Page.
+// whose number modulo Pages is Page, so that the owner can apply each page without the others.
 type syncMessage struct {
 	_       struct{} `cbor:",toarray"`
 	Service ids.Service
@@ -106,5 +106,5 @@
 	Movable     bool // as in planner.Job
 }
 
-// itemsPerPage is the number of items that always fit into one datagram.
+// itemsPerPage is the number of items of a syncMessage that always fit into one datagram.
 const itemsPerPage = 14
--- a/pkg/dispatch/owner_estimates.go
+++ b/pkg/dispatch/owner_estimates.go
@@ -9,7 +9,7 @@
 )
 
 // adoptEstimates starts a planner with the estimates of a former owner; the caller holds the lock. If no
-// former owner has sent any to this entry, they are read from the store, once.
+// former owner has sent any to this entry, they are read from the store, once in the life of this process.
 func (owner *Owner) adoptEstimates(g *servicePlanner, service ids.Service) {
 	if l := owner.estimates.get(service); l != nil {
 		g.planner.AdoptEstimates(l)
@@ -18,7 +18,8 @@
 	owner.loadEstimates.Do(func() { go owner.estimates.load(context.Background(), owner.estimatesLoaded) })
 }
 
-// estimatesLoaded applies estimates that were read from the store.
+// estimatesLoaded applies estimates of a service that were read from the store. It takes them from the cache, where
+// newer ones of an owner may have replaced them.
 func (owner *Owner) estimatesLoaded(service ids.Service, _ *planner.Estimates) {
 	owner.mu.Lock()
 	defer owner.mu.Unlock()
--- a/pkg/dispatch/owner_trials.go
+++ b/pkg/dispatch/owner_trials.go
@@ -84,7 +84,7 @@
 }
 
 // takeEvidence takes the evidence from a record revision that is new here. Evidence that this owner wrote itself is not
-// added again, whether the store's answer or the row arrived first, or only the row did.
+// added again, whether the store's answer or the row arrived first, or only the row did. The caller holds the lock.
 func (owner *Owner) takeEvidence(g *servicePlanner, record *rollout.Record) {
 	if record.State != rollout.Running || record.Written <= g.writer.lastRevision {
 		return
@@ -119,7 +119,7 @@
 }
 
 // startTrial begins the trial of an order at this owner, with the evidence that a former owner has written. A withdrawn
-// order gets a trial too, which ends it.
+// order gets a trial too, which ends it. The caller holds the lock.
 func (owner *Owner) startTrial(now clock.Millis, g *servicePlanner, order rollout.Order, record *rollout.Record) {
 	tracker := owner.rollouts.Tracker
 	times := tracker.Times(order, *record)
@@ -130,7 +130,7 @@
 	}).Info("this entry now runs the roll-out")
 }
 
-// situation returns the input of the next trial step; the caller holds the lock.
+// situation returns the input of the next trial step, for the roll-out of the record; the caller holds the lock.
 func (owner *Owner) situation(now clock.Millis, g *servicePlanner, record rollout.Record) rollout.Situation {
 	onTrial, others := g.planner.TargetCounts()
 	return rollout.Situation{
--- a/pkg/dispatch/pending.go
+++ b/pkg/dispatch/pending.go
@@ -12,7 +12,8 @@
 	"quaydock/pkg/schedule"
 )
 
-// pending is a request that waits for an assignment.
+// pending is a request that waits for an assignment. Only the goroutine in Acquire uses its fields, apart from the
+// sends on decisions.
 type pending struct {
 	request   schedule.Request
 	number    uint64
@@ -93,7 +94,7 @@
 
 // register gives a request a new number, by which the owner identifies it.
 func (d *Dispatcher) register(p *pending) {
-	const unread = 8 // decisions not read yet
+	const unread = 8 // decisions that Acquire has not read yet; receiveDecision drops further ones
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.lastNumber++
--- a/pkg/planner/health.go
+++ b/pkg/planner/health.go
@@ -16,7 +16,8 @@
 	// failedWeight is less than unreachedWeight, since a request may fail for reasons of its own.
 	failedWeight    = 1
 	unreachedWeight = 3
-	// ejectAt is the sum of weights from which a target is ejected, and maxFailures the largest sum that is kept.
+	// ejectAt is the sum of weights from which a target is ejected, and maxFailures the largest sum that is kept: it
+	// keeps the shift by which the duration doubles from overflowing.
 	ejectAt     = 3
 	maxFailures = 8
 )
--- a/pkg/planner/limit.go
+++ b/pkg/planner/limit.go
@@ -54,7 +54,8 @@
 	}
 }
 
-// burst returns how many jobs a limited target may get at once.
+// burst returns how many jobs a limited target may get at once: one if most entries do not agree, since other owners
+// may then grant at the same time.
 func (a Agreement) burst() float64 {
 	if a.majority() {
 		return limitBurst
--- a/pkg/planner/place.go
+++ b/pkg/planner/place.go
@@ -101,7 +101,7 @@
 	avoidFailing bool      // enough targets are healthy to do without the failing ones
 	// lowestFactor is that of the fastest target that is not ejected, busy or not; valid if known is set.
 	lowestFactor float64
-	known        bool
+	known        bool // at least one target is not ejected
 }
 
 // findCandidates examines all targets. Those ejected are left out while enough others are healthy.
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -12,10 +12,10 @@
 type Planner struct {
 	random       *rand.Rand
 	targets      map[ids.TargetIncarnation]*target // those offered, and others until their runs have ended
-	incarnations map[ids.Target]*incarnations
-	offered      []*target // in the order passed to SetTargets
-	eligible     []*target // offered targets that may get any job: neither draining nor on trial
-	slots        int       // total slots of the eligible targets
+	incarnations map[ids.Target]*incarnations      // of each target in targets
+	offered      []*target                         // in the order passed to SetTargets
+	eligible     []*target                         // offered targets that may get any job: neither draining nor on trial
+	slots        int                               // total slots of the eligible targets
 	trial        trial
 	cold         coldLimit
 	agreement    Agreement
--- a/pkg/planner/runs.go
+++ b/pkg/planner/runs.go
@@ -29,7 +29,7 @@
 }
 
 // RecordFirstEvent records the first event of a job's answer, and the load that its target reported with it, if
-// any.
+// any. It ignores a job that is not running or whose first event is known.
 func (p *Planner) RecordFirstEvent(now clock.Millis, id JobID, load *Load) {
 	r := p.runs[id]
 	if r == nil || r.hasFirstEvent {
@@ -123,7 +123,8 @@
 	p.forgetBackoffs(entry)
 }
 
-// abandon ends the runs of an entry for which gone returns true.
+// abandon ends the runs of an entry for which gone returns true. Finish changes p.runs during the range, which Go
+// permits for maps; gone must not hold for a run that is granted in the freed slot.
 func (p *Planner) abandon(now clock.Millis, entry string, gone func(*run) bool) {
 	for id, r := range p.runs {
 		if id.Entry == entry && gone(r) {
--- a/pkg/planner/summary.go
+++ b/pkg/planner/summary.go
@@ -10,7 +10,7 @@
 	// Targets is the number of eligible targets, Ejected the number of those that are ejected, and Slots what they have
 	// together. Running and Waiting count jobs.
 	Targets, Ejected, Slots, Running, Waiting int
-	// PerSecond is the rate at which jobs end.
+	// PerSecond is the rate at which jobs end, without those at canary targets.
 	PerSecond float64
 	// Limited is the number of targets that report a rate limit, and LimitedPerSecond the total rate of jobs that
 	// they may get.
--- a/pkg/planner/timings.go
+++ b/pkg/planner/timings.go
@@ -31,7 +31,7 @@
 		return 0, 0
 	}
 	variance := l.xx - l.x*l.x/l.n
-	if variance > 1e-9 {
+	if variance > 1e-9 { // else all x are equal, and the slope is 0
 		slope = max(0, (l.xy-l.x*l.y/l.n)/variance)
 	}
 	base = (l.y - slope*l.x) / l.n
--- a/pkg/planner/trial.go
+++ b/pkg/planner/trial.go
@@ -229,7 +229,7 @@
 }
 
 // canaryTarget returns the canary target for a job, or nil if it cannot take the job: the one being filled, or, once
-// UnrepeatableUntil is set, the cheapest of all.
+// UnrepeatableUntil is set, the cheapest of all. A target that was ejected gets one job at a time until it served one.
 func (p *Planner) canaryTarget(now clock.Millis, w *queuedJob) *target {
 	var best *target
 	for _, t := range p.trial.targets {
--- a/pkg/planner/wait.go
+++ b/pkg/planner/wait.go
@@ -69,6 +69,7 @@
 	minRunTime = 1.0
 )
 
+// add adds a run time in ms.
 func (m *decayingMean) add(x float64) {
 	m.sum = m.sum*meanDecay + x
 	m.n = m.n*meanDecay + 1
