--- a/pkg/balance/chooser.go
+++ b/pkg/balance/chooser.go
@@ -11,7 +11,7 @@
 	"quaydock/pkg/prefix"
 )
 
-// Chooser applies a policy and keeps the policy's state from one request to the next.
+// Chooser applies a policy and keeps the policy's state from one request to the next. It is safe for concurrent use.
 type Chooser struct {
 	policy    Policy
 	fanOut    int          // how many targets are queried at once
@@ -88,7 +88,7 @@
 }
 
 // reportedLoads returns the candidates' running and queued work by the reports in use. One that was taken over
-// reportLag ago is replaced by the newest first.
+// reportLag ago is replaced by the newest first. All queued work counts, whatever its tier.
 func (c *Chooser) reportedLoads(now clock.Millis, candidates []Candidate) []ids.Tokens {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,7 +104,8 @@
 	return loads
 }
 
-// sortedByLoad sorts the first drawn elements of order by load, the lowest first; the others stay.
+// sortedByLoad sorts the first drawn elements of order, which are indexes in loads, by load, the lowest first; the
+// others stay.
 func sortedByLoad(order []int, drawn int, loads []ids.Tokens) []int {
 	slices.SortStableFunc(order[:min(drawn, len(order))], func(i, j int) int {
 		return int(loads[i] - loads[j])
--- a/pkg/domains/filter.go
+++ b/pkg/domains/filter.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// log returns a log entry for a domain, with the number of its targets.
+// log returns a log entry for a domain, with the number of its targets. The caller holds the lock.
 func (f *Filter) log(domain ids.FailureDomain) *logrus.Entry {
 	targets := 0
 	for _, t := range f.listed {
--- a/pkg/metering/meter.go
+++ b/pkg/metering/meter.go
@@ -133,7 +133,7 @@
 	duration clock.Millis // since all entries last agreed, at most a window
 }
 
-// Meter counts the usage of client accounts at one entry.
+// Meter counts the usage of client accounts at one entry. It is safe for concurrent use.
 type Meter struct {
 	common.Common
 	bounds         Bounds // guarded by mu
@@ -199,7 +199,7 @@
 
 // Take counts units against an account's allowance and reports whether they may run; if not, it also returns after what
 // time to try again. It waits for the owner's reply, at most for the claim's timeout or until ctx ends. reserve is the
-// fraction of the account's bucket that is left to others.
+// fraction of the account's bucket that is left to others. An account with a PerSecond of 0 has no limit.
 func (m *Meter) Take(ctx context.Context, account *routing.Account, units, reserve float64) (bool, clock.Millis) {
 	if account.PerSecond <= 0 {
 		return true, 0
--- a/pkg/metering/owner.go
+++ b/pkg/metering/owner.go
@@ -19,7 +19,8 @@
 // takeAsOwner counts units against an account's bucket at its owner, and returns as Take does; from is the zero address
 // for a claim of this entry itself. An owner gives out only the fraction of the allowance for which it has agreement.
 // Usage that entries reported for the last window counts too, whoever was the owner then; so an account whose allowance
-// was lowered waits until its last window is within the new one.
+// was lowered waits until its last window is within the new one. The wait for that includes half of the units, as in
+// quota.Allowance.Take.
 func (m *Meter) takeAsOwner(from netip.AddrPort, account *routing.Account, c claim) (bool, clock.Millis) {
 	now := m.Clock.Now()
 	margin, window := m.margin(account)
--- a/pkg/metering/reports.go
+++ b/pkg/metering/reports.go
@@ -14,7 +14,7 @@
 	at   clock.Millis // by this entry's clock
 }
 
-// reporter is one incarnation of an entry; the address is empty for this entry itself. The first report of a new
+// reporter is one incarnation of an entry; the address at is the zero one for this entry itself. The first report of a new
 // incarnation does not replace that of the former one: an account's owner that was killed several times in a window,
 // and began each time as if nothing had been served there, gave out more than the limit.
 type reporter struct {
@@ -60,7 +60,8 @@
 }
 
 // merge takes in what this entry's former incarnations reported to others, which report it back: a process does
-// not know what the one before it has served. own is the present incarnation, whose usage is known here.
+// not know what the one before it has served. own is the present incarnation, whose usage is known here. An older
+// report of an incarnation does not replace a newer one.
 func (r *reports) merge(now clock.Millis, account ids.Account, own uint64, incarnations []incarnationReport) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -74,7 +75,7 @@
 }
 
 // sum returns what an account has used in the window up to now by the reports, and never less: an entry's report
-// counts in full until the entry reports again, or until the window has passed.
+// counts in full until the entry reports again, or until the window has passed; then it is dropped.
 func (r *reports) sum(now clock.Millis, account ids.Account, window clock.Millis) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/planner/cold.go
+++ b/pkg/planner/cold.go
@@ -19,7 +19,7 @@
 	coldBurst = 2.0
 )
 
-// Rate returns how many jobs per second an owner grants to one cold target of a service.
+// Rate returns how many jobs per second an owner grants to one cold target of a service. An Over below 1 counts as 1.
 func (b ColdBounds) Rate(s *routing.Service, agreement Agreement) float64 {
 	limit := max(1, b.Over)*s.ColdPerSecond + b.Slack
 	fraction := coldFraction
--- a/pkg/planner/limit.go
+++ b/pkg/planner/limit.go
@@ -85,7 +85,8 @@
 	return t.rateLimit, t.rateLimit.Differs(before)
 }
 
-// withinLimit reports whether a target may get one more job under the limit that it reported.
+// withinLimit reports whether a target may get one more job under the limit that it reported. While the rate is 0 it
+// gets none, also if its bucket still holds tokens.
 func (p *Planner) withinLimit(now clock.Millis, t *target) bool {
 	if t.limitBucket == nil {
 		return true
--- a/pkg/planner/queue.go
+++ b/pkg/planner/queue.go
@@ -67,7 +67,8 @@
 	return now > w.latestStart
 }
 
-// countAhead returns how many jobs are served before self; of equal ones those that came first.
+// countAhead returns how many jobs are served before self; of equal ones those that came first, or all if self is not
+// in the queue any more.
 func (q *queue) countAhead(now clock.Millis, self *queuedJob) int {
 	n, first := 0, true
 	for _, w := range q.jobs {
--- a/pkg/planner/runs.go
+++ b/pkg/planner/runs.go
@@ -57,6 +57,7 @@
 	t := r.target
 	p.observe(now, r, outcome, flow)
 	if r.hasFirstEvent && flow.Events >= minEvents && !r.canary {
+		// The number of concurrent runs is the mean of those at the grant and now.
 		p.timings.learnInterval(&t.factor, (r.concurrency+len(t.runs))/2, float64(now-r.firstEventAt)/float64(flow.Events))
 		p.timings.learnPrefillStall(t.factor.get(), r.maxBacklog, len(t.runs), flow.LongestGap)
 	}
--- a/pkg/quota/allowance.go
+++ b/pkg/quota/allowance.go
@@ -20,11 +20,11 @@
 	updatedAt clock.Millis // time up to which it was refilled
 }
 
-// Allowance holds the token buckets of accounts.
+// Allowance holds the token buckets of accounts. It is safe for concurrent use.
 type Allowance struct {
 	// initialFill returns the fraction to which capacity is filled when it is added to a bucket for the first time.
 	initialFill func(*routing.Account) float64
-	mu          sync.Mutex
+	mu          sync.Mutex // guards buckets and their contents
 	buckets     map[ids.Account]*bucket
 }
 
--- a/pkg/quota/ledger.go
+++ b/pkg/quota/ledger.go
@@ -11,7 +11,7 @@
 // by less than one step still count.
 const ledgerSteps = 32
 
-// Ledger records what accounts have used in the last window.
+// Ledger records what accounts have used in the last window, in units. It is safe for concurrent use.
 type Ledger struct {
 	mu       sync.Mutex
 	accounts map[ids.Account]*accountUsage
@@ -89,12 +89,13 @@
 	}
 }
 
-// stepOf returns the length of a step.
+// stepOf returns the length of a step, at least 1 ms.
 func stepOf(window clock.Millis) clock.Millis {
 	return max(1, window/ledgerSteps)
 }
 
-// advanceTo clears the steps up to a new one.
+// advanceTo makes the step of a number the newest, and clears those that are new in the ring. It does nothing if the
+// step is not newer. The ledger's lock is held.
 func (l *accountUsage) advanceTo(to clock.Millis) {
 	n := clock.Millis(len(l.steps))
 	if to-l.newestStep >= n {
--- a/pkg/schedule/local.go
+++ b/pkg/schedule/local.go
@@ -89,6 +89,7 @@
 			continue
 		}
 		r := l.stateOf(t.Incarnation())
+		// The random part, of less than one request, spreads requests over targets with as many running.
 		cost := (float64(r.running) + random.Float64()/2) / float64(max(1, t.Slots))
 		if r.health.Ejected(now) {
 			const ejectedCost = 1000 // outweighs the load of the other targets
