--- a/pkg/balance/chooser_test.go
+++ b/pkg/balance/chooser_test.go
@@ -20,7 +20,7 @@
 
 // TestOrder checks which candidate comes first, with 20 seeds each.
 func TestOrder(t *testing.T) {
-	long := []prefix.Fingerprint{1, 2, 3, 4, 5, 6, 7, 8}
+	long := []prefix.Fingerprint{1, 2, 3, 4, 5, 6, 7, 8} // the chain of a prompt of eight blocks
 	scenarios := []struct {
 		name       string
 		job        balance.Job
--- a/pkg/dispatch/dispatcher_test.go
+++ b/pkg/dispatch/dispatcher_test.go
@@ -106,7 +106,8 @@
 	return b
 }
 
-// ownerIndex returns the entry that plans for the service, as seen by the first entry other than except, or -1.
+// ownerIndex returns the entry that plans for the service, as seen by the first entry other than except, or -1 if that
+// is none of them. An except of -1 leaves out no entry.
 func (b *cluster) ownerIndex(except int) int {
 	for i, m := range b.members {
 		if i == except {
@@ -361,7 +362,8 @@
 	b.runRequests([]int{0, 1, 2}, 200, 30*time.Millisecond, 120*time.Millisecond)
 }
 
-// countOnSlow runs 16 requests one after the other and returns how many of them went to the slow target.
+// countOnSlow runs 16 requests one after the other, from the given entries in turn, and returns how many of them went
+// to the slow target.
 func (b *cluster) countOnSlow(from []int) int {
 	before := b.total[slowTarget]
 	for i := range 16 {
--- a/pkg/dispatch/estimates_test.go
+++ b/pkg/dispatch/estimates_test.go
@@ -129,7 +129,7 @@
 			t.Errorf("estimates of service %s accepted: %t", n.service, !n.valid)
 		}
 	}
-	if got := m.faults.Count(); got != 8 {
+	if got := m.faults.Count(); got != 8 { // the six invalid cases, and the two rows that are no estimates
 		t.Errorf("%d faulty rows reported, want 8", got)
 	}
 }
--- a/pkg/metering/deployment_test.go
+++ b/pkg/metering/deployment_test.go
@@ -28,6 +28,7 @@
 	window    = 8 * clock.Second
 )
 
+// bounds let the default account use a tenth more than its allowance and 20,000 units in any window.
 var bounds = metering.Bounds{Over: 0.1, Slack: 20_000, Window: window}
 
 // deployment is a few entries that meter one account.
@@ -108,7 +109,7 @@
 
 // demandUnits is demand with requests of drawn sizes.
 func (d *deployment) demandUnits(ctx context.Context, length time.Duration, draw func() float64) []take {
-	results := make(chan take, 100_000)
+	results := make(chan take, 100_000) // room for all: it is read only after the last
 	limited, cancel := context.WithTimeout(ctx, length)
 	defer cancel()
 	ended := make(chan struct{})
@@ -164,8 +165,8 @@
 
 // The margin of a large account is small compared with its rate.
 const (
-	largeRate  = 400_000.0 // units per second; also the burst
-	largeLimit = (largeRate*8+largeRate)*1.1 + 140_000
+	largeRate  = 400_000.0                             // units per second; also the burst
+	largeLimit = (largeRate*8+largeRate)*1.1 + 140_000 // units in a window of 8 s, by largeBounds
 	// largeMax leaves a twentieth of the limit for requests that wait and are under way.
 	largeMax = 0.95 * largeLimit
 )
--- a/pkg/metering/owner_restarts_test.go
+++ b/pkg/metering/owner_restarts_test.go
@@ -26,13 +26,13 @@
 	}
 	time.Sleep(time.Second)
 	s.setIdle(true)
-	time.Sleep(9 * time.Second)
+	time.Sleep(9 * time.Second) // the burst becomes full
 	s.setIdle(false)
-	time.Sleep(1100 * time.Millisecond)
+	time.Sleep(1100 * time.Millisecond) // callers ask before the first fault
 	return s
 }
 
-// checkLimit ends a series, and checks the most that was admitted and ran in any window.
+// checkLimit ends a series, and checks the most that was used in any window, by when requests were sent.
 func (s *series) checkLimit(t *testing.T) {
 	t.Helper()
 	time.Sleep(4 * time.Second)
@@ -139,7 +139,7 @@
 		time.Sleep(9 * time.Second)
 		s.load.workers = 1
 		s.load.units = func(r *rand.Rand) float64 {
-			const each = largeRate * 0.01 / entries
+			const each = largeRate * 0.01 / entries // units per pause of 10 ms of one entry's caller, at the full rate
 			return demand * each * 2 * r.Float64()
 		}
 		s.restart(0, 0, s.all()...) // callers use the new load from the next start on
--- a/pkg/metering/reports.go
+++ b/pkg/metering/reports.go
@@ -14,7 +14,7 @@
 	at   clock.Millis // by this entry's clock
 }
 
-// reporter is one incarnation of an entry; the address at is the zero one for this entry itself. The first report of a new
+// reporter is one incarnation of an entry; its address at is zero for this entry itself. The first report of a new
 // incarnation does not replace that of the former one: an account's owner that was killed several times in a window,
 // and began each time as if nothing had been served there, gave out more than the limit.
 type reporter struct {
--- a/pkg/metering/series_test.go
+++ b/pkg/metering/series_test.go
@@ -119,6 +119,7 @@
 	return all
 }
 
+// killAll kills all entries together three to five times.
 func killAll(s *series) {
 	for range 3 + s.random.IntN(3) {
 		s.restart(300+s.random.IntN(700), 100, s.all()...)
@@ -126,6 +127,7 @@
 	}
 }
 
+// killOwner kills the account's owner three to seven times.
 func killOwner(s *series) {
 	for range 3 + s.random.IntN(5) {
 		s.restart(100+s.random.IntN(900), 0, s.owner())
@@ -133,6 +135,7 @@
 	}
 }
 
+// killEachInTurn kills each entry once, and then up to five drawn ones, one at a time.
 func killEachInTurn(s *series) {
 	for i := range s.all() {
 		s.restart(100+s.random.IntN(900), 0, i)
@@ -144,6 +147,7 @@
 	}
 }
 
+// killSome kills a drawn set of entries three to six times; they start one after the other.
 func killSome(s *series) {
 	for range 3 + s.random.IntN(4) {
 		some := rand.New(s.random).Perm(len(s.entries))[:1+s.random.IntN(len(s.entries))]
@@ -227,6 +231,8 @@
 	})
 }
 
+// loseClaims loses a drawn fraction of the messages three times, and in half of the rounds restarts the owner
+// meanwhile.
 func loseClaims(s *series) {
 	for range 3 {
 		s.loseFraction(0.1 + 0.8*s.random.Float64())
@@ -306,6 +312,7 @@
 	}
 }
 
+// mixAll plays three drawn scenarios one after the other.
 func mixAll(s *series) {
 	ways := []func(*series){killAll, killOwner, killSome, isolateAndKillOwner, loseClaims, killOwnerWhileReplying, lowerLimitBetweenKills, flapStore}
 	for range 3 {
--- a/pkg/planner/advice.go
+++ b/pkg/planner/advice.go
@@ -21,9 +21,8 @@
 }
 
 // Advise records the advice that a target gave to an entry; backoff is a duration, 0 for none. It ignores an unknown
-// target. Draining applies to all
-// entries. A back-off applies only to the entry that was asked, since a target may reject one entry and serve the
-// others; these merely prefer other targets meanwhile.
+// target. Draining applies to all entries. A back-off applies only to the entry that was asked, since a target may
+// reject one entry and serve the others; these merely prefer other targets meanwhile.
 func (p *Planner) Advise(now clock.Millis, entry string, at ids.TargetIncarnation, draining bool, backoff clock.Millis) {
 	t := p.knownIncarnation(at)
 	if t == nil {
--- a/pkg/planner/advice_test.go
+++ b/pkg/planner/advice_test.go
@@ -27,6 +27,7 @@
 	return targets
 }
 
+// firstTarget is the incarnation of t0 in tests without restarts, where starts are unknown.
 var firstTarget = ids.TargetIncarnation{Target: "t0"}
 
 // TestDrainingTargetGetsNoGrants: one entry received the advice, and the jobs of all entries avoid the target. A
@@ -65,7 +66,8 @@
 	}
 }
 
-// TestOtherEntriesPreferTargetsWithoutBackoff: as long as there is a free slot elsewhere.
+// TestOtherEntriesPreferTargetsWithoutBackoff: a target that asked another entry for a back-off gets an entry's jobs
+// only once there is no free slot elsewhere.
 func TestOtherEntriesPreferTargetsWithoutBackoff(t *testing.T) {
 	p := newPlanner(8, 4)
 	p.Advise(start, "a", firstTarget, false, 3*clock.Second)
--- a/pkg/planner/cold_test.go
+++ b/pkg/planner/cold_test.go
@@ -50,8 +50,8 @@
 	p.SetTargets(start, []*routing.Target{
 		{ID: "cold", Service: "s", Slots: 4, ColdUntil: warmAt}, {ID: "warm", Service: "s", Slots: 4},
 	})
-	given := map[string]int{}
-	for i := range 800 {
+	given := map[string]int{} // by "cold" or "warm" at the time of the grant, and by target
+	for i := range 800 {      // one job every 5 ms, 600 of them before warmAt
 		now := start + clock.Millis(i)*5
 		j := job(uint64(i), 0)
 		j.Arrived, j.Deadline = now, now+clock.Second
--- a/pkg/planner/limit_test.go
+++ b/pkg/planner/limit_test.go
@@ -67,7 +67,7 @@
 			given = append(given, grants(p, random, uint64(i), length)...)
 		}
 		slices.Sort(given)
-		allowed := 1.5*float64(takes)*4 + 5 // in a window of 4 s
+		allowed := 1.5*float64(takes)*4 + 5 // grants in a window of 4 s: half more than the limit, and 5
 		for i, at := range given {
 			first, _ := slices.BinarySearch(given, at-window+1)
 			if got := i + 1 - first; float64(got) > allowed {
@@ -103,7 +103,8 @@
 	return given
 }
 
-// TestGrantsReportWhetherCounted: an entry that knows of a limit uses only grants that were counted against it.
+// TestGrantsReportWhetherCounted: an entry that knows of a limit uses only grants that were counted against it. A grant
+// that was made before the limit was known stays uncounted.
 func TestGrantsReportWhetherCounted(t *testing.T) {
 	p := newPlanner()
 	p.SetAgreement(planner.Agreement{Fraction: 1})
--- a/pkg/planner/load_test.go
+++ b/pkg/planner/load_test.go
@@ -16,7 +16,8 @@
 )
 
 // heavy is a load of long drafts, medium summaries and many short tags in three tiers, at x times the normal rate.
-// A sixth of the targets are slow. From about 1.2 times on all slots are taken.
+// A sixth of the targets are slow. From about 1.2 times on all slots are taken. Objective, Deadline, Patience and the
+// times of Speed are in ms.
 func heavy(x float64, seed uint64) loadmodel.Load {
 	return loadmodel.Load{
 		Length: 16 * clock.Second, Seed: seed,
@@ -57,7 +58,7 @@
 	scenarios := []struct {
 		name string
 		load loadmodel.Load
-		// inTime is the lowest fraction in time, by kind.
+		// inTime is the lowest fraction in time, by kind in the order of heavy.
 		inTime [3]float64
 		// ofBound is the lowest fraction of the upper bound that must be earned.
 		ofBound float64
@@ -84,6 +85,7 @@
 			}
 			all, upper := got.Total(), bound.Total()
 			t.Logf("earned %.3f, upper bound %.3f", all.EarnedFraction(), upper.EarnedFraction())
+			// A simulation may earn a fraction of up to 0.005 more than loadmodel.UpperBound (see there).
 			if all.EarnedFraction() < s.ofBound*upper.EarnedFraction() || all.EarnedFraction() > upper.EarnedFraction()+0.005 {
 				t.Errorf("earned %.3f with an upper bound of %.3f", all.EarnedFraction(), upper.EarnedFraction())
 			}
@@ -123,7 +125,7 @@
 }
 
 // TestPlannerRestartCostsLittle replaces the planner in the middle of a burst by one that has no estimates and no
-// rates.
+// rates: the earned fraction must not fall by more than 0.03.
 func TestPlannerRestartCostsLittle(t *testing.T) {
 	load := bursts(5)
 	before := loadmodel.Simulate(load, loadmodel.Observer{}).Total()
@@ -146,13 +148,14 @@
 // sets was well within it.
 func TestWaitEstimatesMatchWaits(t *testing.T) {
 	const (
-		few   = 12.5 // mean number per simulation; medians of fewer are not checked
+		few   = 12.5 // mean number of a tier's waits per simulation; medians of fewer are not checked
 		short = 25   // in ms: one Tick of the planner
 	)
 	first := cmp.Or(*waitSeed, rand.Uint64())
 	scenarios := []struct {
-		times, bound float64
-		seeds        uint64
+		times float64 // the load as a multiple of the normal one
+		bound float64 // largest binary logarithm, of either sign, of the median of estimate by wait
+		seeds uint64  // number of simulations
 	}{{0.5, 1.5, 16}, {1, 1.5, 48}, {1.2, 1.5, 48}, {1.5, 1.5, 160}, {2, 1.5, 32}, {4, 3, 64}}
 	for _, s := range scenarios {
 		t.Run(fmt.Sprint(s.times), func(t *testing.T) {
--- a/pkg/planner/planner_test.go
+++ b/pkg/planner/planner_test.go
@@ -154,7 +154,7 @@
 	if len(refusals) < 15 || len(refusals) > 28 {
 		t.Fatalf("%d of 30 refused at a rate of five per second and an objective of one second", len(refusals))
 	}
-	for _, r := range refusals {
+	for _, r := range refusals { // 0.32 of the 10 s to the deadline at most
 		if r.RetryAfter < 300 || r.RetryAfter > 3200 {
 			t.Errorf("refused with retry after %d ms", r.RetryAfter)
 		}
@@ -289,7 +289,7 @@
 			if !ok {
 				continue
 			}
-			if i >= 30 {
+			if i >= 30 { // by then the planner knows the external load
 				given[g.Incarnation.Target]++
 			}
 			load := &planner.Load{Running: 1}
@@ -322,7 +322,7 @@
 		p.Submit(at, back)
 		p.Tick(at)
 		if len(refused(p.Decisions())) > 0 {
-			if waited := at - now; waited > 2700 {
+			if waited := at - now; waited > 2700 { // 0.8 of the patience, and some Ticks
 				t.Errorf("refused after %d ms with a patience of 3200 ms", waited)
 			}
 			return
--- a/pkg/planner/prefill_stall_test.go
+++ b/pkg/planner/prefill_stall_test.go
@@ -19,12 +19,13 @@
 }
 
 const (
-	simulatedRead     = 0.01 // ms per token
-	simulatedEvent    = 20.0
-	simulatedMaxStall = 100.0
+	simulatedRead     = 0.01  // ms per prompt token
+	simulatedEvent    = 20.0  // ms per event
+	simulatedMaxStall = 100.0 // longest delay of one event by prompts that are read, in ms
 )
 
-// stream submits a stream and returns the target that it was assigned to, or "" if it waits.
+// stream submits a stream of 20 events, each at most 400 ms after the one before to be in time. It returns the target
+// that the stream was assigned to, or "" if it waits.
 func (e *engines) stream(prompt ids.Tokens) (planner.JobID, ids.Target) {
 	e.next++
 	j := job(e.next, 0)
--- a/pkg/planner/random_test.go
+++ b/pkg/planner/random_test.go
@@ -74,7 +74,7 @@
 		}
 	case 3:
 		if n, runs := h.lowestRunning(); runs {
-			outcome := planner.Outcome(rapid.IntRange(0, 5).Draw(h.t, "outcome"))
+			outcome := planner.Outcome(rapid.IntRange(0, 5).Draw(h.t, "outcome")) // Served to Abandoned
 			h.load[h.running[n]]--
 			delete(h.running, n)
 			h.p.Finish(now, planner.JobID{Entry: "e", Number: n}, outcome, planner.StreamStats{Events: 5})
--- a/pkg/planner/refusal.go
+++ b/pkg/planner/refusal.go
@@ -20,8 +20,8 @@
 	maxRetryFraction = 0.32
 )
 
-// servable reports whether there is a target that a job may get, now or once the canary version opens to all. A job without one does not wait: it would only
-// count as ahead of others.
+// servable reports whether there is a target that a job may get, now or once the canary version opens to all. A job
+// without one does not wait: it would only count as ahead of others.
 func (p *Planner) servable(job *Job) bool {
 	for _, t := range p.eligible {
 		if !slices.Contains(job.Exclude, t.Incarnation()) {
--- a/pkg/planner/runs.go
+++ b/pkg/planner/runs.go
@@ -125,7 +125,7 @@
 }
 
 // abandon ends the runs of an entry for which gone returns true. Finish changes p.runs during the range, which Go
-// permits for maps; gone must not hold for a run that is granted in the freed slot.
+// permits for maps; the range may also reach a run of the entry that is granted in a freed slot.
 func (p *Planner) abandon(now clock.Millis, entry string, gone func(*run) bool) {
 	for id, r := range p.runs {
 		if id.Entry == entry && gone(r) {
--- a/pkg/planner/targets_test.go
+++ b/pkg/planner/targets_test.go
@@ -89,7 +89,7 @@
 	const slots = 6
 	scenarios := []struct {
 		name          string
-		targets, fail int
+		targets, fail int // numbers of targets, and of the failing ones among them
 		want          int // of 20 jobs, those on failing targets
 	}{
 		{"one of four", 4, 1, 0},
--- a/pkg/planner/trial_test.go
+++ b/pkg/planner/trial_test.go
@@ -46,7 +46,7 @@
 	return b
 }
 
-// submit submits a job that change has adapted; if granted, it ends after 300 ms.
+// submit submits a job that change has adapted; if granted, it ends 300 ms later, once advance reaches that time.
 func (b *trialBed) submit(change func(*planner.Job)) planner.JobID {
 	b.number++
 	j := planner.Job{
@@ -89,7 +89,7 @@
 		b.ends = b.ends[1:]
 	}
 	b.Tick(b.now)
-	b.recordGrants("")
+	b.recordGrants("") // the routes of these jobs are not known here
 }
 
 // TestCanaryGetsItsFractionAndIsLoaded simulates 100 requests per second on three routes, one of them with few
@@ -135,7 +135,8 @@
 	}
 }
 
-// TestCanaryGetsNothingWithoutTrial also holds when all other targets are full.
+// TestCanaryGetsNothingWithoutTrial guards against jobs on canary targets when no trial is set and all other targets
+// are full.
 func TestCanaryGetsNothingWithoutTrial(t *testing.T) {
 	b := newTrialBed(1)
 	for range 40 {
--- a/pkg/quota/quota_test.go
+++ b/pkg/quota/quota_test.go
@@ -110,7 +110,7 @@
 		const entries = 3
 		budgets := make([]*quota.RetryBudget, entries)
 		for i := range budgets {
-			budgets[i] = quota.NewRetryBudget(bounds, start-bounds.Window)
+			budgets[i] = quota.NewRetryBudget(bounds, start-bounds.Window) // the slack is available from the start
 		}
 		var requests, retries []clock.Millis
 		now := start
@@ -139,8 +139,8 @@
 	})
 }
 
-// maxRequests is how many requests count for a window: its own, those of the window
-// before, or those of the one half a window before.
+// maxRequests is how many requests count for a window: the most of its own, those of the window
+// before, and those of the one half a window before.
 func maxRequests(list []clock.Millis, from, window clock.Millis) int {
 	return max(countWithin(list, from, from+window), countWithin(list, from-window, from), countWithin(list, from-window/2, from+window/2))
 }
--- a/pkg/ratelimit/report_test.go
+++ b/pkg/ratelimit/report_test.go
@@ -8,6 +8,7 @@
 	"quaydock/pkg/ratelimit"
 )
 
+// report returns a report that the target made between two moments.
 func report(rate ratelimit.Rate, from, to clock.Millis) ratelimit.Report {
 	return ratelimit.Report{Known: true, Rate: rate, From: from, To: to}
 }
