--- a/pkg/dispatch/messages.go
+++ b/pkg/dispatch/messages.go
@@ -78,7 +78,7 @@
 	Number   uint64
 	Service  ids.Service
 	Progress progress
-	Outcome  planner.Outcome
+	Outcome  planner.Outcome     // set with done
 	Flow     planner.StreamStats // set with done
 	Load     *planner.Load       // set with begun, if the target reported it
 }
--- a/pkg/dispatch/owner.go
+++ b/pkg/dispatch/owner.go
@@ -20,7 +20,8 @@
 const (
 	// tickInterval is the time between two calls of Tick, by which planners do what depends on time alone.
 	tickInterval = 25 * clock.Millisecond
-	// entryTimeout is the time without a message from an entry after which its requests are dropped.
+	// entryTimeout is the time without a message from an entry after which its requests are dropped: several times
+	// syncInterval, at which an entry with running requests sends one.
 	entryTimeout = 1500 * clock.Millisecond
 	// logLinesPerSecond is the maximum of log lines of each kind.
 	logLinesPerSecond = 20
@@ -54,7 +55,7 @@
 	// coldBounds returns the current bounds for requests to cold targets.
 	coldBounds func() planner.ColdBounds
 
-	sampler *telemetry.Sampler
+	sampler *telemetry.Sampler // limits the lines of logLimit
 	// stalls records when this process was stalled, whether or not it is an owner: what it reports of its own
 	// requests includes them.
 	stalls clock.Stalls
--- a/pkg/dispatch/pending.go
+++ b/pkg/dispatch/pending.go
@@ -122,8 +122,8 @@
 	return sendToOwner(d, w.Service, packets.KindJobSubmit, d.owner.receiveSubmit, &message)
 }
 
-// decline returns a grant for a target that must not be used, and excludes the target. The request
-// goes on under a new number.
+// decline returns a grant for a target that must not be used (see usableTarget), and excludes the target. The owner
+// gets the outcome Moved, which counts against the target. The request goes on under a new number.
 func (d *Dispatcher) decline(p *pending, incarnation ids.TargetIncarnation) {
 	d.Metrics.Links.Add("grants_declined", 1)
 	p.request.Exclude = append(slices.Clone(p.request.Exclude), incarnation)
--- a/pkg/metering/series_deployment_test.go
+++ b/pkg/metering/series_deployment_test.go
@@ -32,7 +32,7 @@
 	common.Common
 	ctx     context.Context
 	seed    uint64
-	random  *rand.Rand // of the driver alone
+	random  *rand.Rand // used by the test's own goroutine; callers have their own
 	net     *packets.Memory
 	store   *entryStore
 	entries []*seriesEntry
@@ -42,9 +42,9 @@
 	// revision is that of the newest catalog.
 	revision atomic.Int64
 
-	mu      sync.Mutex
-	ran     []run
-	refused float64 // units that were refused
+	mu      sync.Mutex // guards ran and refused, and entries while one is added
+	ran     []run      // requests that ran, or will
+	refused float64    // units that were refused
 }
 
 // limit is an account's limit and the time for which it applied.
--- a/pkg/planner/advice.go
+++ b/pkg/planner/advice.go
@@ -111,7 +111,7 @@
 // admits).
 const backoffRetention = 10 * clock.Second
 
-// pruneBackoffs removes all back-offs once the last has ended long ago.
+// pruneBackoffs removes all back-offs once the last has ended for backoffRetention.
 func (p *Planner) pruneBackoffs(now clock.Millis) {
 	if p.backoffUntil == 0 || now < p.backoffUntil+backoffRetention {
 		return
--- a/pkg/planner/place.go
+++ b/pkg/planner/place.go
@@ -43,7 +43,7 @@
 	remaining := p.queue.jobs[:0]
 	for _, w := range p.queue.jobs {
 		var t *target
-		if len(c.available) > 0 && !p.mustWait(now, w) && !p.trial.closed(w) {
+		if len(c.available) > 0 && !p.mustWait(now, w) && !p.trial.canaryOnly(w) {
 			t = p.cheapest(now, &c, w)
 		}
 		if t == nil {
--- a/pkg/planner/trial.go
+++ b/pkg/planner/trial.go
@@ -162,8 +162,9 @@
 	t.totalCredit--
 }
 
-// closed reports whether a job is not given to other than canary targets any more.
-func (t *trial) closed(w *queuedJob) bool {
+// canaryOnly reports whether a job may go only to canary targets: it could not be re-dispatched, and the other targets
+// get no such job any more.
+func (t *trial) canaryOnly(w *queuedJob) bool {
 	return t.NoUnrepeatable && !w.Movable
 }
 
@@ -197,7 +198,7 @@
 	if credit >= overdueCredit || now < p.trial.fillUntil && p.trial.totalCredit >= 1 && credit >= 1-maxOverdraft {
 		return true
 	}
-	return p.trial.closed(w) || p.trial.UnrepeatableUntil > 0 && !w.Movable && p.outlasts(now, w)
+	return p.trial.canaryOnly(w) || p.trial.UnrepeatableUntil > 0 && !w.Movable && p.outlasts(now, w)
 }
 
 // chooseFillTarget chooses the next target to be filled once enough credit is saved: of those filled least often, one
@@ -250,6 +251,7 @@
 	}
 	o := Observation{Incarnation: r.target.Incarnation(), Route: r.Route, Trial: r.canary, Failed: outcome == Failed, Factor: r.target.factor.get()}
 	o.Loaded = float64(r.concurrency) >= loadedFraction*float64(r.target.capacity())
+	// The job is expected to have run beside as many as the mean of those at its grant and now.
 	expected := p.timings.firstEventTime(r.promptAhead) + float64(flow.Events)*p.timings.eventInterval((r.concurrency+len(r.target.runs))/2)
 	o.Ratio = float64(max(0, now-r.grantedAt-flow.Stalled)) / max(1, expected)
 	switch {
--- a/pkg/quota/retry_budget.go
+++ b/pkg/quota/retry_budget.go
@@ -8,7 +8,7 @@
 )
 
 // RetryBounds limit the retries at a service in a window, over all entries:
-// Ratio of the requests for it, and Slack on top.
+// Ratio is their fraction of the requests for it, and Slack a number of retries on top.
 type RetryBounds struct {
 	Ratio  float64
 	Slack  float64
@@ -19,7 +19,7 @@
 // where one window may contain what entries sent in two of theirs.
 const usableFraction = 0.7
 
-// windowSteps is the number of steps into which a window is divided.
+// windowSteps is the number of steps into which a RetryBudget divides the window of its bounds.
 const windowSteps = 10
 
 // RetryBudget counts requests and retries by service. Each entry may retry in proportion to its own requests, so that
--- a/pkg/schedule/schedule.go
+++ b/pkg/schedule/schedule.go
@@ -49,5 +49,5 @@
 type Scheduler interface {
 	// Acquire waits for an assignment. It returns an error if ctx ended first, and a
 	// refusal if the request should be retried later.
-	Acquire(ctx context.Context, ask Request) (Assignment, *Refused, error)
+	Acquire(ctx context.Context, request Request) (Assignment, *Refused, error)
 }
