--- a/pkg/planner/load_test.go
+++ b/pkg/planner/load_test.go
@@ -153,9 +153,10 @@
 	)
 	first := cmp.Or(*waitSeed, rand.Uint64())
 	scenarios := []struct {
-		times float64 // the load as a multiple of the normal one
-		bound float64 // largest binary logarithm, of either sign, of the median of estimate by wait
-		seeds uint64  // number of simulations
+		// times is the load as a multiple of the normal one, and bound the largest binary logarithm, of either sign, of
+		// the median of estimate by wait.
+		times, bound float64
+		seeds        uint64 // number of simulations
 	}{{0.5, 1.5, 16}, {1, 1.5, 48}, {1.2, 1.5, 48}, {1.5, 1.5, 160}, {2, 1.5, 32}, {4, 3, 64}}
 	for _, s := range scenarios {
 		t.Run(fmt.Sprint(s.times), func(t *testing.T) {
