--- a/pkg/planner/cold_test.go
+++ b/pkg/planner/cold_test.go
@@ -29,7 +29,7 @@
 			if got := s.bounds.Rate(service, planner.Agreement{Fraction: 1}); math.Abs(got-s.rate) > 1e-9 {
 				t.Errorf("%.3f per second, want %.3f", got, s.rate)
 			}
-			limit := max(1, s.bounds.Over)*s.perSecond + s.bounds.Slack
+			limit := max(1, s.bounds.Over)*s.perSecond + s.bounds.Slack // a tenth of it is left for late requests
 			if both := s.bounds.Rate(service, planner.Agreement{Fraction: 1}) + s.bounds.Rate(service, planner.Agreement{Fraction: 1, JustStarted: true}); both > 0.9*limit {
 				t.Errorf("two owners grant %.1f per second, limit %.1f", both, limit)
 			}
