--- a/pkg/dispatch/messages.go
+++ b/pkg/dispatch/messages.go
@@ -106,6 +106,6 @@
 	Movable     bool // as in planner.Job
 }
 
-// itemsPerPage is the number of items of a syncMessage that always fit into one datagram. Requests are spread over pages
-// by their numbers, so that a page may have more.
+// itemsPerPage is the number of items of a syncMessage that always fit into one datagram. Requests are spread over
+// pages by their numbers, so that a page may have more.
 const itemsPerPage = 14
