--- a/pkg/planner/floor.go
+++ b/pkg/planner/floor.go
@@ -17,7 +17,7 @@
 const (
 	// floorHold is how long lower tiers wait after a refusal. Each further refusal renews it.
 	floorHold = 250 * clock.Millisecond
-	// floorSlots is the hold in numbers of released slots, which replaces floorHold if that is shorter and some
+	// floorSlots is the hold in numbers of released slots, which replaces floorHold where it takes longer and some
 	// targets are cold or report a rate limit: there refusals are as rare as released slots, and between two of them
 	// lower tiers would get slots for which higher ones were refused.
 	floorSlots = 10.0
@@ -25,7 +25,8 @@
 	maxFloorHold = 2 * clock.Second
 )
 
-// holdAfterRefusal returns how long lower tiers wait after a refusal.
+// holdAfterRefusal returns how long lower tiers wait after a refusal: longer than floorHold only if some targets are
+// cold or report a rate limit (see floorSlots).
 func (p *Planner) holdAfterRefusal(now clock.Millis) clock.Millis {
 	if len(p.rateLimited) == 0 {
 		return floorHold
