--- a/pkg/dispatch/messages.go
+++ b/pkg/dispatch/messages.go
@@ -78,13 +78,13 @@
 	Number   uint64
 	Service  ids.Service
 	Progress progress
-	Outcome  planner.Outcome
+	Outcome  planner.Outcome     // set with done
 	Flow     planner.StreamStats // set with done
 	Load     *planner.Load       // set with begun, if the target reported it
 }
 
 // syncMessage lists an entry's running requests on the targets of a service. It has those
-// whose number modulo Pages is Page.
+// whose number modulo Pages is Page, so that the owner can apply each page without the others.
 type syncMessage struct {
 	_       struct{} `cbor:",toarray"`
 	Service ids.Service
@@ -106,5 +106,6 @@
 	Movable     bool // as in planner.Job
 }
 
-// itemsPerPage is the number of items that always fit into one datagram.
+// itemsPerPage is the number of items of a syncMessage that always fit into one datagram. Requests are spread over
+// pages by their numbers, so that a page may have more.
 const itemsPerPage = 14
--- a/pkg/dispatch/pending.go
+++ b/pkg/dispatch/pending.go
@@ -12,7 +12,8 @@
 	"quaydock/pkg/schedule"
 )
 
-// pending is a request that waits for an assignment.
+// pending is a request that waits for an assignment. Only the goroutine in Acquire uses its fields, apart from the
+// sends on decisions.
 type pending struct {
 	request   schedule.Request
 	number    uint64
@@ -93,7 +94,7 @@
 
 // register gives a request a new number, by which the owner identifies it.
 func (d *Dispatcher) register(p *pending) {
-	const unread = 8 // decisions not read yet
+	const unread = 8 // decisions that Acquire has not read yet; receiveDecision drops further ones
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.lastNumber++
@@ -121,8 +122,8 @@
 	return sendToOwner(d, w.Service, packets.KindJobSubmit, d.owner.receiveSubmit, &message)
 }
 
-// decline returns a grant for a target that must not be used, and excludes the target. The request
-// goes on under a new number.
+// decline returns a grant for a target that must not be used (see usableTarget), and excludes the target. The owner
+// gets the outcome Moved, which counts against the target. The request goes on under a new number.
 func (d *Dispatcher) decline(p *pending, incarnation ids.TargetIncarnation) {
 	d.Metrics.Links.Add("grants_declined", 1)
 	p.request.Exclude = append(slices.Clone(p.request.Exclude), incarnation)
--- a/pkg/planner/cold_test.go
+++ b/pkg/planner/cold_test.go
@@ -29,7 +29,7 @@
 			if got := s.bounds.Rate(service, planner.Agreement{Fraction: 1}); math.Abs(got-s.rate) > 1e-9 {
 				t.Errorf("%.3f per second, want %.3f", got, s.rate)
 			}
-			limit := max(1, s.bounds.Over)*s.perSecond + s.bounds.Slack
+			limit := max(1, s.bounds.Over)*s.perSecond + s.bounds.Slack // a tenth of it is left for late requests
 			if both := s.bounds.Rate(service, planner.Agreement{Fraction: 1}) + s.bounds.Rate(service, planner.Agreement{Fraction: 1, JustStarted: true}); both > 0.9*limit {
 				t.Errorf("two owners grant %.1f per second, limit %.1f", both, limit)
 			}
@@ -50,8 +50,8 @@
 	p.SetTargets(start, []*routing.Target{
 		{ID: "cold", Service: "s", Slots: 4, ColdUntil: warmAt}, {ID: "warm", Service: "s", Slots: 4},
 	})
-	given := map[string]int{}
-	for i := range 800 {
+	given := map[string]int{} // by "cold" or "warm" at the time of the grant, and by target
+	for i := range 800 {      // one job every 5 ms, 600 of them before warmAt
 		now := start + clock.Millis(i)*5
 		j := job(uint64(i), 0)
 		j.Arrived, j.Deadline = now, now+clock.Second
--- a/pkg/planner/limit.go
+++ b/pkg/planner/limit.go
@@ -54,7 +54,8 @@
 	}
 }
 
-// burst returns how many jobs a limited target may get at once.
+// burst returns how many jobs a limited target may get at once: one if most entries do not agree, since other owners
+// may then grant at the same time.
 func (a Agreement) burst() float64 {
 	if a.majority() {
 		return limitBurst
@@ -84,7 +85,8 @@
 	return t.rateLimit, t.rateLimit.Differs(before)
 }
 
-// withinLimit reports whether a target may get one more job under the limit that it reported.
+// withinLimit reports whether a target may get one more job under the limit that it reported. While the rate is 0 it
+// gets none, also if its bucket still holds tokens.
 func (p *Planner) withinLimit(now clock.Millis, t *target) bool {
 	if t.limitBucket == nil {
 		return true
--- a/pkg/planner/place.go
+++ b/pkg/planner/place.go
@@ -43,7 +43,7 @@
 	remaining := p.queue.jobs[:0]
 	for _, w := range p.queue.jobs {
 		var t *target
-		if len(c.available) > 0 && !p.mustWait(now, w) && !p.trial.closed(w) {
+		if len(c.available) > 0 && !p.mustWait(now, w) && !p.trial.canaryOnly(w) {
 			t = p.cheapest(now, &c, w)
 		}
 		if t == nil {
@@ -101,7 +101,7 @@
 	avoidFailing bool      // enough targets are healthy to do without the failing ones
 	// lowestFactor is that of the fastest target that is not ejected, busy or not; valid if known is set.
 	lowestFactor float64
-	known        bool
+	known        bool // at least one target is not ejected
 }
 
 // findCandidates examines all targets. Those ejected are left out while enough others are healthy.
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -12,10 +12,10 @@
 type Planner struct {
 	random       *rand.Rand
 	targets      map[ids.TargetIncarnation]*target // those offered, and others until their runs have ended
-	incarnations map[ids.Target]*incarnations
-	offered      []*target // in the order passed to SetTargets
-	eligible     []*target // offered targets that may get any job: neither draining nor on trial
-	slots        int       // total slots of the eligible targets
+	incarnations map[ids.Target]*incarnations      // of each target in targets
+	offered      []*target                         // in the order passed to SetTargets
+	eligible     []*target                         // offered targets that may get any job: neither draining nor on trial
+	slots        int                               // total slots of the eligible targets
 	trial        trial
 	cold         coldLimit
 	agreement    Agreement
@@ -97,7 +97,8 @@
 }
 
 // Tick performs the work that depends on time alone: stuck targets, expired jobs and jobs that can no longer be in
-// time. It is to be called periodically.
+// time. It is to be called periodically. Jobs that are past their deadline, or that no Submit has repeated for
+// pollTimeout, are dropped without a decision.
 func (p *Planner) Tick(now clock.Millis) {
 	for _, t := range p.eligible {
 		if t.stuck(now, &p.timings) {
--- a/pkg/planner/runs.go
+++ b/pkg/planner/runs.go
@@ -29,7 +29,7 @@
 }
 
 // RecordFirstEvent records the first event of a job's answer, and the load that its target reported with it, if
-// any.
+// any. It ignores a job that is not running or whose first event is known.
 func (p *Planner) RecordFirstEvent(now clock.Millis, id JobID, load *Load) {
 	r := p.runs[id]
 	if r == nil || r.hasFirstEvent {
@@ -57,6 +57,7 @@
 	t := r.target
 	p.observe(now, r, outcome, flow)
 	if r.hasFirstEvent && flow.Events >= minEvents && !r.canary {
+		// The number of concurrent runs is the mean of those at the grant and now.
 		p.timings.learnInterval(&t.factor, (r.concurrency+len(t.runs))/2, float64(now-r.firstEventAt)/float64(flow.Events))
 		p.timings.learnPrefillStall(t.factor.get(), r.maxBacklog, len(t.runs), flow.LongestGap)
 	}
@@ -123,7 +124,8 @@
 	p.forgetBackoffs(entry)
 }
 
-// abandon ends the runs of an entry for which gone returns true.
+// abandon ends the runs of an entry for which gone returns true. Finish changes p.runs during the range, which Go
+// permits for maps; the range may also reach a run of the entry that is granted in a freed slot.
 func (p *Planner) abandon(now clock.Millis, entry string, gone func(*run) bool) {
 	for id, r := range p.runs {
 		if id.Entry == entry && gone(r) {
