--- a/pkg/advisory/backoff.go
+++ b/pkg/advisory/backoff.go
@@ -17,8 +17,9 @@
 	maxBackoff = 366 * 24 * 3600 * clock.Second
 )
 
-// ReadBackoff returns for how long the target that sent an answer wants no requests, by the answer's header. If there
-// are several values, it returns the longest time. The field is HTTP's Retry-After, with fractions of seconds allowed.
+// ReadBackoff returns for how long the target that sent an answer wants no requests, by the answer's header; 0 if it
+// asks for no back-off. If there are several values, it returns the longest time. The field is HTTP's Retry-After, with
+// fractions of seconds allowed.
 func ReadBackoff(h http.Header) clock.Millis {
 	var longest clock.Millis
 	for _, value := range h[headerRetryAfter] {
--- a/pkg/advisory/incarnation.go
+++ b/pkg/advisory/incarnation.go
@@ -38,7 +38,7 @@
 	seen  reportTime // when it was asked for; of several that were merged, the latest
 }
 
-// setLeaving records that the target is leaving, and reports whether that is new.
+// setLeaving records that the target is leaving, and reports whether that is new. The tracker's lock is held.
 func (r *incarnationState) setLeaving(at reportTime) bool {
 	isNew := !r.leaving
 	r.leaving, r.leavingSeen = true, r.leavingSeen.latest(at)
@@ -46,7 +46,7 @@
 }
 
 // mergeLimit merges a report of the limit with the one in force before, keeps the result, and reports whether the limit
-// changes.
+// changes. The tracker's lock is held.
 func (r *incarnationState) mergeLimit(now clock.Millis, before, w ratelimit.Report) bool {
 	r.limit = before.Merge(w)
 	changed := r.limit.Differs(before)
@@ -57,7 +57,8 @@
 }
 
 // addBackoff records that the target wants no requests for a time. It drops back-offs that have ended, or end no later
-// than this one. If maxBackoffs longer ones are kept already, the shortest of them stands for it.
+// than this one. If maxBackoffs longer ones are kept already, the shortest of them stands for it. The tracker's lock is
+// held.
 func (r *incarnationState) addBackoff(now, long clock.Millis, at reportTime) {
 	if long <= 0 {
 		return
@@ -72,7 +73,7 @@
 	last.seen = last.seen.latest(at)
 }
 
-// backoffLeft returns the remaining time of the longest back-off.
+// backoffLeft returns the remaining time of the longest back-off, 0 if there is none.
 func (r *incarnationState) backoffLeft(now clock.Millis) clock.Millis {
 	if len(r.backoffs) == 0 {
 		return 0
@@ -113,7 +114,8 @@
 	return leaving, left
 }
 
-// unclearLeft returns for how much longer a report counts that may be an incarnation's or its former one's.
+// unclearLeft returns for how much longer a report counts that may be an incarnation's or its former one's: for
+// unclearHold after the incarnation was first seen on the target list, or all of it if it is not the one seen there.
 func (r *incarnationState) unclearLeft(incarnation ids.TargetIncarnation, now clock.Millis) clock.Millis {
 	if r.next != incarnation {
 		return unclearHold
@@ -122,7 +124,7 @@
 }
 
 // setListed takes what is listed under the target's id, nil if nothing is: a new incarnation as next, and the present
-// time as listedAt if the report that it leaves, or the limit, applies to what is listed.
+// time as listedAt if the report that it leaves, or the limit, applies to what is listed. The tracker's lock is held.
 func (r *incarnationState) setListed(now clock.Millis, listed *routing.Target) {
 	if listed == nil {
 		return
--- a/pkg/advisory/limit.go
+++ b/pkg/advisory/limit.go
@@ -42,7 +42,8 @@
 }
 
 // MergeOwnerLimit takes the limit of an incarnation that the owner of its service knows from other entries, and returns
-// the status that is in force then. It does not call the function of OnChange.
+// the status that is in force then. It does not call the function of OnChange, which would send the limit back to that
+// owner. A limit that changes nothing leaves no trace.
 func (tr *Tracker) MergeOwnerLimit(incarnation ids.TargetIncarnation, w ratelimit.Report) Status {
 	s := tr.Status(incarnation)
 	if tr == nil || !w.Known || s.Limit.Merge(w) == s.Limit || !w.IsLimited() && !s.Limit.IsLimited() {
@@ -69,8 +70,8 @@
 }
 
 // limitMayBeOf reports whether the limit that was taken for a former incarnation's may be that of an incarnation that
-// this entry had not read yet. A limit that is applied in error ends with the first answer; one that is omitted in
-// error lets as many requests as there are free slots go to the target.
+// this entry had not read of yet, by when it was reported. A limit that is applied in error ends with the first answer;
+// one that is omitted in error lets as many requests as there are free slots go to the target.
 func (r *incarnationState) limitMayBeOf(incarnation ids.TargetIncarnation) bool {
 	return r.limit.IsLimited() && r.limitSeen.senderOf(incarnation.Start) != formerIncarnation
 }
--- a/pkg/advisory/tracker.go
+++ b/pkg/advisory/tracker.go
@@ -31,7 +31,7 @@
 	// stateCount is the number of states: while no target gives advice, checking it is a request's only cost.
 	stateCount atomic.Int64
 
-	mu     sync.RWMutex
+	mu     sync.RWMutex                       // guards states, and what they point to
 	states map[ids.Target][]*incarnationState // those of one target in the order in which they were added
 }
 
@@ -40,11 +40,13 @@
 	return &Tracker{Common: c, sampler: telemetry.NewSampler(c.Clock, c.Log, logLinesPerSecond), states: make(map[ids.Target][]*incarnationState)}
 }
 
-// OnChange sets the function that is called when an answer changes the status of an incarnation.
+// OnChange sets the function that is called, without the lock, when an answer changes the status of an incarnation. It
+// must be called before the first answer is observed.
 func (tr *Tracker) OnChange(onChange func(Status)) { tr.onChange = onChange }
 
 // Observe takes the advice in an answer from an incarnation of a target. Connected is the Unix time in ms at which the
-// answer's connection was made, 0 if unknown. The id of the request is for logs.
+// answer's connection was made, 0 if unknown. The id of the request is for logs. An answer without advice matters only
+// if the incarnation has reported a limit, which it lifts.
 func (tr *Tracker) Observe(incarnation ids.TargetIncarnation, connected ids.Start, request string, a Advice) {
 	if tr == nil || a.Empty() && (tr.stateCount.Load() == 0 || !tr.hasReportedLimit(incarnation)) {
 		return
@@ -82,7 +84,8 @@
 	return r
 }
 
-// logAdvice logs and counts advice that is new for an incarnation, not advice that its further answers repeat.
+// logAdvice logs and counts advice that is new for an incarnation, not advice that its further answers repeat: leaves
+// says that it had not reported before that it leaves, begins that it had no back-off before this one.
 func (tr *Tracker) logAdvice(request string, s Status, leaves, begins bool) {
 	if leaves {
 		tr.log("leaving", "target reports that it is leaving", s, logrus.Fields{telemetry.FieldRequest: request})
@@ -92,7 +95,7 @@
 	}
 }
 
-// logLimit logs and counts a limit that is new, changed or lifted, and one that is unreadable.
+// logLimit logs and counts a limit that is new, changed or lifted, and one that is unreadable. It may add to fields.
 func (tr *Tracker) logLimit(fields logrus.Fields, s Status, changed, unreadable bool) {
 	switch {
 	case unreadable:
--- a/pkg/membership/heartbeats.go
+++ b/pkg/membership/heartbeats.go
@@ -22,7 +22,8 @@
 	// entry that has just started, or whose set of alive entries has changed, sends early instead of waiting for
 	// heartbeatInterval: until entries agree on who is alive, each plans by itself and gives out only a fraction.
 	minHeartbeatGap = 20 * clock.Millisecond
-	// aliveHeartbeats is for how many heartbeat intervals an entry counts as alive: two heartbeats may be lost.
+	// aliveHeartbeats is for how many heartbeat intervals, and half of heartbeatInterval more, an entry counts as alive
+	// after its last heartbeat: two heartbeats may be lost.
 	aliveHeartbeats = 3
 )
 
@@ -75,7 +76,7 @@
 	}
 }
 
-// interval is scaledInterval for a caller that does not hold the lock.
+// interval returns the time between two regular heartbeats, for a caller that does not hold the lock.
 func (m *Members) interval() clock.Millis {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -184,7 +185,8 @@
 	}
 }
 
-// maxUnlistedPeers limits how many addresses of unlisted peers are remembered.
+// maxUnlistedPeers limits how many addresses are remembered of entries that sent a heartbeat before the list was read;
+// further ones are ignored.
 const maxUnlistedPeers = 8
 
 // recordUnlistedPeer remembers the address of an entry that sent a heartbeat, as long as the list is empty. The lock is
@@ -227,7 +229,7 @@
 	}
 }
 
-// Leave announces to the others that this entry takes no new work and will end.
+// Leave announces to the others, with the next heartbeats, that this entry takes no new work and will end.
 func (m *Members) Leave() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/membership/heavy.go
+++ b/pkg/membership/heavy.go
@@ -87,11 +87,11 @@
 }
 
 const (
-	// lagEnterMs is the lateness above which an owner is of no use: entries that query it wait so long for an answer
-	// before they place by their own counts.
+	// lagEnterMs is the average lateness of timers above which an owner is of no use: entries that query it wait so
+	// long for an answer before they place by their own counts.
 	lagEnterMs = 45.0
-	// lagExitMs is the lateness below which the entry has caught up, and minLagDuration the least time for which it
-	// counts as lagging, so that a shard does not move back and forth.
+	// lagExitMs is the average lateness below which the entry has caught up, and minLagDuration the least time for
+	// which it counts as lagging after lagEnterMs was last exceeded, so that a shard does not move back and forth.
 	lagExitMs      = 12.0
 	minLagDuration = 10 * clock.Second
 	// lagSmoothing is the weight of the newest sample: with a timer each 25 ms the last half second counts, so that a
@@ -101,7 +101,8 @@
 	maxLagSampleMs = 250.0
 )
 
-// observe adds a sample of a timer's lateness and reports whether lagging has changed.
+// observe adds a sample of a timer's lateness, both in ms, and reports whether lagging has changed. The lock of Members
+// is held.
 func (l *lag) observe(now, late clock.Millis) bool {
 	l.averageMs += lagSmoothing * (min(float64(max(0, late)), maxLagSampleMs) - l.averageMs)
 	before := l.lagging
--- a/pkg/membership/joining.go
+++ b/pkg/membership/joining.go
@@ -7,7 +7,8 @@
 	// listedAt is when this entry last read a list without its row; 0 if the first list that it read had the row from
 	// an earlier run, in which case the others count it already.
 	listedAt clock.Millis
-	// counted is set once most others have been seen to count it, and stays set as long as the row is listed.
+	// counted is set once more than half of the others have sent this entry a heartbeat since listedAt, which they do
+	// only if they count it. It stays set as long as the row is listed.
 	counted bool
 }
 
--- a/pkg/membership/lease.go
+++ b/pkg/membership/lease.go
@@ -107,7 +107,8 @@
 	For    clock.Millis
 }
 
-// pendingSilenceQuery collects the others' replies about an entry without a recent heartbeat.
+// pendingSilenceQuery collects the others' replies about an entry without a recent heartbeat. The lock of Members
+// guards it.
 type pendingSilenceQuery struct {
 	began   clock.Millis                 // when it was sent
 	answers map[ids.Process]clock.Millis // time since the last heartbeat that each has received
--- a/pkg/membership/listing.go
+++ b/pkg/membership/listing.go
@@ -17,8 +17,8 @@
 	// others receive its heartbeats (lease.go).
 	ForgetAfter = 8 * clock.Second
 
-	// writeTimeout limits a call to the store. minBackoff and maxBackoff limit the pause before this entry tries again
-	// to write its row.
+	// writeTimeout limits one write to the table of entries, by a registrar too. minBackoff and maxBackoff limit the
+	// pause before this entry tries again to write its row.
 	writeTimeout = clock.Second
 	minBackoff   = 50 * clock.Millisecond
 	maxBackoff   = 3 * clock.Second
@@ -51,7 +51,7 @@
 	return m.ownRowListed
 }
 
-// write writes this entry's row, and tries again until it succeeds or ctx ends.
+// write writes this entry's row without a registrar, and tries again until it succeeds or ctx ends.
 func (m *Members) write(ctx context.Context) {
 	row, err := Listing{Address: m.address.String(), Weight: m.weight, Domain: m.domain}.encode()
 	if err != nil {
@@ -80,7 +80,8 @@
 }
 
 // removableEntries returns the entries whose rows this entry is to remove, and sends silence queries about those that
-// need confirmation. Only the first by name of the alive entries removes any.
+// need confirmation. Only the first by name of the alive entries removes any. An entry never heard of counts as silent
+// from when it was first seen on the list.
 func (m *Members) removableEntries() []ids.Process {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -121,7 +122,7 @@
 
 // remove deletes the rows of entries without a heartbeat from the store. Rows of entries that were partitioned
 // together are removed in one call: each change of the list costs a message to every other entry, and a query by
-// those that miss it.
+// those that miss it. If the call fails, the next check, after listCheckInterval, tries again.
 func (m *Members) remove(ctx context.Context, names []ids.Process) {
 	keys := make([]string, 0, len(names))
 	for _, name := range names {
--- a/pkg/membership/listing_row.go
+++ b/pkg/membership/listing_row.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// maxDomainBytes limits the name of a failure domain.
+	// maxDomainBytes limits the name of a failure domain; a row with a longer one is invalid.
 	maxDomainBytes = 200
 	// maxWeight exceeds the number of cores of any VM. Without a limit, a row put there by another writer could make
 	// its entry the owner of all shards.
--- a/pkg/membership/members.go
+++ b/pkg/membership/members.go
@@ -25,11 +25,12 @@
 	Remove(ctx context.Context, keys ...string) error
 }
 
-// member is one listed entry.
+// member is one listed entry. The lock of Members guards it. Its times, without lastTimestamp, are by this process's
+// clock.
 type member struct {
 	name        ids.Process
-	address     netip.AddrPort
-	lastAliveAt clock.Millis // when its last heartbeat arrived; 0 while it is suspected
+	address     netip.AddrPort // of its row; heartbeats, probes and silence replies in its name count only from there
+	lastAliveAt clock.Millis   // when its last heartbeat arrived; 0 while it is suspected
 	// lastHeartbeatAt is when its last heartbeat arrived; unlike lastAliveAt it is kept while the entry is suspected.
 	lastHeartbeatAt clock.Millis
 	lastTimestamp   timestamp    // of its last heartbeat
@@ -42,8 +43,9 @@
 	suspectedAt [maxSuspicions]clock.Millis
 	// aliveDigest is the hash of its membership view: the set of entries that it takes for alive.
 	aliveDigest uint64
-	weight      float64
-	domain      ids.FailureDomain
+	// weight and domain are those of its Listing.
+	weight float64
+	domain ids.FailureDomain
 	// leaving is set once it has announced that it will end.
 	leaving bool
 	// lagging is set while its timers fire late.
@@ -76,8 +78,8 @@
 	mu           sync.Mutex
 	list         map[ids.Process]*member // listed entries, this one included once its row has been read
 	faults       *follow.Faults          // invalid rows of the list
-	sampler      *telemetry.Sampler
-	ownRowListed bool // this entry's own row is present and correct
+	sampler      *telemetry.Sampler      // limits the log lines of logRow
+	ownRowListed bool                    // this entry's own row is present and correct
 	joining      joining
 	// registrationAcked is signalled when a registrar has accepted this entry's registration.
 	registrationAcked chan struct{}
@@ -190,7 +192,8 @@
 	return n
 }
 
-// Snapshot replaces the list by all rows of the table. Entries whose rows did not change keep their state.
+// Snapshot replaces the list by all rows of the table. Entries whose rows did not change keep their state, and other
+// entries whose rows are invalid now keep their last valid data.
 func (m *Members) Snapshot(rows []follow.Row, _ follow.Freshness) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -242,7 +245,7 @@
 	return own != nil && own.address == m.address && own.weight == m.weight && own.domain == m.domain
 }
 
-// Changed applies changed and deleted rows.
+// Changed applies changed and deleted rows; all others stay as they are.
 func (m *Members) Changed(rows []follow.Row, _ follow.Freshness) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -287,7 +290,7 @@
 // each would log one line for every other.
 const maxLogLinesPerSecond = 10
 
-// logRow logs a line about the entry of a row, at most maxLogLinesPerSecond of the same text.
+// logRow logs a line about the entry of a row, at most maxLogLinesPerSecond of the same text. The lock is held.
 func (m *Members) logRow(row follow.Row, line string) {
 	if m.sampler.Allow(line) {
 		m.Log.WithField("entry", row.Key).Info(line)
--- a/pkg/membership/owners.go
+++ b/pkg/membership/owners.go
@@ -102,7 +102,8 @@
 	return m.addressOf(owner)
 }
 
-// addressOf returns the address of an alive entry, and whether it is this one. The lock is held.
+// addressOf returns the address of an alive entry, and whether it is this one. Any other name must be on the list. The
+// lock is held.
 func (m *Members) addressOf(name ids.Process) (netip.AddrPort, bool) {
 	if name == m.self {
 		return m.address, true
@@ -131,7 +132,7 @@
 // getting, what all entries need, and this one fetches it from them. The lock is held.
 func (m *Members) awaitsListing() bool { return m.list[m.self] == nil && len(m.alive) > 1 }
 
-// withoutSelf returns a copy of the list without this entry.
+// withoutSelf returns a copy of a list of names, without this entry's.
 func (m *Members) withoutSelf(among []ids.Process) []ids.Process {
 	return slices.DeleteFunc(slices.Clone(among), func(name ids.Process) bool { return name == m.self })
 }
@@ -161,7 +162,8 @@
 	return peers
 }
 
-// noStoreFor is for how long an entry is not chosen to read the store after one of its own queries failed.
+// noStoreFor is for how long an entry is not chosen to read the store after one of its own queries failed, unless a
+// later one is answered before.
 const noStoreFor = 10 * clock.Second
 
 // RecordStoreReply records whether this entry's last query to the store was answered.
--- a/pkg/membership/probes.go
+++ b/pkg/membership/probes.go
@@ -46,7 +46,7 @@
 	// of who is alive.
 	maxSuspicions   = 2
 	suspicionWindow = clock.Minute
-	// maxSuspectsPerDatagram is a number of names that always fits into one datagram.
+	// maxSuspectsPerDatagram is the number of entries named in one suspicion: so many names always fit into a datagram.
 	maxSuspectsPerDatagram = 12
 )
 
@@ -57,7 +57,7 @@
 	Name ids.Process
 }
 
-// suspicion names entries that do not answer the sender's probes.
+// suspicion names entries that do not answer the sender's probes, at most maxSuspectsPerDatagram.
 type suspicion struct {
 	_     struct{} `cbor:",toarray"`
 	Names []ids.Process
@@ -72,7 +72,7 @@
 	suspectedBefore   bool         // the entry counted as gone already when the probe was opened, by Suspect
 }
 
-// probes are this entry's open probes.
+// probes are this entry's open probes. The lock of Members guards them.
 type probes struct {
 	open  map[ids.Process]*probe // by the entry probed, one at a time each
 	ticks int                    // calls of tickProbes while enabled
@@ -80,7 +80,8 @@
 	random *rand.Rand
 	// alarmUntil is until when additional probes are started.
 	alarmUntil clock.Millis
-	// enabled is set if heartbeats are too rare to detect the death of an entry in time.
+	// enabled is set while this entry is listed, or alone, and there are so many entries that the interval between
+	// heartbeats is longer than heartbeatInterval: too long to detect the death of an entry in time.
 	enabled bool
 }
 
@@ -183,7 +184,7 @@
 	return m.probes.enabled && now-max(m.lastHeartbeatAt, m.startedAt) > isolationTimeout
 }
 
-// timeout returns how long the answer to the last request is awaited.
+// timeout returns how long after its last request a probe is continued or given up without an answer.
 func (p *probe) timeout() clock.Millis {
 	if p.suspected {
 		return recheckInterval
@@ -198,7 +199,8 @@
 	m.link.Send(other.address, packets.KindProbe, probeRequest{Name: m.self})
 }
 
-// handleProbe sends the requested heartbeat.
+// handleProbe sends the requested heartbeat. It sends none to an entry that is not listed at that address, and none
+// while this one waits for its own listing.
 func (m *Members) handleProbe(from netip.AddrPort, q *probeRequest) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -232,7 +234,8 @@
 	return m.names
 }
 
-// probe opens a probe of an entry unless one is open already. The lock is held.
+// probe opens a probe of an entry and sends the first request, unless one is open already. With notifyOthers, the
+// others are notified if it does not answer. The lock is held.
 func (m *Members) probe(now clock.Millis, name ids.Process, notifyOthers bool) {
 	other := m.list[name]
 	if other == nil || name == m.self || m.probes.open[name] != nil {
@@ -243,7 +246,8 @@
 	m.sendProbe(now, other, p)
 }
 
-// sendSuspicions notifies the others of the entries that do not answer.
+// sendSuspicions notifies the others of the entries that do not answer, a page of them in each datagram. The lock need
+// not be held.
 func (m *Members) sendSuspicions(silent []ids.Process, others []netip.AddrPort) {
 	for len(silent) > 0 {
 		page := silent[:min(len(silent), maxSuspectsPerDatagram)]
@@ -254,7 +258,8 @@
 	}
 }
 
-// handleSuspicion probes entries that another entry reports as not answering. It does not notify others of the result.
+// handleSuspicion probes the entries that another one reports as not answering, if they still count as alive by their
+// heartbeats here. It does not notify others of the result: the one that reported has notified all.
 func (m *Members) handleSuspicion(_ netip.AddrPort, s *suspicion) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/membership/rank.go
+++ b/pkg/membership/rank.go
@@ -25,6 +25,7 @@
 func (m *Members) score(name ids.Process, shard string) float64 {
 	weight := m.weightOf(name)
 	const steps = 1 << 53
+	// The upper 53 bits of the hash are as many as a float64 holds exactly.
 	draw := (float64(xxhash.Sum64String(string(name)+"\x00"+shard)>>11) + 1) / (steps + 1) // within (0, 1)
 	// Squared, since a weak VM should mostly be left to its callers' requests.
 	return -weight * weight / math.Log(draw)
--- a/pkg/membership/registration.go
+++ b/pkg/membership/registration.go
@@ -44,7 +44,7 @@
 	Name ids.Process
 }
 
-// registrations are the rows that a registrar has yet to write.
+// registrations are the rows that this entry has yet to write as a registrar. The lock of Members guards them.
 type registrations struct {
 	pending map[ids.Process]Listing // by the entry to be listed
 	wake    chan struct{}           // has room for one signal, that a row was queued
@@ -106,7 +106,8 @@
 	return addresses
 }
 
-// handleRegistration queues the row of an entry that asks for registration.
+// handleRegistration queues the row of an entry that asks for registration, and confirms it. An entry that may not be
+// on the list itself does neither.
 func (m *Members) handleRegistration(from netip.AddrPort, r *registration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -121,7 +122,7 @@
 	}
 }
 
-// handleRegistrationAck records that a registrar will write this entry's row.
+// handleRegistrationAck records that a registrar will write this entry's row. It never blocks.
 func (m *Members) handleRegistrationAck(_ netip.AddrPort, t *registrationAck) {
 	if t.Name != m.self {
 		return
@@ -151,7 +152,7 @@
 	}
 }
 
-// nextBatch takes up to maxBatchRows queued rows.
+// nextBatch takes up to maxBatchRows queued rows off the queue, in no particular order.
 func (m *Members) nextBatch() map[ids.Process]Listing {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -166,7 +167,8 @@
 	return batch
 }
 
-// writeBatch writes rows in one transaction. If the write fails, their entries ask again later.
+// writeBatch writes rows in one transaction. If the write fails, it is not repeated: entries that don't see their rows
+// within listingTimeout write them themselves.
 func (m *Members) writeBatch(ctx context.Context, batch map[ids.Process]Listing) {
 	if len(batch) == 0 {
 		return
--- a/pkg/quarantine/accounts.go
+++ b/pkg/quarantine/accounts.go
@@ -31,13 +31,13 @@
 )
 
 // accountState is what is known of one account: the number of its records, how many of them are quarantined, and its
-// state on each route.
+// state on each route. The register's lock guards it.
 type accountState struct {
 	records, held int
 	routes        map[ids.Route]*routeState
 }
 
-// route returns the state of the account on a route, and creates it if necessary.
+// route returns the state of the account on a route, and creates it if necessary. The caller holds the register's lock.
 func (a *accountState) route(route ids.Route) *routeState {
 	c := a.routes[route]
 	if c == nil {
@@ -50,19 +50,20 @@
 	return c
 }
 
-// routeState is what is known of one account on one route.
+// routeState is what is known of one account on one route. The register's lock guards it, also in its methods.
 type routeState struct {
 	// heldAt are the moments at which the last requests were quarantined, the oldest first; 0 where there was none.
 	heldAt [accountHeldThreshold]clock.Millis
 	// The account is suspected until suspectUntil, and its next exclusive run may begin at freeAt. pause is the time
-	// between the last target end and freeAt.
+	// between the last target end and freeAt. All are 0 before the first suspicion.
 	suspectUntil, freeAt, pause clock.Millis
 	// succeeded are the requests completed while the account was suspected.
 	succeeded map[Digest]bool
 }
 
 // recordHeld records that one more request has been quarantined. The account is suspected once accountHeldThreshold of
-// them fall within accountWindow; one that follows another within minHeldInterval is ignored.
+// them fall within accountWindow; one that follows another within minHeldInterval is ignored. The caller holds the
+// register's lock.
 func (c *routeState) recordHeld(now clock.Millis) {
 	if last := c.heldAt[accountHeldThreshold-1]; last > 0 && now-last < minHeldInterval {
 		return
@@ -75,7 +76,8 @@
 }
 
 // recordEnd records that a target has ended under a request. For a suspected account it extends the suspicion and
-// starts the next, doubled pause; for any other it clears what remains of an earlier suspicion.
+// starts the next, doubled pause; for any other it clears what remains of an earlier suspicion. The caller holds the
+// register's lock.
 func (c *routeState) recordEnd(now clock.Millis) {
 	if !c.suspected(now) {
 		c.pause, c.succeeded = 0, nil
@@ -88,8 +90,8 @@
 
 func (c *routeState) suspected(now clock.Millis) bool { return now < c.suspectUntil }
 
-// recordSuccess records that a request was completed. If there are too many, all known ones are dropped and have to be
-// completed again.
+// recordSuccess records that a request was completed. If there are maxSucceeded already, all known ones are dropped and
+// have to be completed again. The caller holds the register's lock.
 func (c *routeState) recordSuccess(d Digest) {
 	if c.succeeded == nil || len(c.succeeded) >= maxSucceeded {
 		c.succeeded = make(map[Digest]bool)
--- a/pkg/quarantine/exclusive_runs.go
+++ b/pkg/quarantine/exclusive_runs.go
@@ -155,7 +155,7 @@
 	return true
 }
 
-// release releases an exclusive run, whether granted or not; nil is allowed.
+// release releases an exclusive run here and at the owner, if that was asked, whether granted or not; nil is allowed.
 func (x *exclusiveRuns) release(run *exclusiveRun) {
 	if run == nil {
 		return
@@ -203,14 +203,15 @@
 	}
 }
 
-// receiveRelease releases an exclusive run.
+// receiveRelease releases, as the owner, an exclusive run that the entry at from held. If another run holds it by now,
+// it does nothing.
 func (x *exclusiveRuns) receiveRelease(from netip.AddrPort, d *runRelease) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	freeRun(x.granted, d.Digest, runID{from, d.Number})
 }
 
-// prune removes exclusive runs that have expired.
+// prune removes the holders of exclusive runs whose runLimit is over.
 func (x *exclusiveRuns) prune(now clock.Millis) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
--- a/pkg/quarantine/guard.go
+++ b/pkg/quarantine/guard.go
@@ -94,6 +94,7 @@
 	RetryAfter clock.Millis
 }
 
+// refusedHeld returns the refusal of a quarantined request, with the time until it may run once more.
 func (g *Guard) refusedHeld(now clock.Millis, d Digest) *Refused {
 	return &Refused{Held: true, RetryAfter: g.register.ReadyIn(now, d)}
 }
@@ -123,15 +124,16 @@
 }
 
 const (
-	// runWait is how long a suspected request waits for an exclusive run, and runRetryAfter when it may come back
-	// otherwise. The wait for others depends on how long their runs take.
+	// runWait is how long a suspected request waits for an exclusive run, and runRetryAfter the Refused.RetryAfter of
+	// one that waited in vain: when the run becomes free is not known, it depends on how long the runs of others take.
 	runWait       = clock.Second
 	runRetryAfter = 500 * clock.Millisecond
 	// runPollInterval is the time between two checks whether an exclusive run is available.
 	runPollInterval = 20 * clock.Millisecond
 )
 
-// Allows reports whether a request may still run with the permit that Enter returned some time ago.
+// Allows reports whether a request may still run with the permit that Enter returned some time ago. If it has been
+// quarantined since, only the permit of a retrial is enough; if it or its account is suspected, any permit is.
 func (g *Guard) Allows(r Request, p *Permit) bool {
 	s := g.suspicion(r)
 	switch {
@@ -173,7 +175,8 @@
 	return s
 }
 
-// await waits until a request may run that is suspected or quarantined, or whose account is suspected.
+// await waits until a request may run that is suspected or quarantined, or whose account is suspected. Its results are
+// those of Enter.
 func (g *Guard) await(ctx context.Context, r Request) (*Permit, *Refused) {
 	var run *exclusiveRun
 	defer func() { g.runs.release(run) }()
@@ -269,7 +272,8 @@
 	g.logChange(c)
 }
 
-// logChange logs that a request is quarantined from now on, or no longer is.
+// logChange logs and counts that a request is quarantined from now on, or no longer is; of any other change it says
+// nothing.
 func (g *Guard) logChange(c Change) {
 	switch {
 	case c.After == Held && c.Before != Held:
--- a/pkg/quarantine/possible_ends.go
+++ b/pkg/quarantine/possible_ends.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// dropExpired drops possible ends that are too old.
+// dropExpired drops possible ends older than possibleEndWindow.
 func (g *Guard) dropExpired() {
 	now := g.Clock.Now()
 	g.possibleEnds.mu.Lock()
--- a/pkg/quarantine/register.go
+++ b/pkg/quarantine/register.go
@@ -42,8 +42,8 @@
 type Register struct {
 	count atomic.Int64 // of records, so that nothing is locked while there are none
 
-	mu        sync.Mutex
-	storeRead bool
+	mu        sync.Mutex // guards the fields below and the records
+	storeRead bool       // StoreRead has been called
 	records   map[Digest]*trackedRecord
 	accounts  map[ids.Account]*accountState // of the accounts that have records
 	// dropped are the removals of the rows of records that were dropped for lack of space, at most maxAccountRecords.
--- a/pkg/quarantine/register_limits.go
+++ b/pkg/quarantine/register_limits.go
@@ -22,7 +22,8 @@
 	r.count.Store(int64(len(r.records)))
 }
 
-// weakest returns the record with the least evidence: not quarantined, with the fewest ends, and not seen for longest.
+// weakest returns, of the records for which among is true, the one with the least evidence: not quarantined, with the
+// fewest ends, and not seen for longest.
 // The caller holds the lock.
 func (r *Register) weakest(among func(*trackedRecord) bool) *trackedRecord {
 	var weakest *trackedRecord
@@ -34,7 +35,8 @@
 	return weakest
 }
 
-// weaker reports whether a record holds less evidence than another one, in the order that weakest gives.
+// weaker reports whether a record holds less evidence than another one: not quarantined comes first, then fewer ends,
+// then the one that was not seen for longer. The caller holds the register's lock.
 func (e *trackedRecord) weaker(than *trackedRecord) bool {
 	if (e.heldAt > 0) != (than.heldAt > 0) {
 		return than.heldAt > 0
@@ -47,7 +49,8 @@
 	return e.lastSeen < than.lastSeen
 }
 
-// drop removes a record for lack of space, and has Expire return the removal of its row. The caller holds the lock.
+// drop removes a record for lack of space, and has Expire return the removal of its row; beyond maxAccountRecords such
+// removals the row stays in the store. The caller holds the lock.
 func (r *Register) drop(e *trackedRecord) {
 	if e.version > 0 && len(r.dropped) < maxAccountRecords {
 		r.dropped = append(r.dropped, Write{Record: e.clone(), Version: e.version, Remove: true})
@@ -88,7 +91,7 @@
 	return rows
 }
 
-// retention returns how long a record is kept after its request last came.
+// retention returns how long a record is kept after its request last came. The caller holds the register's lock.
 func (e *trackedRecord) retention() clock.Millis {
 	count, _ := e.countEnds()
 	switch {
--- a/pkg/quarantine/register_rows.go
+++ b/pkg/quarantine/register_rows.go
@@ -68,14 +68,15 @@
 // ends have one each.
 const minStoredEnds = 2
 
-// belongsInStore reports whether the store is to hold a record.
+// belongsInStore reports whether the store is to hold a record: it is quarantined or has minStoredEnds. The caller
+// holds the register's lock.
 func (e *trackedRecord) belongsInStore() bool {
 	count, _ := e.countEnds()
 	return count >= minStoredEnds || e.heldAt > 0
 }
 
 // needsWrite reports whether the store's row of a record must be written or removed. It is called for all records, each
-// persistInterval.
+// persistInterval, by a caller that holds the register's lock.
 func (e *trackedRecord) needsWrite() bool {
 	if e.belongsInStore() {
 		return !e.row.covers(&e.Record)
@@ -83,7 +84,7 @@
 	return e.version > 0
 }
 
-// pendingWrite returns the write that a record needs.
+// pendingWrite returns the write that a record needs. The caller holds the register's lock.
 func (e *trackedRecord) pendingWrite() Write {
 	return Write{Record: e.clone(), Version: e.version, Remove: !e.belongsInStore()}
 }
--- a/pkg/quarantine/reports.go
+++ b/pkg/quarantine/reports.go
@@ -13,8 +13,9 @@
 	// reportInterval the pause between. Reports that the store holds are also read from there.
 	reportSends    = 3
 	reportInterval = 150 * clock.Millisecond
-	// maxMessageBytes keeps a message within a datagram. maxMessages limits what is sent to each entry at once: if
-	// hundreds of targets are lost together, thousands of requests have a target end each.
+	// maxMessageBytes keeps a message within a datagram. maxMessages limits the messages sent to each entry at once;
+	// the rest follows after reportInterval. If hundreds of targets are lost together, thousands of requests have a
+	// target end each.
 	maxMessageBytes = 1200
 	maxMessages     = 16
 	// endOverhead and recordOverhead are the bytes that a target end and a record take in addition to their names.
--- a/pkg/rollout/binomial.go
+++ b/pkg/rollout/binomial.go
@@ -26,7 +26,8 @@
 	return n
 }
 
-// binomialTail returns the probability of at least k events in n trials with probability p each.
+// binomialTail returns the probability of at least k events in n trials with probability p each. The normal
+// approximation begins half an event lower, the usual continuity correction.
 func binomialTail(n int, p float64, k int) float64 {
 	if float64(n)*p > normalApproximationMin {
 		const half = 0.5
--- a/pkg/rollout/evaluate.go
+++ b/pkg/rollout/evaluate.go
@@ -56,7 +56,7 @@
 type Finding struct {
 	// Bad says that the version is bad, PossiblyBad that it may be.
 	Bad, PossiblyBad bool
-	Why              string
+	Why              string // the evidence against it, as a text for operators; empty if there is none
 }
 
 // comparison holds how the canary's targets compare with the old version's.
@@ -81,7 +81,8 @@
 }
 
 // compare compares the versions on a subset of the evidence, with recent only on the answers of the last recentWindow.
-// If the old version has too few answers from loaded targets, all of its answers stand for them.
+// If the old version has too few answers from loaded targets, all of its answers stand for them. The canary's answers
+// count as of the last classify.
 func (e *Evidence) compare(sub subset, recent bool) comparison {
 	old := e.oldVersion.byTarget(sub, recent)
 	if sub.loaded && e.oldLoaded < oldLoadedAnswers {
@@ -132,7 +133,8 @@
 }
 
 // trimmedTail returns the probability of at least so many bad answers on all targets but the worst: those with the most
-// bad answers, and among equals those with the fewest answers.
+// bad answers, and among equals those with the fewest answers. rate is the old version's bad rate; tallies is sorted in
+// place.
 func trimmedTail(tallies []tally, rate float64) float64 {
 	slices.SortFunc(tallies, func(a, b tally) int { return cmp.Or(cmp.Compare(b.bad, a.bad), cmp.Compare(a.n, b.n)) })
 	var rest tally
--- a/pkg/rollout/evidence.go
+++ b/pkg/rollout/evidence.go
@@ -44,7 +44,7 @@
 
 // answer is one recent answer.
 type answer struct {
-	at  clock.Millis
+	at  clock.Millis // when the owner recorded it, by its own clock
 	bad bool
 }
 
@@ -78,10 +78,11 @@
 type historyKey struct {
 	incarnation ids.TargetIncarnation
 	route       ids.Route
-	loaded      bool
+	loaded      bool // most slots of the target were taken
 }
 
-// subset selects a part of the evidence: one route if that is set, or loaded targets only.
+// subset selects a part of the evidence: one route if that is set, or only answers of loaded targets, which had most of
+// their slots taken. The zero value selects everything.
 type subset struct {
 	route  ids.Route
 	loaded bool
@@ -206,7 +207,8 @@
 }
 
 // dropTruncated removes the failed answers of an excused incarnation from its typical durations: compared with answers
-// that the target end cut short, complete ones would look slow.
+// that the target end cut short, complete ones would look slow. On the old version it removes all durations of the
+// incarnation, since that version's answers are not kept.
 func (e *Evidence) dropTruncated(incarnation ids.TargetIncarnation) {
 	delete(e.latency.oldTargets, incarnation)
 	delete(e.latency.newTargets, incarnation)
--- a/pkg/rollout/exposure.go
+++ b/pkg/rollout/exposure.go
@@ -82,7 +82,7 @@
 	return true
 }
 
-// Release cancels a reservation.
+// Release cancels a reservation. If there is none, or the service is no longer counted, it does nothing.
 func (e *Exposure) Release(service ids.Service) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -91,8 +91,8 @@
 	}
 }
 
-// Commit turns a reservation into a request that is sent to a version. If that version is no longer
-// the canary, it returns false and the reservation stays.
+// Commit turns a reservation into a request that is sent to a version. If that version is no longer the canary, it
+// returns false, and the reservation stays until the caller releases it.
 func (e *Exposure) Commit(service ids.Service, version ids.Version) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/rollout/latencies.go
+++ b/pkg/rollout/latencies.go
@@ -89,7 +89,8 @@
 const medianQuantile = 0.5
 
 // latencies holds durations of answers as ratios: on each route, to what is expected on an ordinary target; on each
-// target, to the typical duration on the route with the old version.
+// target, to the typical duration on the route with the old version. Like the evidence that it is part of, it has no
+// lock.
 type latencies struct {
 	routeRatios   map[ids.Route]*sample             // Observation.Ratio of the old version's answers
 	usedFactors   sample                            // Observation.Factor of the old version's answers
@@ -181,8 +182,8 @@
 	return list
 }
 
-// outliers counts the targets of the new version that are slower than any old one and the targets with enough answers,
-// and returns the probability of at least so many outliers by chance.
+// outliers counts the targets of the new version that are more than outlierRatio times as slow as the slowest old one,
+// and the targets with enough answers, and returns the probability of at least so many outliers by chance.
 func (p *latencies) outliers() (slow, targets int, probability float64) {
 	var probabilities []float64
 	for _, level := range p.levels() {
--- a/pkg/rollout/record.go
+++ b/pkg/rollout/record.go
@@ -28,9 +28,9 @@
 	Barred []ids.Version `json:"barred,omitempty"`
 	// Evidence is what the decision is based on, or would be based on now.
 	Evidence Summary `json:"evidence"`
-	Why      string  `json:"why,omitempty"`
-	// Owner tells the records of one owner from another's, and TimedByOwner names the owner that recorded the order's
-	// times.
+	Why      string  `json:"why,omitempty"` // the reason for State, for operators
+	// Owner is the number of the owner that wrote the record, drawn at random at each start of its process, and
+	// TimedByOwner that of the owner that recorded the order's times.
 	Owner        uint64 `json:"by"`
 	TimedByOwner uint64 `json:"timed_by"`
 	// Written is the revision of the row.
--- a/pkg/rollout/report.go
+++ b/pkg/rollout/report.go
@@ -49,7 +49,8 @@
 	return report, true
 }
 
-// Describe adds to a report what the trial at this owner knows.
+// Describe adds to a report what the trial at this owner knows, and the fraction of its newest plan. As for all methods
+// of a trial, the caller holds the owner's lock.
 func (t *Trial) Describe(r *Report, p Plan) {
 	r.Evaluates = true
 	r.Evidence = t.Evidence.Summary()
--- a/pkg/rollout/tracker.go
+++ b/pkg/rollout/tracker.go
@@ -15,7 +15,7 @@
 // yet: an order is written before its targets are started, so orders read up to a revision at or after the target's
 // first row include any order for that target.
 type Tracker struct {
-	mu      sync.Mutex
+	mu      sync.Mutex // guards all other fields
 	orders  map[ids.Service]Order
 	records map[ids.Service]Record
 	// ordered lists the versions for which this process has ever read an order.
@@ -81,8 +81,8 @@
 	// promptReadDelay is the time within which an order is read while the store is reachable: queries are long polls,
 	// and the next one follows after a tenth of a second.
 	promptReadDelay = 150 * clock.Millisecond
-	// endMargin is added to the latest end of an order, since waiting requests arrive at that very moment and clocks
-	// have a resolution of one millisecond.
+	// endMargin is added to the latest moment at which an order may have been written, and so to its latest end:
+	// waiting requests arrive at that very moment, and clocks have a resolution of one millisecond.
 	endMargin = 20 * clock.Millisecond
 	// steadyReadInterval is the longest time between two moments at which the orders were known to be current while
 	// neither the store nor the relay is delayed: one long poll, and the relay of its result to the other entries.
@@ -91,7 +91,7 @@
 
 // placedAfter returns a moment before the order was written: when the orders were last known to be current without it,
 // or, while reads are steady, at most promptReadDelay before they were current with it. If nothing was read before the
-// order, it is taken to have been written when it was read.
+// order, it is taken to have been written when it was read. The caller holds the lock.
 func (tr *Tracker) placedAfter(o Order, freshness Freshness) clock.Millis {
 	switch {
 	case tr.ordersAt == 0 || tr.firstOrdersUpTo >= o.Placed:
@@ -122,8 +122,9 @@
 const maxClockSkew = 250 * clock.Millisecond
 
 // OpensAt returns when a completed version of a service starts to receive all requests, by this process's clock, and
-// whether that moment is still ahead; it is false for a version that is not completed. The owner that recorded the
-// order's times knows the moment by its own clock; any other owner adds maxClockSkew.
+// whether that moment is still ahead; it is false for a version that is not completed. owner is the number of the owner
+// that asks, as in Record.Owner: the one that recorded the order's times knows the moment by its own clock, and for any
+// other maxClockSkew is added.
 func (tr *Tracker) OpensAt(service ids.Service, owner uint64, now clock.Millis) (clock.Millis, bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -209,7 +210,7 @@
 	return r, known
 }
 
-// Services lists the services that have an order or a record.
+// Services lists the services that have an order or a record, in no particular order.
 func (tr *Tracker) Services() []ids.Service {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -240,7 +241,8 @@
 	return now - min(tr.ordersAt, tr.recordsAt)
 }
 
-// StoreTime converts a moment of this process's clock to the store's clock.
+// StoreTime converts a moment of this process's clock to the store's clock. Until a read has given the store's time,
+// both count as equal.
 func (tr *Tracker) StoreTime(at clock.Millis) clock.Millis {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -286,7 +288,8 @@
 	maxVersions = 64
 )
 
-// markInUse records that a target's version is in use. The caller holds the lock.
+// markInUse records that a target's version is in use, unless that would exceed maxServices or maxVersions. The caller
+// holds the lock.
 func (tr *Tracker) markInUse(t *routing.Target) {
 	if len(tr.alreadyInUse) < maxServices && len(tr.alreadyInUse[t.Service]) < maxVersions {
 		addVersion(tr.alreadyInUse, t.Service, t.Version)
--- a/pkg/rollout/trial.go
+++ b/pkg/rollout/trial.go
@@ -15,19 +15,20 @@
 	bounds   Bounds
 	began    clock.Millis // when this owner started the trial
 	times    Times        // of the order
-	// recorded is the evidence in the record, as far as it is included in the evidence here.
+	// recorded is the evidence of the store's record as this owner first read, last wrote or last merged it.
+	// MergeSummary adds only what a newer record has beyond it, so that nothing counts twice.
 	recorded       Summary
 	verdict        State // RolledBack from that decision on, with its reason in why; Pending before
 	why            string
 	evaluatedAt    clock.Millis // last evaluation, which set the fields below
-	finding        Finding
-	latencyFinding Finding // about the speed of the new targets only
-	objection      string  // what counts against completing the roll-out; empty before closeAt
+	finding        Finding      // from all evidence
+	latencyFinding Finding      // about the speed of the new targets only
+	objection      string       // what counts against completing the roll-out; empty before closeAt
 }
 
 const (
-	// observeFraction is the fraction of the limit that is used while the canary is observed. The rest is left for the
-	// end, when the old version's targets are drained.
+	// observeFraction is the fraction of the limit, usedLimitFraction of Bounds.Fraction, that is used while the canary
+	// is observed. The rest is left for the end, when the old version's targets are drained.
 	observeFraction = 0.65
 	// evaluationInterval is how often the evidence is evaluated.
 	evaluationInterval = 250 * clock.Millisecond
@@ -50,15 +51,16 @@
 	// maxOvertime is how long after its time an order may still be completed if only requests running on the old
 	// version are outstanding: the longest time of a route.
 	maxOvertime = 15 * clock.Second
-	// minRequests is the number of canary answers that are required if the service got ten times as many, and
-	// minRouteRequests that on each route, likewise.
+	// minRequests is the number of canary answers that are required if the old version gave ten times as many; with
+	// fewer, a tenth of them is, but at least one. minRouteRequests are required on each route on which the old version
+	// gave oldRouteRequests or more.
 	minRequests      = 20
 	minRouteRequests = 8
-	// extraPerBadRate is the number of further answers if all answers of the old version are bad; it is scaled by the
-	// bad rate.
+	// extraPerBadRate is the number of canary answers that a route needs beyond minRouteRequests if all answers of the
+	// old version are bad there; with a lower bad rate it needs that fraction of them.
 	extraPerBadRate = 40
-	// oldRouteRequests is the number of requests to the old version on a route since the order from which on the
-	// canary must have answered some as well.
+	// oldRouteRequests is the number of the old version's answers on a route since the order from which on the canary
+	// must have answered some as well.
 	oldRouteRequests = 60
 	// oldLoadedAnswers and oldLoadedFraction are the number and the fraction of the old version's answers that must
 	// come from loaded targets for minLoadedAnswers to be required of the canary: calls of some ms never fill a target
@@ -66,11 +68,11 @@
 	oldLoadedAnswers  = 60
 	oldLoadedFraction = 0.2
 	minLoadedAnswers  = 8
-	// minOwnAnswers is the number of answers that an owner must have seen itself: the version may have turned bad
-	// since the evidence was handed over.
+	// minOwnAnswers is the number of canary answers that an owner must have seen itself, or a tenth of the old
+	// version's if that is less: the version may have turned bad since the evidence was handed over.
 	minOwnAnswers = 10
-	// earlyCheckFrom and earlyCheckTo are the numbers of canary answers between which a possible slowdown already ends
-	// a trial.
+	// earlyCheckFrom and earlyCheckTo are the numbers of canary answers, those of earlier owners included, between
+	// which a possible slowdown already ends a trial.
 	earlyCheckFrom, earlyCheckTo = 35, 60
 	// minAgreement is the fraction of the entries that must take this one for the owner when it completes a roll-out:
 	// more than half, so that it has received most of the evidence.
@@ -132,7 +134,8 @@
 	NoUnrepeatable bool
 	// Write is the state to be written, Pending if none.
 	Write State
-	Why   string
+	// Why is the reason for that state, or for not completing the roll-out yet.
+	Why string
 }
 
 // Step decides what is to be done now. Once the version is to be rolled back, that stays the decision, even if its
@@ -312,7 +315,8 @@
 func (t *Trial) SummarySaved(stored Summary) { t.recorded = stored }
 
 // NextRecord returns the record to be written for a state: before, the newest known one, with the state, its reason and
-// the evidence, and in the first record of an order its times. storeTime converts moments to the store's clock.
+// the evidence, and in the first record of an order its times. storeTime converts moments to the store's clock. The
+// caller sets the fields that name owners.
 func (t *Trial) NextRecord(before Record, state State, why string, storeTime func(clock.Millis) clock.Millis) Record {
 	r := before
 	r.State = state
--- a/pkg/targetlist/list.go
+++ b/pkg/targetlist/list.go
@@ -32,16 +32,16 @@
 	common.Common
 	parse    Parse
 	onChange func(*routing.Directory) // called with the lock held, so in order
-	sampler  *telemetry.Sampler
+	sampler  *telemetry.Sampler       // limits the log lines of each kind
 
-	mu               sync.Mutex
-	starting         bool                           // the first list is being applied
+	mu               sync.Mutex                     // guards the fields below
+	starting         bool                           // a snapshot is being applied to an empty list
 	targets          map[ids.Target]*routing.Target // in use, including those in expired
 	lastValid        map[ids.Target]*routing.Target // last valid data of targets whose rows became invalid
 	faults           *follow.Faults                 // invalid rows
 	expired          map[ids.Target]clock.Millis    // targets whose rows have expired: until when they are kept
 	storeUnreachable bool                           // the last read of the store failed
-	graceUntil       clock.Millis                   // until then, expired rows may come back
+	graceUntil       clock.Millis                   // restoreGrace after an outage; until then expired rows may return
 }
 
 var _ follow.Handler = (*List)(nil)
@@ -132,8 +132,8 @@
 // WaitForChanges is for how long the store may hold a query for changes of targets.
 const WaitForChanges = 3 * clock.Second
 
-// drop takes a target off the list, or keeps it for a while if its row may have expired because of an outage of the
-// store. The lock is held.
+// drop takes a target off the list, or keeps it until graceUntil if its row may have expired because of an outage of
+// the store. The lock is held.
 func (l *List) drop(now clock.Millis, id ids.Target) {
 	if l.targets[id] == nil || l.expired[id] > 0 {
 		return
@@ -148,8 +148,8 @@
 	time.AfterFunc((until - now).Duration(), func() { l.dropExpired(id, until) })
 }
 
-// dropExpired drops a target whose expired row has not come back by the given time. If the row came back and expired
-// again since, another time applies.
+// dropExpired drops a target whose expired row has not come back by the given time, when it is called by a timer. If
+// the row came back since, it does nothing; if it also expired again, another time applies.
 func (l *List) dropExpired(id ids.Target, until clock.Millis) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/targetlist/rows.go
+++ b/pkg/targetlist/rows.go
@@ -59,7 +59,8 @@
 	delete(l.expired, id)
 }
 
-// inherit carries over what earlier rows reported about the same incarnation of a target. A row without a start time
+// inherit carries over what earlier rows reported about the same incarnation of a target: its start, and the revision
+// with which it was first listed. before is nil if the target was not known. A row without a start time
 // that follows one with a start time belongs to the same incarnation if service, address and version are equal, as
 // these do not change while a process runs. A row with a start time that follows one without belongs to another
 // incarnation, since a process that reports its start time always does so.
@@ -78,8 +79,9 @@
 	}
 }
 
-// coldUntil returns when a target is no longer cold. Reading the same row again must not extend that time, and a row
-// relayed by another process may have been read a while ago.
+// coldUntil returns when a target is no longer cold, by this process's clock; 0 if it is not cold. before is nil if the
+// target was not known. Reading the same row again must not extend that time, and a row relayed by another process may
+// have been read a while ago.
 func (l *List) coldUntil(before, target *routing.Target) clock.Millis {
 	switch {
 	case target.ColdFor == 0:
@@ -91,7 +93,7 @@
 	}
 }
 
-// The kinds of sampled log lines.
+// The kinds of log lines, of which at most maxLogLinesPerSecond each are written.
 const (
 	kindListed    = "target listed"
 	kindLeaving   = "target leaving"
