--- a/pkg/advisory/sender.go
+++ b/pkg/advisory/sender.go
@@ -13,8 +13,8 @@
 	connected, sent ids.Start
 }
 
-// sender says which incarnation has sent a report: the former one, which this entry took for its sender, or the one that
-// is listed under the target's id since.
+// sender says which incarnation has sent a report: the former one, which this entry took for its sender, or the one
+// that is listed under the target's id since.
 type sender int
 
 const (
--- a/pkg/membership/bed_test.go
+++ b/pkg/membership/bed_test.go
@@ -108,6 +108,7 @@
 	members []*membership.Members // the entries that run
 }
 
+// address returns the address of the entry with an index.
 func address(i int) netip.AddrPort {
 	return netip.MustParseAddrPort(fmt.Sprintf("10.0.%d.%d:7600", i/200, i%200+1))
 }
@@ -121,7 +122,7 @@
 	return b
 }
 
-// prepare sets up entries without running any.
+// prepare sets up entries of the given weights, in cores, without running any.
 func prepare(t *testing.T, weights ...float64) *bed {
 	ctx, stop := context.WithCancel(context.Background())
 	b := &bed{
@@ -169,6 +170,7 @@
 	b.net.Lose(func(from, to netip.AddrPort, _ packets.Kind) bool { return from == gone || to == gone })
 }
 
+// equalWeights returns the weights of n entries of one core each.
 func equalWeights(n int) []float64 {
 	list := make([]float64, n)
 	for i := range list {
--- a/pkg/membership/heavy_test.go
+++ b/pkg/membership/heavy_test.go
@@ -11,7 +11,7 @@
 	"quaydock/pkg/packets"
 )
 
-// quarterStrong returns the weights of a fleet in which a quarter of the VMs is strong.
+// quarterStrong returns the weights, in cores, of 30 entries, of which each fourth is on a strong VM.
 func quarterStrong() []float64 {
 	list := make([]float64, 30)
 	for i := range list {
@@ -72,6 +72,7 @@
 	}
 }
 
+// repeatedWeight returns n equal weights, in cores.
 func repeatedWeight(n int, weight float64) []float64 {
 	list := equalWeights(n)
 	for i := range list {
@@ -114,6 +115,7 @@
 		time.Sleep(time.Second)
 		const shard = "targets/s"
 		owner, slow := b.heavyOwner(shard)
+		// tick records n samples, 25 ms apart, of a timer of the slow entry that fires so many ms late.
 		tick := func(late clock.Millis, n int) {
 			for range n {
 				time.Sleep(25 * time.Millisecond)
--- a/pkg/membership/registration_test.go
+++ b/pkg/membership/registration_test.go
@@ -13,7 +13,8 @@
 	"quaydock/pkg/packets"
 )
 
-// setRevisions numbers the rows of the list in order.
+// setRevisions numbers the rows of the list in order: the lower its revision, the longer an entry has been listed, and
+// the earlier it is asked as a registrar.
 func (b *bed) setRevisions() {
 	for i := range b.listed {
 		b.listed[i].Version = int64(100 + i)
--- a/pkg/membership/size_test.go
+++ b/pkg/membership/size_test.go
@@ -26,7 +26,8 @@
 	return f
 }
 
-// kill makes entries die, in addition to those that are dead: the network loses all their datagrams.
+// kill makes the entries with these indices die, in addition to those that are dead: the network loses all their
+// datagrams.
 func (f *fleet) kill(entries ...int) {
 	dead := make(map[netip.AddrPort]bool)
 	for address := range f.dead {
@@ -158,6 +159,7 @@
 				for range 40 {
 					time.Sleep(250 * time.Millisecond)
 					for i, m := range f.members {
+						// All agree but the one, another entry and 5% of all.
 						if i != 7 && m.Agreement() < float64(n-2)/n-0.05 {
 							t.Fatalf("entry %d: agreement %.3f", i, m.Agreement())
 						}
--- a/pkg/quarantine/accounts_test.go
+++ b/pkg/quarantine/accounts_test.go
@@ -85,7 +85,7 @@
 		t.Errorf("wait of %d ms before a further end, want none", wait)
 	}
 	now, n := clock.Millis(start), 10
-	for _, want := range []clock.Millis{1, 2, 4, 8, 16, 30, 30} {
+	for _, want := range []clock.Millis{1, 2, 4, 8, 16, 30, 30} { // pauses in seconds
 		r.Join(now, &Record{Digest: digest(n), Account: "acme", Route: "r", Ends: []TargetEnd{{Incarnation: incarnation(100 + n)}}})
 		n++
 		if _, wait := r.AccountSuspicion(now, other(99)); wait != want*clock.Second {
--- a/pkg/quarantine/guard_test.go
+++ b/pkg/quarantine/guard_test.go
@@ -84,7 +84,8 @@
 
 func request() Request { return Request{Digest: digest(1), Account: "acme", Route: "r"} }
 
-// run returns a run of request that broke off at the incarnation with a number.
+// run returns a run of request that broke off at the incarnation with a number; again says that an earlier target end
+// was known when it began.
 func run(n int, again bool) Run {
 	return Run{Request: request(), Incarnation: incarnation(n), Again: again}
 }
@@ -107,8 +108,8 @@
 			b.guards[0].RecordTargetEnd(run(n, false))
 			time.Sleep(20 * time.Millisecond)
 		}
-		last := first.Add(60 * time.Millisecond)
-		for n := range 2 { // the first entry reported to the second
+		last := first.Add(60 * time.Millisecond) // the fourth end; the loop has slept once more since
+		for n := range 2 {                       // the first entry reported to the second
 			permit := enter(n)
 			if waited := time.Since(last); waited < settleTime.Duration() || waited > 3*settleTime.Duration() {
 				t.Errorf("entry %d: the run was permitted %v after the last end", n, waited)
@@ -128,7 +129,8 @@
 }
 
 // TestSuspectedRequestsRunExclusively checks that one run takes place at a time, however many entries get tries of a
-// request. An entry that has queried the owner three times without an answer grants runs on its own.
+// request. An entry that has queried the owner three times without an answer grants runs on its own, so that each of
+// the three entries may have one run at a time then.
 func TestSuspectedRequestsRunExclusively(t *testing.T) {
 	var asks atomic.Int64
 	scenarios := []struct {
@@ -234,6 +236,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newGuardCluster(t, 3)
 		var sent atomic.Int64
+		// Counts the messages, and loses none: the count is never negative.
 		b.net.Lose(func(_, _ netip.AddrPort, _ packets.Kind) bool { return sent.Add(1) < 0 })
 		for range 100 {
 			pass, refused := b.guards[0].Enter(context.Background(), request())
--- a/pkg/quarantine/register_test.go
+++ b/pkg/quarantine/register_test.go
@@ -18,6 +18,7 @@
 	// Output: true false
 }
 
+// incarnation returns the incarnation with a number; each number stands for another target.
 func incarnation(n int) ids.TargetIncarnation {
 	return ids.TargetIncarnation{Target: ids.Target(fmt.Sprint("t", n))}
 }
@@ -32,6 +33,7 @@
 	return r
 }
 
+// digest returns the digest of the request with a number, which may be negative.
 func digest(n int) Digest { return Identify("", "", fmt.Append(nil, n)) }
 
 // TestVerdicts checks which target ends of one request lead to which verdict: only an end in a run that began when an
@@ -207,7 +209,8 @@
 }
 
 // TestFloodOfOneAccount has one account send new requests that end targets all the time. The records of other accounts
-// must stay, as must its own strongest ones, and after a few quarantined requests the first target end is enough.
+// must stay, as must its own strongest ones, and after a few quarantined requests the first target end is enough. The
+// requests with negative numbers are those that are checked, the others are the flood.
 func TestFloodOfOneAccount(t *testing.T) {
 	r := NewRegister()
 	r.StoreRead(1)
--- a/pkg/rollout/binomial_test.go
+++ b/pkg/rollout/binomial_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestBinomialTail compares with values worked out by hand, and with the exact value where the normal approximation is
-// used.
+// used. A scenario is the probability of at least k events in n trials with probability p each.
 func TestBinomialTail(t *testing.T) {
 	scenarios := []struct {
 		n    int
--- a/pkg/rollout/evidence_test.go
+++ b/pkg/rollout/evidence_test.go
@@ -19,7 +19,7 @@
 	errors     float64 // the fraction of all answers, of both versions, that fail
 	// bad and slowPart are the fractions of the new version's answers that fail, and that take slow times as long.
 	bad, slowPart, slow float64
-	from                float64 // the fraction of the time after which these begin
+	from                float64 // the fraction of the 20 s after which bad and slowPart begin
 	ailing              float64 // the fraction of all targets that fail half of their answers
 	slowTargets         float64 // the fraction of all targets that are five times as slow
 	oldUsed             int     // the number of old targets that are used, all if 0
@@ -29,7 +29,7 @@
 // that the version is bad, or an empty one.
 func (p *simulation) run(seed uint64) (*rollout.Evidence, rollout.Finding) {
 	random := rand.New(rand.NewPCG(seed, 2))
-	speeds := []float64{0.36, 1, 1.8}
+	speeds := []float64{0.36, 1, 1.8} // Observation.Factor: the slowdown relative to an ordinary target
 	e := rollout.NewEvidence(rollout.Summary{})
 	target := func(n int, onTrial bool) (factor float64, observe func(at clock.Millis, elapsed float64)) {
 		factor = speeds[n%len(speeds)]
@@ -73,7 +73,7 @@
 				old[n](now, part)
 			}
 		}
-		// The targets are tried one after the other.
+		// The targets are tried one after the other, each for eight answers.
 		for range max(1, p.fresh*p.answers/rounds/8) {
 			filled := fresh[random.IntN(len(fresh))]
 			for range 8 {
@@ -185,7 +185,7 @@
 // tenth of their time, still counted in the target's typical duration. In comparison the complete answers given before
 // looked slow: 3 to 9 bad answers a roll-out on routes of which hardly any fail.
 func TestBrokenOffAnswersDontMakeOthersSlow(t *testing.T) {
-	const normal, truncated = 1.0, 0.1
+	const normal, truncated = 1.0, 0.1 // durations relative to an ordinary target's, as Observation.Ratio
 	for _, onTrial := range []bool{true, false} {
 		t.Run(fmt.Sprint("on trial ", onTrial), func(t *testing.T) {
 			e := rollout.NewEvidence(rollout.Summary{})
--- a/pkg/rollout/exposure_test.go
+++ b/pkg/rollout/exposure_test.go
@@ -39,7 +39,7 @@
 					sent++
 				}
 			}
-			if random.IntN(10) > 0 {
+			if random.IntN(10) > 0 { // one request in ten, sent or not, never counts as having reached the service
 				e.CountReached(service, o.Placed)
 				reached++
 			}
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestSlackCredit checks the sum of the credits of all entries: at most half of the slack of 50, and at most maxCredit
-// for each entry.
+// TestSlackCredit checks the sum of the credits of all entries, in requests: at most half of the slack of 50, and at
+// most maxCredit for each entry.
 func TestSlackCredit(t *testing.T) {
 	scenarios := []struct{ entries, want int }{{1, 5}, {4, 20}, {12, 24}, {25, 25}, {30, 25}, {350, 25}}
 	for _, s := range scenarios {
--- a/pkg/rollout/tracker_test.go
+++ b/pkg/rollout/tracker_test.go
@@ -117,7 +117,8 @@
 }
 
 // TestCompletedVersionOpensAtOrdersEnd completes a version before the time of its order is over: until then the
-// requests it gets count towards the limits.
+// requests it gets count towards the limits. By the store's clock that is at 500 ms, so by the process's clock at 1500,
+// and at an owner that did not record the order's times maxClockSkew later.
 func TestCompletedVersionOpensAtOrdersEnd(t *testing.T) {
 	b := rollout.NewTracker()
 	b.PutOrders([]rollout.Order{order("v2", 10)}, nil, true, upTo(20)) // the store's clock is 1000 behind
@@ -209,7 +210,7 @@
 				remembered++
 			}
 		}
-		if remembered == 0 || remembered > 1000 {
+		if remembered == 0 || remembered > 1000 { // maxServices, which is more than maxVersions
 			t.Errorf("%s: %d remembered, want 1 to 1000", name, remembered)
 		}
 	}
--- a/pkg/targetlist/incarnations_test.go
+++ b/pkg/targetlist/incarnations_test.go
@@ -19,7 +19,7 @@
 
 // row is the content of the row of target "a".
 type row struct {
-	Start   ids.Start
+	Start   ids.Start    // when the target's process started, 0 if it does not say
 	Cold    clock.Millis // how much longer the target stays cold
 	Version ids.Version
 	Address string
--- a/pkg/targetlist/list_test.go
+++ b/pkg/targetlist/list_test.go
@@ -28,7 +28,7 @@
 	return &routing.Target{ID: ids.Target(id), Service: "s", Leaving: string(document) == "leaving"}, nil
 }
 
-// bed is a list with its newest directory.
+// bed is a list with its newest directory, which mu guards: the list's timers publish too.
 type bed struct {
 	common.Common
 	*targetlist.List
@@ -235,6 +235,7 @@
 			r.Changed(up(fmt.Sprint("t", n)), follow.Freshness{})
 			time.Sleep(time.Second / 300)
 		}
+		// Ten lines in each second, of four that are touched, and one that reports how many were left out.
 		if got := lines() - before; got > 4*11 {
 			t.Errorf("%d lines for 900 targets within three seconds", got)
 		}
