--- a/pkg/membership/lease.go
+++ b/pkg/membership/lease.go
@@ -125,7 +125,8 @@
 	}
 }
 
-// silenceQueryTimeout is for how long the replies to a silence query count.
+// silenceQueryTimeout is for how long after a silence query was sent its replies count. They are evaluated at the next
+// check of the list, listCheckInterval later, or more if writes to the store delay it.
 const silenceQueryTimeout = 2 * listCheckInterval
 
 // countSilence returns how many listed entries have replied to the silence query about an entry, and how many of them
--- a/pkg/membership/listing.go
+++ b/pkg/membership/listing.go
@@ -35,11 +35,11 @@
 	}
 	for ctx.Err() == nil {
 		if !m.isListed() && !m.register(ctx) {
-			m.write(ctx)
+			m.writeOwnRow(ctx)
 		}
 		clock.Pause(ctx, listCheckInterval)
 		for batch := range slices.Chunk(m.removableEntries(), maxBatchRows) {
-			m.remove(ctx, batch)
+			m.removeRows(ctx, batch)
 		}
 	}
 }
@@ -51,8 +51,8 @@
 	return m.ownRowListed
 }
 
-// write writes this entry's row without a registrar, and tries again until it succeeds or ctx ends.
-func (m *Members) write(ctx context.Context) {
+// writeOwnRow writes this entry's row without a registrar, and tries again until it succeeds or ctx ends.
+func (m *Members) writeOwnRow(ctx context.Context) {
 	row, err := Listing{Address: m.address.String(), Weight: m.weight, Domain: m.domain}.encode()
 	if err != nil {
 		m.Log.WithError(err).Error("cannot encode this entry's row")
@@ -120,10 +120,10 @@
 	return false
 }
 
-// remove deletes the rows of entries without a heartbeat from the store. Rows of entries that were partitioned
+// removeRows deletes the rows of entries without a heartbeat from the store. Rows of entries that were partitioned
 // together are removed in one call: each change of the list costs a message to every other entry, and a query by
 // those that miss it. If the call fails, the next check, after listCheckInterval, tries again.
-func (m *Members) remove(ctx context.Context, names []ids.Process) {
+func (m *Members) removeRows(ctx context.Context, names []ids.Process) {
 	keys := make([]string, 0, len(names))
 	for _, name := range names {
 		keys = append(keys, string(name))
--- a/pkg/membership/probes.go
+++ b/pkg/membership/probes.go
@@ -69,7 +69,7 @@
 	attempts          int          // requests sent
 	notifyOthers      bool         // notify the others if it does not answer
 	suspected         bool         // maxProbeAttempts were not answered: the entry counts as gone
-	suspectedBefore   bool         // the entry counted as gone already when the probe was opened, by Suspect
+	suspectedBefore   bool         // Suspect made the entry count as gone, before the probe could
 }
 
 // probes are this entry's open probes. The lock of Members guards them.
@@ -133,7 +133,8 @@
 
 // advanceProbe checks an open probe and sends the next request if one is due. It reports whether the others are to be
 // notified that the entry does not answer. It closes the probe when a heartbeat has arrived since it was opened, when
-// the entry is no longer listed, and after the last recheck. The lock is held.
+// the entry is no longer listed, and after the last recheck. After maxProbeAttempts without an answer the entry counts
+// as gone here, unless allowSuspicion forbids it. The lock is held.
 func (m *Members) advanceProbe(now clock.Millis, name ids.Process, p *probe) bool {
 	other := m.list[name]
 	switch {
--- a/pkg/quarantine/accounts.go
+++ b/pkg/quarantine/accounts.go
@@ -88,6 +88,7 @@
 	c.freeAt = now + c.pause
 }
 
+// suspected reports whether the account is suspected on the route.
 func (c *routeState) suspected(now clock.Millis) bool { return now < c.suspectUntil }
 
 // recordSuccess records that a request was completed. If there are maxSucceeded already, all known ones are dropped and
--- a/pkg/quarantine/exclusive_runs.go
+++ b/pkg/quarantine/exclusive_runs.go
@@ -41,8 +41,8 @@
 // exclusiveRun is one run of this entry, waiting for or holding the exclusive run of its digest. Only the goroutine
 // that runs the request uses it, except for answers.
 type exclusiveRun struct {
-	digest   Digest // of the request, or accountDigest
-	number   uint64
+	digest   Digest    // of the request, or accountDigest
+	number   uint64    // of this run at this entry, by which the owner and its answers name it
 	answers  chan bool // whether the owner granted it; room for one answer
 	queried  bool      // the owner was asked, and may hold a grant to be released
 	silences int       // queries in a row that the owner did not answer
--- a/pkg/quarantine/guard.go
+++ b/pkg/quarantine/guard.go
@@ -103,7 +103,7 @@
 type Permit struct {
 	guard  *Guard
 	digest Digest        // of the request
-	run    *exclusiveRun // nil once released
+	run    *exclusiveRun // nil once released; that of a retrial need not have been granted
 	// Again says that a target end under the request is already known.
 	Again bool
 	// retrial says that it is one of the few permitted runs of a quarantined request.
--- a/pkg/rollout/evidence.go
+++ b/pkg/rollout/evidence.go
@@ -48,6 +48,7 @@
 	bad bool
 }
 
+// add counts an answer; at is no earlier than that of the last one.
 func (h *history) add(at clock.Millis, bad bool) {
 	h.all.add(bad)
 	h.recent = append(h.recent, answer{at, bad})
@@ -88,6 +89,7 @@
 	loaded bool
 }
 
+// contains reports whether the answers that a key counts belong to the subset.
 func (s subset) contains(c historyKey) bool {
 	return (s.route == "" || s.route == c.route) && (!s.loaded || c.loaded)
 }
@@ -112,6 +114,7 @@
 	return versionHistory{histories: make(map[historyKey]*history)}
 }
 
+// add adds an answer, which is bad or not, to the counter of its target, route and load.
 func (v *versionHistory) add(o Observation, bad bool) {
 	c := historyKey{o.Incarnation, o.Route, o.Loaded}
 	h := v.histories[c]
@@ -122,6 +125,7 @@
 	h.add(o.At, bad)
 }
 
+// dropBefore drops answers recorded before a moment from the recent ones; the counts since the start of the trial stay.
 func (v *versionHistory) dropBefore(before clock.Millis) {
 	for _, h := range v.histories {
 		h.dropBefore(before)
@@ -191,7 +195,7 @@
 
 // Excuse ignores the failures of these incarnations for both versions. A request that ends its target also fails
 // everything that runs beside it. Which request it was is known only when a second target ends under it, and by then
-// the failures at the first one have been recorded.
+// the failures at the first one have been recorded. The caller holds the owner's lock.
 func (e *Evidence) Excuse(incarnations []ids.TargetIncarnation) {
 	for _, incarnation := range incarnations {
 		if e.excused[incarnation] || len(e.excused) >= maxExcused {
@@ -220,7 +224,8 @@
 }
 
 // Add adds an answer of the canary, with onTrial, or of the old version. Failures of excused incarnations are ignored.
-// Whether the old version's answer was slow is decided here, for the canary's only at each evaluation.
+// Whether the old version's answer was slow is decided here, for the canary's only at each evaluation. The caller holds
+// the owner's lock.
 func (e *Evidence) Add(onTrial bool, o Observation) {
 	if o.Failed && e.excused[o.Incarnation] {
 		return
--- a/pkg/rollout/exposure.go
+++ b/pkg/rollout/exposure.go
@@ -39,7 +39,8 @@
 	return &Exposure{services: make(map[ids.Service]*serviceExposure)}
 }
 
-// maxCredit limits the slack that one entry gets: while it hears from no other entry, it may count itself among a few.
+// maxCredit limits the requests from the slack that one entry may send: while it hears from no other entry, it may
+// count itself among a few.
 const maxCredit = 5
 
 // SlackCredit returns how many requests an entry may send beyond its fraction. The entry is the nth of entries, counted
--- a/pkg/rollout/filter.go
+++ b/pkg/rollout/filter.go
@@ -13,7 +13,7 @@
 	tracker  *Tracker
 	onUpdate func(*routing.Directory) // called with the lock held, so in order
 
-	mu     sync.Mutex
+	mu     sync.Mutex        // guards the fields below
 	listed []*routing.Target // as last set, before the filter; nil until then
 	// undecided says that some target is withheld only because it is not known yet whether an order for its version
 	// exists.
--- a/pkg/rollout/latencies.go
+++ b/pkg/rollout/latencies.go
@@ -86,6 +86,7 @@
 	return s.sorted[min(len(s.sorted)-1, int(fraction*float64(len(s.sorted))))]
 }
 
+// medianQuantile is the fraction of a sample that lies below its median.
 const medianQuantile = 0.5
 
 // latencies holds durations of answers as ratios: on each route, to what is expected on an ordinary target; on each
--- a/pkg/rollout/order.go
+++ b/pkg/rollout/order.go
@@ -79,5 +79,5 @@
 	return clock.Millis(graceFraction * float64(b.Stop))
 }
 
-// ErrRecordChanged is returned by a store if the record has changed since it was read.
+// ErrRecordChanged is returned by a store if the record has changed since it was read: nothing was written.
 var ErrRecordChanged = errors.New("roll-out record has changed since it was read")
--- a/pkg/rollout/tracker.go
+++ b/pkg/rollout/tracker.go
@@ -234,7 +234,8 @@
 	return tr.firstOrdersUpTo > 0 && tr.firstOrdersUpTo < o.Placed
 }
 
-// Age returns the time since orders and records were last known to be current.
+// Age returns the time since orders and records were both last known to be current; all of now before the first read
+// of either.
 func (tr *Tracker) Age(now clock.Millis) clock.Millis {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
--- a/pkg/rollout/trial.go
+++ b/pkg/rollout/trial.go
@@ -139,7 +139,7 @@
 }
 
 // Step decides what is to be done now. Once the version is to be rolled back, that stays the decision, even if its
-// record could not be written at once.
+// record could not be written at once. The caller holds the owner's lock, and carries the plan out.
 func (t *Trial) Step(s Situation) Plan {
 	switch {
 	case s.Record.State == Pending && t.Order.Withdrawn(), s.Record.State.Final():
@@ -305,13 +305,14 @@
 }
 
 // MergeSummary adds the evidence of a record that another owner has written meanwhile: two entries may be owner for a
-// moment, and each sees a part.
+// moment, and each sees a part. The caller holds the owner's lock.
 func (t *Trial) MergeSummary(stored Summary) {
 	t.Evidence.inherited = t.Evidence.inherited.plus(stored.plus(t.recorded, -1), 1)
 	t.recorded = stored
 }
 
-// SummarySaved records that the store now holds the given evidence, written by this owner.
+// SummarySaved records that the store now holds the given evidence, written by this owner, so that MergeSummary does
+// not add it again. The caller holds the owner's lock.
 func (t *Trial) SummarySaved(stored Summary) { t.recorded = stored }
 
 // NextRecord returns the record to be written for a state: before, the newest known one, with the state, its reason and
