--- a/pkg/membership/bed_test.go
+++ b/pkg/membership/bed_test.go
@@ -131,7 +131,7 @@
 	}
 	t.Cleanup(func() {
 		stop()
-		time.Sleep(10 * time.Second)
+		time.Sleep(10 * time.Second) // in virtual time: until the entries' pauses and calls have ended
 	})
 	for i, w := range weights {
 		value := fmt.Appendf(nil, `{"address":%q,"weight":%g}`, address(i).String(), w)
--- a/pkg/membership/lease_test.go
+++ b/pkg/membership/lease_test.go
@@ -16,7 +16,7 @@
 // grace is how long the entries of these tests go on without the store.
 const grace = 60 * clock.Second
 
-// startWithGrace runs entries that go on without the store on the strength of one another's heartbeats.
+// startWithGrace runs n entries that go on without the store, for grace, on the strength of one another's heartbeats.
 func startWithGrace(t *testing.T, n int) *bed {
 	b := start(t, equalWeights(n)...)
 	for _, m := range b.members {
--- a/pkg/quarantine/guard_test.go
+++ b/pkg/quarantine/guard_test.go
@@ -63,7 +63,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(func() {
 		stop()
-		time.Sleep(time.Minute)
+		time.Sleep(time.Minute) // in virtual time: until the guards' pauses have ended
 	})
 	var all []netip.AddrPort
 	for i := range count {
--- a/pkg/quarantine/register_limits.go
+++ b/pkg/quarantine/register_limits.go
@@ -73,7 +73,8 @@
 }
 
 // Expire removes the records of requests that have not come for a long time. It returns the removals of their rows, and
-// of the rows of records dropped for lack of space since the last call.
+// of the rows of records dropped for lack of space since the last call. Removing from the map while ranging over it is
+// safe in Go.
 func (r *Register) Expire(now clock.Millis) []Write {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/quarantine/register_test.go
+++ b/pkg/quarantine/register_test.go
@@ -210,7 +210,8 @@
 
 // TestFloodOfOneAccount has one account send new requests that end targets all the time. The records of other accounts
 // must stay, as must its own strongest ones, and after a few quarantined requests the first target end is enough. The
-// requests with negative numbers are those that are checked, the others are the flood.
+// digests of negative numbers are of the requests that are checked, the others of the flood; for record a negative
+// number is an end in a run that began when an earlier one was known.
 func TestFloodOfOneAccount(t *testing.T) {
 	r := NewRegister()
 	r.StoreRead(1)
@@ -282,7 +283,7 @@
 }
 
 // TestRequestsThatComeRarely checks that a request that comes every few minutes is remembered from one time to the
-// next.
+// next: its second target end, -2 for record, quarantines it only if the first is still known.
 func TestRequestsThatComeRarely(t *testing.T) {
 	r := NewRegister()
 	r.StoreRead(1)
--- a/pkg/quarantine/reports.go
+++ b/pkg/quarantine/reports.go
@@ -53,7 +53,8 @@
 }
 
 // take returns the messages to be sent now, and whether more must be sent later. of returns the present record of a
-// digest; those that no longer have one are dropped.
+// digest; those that no longer have one are dropped. A digest for which there is no more room keeps its sends for the
+// next call.
 func (n *reportQueue) take(of func(Digest) (Record, bool)) (messages []targetEnds, more bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/pkg/rollout/exposure.go
+++ b/pkg/rollout/exposure.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// End stops counting for a service.
+// End stops counting for a service; nothing more can be reserved for it until the next Begin.
 func (e *Exposure) End(service ids.Service) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/rollout/summary.go
+++ b/pkg/rollout/summary.go
@@ -30,7 +30,8 @@
 	OldBad   int       `json:"old_bad"`
 }
 
-// plus adds the counts of another summary, multiplied by times: 1 to add, -1 to subtract.
+// plus adds the counts of another summary, multiplied by times: 1 to add, -1 to subtract. The numbers of targets stay
+// those of s, since both summaries may count the same ones.
 func (s Summary) plus(other Summary, times int) Summary {
 	sum := Summary{Requests: s.Requests + times*other.Requests, Bad: s.Bad + times*other.Bad, Targets: s.Targets, WorseTargets: s.WorseTargets}
 	routes := make(map[ids.Route]RouteSummary)
--- a/pkg/rollout/tracker_test.go
+++ b/pkg/rollout/tracker_test.go
@@ -24,7 +24,7 @@
 
 // TestAdmission checks which targets may receive work, depending on the orders and records that a process has read so
 // far. Old targets run v1 and are listed at revision 1, new ones run v2 and are listed at 12; the order for v2 is
-// placed at 10.
+// placed at 10. As both versions are listed, Admission is always called with mixed.
 func TestAdmission(t *testing.T) {
 	record := func(version ids.Version, of rollout.Revision, state rollout.State, written rollout.Revision, barred ...ids.Version) rollout.Record {
 		return rollout.Record{Service: service, Version: version, Order: of, State: state, Written: written, LatestEnd: 500, Barred: barred}
@@ -101,7 +101,7 @@
 }
 
 // TestVersionInUseNeedsNoTrial orders the version that the whole service already runs: its targets must stay admitted,
-// but not if targets of another version are listed as well.
+// but not if targets of another version are listed as well, which is what the flag of Admission says.
 func TestVersionInUseNeedsNoTrial(t *testing.T) {
 	b := rollout.NewTracker()
 	target := &routing.Target{ID: "a", Service: service, Version: "v1", ListedRevision: 1}
--- a/pkg/targetlist/incarnations_test.go
+++ b/pkg/targetlist/incarnations_test.go
@@ -44,13 +44,13 @@
 }
 
 // TestIncarnationsOfTarget guards against a restarted target that counts as listed since its former incarnation, by
-// which roll-outs took it for an engine that was there before. A new incarnation is recognized by a different start
+// which roll-outs took it for a target that was there before. A new incarnation is recognized by a different start
 // time, higher or lower, and never by the order in which rows are read.
 func TestIncarnationsOfTarget(t *testing.T) {
 	first := row{Start: 50, Version: "v1", Address: "x:1"}
 	scenarios := []struct {
 		name   string
-		rows   []follow.Row // read one after the other
+		rows   []follow.Row // read one after the other, each at the revision given to at
 		start  ids.Start    // expected at the end
 		listed int64        // expected ListedRevision at the end
 	}{
@@ -119,7 +119,7 @@
 	}
 }
 
-// TestRestartWithNewVersionIsNewIncarnationForRollouts guards against an engine that restarts under its id with the
+// TestRestartWithNewVersionIsNewIncarnationForRollouts guards against a target that restarts under its id with the
 // next version and gets all requests before any order is read: by the revision of its former incarnation it counted
 // as listed before the known orders, and its version as already in use.
 func TestRestartWithNewVersionIsNewIncarnationForRollouts(t *testing.T) {
