--- a/pkg/advisory/sender.go
+++ b/pkg/advisory/sender.go
@@ -35,7 +35,8 @@
 )
 
 // senderOf returns whether the incarnation with a start has sent a report that was taken for its former incarnation's.
-// The answer's date is by the same clock as the start, so it takes precedence over times by the clocks of other VMs.
+// The answer's date is by the same clock as the start, so it takes precedence over times by the clocks of other VMs. If
+// neither time is known, the report counts as the former incarnation's.
 func (t reportTime) senderOf(start ids.Start) sender {
 	switch {
 	case t.sent > 0 && t.sent+dateResolution <= start:
--- a/pkg/membership/rank.go
+++ b/pkg/membership/rank.go
@@ -8,8 +8,8 @@
 	"quaydock/pkg/ids"
 )
 
-// topRanked returns the entry with the highest score for a shard, the last one of equals. among must not be empty. The
-// lock is held.
+// topRanked returns the entry with the highest score for a shard, of equals the last one in among, which must not be
+// empty. The lock is held.
 func (m *Members) topRanked(shard string, among []ids.Process) ids.Process {
 	best, highest := among[0], math.Inf(-1)
 	for _, name := range among {
--- a/pkg/quarantine/accounts_test.go
+++ b/pkg/quarantine/accounts_test.go
@@ -11,9 +11,9 @@
 	"quaydock/pkg/network"
 )
 
-// quarantineRequests quarantines count requests of account acme on route r, numbered from a number on, minHeldInterval
-// apart and the last one at now.
-func quarantineRequests(r *Register, now clock.Millis, from, count int) {
+// quarantine quarantines count requests of account acme on route r, numbered from a number on, minHeldInterval apart and
+// the last one at now.
+func quarantine(r *Register, now clock.Millis, from, count int) {
 	for n := from; n < from+count; n++ {
 		quarantineOne(r, now-clock.Millis(from+count-1-n)*minHeldInterval, n)
 	}
@@ -28,7 +28,7 @@
 	r.Join(now, &record)
 }
 
-// other returns the request with a number of the account and route that quarantineRequests uses.
+// other returns the request with a number of the account and route that quarantine uses.
 func other(n int) Request { return Request{Digest: digest(n), Account: "acme", Route: "r"} }
 
 // TestWhenAnAccountIsSuspected checks that an account is suspected once four of its requests on one route were
@@ -43,23 +43,20 @@
 		after     clock.Millis // how long after start
 		suspected bool
 	}{
-		{"three", func(r *Register) { quarantineRequests(r, start, 1, 3) }, other(9), 0, false},
-		{"four", func(r *Register) { quarantineRequests(r, start, 1, 4) }, other(9), 0, true},
-		{"four over more than a minute", func(r *Register) {
-			quarantineRequests(r, start-61*clock.Second, 1, 1)
-			quarantineRequests(r, start, 2, 3)
-		}, other(9), 0, false},
-		{"four, a minute later", func(r *Register) { quarantineRequests(r, start, 1, 4) }, other(9), clock.Minute, false},
-		{"another route", func(r *Register) { quarantineRequests(r, start, 1, 4) }, Request{Digest: digest(9), Account: "acme", Route: "r2"}, 0, false},
-		{"another account", func(r *Register) { quarantineRequests(r, start, 1, 4) }, Request{Digest: digest(9), Account: "other", Route: "r"}, 0, false},
-		{"completed since", func(r *Register) { quarantineRequests(r, start, 1, 4); r.Succeeded(start, other(9)) }, other(9), 0, false},
-		{"completed before", func(r *Register) { r.Succeeded(start, other(9)); quarantineRequests(r, start, 1, 4) }, other(9), 0, true},
+		{"three", func(r *Register) { quarantine(r, start, 1, 3) }, other(9), 0, false},
+		{"four", func(r *Register) { quarantine(r, start, 1, 4) }, other(9), 0, true},
+		{"four over more than a minute", func(r *Register) { quarantine(r, start-61*clock.Second, 1, 1); quarantine(r, start, 2, 3) }, other(9), 0, false},
+		{"four, a minute later", func(r *Register) { quarantine(r, start, 1, 4) }, other(9), clock.Minute, false},
+		{"another route", func(r *Register) { quarantine(r, start, 1, 4) }, Request{Digest: digest(9), Account: "acme", Route: "r2"}, 0, false},
+		{"another account", func(r *Register) { quarantine(r, start, 1, 4) }, Request{Digest: digest(9), Account: "other", Route: "r"}, 0, false},
+		{"completed since", func(r *Register) { quarantine(r, start, 1, 4); r.Succeeded(start, other(9)) }, other(9), 0, false},
+		{"completed before", func(r *Register) { r.Succeeded(start, other(9)); quarantine(r, start, 1, 4) }, other(9), 0, true},
 		{"all at once, as when all targets are lost", func(r *Register) {
 			for n := range 20 {
 				quarantineOne(r, start, n+1)
 			}
 		}, other(9), 0, false},
-		{"four, one of them completed later", func(r *Register) { quarantineRequests(r, start, 1, 4); r.Completed(start, digest(2)) }, other(9), 0, false},
+		{"four, one of them completed later", func(r *Register) { quarantine(r, start, 1, 4); r.Completed(start, digest(2)) }, other(9), 0, false},
 		{"rows of the store", func(r *Register) {
 			for n := 1; n <= 4; n++ {
 				row := Record{Digest: digest(n), Account: "acme", Route: "r", Ends: []TargetEnd{{Incarnation: incarnation(2 * n)}, {Incarnation: incarnation(2*n + 1), Again: true}}}
@@ -83,7 +80,7 @@
 	const start = 1_000_000
 	r := NewRegister()
 	r.StoreRead(0)
-	quarantineRequests(r, start, 1, 4)
+	quarantine(r, start, 1, 4)
 	if _, wait := r.AccountSuspicion(start, other(99)); wait != 0 {
 		t.Errorf("wait of %d ms before a further end, want none", wait)
 	}
@@ -114,7 +111,7 @@
 		if permit, refused := g.Enter(context.Background(), other(50)); permit != nil || refused != nil {
 			t.Fatal("request restricted before its account is suspected")
 		}
-		quarantineRequests(g.register, c.Clock.Now(), 1, 4)
+		quarantine(g.register, c.Clock.Now(), 1, 4)
 		if g.Allows(other(50), nil) {
 			t.Error("a request of a suspected account may run without a permit")
 		}
--- a/pkg/quarantine/possible_ends.go
+++ b/pkg/quarantine/possible_ends.go
@@ -28,7 +28,7 @@
 	at  clock.Millis
 }
 
-// RecordPossibleEnd records a broken run whose target may have ended.
+// RecordPossibleEnd records a broken run whose target may have ended; with maxPossibleEnds recorded it does nothing.
 func (g *Guard) RecordPossibleEnd(run Run) {
 	g.possibleEnds.mu.Lock()
 	defer g.possibleEnds.mu.Unlock()
