--- a/pkg/membership/registration.go
+++ b/pkg/membership/registration.go
@@ -41,7 +41,7 @@
 // registrationAck confirms that its sender will write the receiver's row.
 type registrationAck struct {
 	_    struct{} `cbor:",toarray"`
-	Name ids.Process
+	Name ids.Process // of the receiver
 }
 
 // registrations are the rows that this entry has yet to write as a registrar. The lock of Members guards them.
--- a/pkg/quarantine/accounts.go
+++ b/pkg/quarantine/accounts.go
@@ -101,7 +101,7 @@
 }
 
 // AccountSuspicion reports whether a request runs exclusively for its account, which is suspected, and how long it must
-// wait at least.
+// wait at least. It returns false also for a request of such an account that has been completed meanwhile.
 func (r *Register) AccountSuspicion(now clock.Millis, q Request) (suspected bool, wait clock.Millis) {
 	if r.count.Load() == 0 {
 		return false, 0
--- a/pkg/quarantine/accounts_test.go
+++ b/pkg/quarantine/accounts_test.go
@@ -11,8 +11,8 @@
 	"quaydock/pkg/network"
 )
 
-// quarantine quarantines count requests of account acme on route r, numbered from a number on, minHeldInterval apart and
-// the last one at now.
+// quarantine quarantines count requests of account acme on route r, numbered from a number on, minHeldInterval apart
+// and the last one at now.
 func quarantine(r *Register, now clock.Millis, from, count int) {
 	for n := from; n < from+count; n++ {
 		quarantineOne(r, now-clock.Millis(from+count-1-n)*minHeldInterval, n)
