--- a/pkg/membership/registration.go
+++ b/pkg/membership/registration.go
@@ -40,7 +40,7 @@
 
 // registrationAck confirms that its sender will write the receiver's row.
 type registrationAck struct {
-	_    struct{} `cbor:",toarray"`
+	_    struct{}    `cbor:",toarray"`
 	Name ids.Process // of the receiver
 }
 
