--- a/pkg/membership/lease.go
+++ b/pkg/membership/lease.go
@@ -107,7 +107,8 @@
 	For    clock.Millis
 }
 
-// pendingSilenceQuery collects the others' replies about an entry without a recent heartbeat.
+// pendingSilenceQuery collects the others' replies about an entry without a recent heartbeat. The lock of Members
+// guards it.
 type pendingSilenceQuery struct {
 	began   clock.Millis                 // when it was sent
 	answers map[ids.Process]clock.Millis // time since the last heartbeat that each has received
@@ -124,7 +125,8 @@
 	}
 }
 
-// silenceQueryTimeout is for how long the replies to a silence query count.
+// silenceQueryTimeout is for how long after a silence query was sent its replies count. They are evaluated at the next
+// check of the list, listCheckInterval later, or more if writes to the store delay it.
 const silenceQueryTimeout = 2 * listCheckInterval
 
 // countSilence returns how many listed entries have replied to the silence query about an entry, and how many of them
--- a/pkg/membership/rank.go
+++ b/pkg/membership/rank.go
@@ -8,8 +8,8 @@
 	"quaydock/pkg/ids"
 )
 
-// topRanked returns the entry with the highest score for a shard, the last one of equals. among must not be empty. The
-// lock is held.
+// topRanked returns the entry with the highest score for a shard, of equals the last one in among, which must not be
+// empty. The lock is held.
 func (m *Members) topRanked(shard string, among []ids.Process) ids.Process {
 	best, highest := among[0], math.Inf(-1)
 	for _, name := range among {
@@ -25,6 +25,7 @@
 func (m *Members) score(name ids.Process, shard string) float64 {
 	weight := m.weightOf(name)
 	const steps = 1 << 53
+	// The upper 53 bits of the hash are as many as a float64 holds exactly.
 	draw := (float64(xxhash.Sum64String(string(name)+"\x00"+shard)>>11) + 1) / (steps + 1) // within (0, 1)
 	// Squared, since a weak VM should mostly be left to its callers' requests.
 	return -weight * weight / math.Log(draw)
--- a/pkg/quarantine/reports.go
+++ b/pkg/quarantine/reports.go
@@ -13,8 +13,9 @@
 	// reportInterval the pause between. Reports that the store holds are also read from there.
 	reportSends    = 3
 	reportInterval = 150 * clock.Millisecond
-	// maxMessageBytes keeps a message within a datagram. maxMessages limits what is sent to each entry at once: if
-	// hundreds of targets are lost together, thousands of requests have a target end each.
+	// maxMessageBytes keeps a message within a datagram. maxMessages limits the messages sent to each entry at once;
+	// the rest follows after reportInterval. If hundreds of targets are lost together, thousands of requests have a
+	// target end each.
 	maxMessageBytes = 1200
 	maxMessages     = 16
 	// endOverhead and recordOverhead are the bytes that a target end and a record take in addition to their names.
@@ -52,7 +53,8 @@
 }
 
 // take returns the messages to be sent now, and whether more must be sent later. of returns the present record of a
-// digest; those that no longer have one are dropped.
+// digest; those that no longer have one are dropped. A digest for which there is no more room keeps its sends for the
+// next call.
 func (n *reportQueue) take(of func(Digest) (Record, bool)) (messages []targetEnds, more bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/pkg/rollout/exposure.go
+++ b/pkg/rollout/exposure.go
@@ -39,7 +39,8 @@
 	return &Exposure{services: make(map[ids.Service]*serviceExposure)}
 }
 
-// maxCredit limits the slack that one entry gets: while it hears from no other entry, it may count itself among a few.
+// maxCredit limits the requests from the slack that one entry may send: while it hears from no other entry, it may
+// count itself among a few.
 const maxCredit = 5
 
 // SlackCredit returns how many requests an entry may send beyond its fraction. The entry is the nth of entries, counted
@@ -62,7 +63,7 @@
 	}
 }
 
-// End stops counting for a service.
+// End stops counting for a service; nothing more can be reserved for it until the next Begin.
 func (e *Exposure) End(service ids.Service) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -82,7 +83,7 @@
 	return true
 }
 
-// Release cancels a reservation.
+// Release cancels a reservation. If there is none, or the service is no longer counted, it does nothing.
 func (e *Exposure) Release(service ids.Service) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -91,8 +92,8 @@
 	}
 }
 
-// Commit turns a reservation into a request that is sent to a version. If that version is no longer
-// the canary, it returns false and the reservation stays.
+// Commit turns a reservation into a request that is sent to a version. If that version is no longer the canary, it
+// returns false, and the reservation stays until the caller releases it.
 func (e *Exposure) Commit(service ids.Service, version ids.Version) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/rollout/tracker_test.go
+++ b/pkg/rollout/tracker_test.go
@@ -24,7 +24,7 @@
 
 // TestAdmission checks which targets may receive work, depending on the orders and records that a process has read so
 // far. Old targets run v1 and are listed at revision 1, new ones run v2 and are listed at 12; the order for v2 is
-// placed at 10.
+// placed at 10. As both versions are listed, Admission is always called with mixed.
 func TestAdmission(t *testing.T) {
 	record := func(version ids.Version, of rollout.Revision, state rollout.State, written rollout.Revision, barred ...ids.Version) rollout.Record {
 		return rollout.Record{Service: service, Version: version, Order: of, State: state, Written: written, LatestEnd: 500, Barred: barred}
@@ -101,7 +101,7 @@
 }
 
 // TestVersionInUseNeedsNoTrial orders the version that the whole service already runs: its targets must stay admitted,
-// but not if targets of another version are listed as well.
+// but not if targets of another version are listed as well, which is what the flag of Admission says.
 func TestVersionInUseNeedsNoTrial(t *testing.T) {
 	b := rollout.NewTracker()
 	target := &routing.Target{ID: "a", Service: service, Version: "v1", ListedRevision: 1}
@@ -117,7 +117,8 @@
 }
 
 // TestCompletedVersionOpensAtOrdersEnd completes a version before the time of its order is over: until then the
-// requests it gets count towards the limits.
+// requests it gets count towards the limits. By the store's clock that is at 500 ms, so by the process's clock at 1500,
+// and at an owner that did not record the order's times maxClockSkew later.
 func TestCompletedVersionOpensAtOrdersEnd(t *testing.T) {
 	b := rollout.NewTracker()
 	b.PutOrders([]rollout.Order{order("v2", 10)}, nil, true, upTo(20)) // the store's clock is 1000 behind
@@ -209,7 +210,7 @@
 				remembered++
 			}
 		}
-		if remembered == 0 || remembered > 1000 {
+		if remembered == 0 || remembered > 1000 { // maxServices, which is more than maxVersions
 			t.Errorf("%s: %d remembered, want 1 to 1000", name, remembered)
 		}
 	}
