--- a/pkg/feedrelay/feed_query.go
+++ b/pkg/feedrelay/feed_query.go
@@ -63,7 +63,8 @@
 	return from[:min(n, len(from))]
 }
 
-// answerFeedQuery sends the feed state of the queried tables of which this entry knows more.
+// answerFeedQuery sends the feed state of those queried tables that this entry knows as of a later time of the store
+// than the sender does.
 func (r *Relay) answerFeedQuery(from netip.AddrPort, query *queryMessage) {
 	now := r.Clock.Now()
 	r.mu.Lock()
--- a/pkg/feedrelay/fetch.go
+++ b/pkg/feedrelay/fetch.go
@@ -23,9 +23,9 @@
 	requestedAt clock.Millis // when the query was sent
 }
 
-// fetch gets the changes that this entry missed: from a peer, or from the store if no peer answers
-// soon. So a change too large for a datagram does not cost a call to the store for each entry, and
-// an entry that the store rejects keeps the newest configuration and its freshness. Without that it
+// fetch gets the changes after a version, which this entry missed: from a peer, or from the store if no peer answers
+// soon. It fails if neither has them. So a change too large for a datagram does not cost a call to the store for each
+// entry, and an entry that the store rejects keeps the newest configuration and its freshness. Without that it
 // would refuse keyed requests after each large change.
 func (s *Source) fetch(ctx context.Context, after int64) (follow.Batch, error) {
 	ctx, cancel := context.WithCancel(ctx)
--- a/pkg/feedrelay/listen.go
+++ b/pkg/feedrelay/listen.go
@@ -66,7 +66,8 @@
 }
 
 // since returns what a message adds for an entry that has the table up to version after, with
-// freshness confirmed up to the store time confirmedAt. A newState without rows only confirms the freshness.
+// freshness confirmed up to the store time confirmedAt. A newState without rows only confirms the freshness. It is
+// missedChange if the table has changed since and the message doesn't have the rows of all these changes.
 func (m *message) since(after int64, confirmedAt clock.Millis) (follow.Batch, listenResult) {
 	b := follow.Batch{Version: m.To, StoreTime: m.StoreTime, Relayed: true}
 	switch {
--- a/pkg/feedrelay/peers.go
+++ b/pkg/feedrelay/peers.go
@@ -40,7 +40,7 @@
 	roundPause = 30 * clock.Millisecond
 )
 
-// FeedQuery requests a table, or its changes after a version, from a peer.
+// FeedQuery requests a table, or its changes after version After, from a peer. Only the method for changes reads After.
 type FeedQuery struct {
 	Table string
 	After int64
@@ -66,7 +66,8 @@
 }
 
 // queryPeers requests the changes after a version from candidate peers, each next one if the
-// one before fails or does not answer within nextPeerDelay. It returns the first answer that is newer.
+// one before fails or does not answer within nextPeerDelay. It returns the first answer that is newer, or else the error
+// of the peer that failed last; errNoPeer if there is no candidate.
 func (s *Source) queryPeers(ctx context.Context, after int64, round int) (follow.Batch, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/pkg/feedrelay/relay.go
+++ b/pkg/feedrelay/relay.go
@@ -187,7 +187,8 @@
 	r.send(messages)
 }
 
-// message returns the feed state of the table as known here, with its newest change while that is repeated.
+// message returns the feed state of the table as known here, with its newest change for changeRepeatTime. The caller
+// holds the relay's lock.
 func (t *table) message(name string, now clock.Millis) message {
 	r := &t.replica
 	m := message{Table: name, Since: r.last, To: r.to, Before: r.before, StoreTime: r.storeTime, Age: now - t.currentAt}
@@ -252,7 +253,7 @@
 }
 
 // storeAnswered records that the store has answered, and returns what is to be sent to the
-// others at once.
+// others at once: the feed state if rows have changed. The caller holds the relay's lock.
 func (t *table) storeAnswered(name string, now clock.Millis, changed, isFeedReader bool) []message {
 	t.readAt = now
 	t.currentAt = now
@@ -276,7 +277,7 @@
 	t.currentAt = max(t.currentAt, currentAt)
 }
 
-// applyRelayedSnapshot applies a snapshot that another entry relayed.
+// applyRelayedSnapshot applies a snapshot that another entry relayed. It was current at currentAt.
 func (r *Relay) applyRelayedSnapshot(name string, batch follow.Batch, currentAt clock.Millis) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/feedrelay/replica.go
+++ b/pkg/feedrelay/replica.go
@@ -14,7 +14,8 @@
 
 // replica is an entry's copy of one table, from which it serves others: all rows, or the changes
 // since some version. The rows, the version up to which it has them and the store's time at that
-// version come from the same answers: freshness is never relayed without the rows that it covers.
+// version come from the same answers: freshness is never relayed without the rows that it covers. The relay's lock
+// guards it.
 type replica struct {
 	known    bool  // it has been read or received; the other fields are not set before
 	complete bool  // it has all rows, not only changes
@@ -89,7 +90,7 @@
 	return changes
 }
 
-// put stores the rows of a change that the table had at a version.
+// put stores the rows of a change, which were those of the table at a version, and makes it the newest change.
 func (r *replica) put(rows []follow.Row, version int64) {
 	for _, row := range rows {
 		r.rows[row.Key] = versioned{row, version}
--- a/pkg/follow/faults.go
+++ b/pkg/follow/faults.go
@@ -25,9 +25,9 @@
 	common.Common
 	table string
 
-	mu             sync.Mutex
+	mu             sync.Mutex       // guards the fields below
 	faulty         map[string]int64 // revisions of the faulty rows, by key
-	linesPaidUntil clock.Millis     // when the lines so far are paid for: each one adds linePause
+	linesPaidUntil clock.Millis     // each line moves it by linePause; another one may be written once it is that long ago
 	unlogged       int              // faulty revisions without a line since the last line
 }
 
--- a/pkg/follow/follower.go
+++ b/pkg/follow/follower.go
@@ -275,7 +275,7 @@
 
 // currentMoment returns a moment, by our clock, at which an answer was current: the store's time plus
 // the least clock offset seen so far (that of the quickest answer), and never before the query or
-// after the answer.
+// after the answer. It updates that offset, and replaces one that was derived from a relayed answer.
 func (f *Follower) currentMoment(requestedAt, storeTime clock.Millis) clock.Millis {
 	now := f.Clock.Now()
 	offset := now - storeTime
--- a/pkg/ingress/admission.go
+++ b/pkg/ingress/admission.go
@@ -27,8 +27,9 @@
 	// confirmation. A key is removed after the last confirmation at the earliest. The rest of the limit covers
 	// the travel time of the store's answers, by which a confirmation may seem too recent.
 	revokeFraction = 0.85
-	// redistributionMargin is how long before the other entries redistribute the share of an entry without a
-	// heartbeat that entry stops using its keys, where operators prefer service to strictness.
+	// redistributionMargin is subtracted from membership.ForgetAfter, the time without a heartbeat after which the
+	// others redistribute an entry's share. Where operators prefer service to strictness, an entry without its
+	// membership lease goes on using its keys until then, even if their limit is shorter.
 	redistributionMargin = 500 * clock.Millisecond
 	// startupWait is how long a request waits at an entry that has just started and has no configuration yet;
 	// reading it takes 20 to 100 ms. A caller that is told to come back instead has used up its only retry:
@@ -41,8 +42,8 @@
 // Meter limits what client accounts may have run over all entries together. A fraction of an account's burst may
 // be reserved, which is then not available to the request.
 type Meter interface {
-	// Take counts units against an account's allowance, of whose burst the fraction reserve is left to others. If they
-	// may not run, it returns false and how long the caller should wait.
+	// Take counts units, as of Account.Units, against an account's allowance, of whose burst the fraction reserve
+	// (0 to 1) is left to others. If they may not run, it returns false and how long the caller should wait.
 	Take(ctx context.Context, account *routing.Account, units, reserve float64) (bool, clock.Millis)
 	// Return gives back units that did not run; taken is when Take counted them.
 	Return(account *routing.Account, units float64, taken clock.Millis)
@@ -233,7 +234,8 @@
 	return refuse(status, cause)
 }
 
-// read reads the complete body before anything is sent, so that a target never gets a truncated request.
+// read reads the complete body before anything is sent, so that a target never gets a truncated request. The body may
+// arrive until the request's deadline, and for at least 1 s.
 func (a *admission) read(w http.ResponseWriter, q *request) *Refusal {
 	if q.http.Body == nil || q.http.Body == http.NoBody {
 		return nil
@@ -281,7 +283,8 @@
 	return field
 }
 
-// refund returns the allowance of a request that has not run.
+// refund returns the allowance of a request that has not run. The account is the one that was charged, as a later
+// resolve may have put another into the request; nil if none was.
 func (a *admission) refund(q *request, account *routing.Account) {
 	if account != nil {
 		a.meter.Return(account, account.Units(q.Prompt+q.MaxOutput), q.chargedAt)
--- a/pkg/ingress/answer_writer.go
+++ b/pkg/ingress/answer_writer.go
@@ -38,6 +38,7 @@
 	return nil
 }
 
+// flush sends what net/http has buffered of the answer; after an error the caller can't be written to any more.
 func (o *answerWriter) flush() error {
 	if err := o.control.Flush(); err != nil {
 		return fmt.Errorf("writing to the caller: %w", err)
--- a/pkg/ingress/broken_off.go
+++ b/pkg/ingress/broken_off.go
@@ -33,7 +33,7 @@
 var errGivenUp = errors.New("target was given up by this entry")
 
 // wrapGivenUp marks the error of a lost exchange with errGivenUp if this entry ended it, as the error of the connection
-// reads the same whoever closed it.
+// reads the same whoever closed it. The context is that of the exchange; other results are returned unchanged.
 func wrapGivenUp(ctx context.Context, result attempt) attempt {
 	failed, ok := result.(lost)
 	if !ok || !errors.Is(context.Cause(ctx), errRedispatched) {
--- a/pkg/ingress/caller_conns.go
+++ b/pkg/ingress/caller_conns.go
@@ -12,8 +12,8 @@
 )
 
 // callerConns tracks callers' connections and keeps them within their limit of descriptors. An idle connection is
-// closed only when a new one needs its descriptor. Closing connections with their answers from 7/8 of the limit on
-// makes returning callers open a new connection each, which costs the entry processor time.
+// closed only when a new one needs its descriptor. Closing connections after their answers as soon as 7/8 of the limit
+// are in use would make returning callers open a new connection each, which costs the entry processor time.
 type callerConns struct {
 	common.Common
 	// freed gets a token when a rejected connection has ended. It holds one token, and a send never blocks.
@@ -38,7 +38,8 @@
 	}
 }
 
-// admit decides about a new connection. If it replaces an idle one, that is closed here.
+// admit decides about a new connection. If it replaces an idle one, that is closed here. After StepWait the connection
+// is not tracked, and admit must be called again for it.
 func (cc *callerConns) admit(c net.Conn) descriptors.Step {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -114,7 +115,7 @@
 	}
 }
 
-// ended removes a connection from the count; the lock is held.
+// ended removes a connection that was not replaced by another, also from the limiter's counts; the lock is held.
 func (cc *callerConns) ended(c net.Conn, known *callerConn) {
 	cc.remove(c)
 	if known.rejected {
@@ -141,7 +142,8 @@
 	return cc.limiter.CallerConnections(), cc.limiter.Rejecting()
 }
 
-// logShortageEnd logs the end of a shortage, if it has ended.
+// logShortageEnd logs the end of a shortage, that is, of a time in which callers' connections were at their limit. It
+// does nothing if there is none, or if it goes on.
 func (cc *callerConns) logShortageEnd() {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
--- a/pkg/ingress/delivery.go
+++ b/pkg/ingress/delivery.go
@@ -43,7 +43,8 @@
 	maxWithheld = 3
 	// minRemaining is the minimum time that must remain before the deadline for another exchange.
 	minRemaining = 20 * clock.Millisecond
-	// declinedRetryAfter is the Retry-After if targets had no free slot.
+	// declinedRetryAfter is the shortest Retry-After of a request that targets declined, as they had no free slot, or
+	// that did not reach them.
 	declinedRetryAfter = 500 * clock.Millisecond
 )
 
@@ -102,7 +103,7 @@
 // exchange is permitted.
 func (d *delivery) runAttempts(ctx context.Context, q *request, out *answerWriter) *Refusal {
 	var permit *quarantine.Permit
-	defer func() { permit.Release(false) }()
+	defer func() { permit.Release(false) }() // false: a permit that is still held here was not used for a run
 	for {
 		assignment, entered, refusal := d.enter(ctx, q, permit)
 		if refusal != nil {
--- a/pkg/ingress/drain.go
+++ b/pkg/ingress/drain.go
@@ -8,7 +8,8 @@
 	"quaydock/pkg/routing"
 )
 
-// Stop is the schedule of an entry's drain, known from the moment of its signal.
+// Stop is the schedule of an entry's drain, known from the moment of its signal. Its times are points in time by the
+// entry's clock.
 type Stop struct {
 	// RestrictsFrom is when the restriction begins: from then on only requests are admitted that will surely
 	// end in time.
@@ -41,7 +42,7 @@
 	return &drainAdmission{longest: make(map[string]*recentMax)}
 }
 
-// record adds the duration of an answer.
+// record adds how long a request took from its arrival to the end of its answer.
 func (c *drainAdmission) record(now clock.Millis, route string, took clock.Millis) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,6 +140,7 @@
 	m.span = span
 }
 
+// add records a duration that was measured now.
 func (m *recentMax) add(now, value clock.Millis) {
 	m.advance(now)
 	m.current = max(m.current, value)
--- a/pkg/ingress/events.go
+++ b/pkg/ingress/events.go
@@ -41,7 +41,8 @@
 }
 
 // next returns the next complete event. After the last one it returns io.EOF if the stream ended properly, together
-// with the bytes of an event that was not terminated.
+// with the bytes of an event that was not terminated. Any other error says that the stream broke off or that an event
+// has more than maxEventBytes; the event is then incomplete.
 func (r *eventReader) next() (event, error) {
 	if ahead := r.peeked; ahead != nil {
 		r.peeked = nil
@@ -69,7 +70,8 @@
 	}
 }
 
-// peek reads ahead the next event, or the proper end of the stream, which next then returns.
+// peek reads ahead the next event, or the proper end of the stream, which next then returns. It returns an error if it
+// gets neither.
 func (r *eventReader) peek() error {
 	e, err := r.next()
 	if err != nil && !errors.Is(err, io.EOF) {
--- a/pkg/ingress/first_tries.go
+++ b/pkg/ingress/first_tries.go
@@ -10,7 +10,7 @@
 // firstTries learns the deadline of first tries on each route, so that the shorter deadline of a request that comes
 // back shows how long ago its first try was. A late request then does not take the slot of one that can be in time.
 type firstTries struct {
-	mu     sync.Mutex
+	mu     sync.Mutex                  // guards routes and what they point to
 	routes map[string]*longestDeadline // by name
 }
 
--- a/pkg/ingress/quarantined.go
+++ b/pkg/ingress/quarantined.go
@@ -25,7 +25,7 @@
 		}
 		assignment, refusal := d.acquire(ctx, q)
 		if refusal != nil {
-			permit.Release(false)
+			permit.Release(false) // false: there was no run
 			return nil, nil, refusal
 		}
 		if d.permitted(q, permit) {
@@ -33,7 +33,7 @@
 		}
 		// Targets have ended under the request while it waited for the assignment.
 		assignment.Done(planner.Abandoned, planner.StreamStats{})
-		permit.Release(false)
+		permit.Release(false) // false: there was no run
 		permit = nil
 	}
 }
@@ -92,7 +92,7 @@
 		}
 	case callerGone: // says nothing of the target's process
 	}
-	permit.Release(true)
+	permit.Release(true) // true: there was a run
 	return nil
 }
 
--- a/pkg/ingress/reject.go
+++ b/pkg/ingress/reject.go
@@ -52,7 +52,7 @@
 
 // tierCounts counts requests by tier.
 type tierCounts struct {
-	mu     sync.Mutex
+	mu     sync.Mutex           // guards counts
 	counts map[ids.TierRank]int // without tiers that have none
 }
 
--- a/pkg/ingress/relay.go
+++ b/pkg/ingress/relay.go
@@ -50,7 +50,8 @@
 // isEncoded reports whether the body of an answer has a content encoding.
 func isEncoded(a *forward.Answer) bool { return a.Header.Get("Content-Encoding") != "" }
 
-// streams reports whether an answer to the request is a stream of events.
+// streams reports whether an answer to the request is a stream of events: on a route of streams, one with a status
+// below 300.
 func (r *request) streams(a *forward.Answer) bool {
 	return r.route.Kind == routing.Stream && a.Status < http.StatusMultipleChoices
 }
@@ -64,7 +65,9 @@
 	return body, nil
 }
 
-// relayBuffered relays an answer that is not a stream, whose body was read up to maxBuffered.
+// relayBuffered relays an answer that is not a stream; body is what was read of it, up to maxBuffered. A failure (status
+// 500 or higher) is kept instead while another target may still do better. In the middle of a stream, where the caller
+// can't get such an answer, it returns lost.
 func (d *delivery) relayBuffered(w *watch, q *request, out *answerWriter, assignment schedule.Assignment, a *forward.Answer, body []byte) attempt {
 	failed := a.Status >= http.StatusInternalServerError
 	if failed && !out.started && w.isSearching() {
@@ -73,7 +76,7 @@
 		assignment.Done(planner.Failed, planner.StreamStats{})
 		return lost{err: fmt.Errorf("target %s answered with status %d", assignment.Target().ID, a.Status), answered: true}
 	}
-	if !w.answerComplete(q) {
+	if !w.completeAnswer(q) {
 		assignment.Done(planner.Failed, planner.StreamStats{})
 		return lost{err: errRedispatched}
 	}
@@ -182,7 +185,8 @@
 	}
 }
 
-// relayEvent relays one event, unless the caller has it already: one whose id is not above that of the last event.
+// relayEvent relays one event, unless the caller has it already: one whose id is not above that of the last event. With
+// flush the event is sent to the caller at once; otherwise it may stay buffered until a later one is sent.
 func (d *delivery) relayEvent(q *request, out *answerWriter, e event, flush bool) error {
 	if e.hasID && q.hasEvent && e.id <= q.lastEvent {
 		return nil
--- a/pkg/ingress/request.go
+++ b/pkg/ingress/request.go
@@ -108,7 +108,7 @@
 }
 
 // estimateEvents estimates the number of events of a request's answer, from the caller's estimate of its output or else
-// the limit on it. It returns 0 if the answer is not a stream.
+// the limit on it. It returns at least 1 for a stream, and 0 for any other answer.
 func (a *admission) estimateEvents(q *request) int {
 	if q.route.Kind != routing.Stream {
 		return 0
--- a/pkg/ingress/search.go
+++ b/pkg/ingress/search.go
@@ -65,7 +65,7 @@
 	// firstGone says that the first target has failed, has ended, or can't be reached. maxOverlap then no longer applies
 	// to the other target.
 	firstGone atomic.Bool
-	end       SearchEnd // used by run alone
+	end       SearchEnd // used only by run and the methods that it calls in its goroutine
 
 	// takeover is the answer of the target that has taken over, and relayed says that it is being relayed. Both are read
 	// only after finished is closed.
@@ -79,7 +79,7 @@
 	answer     *forward.Answer
 	events     *eventReader // of a stream; its next event has been read
 	body       []byte       // of any other answer, up to maxBuffered
-	sentAt     clock.Millis
+	sentAt     clock.Millis // when the request was sent to the target
 	// ctx is the context of the exchange, and endExchange cancels it.
 	ctx         context.Context
 	endExchange context.CancelCauseFunc
@@ -285,7 +285,7 @@
 		return
 	}
 	second, control := s.probe(s.watch.target), s.probe(other)
-	for range cap(first) + cap(second) {
+	for range cap(first) + cap(second) { // each channel gets one result
 		var reach forward.Reachability
 		select {
 		case reach = <-first:
--- a/pkg/ingress/server.go
+++ b/pkg/ingress/server.go
@@ -192,7 +192,7 @@
 	server  *Server
 	from    <-chan net.Conn // the server's accepted or rejected
 	stopped chan struct{}   // closed by stop
-	once    sync.Once
+	once    sync.Once       // closes stopped
 }
 
 // Accept returns the next connection. Once stopped it returns net.ErrClosed even if a connection is ready: its
--- a/pkg/ingress/watch.go
+++ b/pkg/ingress/watch.go
@@ -292,9 +292,9 @@
 	return "broken off"
 }
 
-// answerComplete ends the watch when a complete answer has arrived, and counts what searches have used. It reports
+// completeAnswer ends the watch when a complete answer has arrived, and counts what searches have used. It reports
 // false if the target has been given up.
-func (w *watch) answerComplete(q *request) bool {
+func (w *watch) completeAnswer(q *request) bool {
 	if !w.movable {
 		return true
 	}
--- a/pkg/refusal/codes.go
+++ b/pkg/refusal/codes.go
@@ -28,12 +28,13 @@
 	CodeKeyInUse       Code = "idempotency_key_in_use"
 )
 
-// notRun returns a refusal of a request that did not run anywhere.
+// notRun returns a refusal of a request that did not run anywhere. The message is a format for args.
 func notRun(status int, code Code, message string, args ...any) *Refusal {
 	return &Refusal{Status: status, Code: code, Outcome: NotRun, Message: fmt.Sprintf(message, args...)}
 }
 
-// Malformed refuses a request that cannot be read; param names the field or header at fault.
+// Malformed refuses a request that cannot be read; param names the field or header at fault, and is empty if there is
+// none. The message is a format for args.
 func Malformed(param, message string, args ...any) *Refusal {
 	r := notRun(http.StatusBadRequest, CodeMalformed, message, args...)
 	r.Param = param
--- a/pkg/requestlog/requestlog.go
+++ b/pkg/requestlog/requestlog.go
@@ -90,7 +90,7 @@
 
 // ForRequest returns the log lines of a request and those that may explain its outcome, sorted by time. The latter
 // belong to no request and were written within 5 s of its own lines: by any process about a target that it was sent to,
-// or by one of its own processes without naming a target.
+// or by one of its own processes without naming a target. It returns nil if no line is the request's own.
 func ForRequest(request string, lines []Line) []Line {
 	var own []Line
 	targets := make(map[string]bool)
@@ -155,7 +155,8 @@
 	return processes[l.Fields[FieldProcess]]
 }
 
-// String formats a line for people: prefix, time, process and message, then each other field on a line of its own.
+// String formats a line for people: prefix, time, process and message, then each other field but the level on a line of
+// its own.
 func (l Line) String() string {
 	var b strings.Builder
 	if l.Prefix != "" {
--- a/pkg/table/table.go
+++ b/pkg/table/table.go
@@ -29,7 +29,7 @@
 	Value   json.RawMessage `json:"value"`
 }
 
-// Condition holds if the row's version is Version.
+// Condition holds if the row's version is Version; with Version 0, if there is no such row.
 type Condition struct {
 	Key     Key     `json:"key"`
 	Version Version `json:"version"`
@@ -58,7 +58,7 @@
 	base    string // the URL before the paths
 	client  *http.Client
 	timeout clock.Millis // of one call
-	closed  atomic.Bool
+	closed  atomic.Bool  // set by Close, for good
 }
 
 // ErrClosed is returned by calls to a closed table.
@@ -86,7 +86,8 @@
 	}
 }
 
-// readValue decodes the value of a row into into.
+// readValue reads a row and decodes its JSON value into the variable that into points to. Its errors are those of Read,
+// and one for a value that can't be decoded.
 func (t *Table) readValue(ctx context.Context, key Key, into any) error {
 	row, err := t.Read(ctx, key)
 	if err != nil {
@@ -123,6 +124,7 @@
 	t.client.CloseIdleConnections()
 }
 
+// sling returns a new call to the table service, without a path yet.
 func (t *Table) sling() *sling.Sling {
 	return sling.New().Base(t.base).Client(t.client)
 }
