--- a/pkg/clock/stalls.go
+++ b/pkg/clock/stalls.go
@@ -6,11 +6,11 @@
 )
 
 // Stalls records when this process was stalled, that is, got no processor: what ended in that time
-// seems to have taken longer than it did. A stall is detected by a timer that fires late.
+// seems to have taken longer than it did. A stall is detected by a timer of the caller's that fires late.
 type Stalls struct {
-	mu   sync.Mutex
-	due  Millis // when the timer is to fire, 0 if none is set
-	past []span // oldest first
+	mu   sync.Mutex // guards the fields below
+	due  Millis     // when the timer is to fire, 0 if none is set
+	past []span     // oldest first
 }
 
 // span is a time during which the process was stalled: from when the timer was due until it fired.
--- a/pkg/feedrelay/cluster_test.go
+++ b/pkg/feedrelay/cluster_test.go
@@ -324,7 +324,8 @@
 	return m, relay
 }
 
-// follow has an entry run its membership and relay, and follow the table.
+// follow has an entry run its membership and relay, and follow the table. The store may hold a query for 1,200 ms, and
+// its answer may take 800 ms more.
 func (b *cluster) follow(i int, m *membership.Members, relay *feedrelay.Relay) {
 	ctx := b.contexts[i]
 	e := newEntry()
@@ -346,7 +347,8 @@
 	return -1
 }
 
-// slowest returns the longest time that a change took to reach an entry that counts, or an hour if one lacks it.
+// slowest returns the longest time, since the given moment, that a change took to reach an entry that counts, or an hour
+// if one lacks it.
 func (b *cluster) slowest(key string, from time.Time, counts func(i int) bool) time.Duration {
 	longest := time.Duration(0)
 	for i, e := range b.entries {
--- a/pkg/feedrelay/peers_test.go
+++ b/pkg/feedrelay/peers_test.go
@@ -15,7 +15,8 @@
 )
 
 // TestLargeChangesReachEntriesWithoutStore has the store reject entries, or not answer them, while
-// changes come that are too large for a datagram.
+// changes come that are too large for a datagram: peers must serve them in time, and the freshness of
+// no entry may get old.
 func TestLargeChangesReachEntriesWithoutStore(t *testing.T) {
 	scenarios := []struct {
 		name  string
--- a/pkg/feedrelay/read_decision_test.go
+++ b/pkg/feedrelay/read_decision_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// TestTotalReadRateIsLimited counts the reads of all entries while the store does not answer: their
-// rate must not grow with the number of entries.
+// TestTotalReadRateIsLimited counts the reads of all entries in a minute in which the store does not answer
+// and none of them is the feed reader: their rate must not grow with the number of entries.
 func TestTotalReadRateIsLimited(t *testing.T) {
 	const maxPerSecond = 18
 	for _, entries := range []int{4, 68, 350, 1000} {
--- a/pkg/feedrelay/size_test.go
+++ b/pkg/feedrelay/size_test.go
@@ -58,7 +58,7 @@
 // TestFreshnessWhileStoreRejectsMostEntries has the store answer only a third of the entries, and not
 // the feed reader: the freshness of keys must not get older than their grace where its limit is strict.
 func TestFreshnessWhileStoreRejectsMostEntries(t *testing.T) {
-	const maxAge = 4250 * clock.Millisecond
+	const maxAge = 4250 * clock.Millisecond // 0.85 of the strict limit of 5 s on removed keys
 	for _, n := range sizes {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/pkg/follow/faults_test.go
+++ b/pkg/follow/faults_test.go
@@ -17,7 +17,8 @@
 var errFaulty = errors.New("faulty")
 
 // TestFaultyRowsAreLoggedOnce reads a table that another writer fills with faulty rows again and again:
-// each is logged once for each revision, at a limited rate and length.
+// each is logged once for each revision, with at most 10 lines at once and one a second after these, and
+// with a limited length.
 func TestFaultyRowsAreLoggedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log bytes.Buffer
--- a/pkg/follow/follower_test.go
+++ b/pkg/follow/follower_test.go
@@ -58,6 +58,7 @@
 	follow.NewFollower(commontest.New(network.NewMemory(nil)), s, h, options).Run(ctx)
 }
 
+// options have the source hold a query for 1 s, and limit its answer to 500 ms more.
 var options = follow.Options{Wait: clock.Second, AnswerTimeout: 500}
 
 // Guards against changes that are read again, or left out, as they are requested after another version than the last
@@ -166,7 +167,7 @@
 }
 
 // TestFreshnessIsNeverTooNew has the answers of the store arrive late, and checks that their freshness
-// is not after the moment at which the store answered.
+// is not after the moment at which the store answered. The store's clock is not that of the follower.
 func TestFreshnessIsNeverTooNew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
--- a/pkg/ingress/admission.go
+++ b/pkg/ingress/admission.go
@@ -51,7 +51,8 @@
 
 // Entries describes this entry's standing among all entries.
 type Entries interface {
-	// Share is this entry's share of the allowances of all entries together, 0 while it is unknown.
+	// Share is this entry's share of the allowances of all entries together, a fraction up to 1, or 0 while it is
+	// unknown.
 	Share() float64
 	// HoldsLease reports whether this entry has counted as alive ever since a moment, and nobody can
 	// redistribute its share before it is notified.
@@ -67,12 +68,13 @@
 	tries       *firstTries
 	drain       *drainAdmission
 	entries     Entries
-	keyGrace    atomic.Int64 // how long keys are used without a confirmation, in clock.Millis
-	// leasedKeyGrace is how long they are while this entry holds its membership lease.
+	// keyGrace is up to which age of the configuration's freshness keys are used, in clock.Millis.
+	keyGrace atomic.Int64
+	// leasedKeyGrace is the same while this entry holds its membership lease; 0 if that makes no difference.
 	leasedKeyGrace atomic.Int64
 }
 
-// setKeyGrace sets how long keys are used without a confirmation. Unless the limit is strict, this is at least until
+// setKeyGrace sets how long keys are used without a confirmation that the configuration is the newest. Unless the limit is strict, this is at least until
 // shortly before the others may redistribute this entry's share, and up to keys.Max while it holds its membership
 // lease.
 func (a *admission) setKeyGrace(keys KeyGrace) {
@@ -197,8 +199,8 @@
 	return maxReserve * rank * size
 }
 
-// resolve finds the route and the account of a request in the current configuration. It is called again before
-// each exchange, since both may have been removed while the request waited.
+// resolve puts the route, service and account of the current configuration into a request, or refuses it. It is called
+// again before each exchange, since route and account may have been removed while the request waited.
 func (a *admission) resolve(q *request) *Refusal {
 	if !a.hasConfiguration() {
 		return notRun(CauseStarting, retryDelay)
--- a/pkg/ingress/endings_table_test.go
+++ b/pkg/ingress/endings_table_test.go
@@ -296,7 +296,8 @@
 	}
 }
 
-// checkDisturbance applies a disturbance to a request at a step, and checks what the caller gets.
+// checkDisturbance applies a disturbance to a request at a step, and checks what the caller gets and that no more
+// targets get the request than its route allows. The first target pauses at the step for the given time.
 func checkDisturbance(t *testing.T, at requestStep, path string, pause time.Duration, prepare, do func(*testbed), want callerOutcome) {
 	t.Helper()
 	const whileAtStep = 300 * time.Millisecond
--- a/pkg/ingress/first_tries.go
+++ b/pkg/ingress/first_tries.go
@@ -62,7 +62,7 @@
 }
 
 // record counts a request with a deadline. The deadline replaces the longest one if it is longer, or if the longest one
-// has become rare, and the counts then begin anew.
+// has become rare, and the counts then begin anew. The caller holds the lock of firstTries.
 func (d *longestDeadline) record(deadline clock.Millis) {
 	d.total = d.total*countDecay + 1
 	d.seen *= countDecay
--- a/pkg/ingress/keys_test.go
+++ b/pkg/ingress/keys_test.go
@@ -58,8 +58,8 @@
 }
 
 // An entry gets no confirmation of its configuration for a while. With a strict limit it serves no request with a key
-// beyond that. Without one it goes on until the other entries may redistribute its share, or, while it holds its
-// membership lease, for as long as the operators allow.
+// beyond 0.85 of that, 4.25 s. Without one it goes on for 7.5 s, as the other entries may redistribute the share of an
+// entry after 8 s without a heartbeat, or, while it holds its membership lease, for the 20 s that the operators allow.
 func TestKeysWithoutConfirmation(t *testing.T) {
 	scenarios := []struct {
 		strict bool
--- a/pkg/ingress/reject_test.go
+++ b/pkg/ingress/reject_test.go
@@ -52,7 +52,7 @@
 					time.Sleep(time.Second)
 					return replies(200, "", "yes")(c, r)
 				})
-				b.routes[1].Tier = 2
+				b.routes[1].Tier = 2 // the route of low
 				b.configure(2)
 				if s.running != "" {
 					go func() { b.call(context.Background(), s.running, nil) }()
@@ -75,7 +75,8 @@
 	}
 }
 
-// A request of a higher tier that is served beyond the limit takes three times as long as a rejected caller has.
+// A request of a higher tier that is served beyond the limit takes three times as long as a rejected caller has. It
+// must get its complete answer: the server of rejected callers has deadlines that would break it off.
 func TestRequestServedBeyondLimitIsNotBrokenOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestbed(t, fakeMeter{}, func(c net.Conn, r *http.Request) bool {
--- a/pkg/ingress/search.go
+++ b/pkg/ingress/search.go
@@ -183,6 +183,7 @@
 func (s *search) open(assignment schedule.Assignment) attempt {
 	d := s.delivery
 	ctx, end := context.WithCancelCause(s.watch.requestCtx)
+	// The end of the search ends the exchange too, until detach is called.
 	detach := context.AfterFunc(s.ctx, func() { end(context.Cause(s.ctx)) })
 	limit := time.AfterFunc(maxOverlap.Duration(), func() { s.overlapLimitReached(end) })
 	defer limit.Stop()
--- a/pkg/ingress/search_random_test.go
+++ b/pkg/ingress/search_random_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// checkSearchEnds has a request whose targets all fall silent end at a moment after its beginning. If do is nil, its
-// deadline is that moment.
+// checkSearchEnds has a request whose targets all fall silent end at a moment after its beginning, and checks what
+// TestSearchEndsWithRequest says; attempts is how many targets may get it. If do is nil, its deadline is that moment.
 func checkSearchEnds(t *testing.T, attempts int, name string, at time.Duration, do func(*testbed, context.CancelFunc)) {
 	var mu sync.Mutex
 	running, latest := 0, time.Time{}
@@ -158,7 +158,8 @@
 	}
 }
 
-// checkRandomTargets makes one request to four random targets, by an entry and a caller whose delays are random too.
+// checkRandomTargets makes one request to four random targets, by an entry and a caller whose delays are random too, and
+// checks what TestRandomTargetBehaviour says.
 func checkRandomTargets(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 44))
 	var runs atomic.Int64
--- a/pkg/ingress/server_test.go
+++ b/pkg/ingress/server_test.go
@@ -73,7 +73,7 @@
 func TestCallerLimits(t *testing.T) {
 	scenarios := []struct {
 		name   string
-		limits routing.Limits
+		limits routing.Limits       // times in ms; 0 HeaderBytes stand for net/http's default
 		do     func(c net.Conn) int // returns the status, 0 if the connection was closed
 		want   int
 	}{
--- a/pkg/ingress/testbed_test.go
+++ b/pkg/ingress/testbed_test.go
@@ -68,7 +68,8 @@
 	}
 }
 
-// fakeMeter is a meter that refuses the accounts it names, with 1.5 s to wait. It also implements Entries.
+// fakeMeter is a meter that refuses the accounts it names, with 1,500 ms to wait. It also implements Entries, with a
+// share of 1 and no membership lease unless it names the pseudo-accounts below.
 type fakeMeter map[ids.Account]bool
 
 func (f fakeMeter) Take(_ context.Context, a *routing.Account, _, _ float64) (bool, clock.Millis) {
@@ -118,7 +119,7 @@
 		return nil, nil, context.Cause(ctx)
 	}
 	if s.refuses(later) {
-		return nil, &schedule.Refused{Overloaded: true, RetryAfter: 2500}, nil
+		return nil, &schedule.Refused{Overloaded: true, RetryAfter: 2500}, nil // ms
 	}
 next:
 	for _, t := range s.b.listed() {
@@ -132,7 +133,7 @@
 		}
 		return &orderedAssignment{s, t}, nil, nil
 	}
-	return nil, &schedule.Refused{RetryAfter: 500}, nil
+	return nil, &schedule.Refused{RetryAfter: 500}, nil // no target is left; ms
 }
 
 // refuses reports whether to refuse a request for an assignment; later is false for the first one of the test.
@@ -249,7 +250,8 @@
 
 // newTestbed starts an entry and the targets t1, t2 and so on, each with its script; nothing listens at a target whose
 // script is nil. Its routes are /unsafe/, /safe/, /stream/, /resume/ (a stream that may be resumed) and /open/ (safe,
-// and without keys), its accounts acme with the key "key" and full with "fullkey".
+// and without keys), its accounts acme with the key "key" and full with "fullkey". Times of routes are in ms, and
+// retries are limited to 100 and a fifth of the requests in 10 s.
 func newTestbed(t *testing.T, meter fakeMeter, engines ...scriptedTarget) *testbed {
 	b := &testbed{t: t, network: network.NewMemory(nil), started: make(map[net.Conn]ids.Start)}
 	b.dialer = &slowDialer{Memory: b.network}
--- a/pkg/ingress/watch.go
+++ b/pkg/ingress/watch.go
@@ -78,7 +78,8 @@
 	trail                 []trailEntry
 }
 
-// watch begins an exchange of a request with the target of an assignment.
+// watch begins an exchange of a request with the target of an assignment. If the request may not be sent to another
+// target, the watch starts no searches.
 func (d *delivery) watch(ctx context.Context, q *request, assignment schedule.Assignment) *watch {
 	if !d.movable(q) || d.Ablation.Off(ablation.Moves) {
 		return &watch{delivery: d, target: assignment.Target(), exchangeCtx: ctx, endExchange: func(error) {}}
@@ -207,7 +208,7 @@
 }
 
 // replaceTarget gives the target up for another one that has responded. It reports false if the first target has
-// responded just before.
+// responded just before, or if the search or the exchange with the other target has been cancelled.
 func (w *watch) replaceTarget(s *search, t *takeover) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/pkg/resume/break_streak_test.go
+++ b/pkg/resume/break_streak_test.go
@@ -38,7 +38,7 @@
 					break
 				}
 				resumes++
-				now += 50 // between two connections
+				now += 50 // ms between two connections
 				streak.Begin(now)
 			}
 			if resumes != c.resumes {
