--- a/pkg/feedrelay/cluster_test.go
+++ b/pkg/feedrelay/cluster_test.go
@@ -347,8 +347,8 @@
 	return -1
 }
 
-// slowest returns the longest time, since the given moment, that a change took to reach an entry that counts, or an hour
-// if one lacks it.
+// slowest returns the longest time, since the given moment, that a change took to reach an entry that counts, or an
+// hour if one lacks it.
 func (b *cluster) slowest(key string, from time.Time, counts func(i int) bool) time.Duration {
 	longest := time.Duration(0)
 	for i, e := range b.entries {
--- a/pkg/feedrelay/peers.go
+++ b/pkg/feedrelay/peers.go
@@ -66,8 +66,8 @@
 }
 
 // queryPeers requests the changes after a version from candidate peers, each next one if the
-// one before fails or does not answer within nextPeerDelay. It returns the first answer that is newer, or else the error
-// of the peer that failed last; errNoPeer if there is no candidate.
+// one before fails or does not answer within nextPeerDelay. It returns the first answer that is newer, or else the
+// error of the peer that failed last; errNoPeer if there is no candidate.
 func (s *Source) queryPeers(ctx context.Context, after int64, round int) (follow.Batch, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/pkg/fields/object.go
+++ b/pkg/fields/object.go
@@ -23,7 +23,7 @@
 
 // Errors of objects and fields.
 var (
-	errEmpty      = errors.New("empty value, or not base64") // the store's client reads a value that is not base64 as empty
+	errEmpty      = errors.New("empty value, or not base64") // the store's client returns one that isn't base64 as empty
 	errEncoding   = errors.New("not UTF-8")
 	errNotObject  = errors.New("not a JSON object")
 	errNotJSON    = errors.New("not JSON")
--- a/pkg/ingress/admission.go
+++ b/pkg/ingress/admission.go
@@ -74,9 +74,9 @@
 	leasedKeyGrace atomic.Int64
 }
 
-// setKeyGrace sets how long keys are used without a confirmation that the configuration is the newest. Unless the limit is strict, this is at least until
-// shortly before the others may redistribute this entry's share, and up to keys.Max while it holds its membership
-// lease.
+// setKeyGrace sets how long keys are used without a confirmation that the configuration is the newest. Unless the limit
+// is strict, this is at least until shortly before the others may redistribute this entry's share, and up to keys.Max
+// while it holds its membership lease.
 func (a *admission) setKeyGrace(keys KeyGrace) {
 	grace := float64(keys.Limit) * revokeFraction
 	if !keys.Strict && !a.Ablation.Off(ablation.KeyTrust) {
--- a/pkg/ingress/quarantined.go
+++ b/pkg/ingress/quarantined.go
@@ -117,7 +117,8 @@
 }
 
 // checkEnded returns whether a target broke off because its process has ended, and reports that to the quarantine. A
-// reset connection or a truncated answer alone does not show it, so the target is probed, and counts as running if it does not answer in time.
+// reset connection or a truncated answer alone does not show it, so the target is probed, and counts as running if it
+// does not answer in time.
 func (d *delivery) checkEnded(ctx context.Context, run *brokenRun) bool {
 	if !d.pool.Ended(ctx, run.target) {
 		d.guard.RecordPossibleEnd(run.Run)
--- a/pkg/ingress/relay.go
+++ b/pkg/ingress/relay.go
@@ -65,9 +65,9 @@
 	return body, nil
 }
 
-// relayBuffered relays an answer that is not a stream; body is what was read of it, up to maxBuffered. A failure (status
-// 500 or higher) is kept instead while another target may still do better. In the middle of a stream, where the caller
-// can't get such an answer, it returns lost.
+// relayBuffered relays an answer that is not a stream; body is what was read of it, up to maxBuffered. A failure (a
+// status of 500 or higher) is kept instead while another target may still do better. In the middle of a stream, where
+// the caller can't get such an answer, it returns lost.
 func (d *delivery) relayBuffered(w *watch, q *request, out *answerWriter, assignment schedule.Assignment, a *forward.Answer, body []byte) attempt {
 	failed := a.Status >= http.StatusInternalServerError
 	if failed && !out.started && w.isSearching() {
--- a/pkg/ingress/search_random_test.go
+++ b/pkg/ingress/search_random_test.go
@@ -158,8 +158,8 @@
 	}
 }
 
-// checkRandomTargets makes one request to four random targets, by an entry and a caller whose delays are random too, and
-// checks what TestRandomTargetBehaviour says.
+// checkRandomTargets makes one request to four random targets, by an entry and a caller whose delays are random too,
+// and checks what TestRandomTargetBehaviour says.
 func checkRandomTargets(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 44))
 	var runs atomic.Int64
