--- a/pkg/feedrelay/cluster_test.go
+++ b/pkg/feedrelay/cluster_test.go
@@ -24,8 +24,8 @@
 type store struct {
 	began time.Time // when the store's clock was 0
 
-	mu             sync.Mutex
-	version        int64
+	mu             sync.Mutex     // guards the fields below
+	version        int64          // of the last put; other tables share the counter
 	log            []follow.Row   // the rows in the order in which they were put
 	at             []int64        // the version of each of them
 	putAt          []clock.Millis // when each row was put, since began
@@ -129,8 +129,8 @@
 
 // entry follows the table and records what it received.
 type entry struct {
-	mu         sync.Mutex
-	rows       map[string]string
+	mu         sync.Mutex           // guards the fields below
+	rows       map[string]string    // values by key
 	receivedAt map[string]time.Time // when each key was first received
 	freshAt    clock.Millis         // the latest moment at which it claims to have been current
 }
@@ -182,11 +182,11 @@
 	entries []*entry // as members and stops, by entry; nil for one that was never started
 	members []*membership.Members
 	stops   []context.CancelFunc // each stops one entry
-	// contexts are those of the running entries.
+	// contexts are those of the running entries, by entry.
 	contexts map[int]context.Context
 	listed   []follow.Row // the rows of all entries in the list of entries
 
-	mu   sync.Mutex
+	mu   sync.Mutex                 // guards lost
 	lost map[[2]netip.AddrPort]bool // sender and receiver of lost datagrams
 }
 
@@ -269,7 +269,7 @@
 	return b
 }
 
-// endWithTest stops all entries when the test ends.
+// endWithTest stops all entries when the test ends, and waits for their goroutines, as synctest requires.
 func (b *cluster) endWithTest(t *testing.T) {
 	t.Cleanup(func() {
 		for _, stop := range b.stops {
--- a/pkg/fields/object.go
+++ b/pkg/fields/object.go
@@ -23,7 +23,7 @@
 
 // Errors of objects and fields.
 var (
-	errEmpty      = errors.New("empty value, or not base64") // the store's client returns one that isn't base64 as empty
+	errEmpty      = errors.New("empty value, or not base64") // a row's value that isn't base64 is read as empty
 	errEncoding   = errors.New("not UTF-8")
 	errNotObject  = errors.New("not a JSON object")
 	errNotJSON    = errors.New("not JSON")
--- a/pkg/follow/faults.go
+++ b/pkg/follow/faults.go
@@ -27,7 +27,7 @@
 
 	mu             sync.Mutex       // guards the fields below
 	faulty         map[string]int64 // revisions of the faulty rows, by key
-	linesPaidUntil clock.Millis     // moved on by linePause with each line; the next is allowed once it is that long ago
+	linesPaidUntil clock.Millis     // moves on by linePause with each line; the next may come once it is that long ago
 	unlogged       int              // faulty revisions without a line since the last line
 }
 
--- a/pkg/follow/follower_test.go
+++ b/pkg/follow/follower_test.go
@@ -157,7 +157,7 @@
 		}
 		h := &handler{}
 		run(s, h, options, 8*time.Second)
-		if h.failures < 8 || h.failures > 40 {
+		if h.failures < 8 || h.failures > 40 { // pauses between reads grow from 50 to 400 ms, less up to half
 			t.Errorf("%d failed reads reported in 4 s", h.failures)
 		}
 		if len(h.freshness) < 3 {
--- a/pkg/ingress/controller.go
+++ b/pkg/ingress/controller.go
@@ -188,7 +188,7 @@
 }
 
 // conclude gives the final answer if none was given, and aborts one that cannot be completed, so that it does
-// not look complete.
+// not look complete: it panics as ServeHTTP says.
 func (c *Controller) conclude(q *request, refusal *Refusal, out *answerWriter) {
 	if refusal == nil {
 		c.answered(q)
--- a/pkg/ingress/controller_test.go
+++ b/pkg/ingress/controller_test.go
@@ -96,6 +96,7 @@
 // TestRefusals guards against refusals with the wrong status, without the time to come back that they need, or after
 // the request has reached a target.
 func TestRefusals(t *testing.T) {
+	// Longer than the grace of keys (0.85 of 5 s) and than the 2.5 s up to which "not found" may be answered.
 	outdate := func(b *testbed) { time.Sleep(4400 * time.Millisecond) }
 	scenarios := []struct {
 		name    string
--- a/pkg/ingress/delivery.go
+++ b/pkg/ingress/delivery.go
@@ -28,10 +28,10 @@
 	scheduler   schedule.Scheduler
 	pool        *forward.Pool
 	retries     *quota.RetryBudget
-	entries     Entries
-	guard       *quarantine.Guard
-	advice      *advisory.Tracker
-	sampler     *telemetry.Sampler
+	entries     Entries            // for this entry's share of the retries
+	guard       *quarantine.Guard  // never nil
+	advice      *advisory.Tracker  // what targets reported to this entry
+	sampler     *telemetry.Sampler // limits log lines
 }
 
 const (
--- a/pkg/ingress/descriptors_test.go
+++ b/pkg/ingress/descriptors_test.go
@@ -180,7 +180,7 @@
 // recordingTarget records when each request arrives, by the request's id. It answers a call after 50 ms, and a stream
 // with 40 events within 2 s.
 type recordingTarget struct {
-	mu      sync.Mutex
+	mu      sync.Mutex // guards arrived
 	arrived map[string]time.Time
 }
 
--- a/pkg/ingress/drain.go
+++ b/pkg/ingress/drain.go
@@ -28,7 +28,8 @@
 }
 
 const (
-	// durationFactor is how many times the longest recent answer has to fit into the time left.
+	// durationFactor is how many times the longest recent answer of a route has to fit into the time left for a new
+	// request to be admitted. To send one that was admitted, once is enough.
 	durationFactor = 2
 	// endMargin is subtracted from the time left before the longest recent answers are fitted into it.
 	endMargin = 200 * clock.Millisecond
--- a/pkg/ingress/redispatch_test.go
+++ b/pkg/ingress/redispatch_test.go
@@ -263,6 +263,7 @@
 func TestSearchSkipsLeavingTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestbed(t, fakeMeter{}, pausesMidStream(4*time.Second), streams(0), streams(0))
+		// In the answer to a request "r", on a connection of unknown age.
 		b.advice.Observe(ids.TargetIncarnation{Target: "t2"}, 0, "r", advisory.Advice{Leaving: true})
 		got := b.call(context.Background(), "/resume/a", nil)
 		if !got.complete || got.took > 1300*time.Millisecond {
--- a/pkg/ingress/search_test.go
+++ b/pkg/ingress/search_test.go
@@ -313,7 +313,7 @@
 		}
 		b.scheduler.mu.Lock()
 		defer b.scheduler.mu.Unlock()
-		if b.scheduler.acquires > 5 {
+		if b.scheduler.acquires > 5 { // the request's own, and that of a search in each of the 4 s
 			t.Errorf("%d acquired assignments, want 5 at most", b.scheduler.acquires)
 		}
 	})
--- a/pkg/ingress/testbed_test.go
+++ b/pkg/ingress/testbed_test.go
@@ -216,7 +216,7 @@
 // slowDialer is the network as seen by the entry, with slow or failing connections.
 type slowDialer struct {
 	*network.Memory
-	mu    sync.Mutex
+	mu    sync.Mutex    // guards slow and fails
 	slow  time.Duration // time to make a connection
 	fails error         // error of further connections
 }
