--- a/pkg/feedrelay/cluster_test.go
+++ b/pkg/feedrelay/cluster_test.go
@@ -24,8 +24,8 @@
 type store struct {
 	began time.Time // when the store's clock was 0
 
-	mu             sync.Mutex
-	version        int64
+	mu             sync.Mutex     // guards the fields below
+	version        int64          // of the last put; other tables share the counter
 	log            []follow.Row   // the rows in the order in which they were put
 	at             []int64        // the version of each of them
 	putAt          []clock.Millis // when each row was put, since began
@@ -129,8 +129,8 @@
 
 // entry follows the table and records what it received.
 type entry struct {
-	mu         sync.Mutex
-	rows       map[string]string
+	mu         sync.Mutex           // guards the fields below
+	rows       map[string]string    // values by key
 	receivedAt map[string]time.Time // when each key was first received
 	freshAt    clock.Millis         // the latest moment at which it claims to have been current
 }
@@ -182,11 +182,11 @@
 	entries []*entry // as members and stops, by entry; nil for one that was never started
 	members []*membership.Members
 	stops   []context.CancelFunc // each stops one entry
-	// contexts are those of the running entries.
+	// contexts are those of the running entries, by entry.
 	contexts map[int]context.Context
 	listed   []follow.Row // the rows of all entries in the list of entries
 
-	mu   sync.Mutex
+	mu   sync.Mutex                 // guards lost
 	lost map[[2]netip.AddrPort]bool // sender and receiver of lost datagrams
 }
 
@@ -269,7 +269,7 @@
 	return b
 }
 
-// endWithTest stops all entries when the test ends.
+// endWithTest stops all entries when the test ends, and waits for their goroutines, as synctest requires.
 func (b *cluster) endWithTest(t *testing.T) {
 	t.Cleanup(func() {
 		for _, stop := range b.stops {
@@ -324,7 +324,8 @@
 	return m, relay
 }
 
-// follow has an entry run its membership and relay, and follow the table.
+// follow has an entry run its membership and relay, and follow the table. The store may hold a query for 1,200 ms, and
+// its answer may take 800 ms more.
 func (b *cluster) follow(i int, m *membership.Members, relay *feedrelay.Relay) {
 	ctx := b.contexts[i]
 	e := newEntry()
@@ -346,7 +347,8 @@
 	return -1
 }
 
-// slowest returns the longest time that a change took to reach an entry that counts, or an hour if one lacks it.
+// slowest returns the longest time, since the given moment, that a change took to reach an entry that counts, or an
+// hour if one lacks it.
 func (b *cluster) slowest(key string, from time.Time, counts func(i int) bool) time.Duration {
 	longest := time.Duration(0)
 	for i, e := range b.entries {
--- a/pkg/ingress/drain.go
+++ b/pkg/ingress/drain.go
@@ -8,7 +8,8 @@
 	"quaydock/pkg/routing"
 )
 
-// Stop is the schedule of an entry's drain, known from the moment of its signal.
+// Stop is the schedule of an entry's drain, known from the moment of its signal. Its times are points in time by the
+// entry's clock.
 type Stop struct {
 	// RestrictsFrom is when the restriction begins: from then on only requests are admitted that will surely
 	// end in time.
@@ -27,7 +28,8 @@
 }
 
 const (
-	// durationFactor is how many times the longest recent answer has to fit into the time left.
+	// durationFactor is how many times the longest recent answer of a route has to fit into the time left for a new
+	// request to be admitted. To send one that was admitted, once is enough.
 	durationFactor = 2
 	// endMargin is subtracted from the time left before the longest recent answers are fitted into it.
 	endMargin = 200 * clock.Millisecond
@@ -41,7 +43,7 @@
 	return &drainAdmission{longest: make(map[string]*recentMax)}
 }
 
-// record adds the duration of an answer.
+// record adds how long a request took from its arrival to the end of its answer.
 func (c *drainAdmission) record(now clock.Millis, route string, took clock.Millis) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,9 +79,10 @@
 	return c.fits(now, route, stop, durationFactor)
 }
 
-// maySend reports whether a request that was admitted earlier may still be sent to a target. If the longest
-// recent answer would not fit into the time left, its caller is better told that it has not run: once sent, it
-// may run and still end without an answer.
+// maySend reports whether a request that was admitted earlier may still be sent to a target. One whose deadline is
+// deadlineMargin or more before the process's end always may. Of any other, if the longest recent answer would not fit
+// into the time left, the caller is better told that it has not run: once sent, it may run and still end without an
+// answer.
 func (c *drainAdmission) maySend(now, deadline clock.Millis, route *routing.Route) bool {
 	stop := c.restriction(now)
 	return stop == nil || deadline+deadlineMargin <= stop.EndsAt || c.fits(now, route, stop, 1)
@@ -139,6 +142,7 @@
 	m.span = span
 }
 
+// add records a duration that was measured now.
 func (m *recentMax) add(now, value clock.Millis) {
 	m.advance(now)
 	m.current = max(m.current, value)
--- a/pkg/ingress/first_tries.go
+++ b/pkg/ingress/first_tries.go
@@ -10,7 +10,7 @@
 // firstTries learns the deadline of first tries on each route, so that the shorter deadline of a request that comes
 // back shows how long ago its first try was. A late request then does not take the slot of one that can be in time.
 type firstTries struct {
-	mu     sync.Mutex
+	mu     sync.Mutex                  // guards routes and what they point to
 	routes map[string]*longestDeadline // by name
 }
 
@@ -62,7 +62,7 @@
 }
 
 // record counts a request with a deadline. The deadline replaces the longest one if it is longer, or if the longest one
-// has become rare, and the counts then begin anew.
+// has become rare, and the counts then begin anew. The caller holds the lock of firstTries.
 func (d *longestDeadline) record(deadline clock.Millis) {
 	d.total = d.total*countDecay + 1
 	d.seen *= countDecay
