--- a/pkg/agent/agent.go
+++ b/pkg/agent/agent.go
@@ -178,8 +178,8 @@
 	a.gate.DropSession(s.id)
 }
 
-// deliverNotices passes the gate's notices to their sessions and sets the timer for the next change that time
-// brings. The lock must be held.
+// deliverNotices passes the gate's notices to their sessions, except those that have ended, and sets the timer for the
+// gate's next Tick. The lock must be held.
 func (a *Agent) deliverNotices() {
 	for _, n := range a.gate.TakeNotices() {
 		if s := a.sessions[n.Session]; s != nil {
@@ -251,6 +251,7 @@
 	span.End()
 }
 
+// load returns the load for replies to entries.
 func (a *Agent) load() control.Load {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/pkg/agent/kept_answers.go
+++ b/pkg/agent/kept_answers.go
@@ -94,7 +94,7 @@
 	return e.neededAt + a.settings.ResumeWaitMS
 }
 
-// drop removes the finished answer at index i. The lock must be held.
+// drop removes the finished answer at index i, which can no longer be resumed. The lock must be held.
 func (a *Agent) drop(i int) {
 	k := a.finished[i]
 	if i == 0 {
--- a/pkg/agent/target_client.go
+++ b/pkg/agent/target_client.go
@@ -54,7 +54,7 @@
 	common.Common
 	transport *http.Transport
 	declared  atomic.Pointer[declaration.Target] // nil until the target has been declared
-	onBackoff func(remaining clock.Millis)
+	onBackoff func(remaining clock.Millis)       // called when the target asks for a back-off
 }
 
 // newTargetClient returns a client. It calls onBackoff when the target asks for a back-off.
--- a/pkg/entry/answer_writer.go
+++ b/pkg/entry/answer_writer.go
@@ -18,7 +18,7 @@
 type answerWriter struct {
 	response http.ResponseWriter
 	control  *http.ResponseController // of response, for flushes and write deadlines
-	limit    clock.Millis             // for one write
+	limit    clock.Millis             // how long one write to the caller may take
 	// received counts the answer's bytes received from the agent; a resume continues from there.
 	received int64
 	relay    relay // nil before the answer has begun
@@ -33,7 +33,7 @@
 
 // relay sends one kind of answer to the caller: bufferedRelay, streamRelay or eventRelay.
 type relay interface {
-	// write sends the next bytes.
+	// write sends the next bytes, or buffers them. After an error the caller is taken to have disconnected.
 	write(p []byte) error
 	// finish ends a complete answer.
 	finish() error
@@ -42,6 +42,7 @@
 	abort(why *refusal.Refusal) bool
 }
 
+// newAnswerWriter returns a writer whose single writes to the caller may take up to limit.
 func newAnswerWriter(w http.ResponseWriter, limit clock.Millis) *answerWriter {
 	return &answerWriter{response: w, control: http.NewResponseController(w), limit: limit}
 }
--- a/pkg/entry/callers_controller.go
+++ b/pkg/entry/callers_controller.go
@@ -36,10 +36,10 @@
 	return mux
 }
 
-// arrival is what every handler begins with.
+// arrival is what arrive finds out about a call before its body is read.
 type arrival struct {
 	id      ids.Request
-	index   *declaration.Index // the configuration on arrival, by which the whole request is checked
+	index   *declaration.Index // the configuration on arrival, by which the whole request is checked; nil if there is none
 	options callOptions
 }
 
@@ -202,7 +202,8 @@
 	}
 }
 
-// refuse counts and logs a refusal and sends it to the caller.
+// refuse counts and logs a refusal and sends it to the caller. It panics as answerWriter.refuse does if that is not
+// possible any more.
 func (e *Entry) refuse(out *answerWriter, id ids.Request, why *refusal.Refusal) {
 	e.Metrics.Refusals.Add(string(why.Code), 1)
 	e.Log.WithField(telemetry.FieldRequest, string(id)).WithField("code", string(why.Code)).Info(why.Message)
--- a/pkg/entry/dispatcher.go
+++ b/pkg/entry/dispatcher.go
@@ -59,7 +59,8 @@
 	return nil
 }
 
-// bindAndSend serves a request whose idempotency key, if any, is claimed, from waiting to its final state.
+// bindAndSend serves a request whose idempotency key, if any, is claimed, from waiting to its final state. The result
+// is that of serve.
 func (d *dispatcher) bindAndSend(ctx context.Context, r *request, out *answerWriter) *refusal.Refusal {
 	for range maxBindings {
 		switch waited := d.ticketing.wait(ctx, r).(type) {
@@ -128,6 +129,7 @@
 		}
 		d.Metrics.Links.Add("exchange_broken", 1)
 		d.Log.WithField("request", string(r.id)).WithError(failure.cause).Info("exchange with the agent broke; querying the outcome of the grant")
+		// The last argument says that a connection was made, so that the time it held counts.
 		breaks, again := streak.Broke(d.Clock.Now(), out.received, !errors.Is(failure.cause, errNotSent))
 		switch {
 		case !again:
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -100,6 +100,7 @@
 	return nil
 }
 
+// serveListener serves callers until the entry is drained or closed.
 func (e *Entry) serveListener() {
 	err := e.server.Serve(e.listener)
 	if !errors.Is(err, http.ErrServerClosed) {
@@ -120,7 +121,8 @@
 }
 
 // Drain stops the entry without breaking off a request. It reports not ready at once, accepts requests for the
-// settle time while the load balancer notices, then waits until the last answer has ended or ctx is done.
+// settle time while the load balancer notices, then waits until the last answer has ended or ctx is done. After an
+// error it has broken off what still ran.
 func (e *Entry) Drain(ctx context.Context) error {
 	e.leaving.Store(true)
 	clock.Pause(ctx, e.settings.SettleMS)
--- a/pkg/entry/request.go
+++ b/pkg/entry/request.go
@@ -50,7 +50,7 @@
 	verdict control.Verdict // not set if lost
 }
 
-// avoid records that a grant of a session led to no dispatch.
+// avoid records that a grant of a session led to no dispatch; the session is avoided for avoidFor from now on.
 func (r *request) avoid(now clock.Millis, s *session) {
 	if r.avoidUntil == nil {
 		r.avoidUntil = make(map[*session]clock.Millis)
@@ -58,7 +58,7 @@
 	r.avoidUntil[s] = now + avoidFor
 }
 
-// become moves the request to another state and checks that the transition is legal.
+// become moves the request to another state. It reports an illegal transition to the checker.
 func (r *request) become(next lifecycle.State) {
 	r.check.Verify(r.state.CanTransitionTo(next), invariant.LegalTransition,
 		"request %s: from %v to %v", r.id, r.state, next)
--- a/pkg/entry/session.go
+++ b/pkg/entry/session.go
@@ -67,7 +67,7 @@
 // placedTicket is a ticket, sent or still to be sent, whose final event is to come.
 type placedTicket struct {
 	request *request
-	attempt int
+	attempt int // attempt number of the ticket
 }
 
 func newSession(c common.Common, target ids.Target, controlAt, dataAt string, dialTimeout clock.Millis) *session {
@@ -103,7 +103,7 @@
 	}
 }
 
-// connect makes a connection and puts it into use once the agent has answered on it.
+// connect makes a connection and puts it into use once the agent has answered on it, all within dialTimeout.
 func (s *session) connect(ctx context.Context) (*control.Client, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.dialTimeout.Duration())
 	defer cancel()
@@ -204,7 +204,8 @@
 	s.stopUnused()
 }
 
-// failWaiting reports to all waiting requests that their tickets are lost. The lock must be held.
+// failWaiting reports to all waiting requests that their tickets are lost. The lock must be held; sending never blocks,
+// as request.events has room for each placed ticket.
 func (s *session) failWaiting() {
 	for id, p := range s.waiting {
 		delete(s.waiting, id)
@@ -254,8 +255,8 @@
 	s.startPlaceCall()
 }
 
-// startPlaceCall starts sending pending tickets and withdrawals, unless maxPlaceCalls are under way. The lock must
-// be held.
+// startPlaceCall starts sending pending tickets and withdrawals, unless there is no connection or maxPlaceCalls are
+// under way. The lock must be held.
 func (s *session) startPlaceCall() {
 	if s.client == nil || s.placeCalls >= maxPlaceCalls {
 		return
@@ -300,7 +301,8 @@
 }
 
 // deliverVerdicts passes final verdicts on to their requests. A verdict on a ticket that no longer waits is dropped; if
-// it is a grant, the grant is returned.
+// it is a grant, the grant is returned. Sending under the lock never blocks, as request.events has room for each placed
+// ticket.
 func (s *session) deliverVerdicts(verdicts []control.Verdict, load control.Load) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -99,7 +99,7 @@
 	for _, s := range services {
 		g.services[s] = true
 	}
-	for _, w := range g.queue.all() {
+	for _, w := range g.queue.all() { // a copy
 		if !g.services[w.ticket.Service] {
 			g.declineQueued(w, control.NotPlaced)
 		}
@@ -109,7 +109,7 @@
 // StopAdmission stops all new work. Queued tickets are declined; open grants stay valid until they expire.
 func (g *Gate) StopAdmission() {
 	g.leaving = true
-	for _, w := range g.queue.all() {
+	for _, w := range g.queue.all() { // a copy
 		g.declineQueued(w, control.Leaving)
 	}
 }
@@ -204,7 +204,7 @@
 // DropSession drops the tickets of a session that has ended. Its grants stay
 // valid until they expire, since the entry may be using them.
 func (g *Gate) DropSession(session Session) {
-	for _, w := range g.queue.all() {
+	for _, w := range g.queue.all() { // a copy
 		if w.session == session {
 			g.queue.remove(w)
 		}
--- a/pkg/gate/grants.go
+++ b/pkg/gate/grants.go
@@ -82,7 +82,8 @@
 	g.fateExpiries = append(g.fateExpiries, fateExpiry{grant: r.grant, at: now + g.limits.FateRetention})
 }
 
-// closeUnused closes an unused grant for good: it leaves a tombstone and frees the slot.
+// closeUnused closes an unused grant for good: it leaves a tombstone and frees the slot. The grant stays in g.open,
+// from which Tick removes it later.
 func (g *Gate) closeUnused(now clock.Millis, r *grantState) {
 	r.open = false
 	r.fate = control.FateNever
--- a/pkg/gate/queue.go
+++ b/pkg/gate/queue.go
@@ -211,7 +211,7 @@
 	return 0, false
 }
 
-// all returns the queued tickets, in no particular order.
+// all returns the queued tickets in a new slice, in no particular order.
 func (q *Queue) all() []*queuedTicket {
 	list := make([]*queuedTicket, 0, len(q.byRequest))
 	for _, w := range q.byRequest {
--- a/pkg/packets/link.go
+++ b/pkg/packets/link.go
@@ -21,7 +21,8 @@
 // maxDatagram is the maximum length of a datagram in bytes: it fits into one Ethernet frame.
 const maxDatagram = 1400
 
-// Socket sends and receives datagrams. A *net.UDPConn is one.
+// Socket sends and receives datagrams, with the methods of *net.UDPConn. Close ends a read that waits, with
+// net.ErrClosed.
 type Socket interface {
 	ReadFromUDPAddrPort(b []byte) (int, netip.AddrPort, error)
 	WriteToUDPAddrPort(b []byte, to netip.AddrPort) (int, error)
--- a/pkg/packets/memory.go
+++ b/pkg/packets/memory.go
@@ -10,7 +10,7 @@
 type Memory struct {
 	mu      sync.Mutex
 	sockets map[netip.AddrPort]*memorySocket
-	// loses reports whether a datagram is lost; nil if none is.
+	// loses reports whether a datagram is lost; nil if none is. Senders call it without the lock, also concurrently.
 	loses func(from, to netip.AddrPort, kind Kind) bool
 }
 
--- a/pkg/view/view.go
+++ b/pkg/view/view.go
@@ -55,14 +55,15 @@
 }
 
 // Watch registers a function that is notified of each directory before requests are placed by it. It is
-// called at once with the present directory, if there is one.
+// called at once with the present directory, if there is one. It is called under the lock that Watch, WatchAfter and
+// SetDirectory take, so it must not call them.
 func (v *View) Watch(notify func(*routing.Directory)) {
 	v.watch(&v.before, notify)
 }
 
 // WatchAfter registers a function that is notified of each directory once requests are placed by it: a
 // request that the function re-dispatches then finds the new targets. It is called at once with the
-// present directory, if there is one.
+// present directory, if there is one, and like the functions of Watch under the lock.
 func (v *View) WatchAfter(notify func(*routing.Directory)) {
 	v.watch(&v.after, notify)
 }
