--- a/pkg/app/app.go
+++ b/pkg/app/app.go
@@ -188,6 +188,7 @@
 	report(out, "try:\n  curl -N http://"+s.Entry.Listen+`/v1/chat/completions -H 'Authorization: Bearer local-key' -d '{"model":"chart-small","stream":true,"messages":[{"role":"user","content":"depth at berth 4?"}]}'`)
 }
 
+// describeStandIns prints the addresses of the stand-ins for the operator.
 func describeStandIns(out io.Writer, s settings.StandIns) {
 	if s.Platform != nil {
 		report(out, "  platform    stand-in at "+s.Platform.Listen)
--- a/pkg/app/entry_process.go
+++ b/pkg/app/entry_process.go
@@ -59,18 +59,19 @@
 	configurationReread = 10 * clock.Second
 	// pruneInterval is how often connections and advice that are no longer of use are dropped.
 	pruneInterval = clock.Second
-	// minWeight is the weight of an entry whose settings name no fraction of a
-	// core.
+	// minWeight is the least weight of an entry in the choice of owners. It applies if the settings name no fraction
+	// of a core.
 	minWeight = 0.01
 	// headerTimeout limits reading a request's headers at the ports for metrics and readiness.
 	headerTimeout = 10 * clock.Second
-	idleTimeout   = 60 * clock.Second
+	// idleTimeout is not used: idle connections to those ports are kept without a limit.
+	idleTimeout = 60 * clock.Second
 )
 
 // entryProcess is an entry on the platform with all its components.
 type entryProcess struct {
 	common.Common
-	settings      platform.Settings
+	settings      platform.Settings // as read at the start
 	store         *platform.Store
 	view          *view.View
 	members       *membership.Members
@@ -168,7 +169,8 @@
 // fall into one second.
 const logTimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// newCommon builds the dependencies that all components of a process on the platform share.
+// newCommon builds the dependencies that all components of a process on the platform share: with a random seed, and a
+// checker that counts violations of invariants but does not stop the process.
 func newCommon(name ids.Process, logs io.Writer) common.Common {
 	logger := logrus.New()
 	logger.SetOutput(logs)
@@ -281,7 +283,7 @@
 	return nil
 }
 
-// serve listens at an address and serves it in the background.
+// serve listens at an address and serves it in the background. It fails if it cannot listen; later errors are logged.
 func (p *entryProcess) serve(server *http.Server, address string) error {
 	listener, err := p.Network.Listen(address)
 	if err != nil {
--- a/pkg/app/entry_stop.go
+++ b/pkg/app/entry_stop.go
@@ -43,7 +43,7 @@
 
 // stopAt returns the schedule of a drain whose signal comes now. If the grace is short, the
 // restriction starts before the balancer has noticed: a process that waited for the balancer would be
-// killed while it still admits all requests.
+// killed while it still admits all requests. Now and the times returned are by the entry's clock.
 func stopAt(now, grace clock.Millis) ingress.Stop {
 	end := max(0, grace-killMargin)
 	return ingress.Stop{RestrictsFrom: now + min(balancerNoticeTime, end/2), EndsAt: now + end}
--- a/pkg/app/heap_reserve.go
+++ b/pkg/app/heap_reserve.go
@@ -8,8 +8,9 @@
 // assigns no memory to them.
 type heapReserve []byte
 
-const mebibyte = 1 << 20
+const mebibyte = 1 << 20 // in bytes
 
+// newHeapReserve allocates a reserve of so many MiB; with 0 it has no effect.
 func newHeapReserve(megabytes int) heapReserve {
 	return make(heapReserve, megabytes*mebibyte)
 }
--- a/pkg/app/process.go
+++ b/pkg/app/process.go
@@ -34,7 +34,7 @@
 	port     *operators.Port
 	stop     context.CancelFunc // ends the follower; set by Start
 	running  sync.WaitGroup     // the follower's goroutine
-	reserve  heapReserve
+	reserve  heapReserve        // kept reachable until Close
 }
 
 // NewProcess builds the components that the settings name, without starting them.
--- a/pkg/app/rollouts.go
+++ b/pkg/app/rollouts.go
@@ -16,8 +16,8 @@
 // rollouts keeps an entry's state of all roll-outs, and filters the target list by it.
 type rollouts struct {
 	common.Common
-	tracker *rollout.Tracker
-	filter  *rollout.Filter
+	tracker *rollout.Tracker // holds orders and records
+	filter  *rollout.Filter  // of the target list; passes it on to the view
 	// orderFaults and recordFaults are the invalid rows of the two tables with roll-outs.
 	orderFaults  *follow.Faults
 	recordFaults *follow.Faults
@@ -70,6 +70,7 @@
 		r.filter.Refresh()
 		return
 	}
+	// No order has changed, but the orders are now known up to a later revision.
 	r.filter.RefreshUndecided()
 }
 
--- a/pkg/app/settings_watcher.go
+++ b/pkg/app/settings_watcher.go
@@ -47,7 +47,8 @@
 	}
 }
 
-// reload reads the file and applies the settings if it has changed.
+// reload reads the file and applies the settings if it has changed. After an error nothing is applied, and the next
+// call tries again.
 func (w *settingsWatcher) reload() error {
 	document, err := os.ReadFile(w.path)
 	if err != nil {
