--- a/pkg/app/advice_bed_test.go
+++ b/pkg/app/advice_bed_test.go
@@ -70,6 +70,7 @@
 	reached     int // requests from that entry later than backoffSlack after its beginning
 }
 
+// newAdviceBed starts a bed of three entries and crashTargets targets, with seed 1.
 func newAdviceBed(t *testing.T) *adviceBed { return newAdviceBedOf(t, 1, 3, crashTargets) }
 
 // newAdviceBedOf starts a bed, with its targets in the entries' failure domain.
--- a/pkg/app/advice_test.go
+++ b/pkg/app/advice_test.go
@@ -108,7 +108,7 @@
 }
 
 // runBackoffScenario runs targets that reject requests, and checks that few requests reach them during the back-off and
-// that at least the given fraction of requests is served.
+// that at least the given fraction of requests is served. The scenarios in which all targets reject give 0.
 func runBackoffScenario(t *testing.T, length time.Duration, fault, reject func(b *adviceBed), minServed float64) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newAdviceBed(t)
--- a/pkg/app/crash_callers_test.go
+++ b/pkg/app/crash_callers_test.go
@@ -26,7 +26,8 @@
 	return fmt.Sprintf("%016x", b.random.Uint64())
 }
 
-// send is call with a given request id; it also returns the answer's header.
+// send is call with a given request id; it also returns the answer's header. Without a complete answer within 3 s the
+// status is 0.
 func (b *crashBed) send(entry int, id, path, key, body string) (status int, head http.Header, text string) {
 	transport := &http.Transport{
 		DisableKeepAlives: true,
--- a/pkg/app/crash_domain_loss_test.go
+++ b/pkg/app/crash_domain_loss_test.go
@@ -15,7 +15,7 @@
 func TestLossOfADomainQuarantinesNoPopularRequest(t *testing.T) {
 	const (
 		length  = 2500 * time.Millisecond
-		series  = 6
+		series  = 6 // seeds for each scenario
 		popular = "popular"
 	)
 	scenarios := []struct {
--- a/pkg/app/endings_test.go
+++ b/pkg/app/endings_test.go
@@ -46,7 +46,7 @@
 	endingsGap     = 50 * time.Millisecond // between two events
 	endingsWait    = 8 * time.Second       // callers' time-out, longer than any answer takes
 	endingsLoad    = 50                    // requests a second
-	endingsLength  = 6 * time.Second
+	endingsLength  = 6 * time.Second       // for which requests are sent
 )
 
 // endingsKinds names the kinds of requests; each has a route of its name.
--- a/pkg/app/limit_test.go
+++ b/pkg/app/limit_test.go
@@ -50,7 +50,7 @@
 					if c.targets < crashTargets && fraction < 0.97 {
 						t.Errorf("served %.3f, want 0.97", fraction)
 					}
-					if c.minUse > 0 && used < c.minUse*6 {
+					if c.minUse > 0 && used < c.minUse*6 { // the only such case has limits of 6 a second
 						t.Errorf("a target with a limit of 6 a second got %.2f", used)
 					}
 				})
--- a/pkg/app/rollout_bed_test.go
+++ b/pkg/app/rollout_bed_test.go
@@ -160,7 +160,8 @@
 	all.Wait()
 }
 
-// request acquires an assignment for one request and runs it.
+// request acquires an assignment for one request and runs it. Kind is a number below 1 that chooses one of bedRoutes by
+// their fractions.
 func (b *rolloutBed) request(e *bedEntry, entry int, kind float64, random *rand.Rand) {
 	n := 0
 	for n < len(bedRoutes)-1 && kind > bedRoutes[n].fraction {
@@ -168,7 +169,7 @@
 		n++
 	}
 	route := bedRoutes[n]
-	events := int(route.events * math.Exp(0.8*random.NormFloat64()-0.32))
+	events := int(route.events * math.Exp(0.8*random.NormFloat64()-0.32)) // log-normal, with the mean route.events
 	estimate := int(float64(events) * math.Exp(0.5*random.NormFloat64()))
 	p := e.process
 	b.stalls.wait(entry, "")
@@ -191,7 +192,8 @@
 	time.Sleep(minDelay + time.Duration(random.Int64N(int64(delayRange))))
 }
 
-// run runs a request on its target, and reports its outcome to the planner.
+// run runs a request on its target, and reports its outcome to the planner. Errors is the fraction of answers that fail
+// on any version; a request that is not repeatable counts in brokenOff if the old version breaks it off.
 func (b *rolloutBed) run(entry int, assignment schedule.Assignment, route ids.Route, errors float64, events int, repeatable bool, random *rand.Rand) {
 	b.mu.Lock()
 	e := b.engines[assignment.Target().ID]
--- a/pkg/app/rollout_play_test.go
+++ b/pkg/app/rollout_play_test.go
@@ -62,7 +62,7 @@
 
 // injectedFault is a fault that is injected into a play.
 type injectedFault struct {
-	name string
+	name string              // empty if do waits for its time itself
 	do   func(b *rolloutBed) // begins the fault, and ends it before it returns
 }
 
@@ -143,7 +143,8 @@
 	}
 }
 
-// planner is the entry that owns the service's planner in the membership view of the first running entry.
+// planner is the entry that owns the service's planner in the membership view of the first running entry that knows one
+// of the bed's; else it is entry 0.
 func (b *rolloutBed) planner() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -379,8 +380,9 @@
 // scenario to be the same in every play.
 func TestRollouts(t *testing.T) {
 	const within = 18 * time.Second
-	none := rolloutOrder{duration: within}
+	none := rolloutOrder{duration: within} // of a good version
 	bad := func(v defect) rolloutOrder { return rolloutOrder{duration: within, defect: v} }
+	// at returns a fault that begins after a fraction of the order's duration.
 	at := func(fraction float64, do func(b *rolloutBed)) []injectedFault {
 		return []injectedFault{{"", func(b *rolloutBed) {
 			time.Sleep(warmUp + time.Duration(fraction*float64(within)) - time.Since(b.began))
--- a/pkg/forward/exchange_test.go
+++ b/pkg/forward/exchange_test.go
@@ -73,10 +73,12 @@
 	return forward.AnswerMetadata{ID: header.Get("Id"), NotRun: header.Get("Not-Run") != ""}
 }
 
+// answer returns the bytes of a complete answer to a request, with status 200.
 func answer(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
+// request returns a request with a body, whose id is also in the header field Id.
 func request(id string) *forward.Request {
 	return &forward.Request{ID: id, Method: "POST", Path: "/p/q?x=1", Host: "h", Header: http.Header{"Id": {id}}, Body: []byte("question")}
 }
@@ -274,7 +276,7 @@
 		{advisory.Advice{}, "200 yes", 1},
 		{advisory.Advice{Leaving: true}, "withheld", 0},
 		{advisory.Advice{Backoff: clock.Second}, "withheld", 0},
-		{advisory.Advice{Backoff: 10}, "200 yes", 1}, // over by then
+		{advisory.Advice{Backoff: 10}, "200 yes", 1}, // 10 ms: over when the connection is there
 	}
 	for _, a := range advices {
 		synctest.Test(t, func(t *testing.T) {
--- a/pkg/forward/incarnations_test.go
+++ b/pkg/forward/incarnations_test.go
@@ -22,7 +22,7 @@
 	restarted = &routing.Target{ID: "t", Start: 4000, Address: at}
 )
 
-// slowDial delays each connection.
+// slowDial delays each connection, and makes it even if its context ends meanwhile.
 type slowDial struct {
 	network.Network
 	wait time.Duration
--- a/pkg/gate/attempts_test.go
+++ b/pkg/gate/attempts_test.go
@@ -54,7 +54,7 @@
 		{"withdrawn and placed again twice", []arrival{placing(now, 1), withdrawing(now, 1), placing(now, 2), withdrawing(now, 2), placing(now, 3)}},
 	}
 	for _, c := range cases {
-		newest := len(c.sent)/2 + 1
+		newest := len(c.sent)/2 + 1 // attempt number of the last message
 		for _, order := range permutations(len(c.sent)) {
 			t.Run(fmt.Sprint(c.name, order), func(t *testing.T) {
 				g := newGate(1)
--- a/pkg/gate/gate_test.go
+++ b/pkg/gate/gate_test.go
@@ -29,7 +29,8 @@
 
 const service ids.Service = "chart-small"
 
-// newGate returns a gate for a target that serves service, whose checker stops the process on a violated invariant.
+// newGate returns a gate for a target that serves service, whose checker stops the process on a violated invariant. Its
+// queue holds 100 tokens of work while no drain rate has been measured.
 func newGate(slots int) *gate.Gate {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -145,7 +146,7 @@
 }
 
 // Random histories of one gate: no request is dispatched twice, and what the gate reports of a grant agrees with what
-// became of it. The gate's own invariants are checked too.
+// became of it. The gate checks its own invariants too: the order of tiers, and that no request is dispatched twice.
 func TestRandomHistories(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		h := &history{t: r, gate: newGate(rapid.IntRange(1, 3).Draw(r, "slots")), used: make(map[ids.Request]bool), neverDispatched: make(map[ids.Grant]bool)}
@@ -187,12 +188,14 @@
 	}
 }
 
+// recordGrant records a verdict if it is a grant.
 func (h *history) recordGrant(v control.Verdict) {
 	if v.Kind == control.Granted {
 		h.grants = append(h.grants, v)
 	}
 }
 
+// place places a ticket of a new request, with random tier, account and work.
 func (h *history) place() {
 	h.next++
 	tier := ids.TierRank(rapid.IntRange(0, 3).Draw(h.t, "tier"))
@@ -209,6 +212,8 @@
 	return list[rapid.IntRange(0, len(list)-1).Draw(h.t, "pick")], true
 }
 
+// use tries to use a random grant, which may have been used or closed before, and checks that its request has not been
+// dispatched and that the gate has not reported the grant as never dispatched.
 func (h *history) use() {
 	v, some := h.pick(h.grants)
 	if !some || !h.gate.Use(h.now, v.Grant, v.Request) {
@@ -224,12 +229,14 @@
 	h.runs = append(h.runs, v)
 }
 
+// finish ends the run of a random used grant, which may have ended before.
 func (h *history) finish() {
 	if v, some := h.pick(h.runs); some {
 		h.gate.Finish(h.now, v.Grant, true)
 	}
 }
 
+// queryFate queries the outcome of a random grant, and checks it against what was used. Unknown is always accepted.
 func (h *history) queryFate() {
 	v, some := h.pick(h.grants)
 	if !some {
@@ -248,7 +255,7 @@
 	}
 }
 
-// BenchmarkPlaceAndGrant measures the cost of a decision by the number of queued tickets.
+// BenchmarkPlaceAndGrant measures the cost of placing and withdrawing a ticket by the number of queued tickets.
 func BenchmarkPlaceAndGrant(b *testing.B) {
 	for _, waiting := range []int{0, 100, 1000, 10000} {
 		b.Run(fmt.Sprint("waiting=", waiting), func(b *testing.B) {
