--- a/pkg/agent/agent.go
+++ b/pkg/agent/agent.go
@@ -48,7 +48,7 @@
 	revision      declaration.Revision      // of the configuration in force
 	timer         *time.Timer               // calls expire; nil if it is not set
 	timerAt       clock.Millis              // when timer fires
-	listener      net.Listener              // of the control port; set by Start
+	listener      net.Listener              // of the control port; set by Start, without the lock
 	closed        bool                      // connections that are accepted later are closed at once
 }
 
--- a/pkg/agent/streams_controller.go
+++ b/pkg/agent/streams_controller.go
@@ -90,7 +90,8 @@
 }
 
 // refuse reports to an entry that its grant was not used. A grant of an earlier incarnation of the agent is never
-// used either: its entry sends a body only once, and this body has come here.
+// used either: its entry sends a body only once, and this body has come here. Where neither is certain, the response
+// does not name the outcome, and the entry queries it.
 func (a *Agent) refuse(w http.ResponseWriter, grant ids.Grant, fate control.Fate) {
 	if fate == control.FateNever || grant.Agent != a.incarnation {
 		w.Header().Set(control.HeaderFate, control.FateNeverDispatched)
--- a/pkg/agent/target_client.go
+++ b/pkg/agent/target_client.go
@@ -130,6 +130,7 @@
 		err = p.copyFrom(response)
 	}
 	for err != nil && target.Resumes && ctx.Err() == nil {
+		// The last argument says that there was a connection on which the answer went on, so that its time counts.
 		breaks, again := streak.Broke(t.Clock.Now(), p.size, !errors.Is(err, errNotResumed) && !errors.Is(err, errBrokenOff))
 		if !again {
 			break
--- a/pkg/app/advice_test.go
+++ b/pkg/app/advice_test.go
@@ -150,7 +150,7 @@
 		answers := b.callers(ends)
 		b.check()
 		rejectedCalls := 0
-		returns := make(map[time.Duration]int)
+		returns := make(map[time.Duration]int) // callers by the 50 ms in which they come back
 		for _, a := range answers {
 			if a.at < time.Second || a.at > 2*time.Second {
 				continue
--- a/pkg/app/cold_test.go
+++ b/pkg/app/cold_test.go
@@ -59,6 +59,7 @@
 		until = time.UnixMilli(int64(e.born)).Add(coldTime).Sub(b.began)
 		b.coldUntil[e.id] = until
 	}
+	// A target that started before the bed began to count is warm.
 	if now >= until || time.UnixMilli(int64(e.born)).Before(b.began) && !known {
 		return false
 	}
--- a/pkg/app/entry_follow.go
+++ b/pkg/app/entry_follow.go
@@ -19,7 +19,7 @@
 }
 
 // followOtherTables follows the configuration and the targets once the other entries are known,
-// since these may have read the tables already and can relay them.
+// since these may have read the tables already and can relay them, or after firstListTimeout.
 func (p *entryProcess) followOtherTables(ctx context.Context) {
 	select {
 	case <-p.members.FirstListed():
--- a/pkg/app/limit_test.go
+++ b/pkg/app/limit_test.go
@@ -153,9 +153,10 @@
 func TestTargetGetsRequestsAfterLimitIsLifted(t *testing.T) {
 	const (
 		liftAt = 8 * time.Second
-		// A target with a limit of 0 gets one request per limitWindow.
+		// noticed is the time from liftAt within which the end of a limit must be noticed: a target with a limit of 0
+		// gets one request per limitWindow.
 		noticed = limitWindow + time.Second
-		// In this time a target without a limit gets 160 ± 13 requests.
+		// counted is the time after that in which requests are counted: a target without a limit gets 160 ± 13.
 		counted = 8 * time.Second
 	)
 	for _, idle := range []bool{false, true} {
--- a/pkg/app/process.go
+++ b/pkg/app/process.go
@@ -120,7 +120,7 @@
 }
 
 // Drain stops the process without breaking off a request: the entry first, so that
-// agents of the same process still serve it.
+// agents of the same process still serve it. After an error of the entry the agents are not drained.
 func (p *Process) Drain(ctx context.Context) error {
 	if p.entry != nil {
 		if err := p.entry.Drain(ctx); err != nil {
--- a/pkg/entry/admission.go
+++ b/pkg/entry/admission.go
@@ -21,14 +21,17 @@
 // request.
 const (
 	HeaderRequestID = "Quaydock-Request-Id"
-	HeaderTier      = "Quaydock-Tier"
+	// HeaderTier is the name of the requested tier.
+	HeaderTier = "Quaydock-Tier"
 	// HeaderDeadline is the time from the request's arrival to its deadline, in milliseconds.
 	HeaderDeadline = "Quaydock-Deadline-Ms"
 	// HeaderNoRepeat must be true or false; the value has no effect here, as a dispatched request is never sent
 	// again.
-	HeaderNoRepeat    = "Quaydock-No-Repeat"
+	HeaderNoRepeat = "Quaydock-No-Repeat"
+	// HeaderIdempotency is a key under which an account's call runs at most once.
 	HeaderIdempotency = "Idempotency-Key"
-	headerPrefix      = "Quaydock-"
+	// headerPrefix begins the names of headers that no plain service is sent.
+	headerPrefix = "Quaydock-"
 )
 
 const (
--- a/pkg/entry/relays.go
+++ b/pkg/entry/relays.go
@@ -11,7 +11,7 @@
 const (
 	// maxBufferedBytes is the largest Content-Length of an answer that is buffered until it is complete.
 	maxBufferedBytes = 64 << 10
-	// maxEventBytes limits what is buffered of an incomplete event.
+	// maxEventBytes limits what is buffered of an incomplete event; a longer one is sent in parts.
 	maxEventBytes = 1 << 20
 )
 
@@ -36,7 +36,7 @@
 	return h.out.send(h.body)
 }
 
-// abort sends the refusal in place of the answer, of which nothing has been sent.
+// abort sends the refusal in place of the answer, of which nothing has been sent, and returns true.
 func (h *bufferedRelay) abort(why *refusal.Refusal) bool {
 	header := h.out.response.Header()
 	for name := range header {
--- a/pkg/entry/ticketing.go
+++ b/pkg/entry/ticketing.go
@@ -231,7 +231,7 @@
 	return max(best, minRetryAfter)
 }
 
-// queueTime returns the time that work takes at perSecond tokens a second.
+// queueTime returns the time that work takes at perSecond tokens a second, which must be above 0.
 func queueTime(work, perSecond ids.Tokens) clock.Millis {
 	return clock.Millis(work) * clock.Second / clock.Millis(perSecond)
 }
--- a/pkg/forward/exchange.go
+++ b/pkg/forward/exchange.go
@@ -62,7 +62,8 @@
 	return e.read()
 }
 
-// withholds reports whether the target's advice blocks requests from this entry, or its failure domain is drained.
+// withholds reports whether the target's advice blocks requests from this entry, or its failure domain is drained, and
+// counts the request if so.
 // It is checked here, where all paths to a target meet, since whoever made the assignment may not have received
 // the advice.
 func (p *Pool) withholds(t *routing.Target) bool {
--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -47,7 +47,7 @@
 // Gate admits requests to one target; every dispatch goes through it. It is not safe for concurrent use: its
 // agent guards it with a lock.
 type Gate struct {
-	agent    ids.Incarnation
+	agent    ids.Incarnation // of the gate's agent; part of each grant
 	limits   Limits
 	check    *invariant.Checker
 	queue    *Queue
--- a/pkg/gate/grants.go
+++ b/pkg/gate/grants.go
@@ -112,7 +112,7 @@
 }
 
 // WithdrawUpTo takes back the tickets of a request up to an attempt number, and unused grants for them. Later attempts
-// are kept, since messages of a session may overtake one another.
+// are kept, since messages of a session may overtake one another, and so are queued tickets of other sessions.
 func (g *Gate) WithdrawUpTo(now clock.Millis, session Session, request ids.Request, attempt int) {
 	if w := g.queue.byRequest[request]; w != nil && w.session == session && w.ticket.Turn <= attempt {
 		g.queue.remove(w)
--- a/pkg/gate/refusal.go
+++ b/pkg/gate/refusal.go
@@ -36,8 +36,9 @@
 	return control.NoReason
 }
 
-// full reports whether work of the ticket's tier and above fills the queue. A request that returns from an assignment
-// that came to nothing is not refused because of requests that have come meanwhile; such returns are few.
+// full reports whether work of the ticket's tier and above fills the queue; an empty queue is never full. A request
+// that returns from an assignment that came to nothing is not refused because of requests that have come meanwhile;
+// such returns are few.
 func (g *Gate) full(ticket *control.Ticket) bool {
 	return !ticket.Returned && g.queue.Len() > 0 && g.queue.WorkAtOrAbove(ticket.Tier)+ticket.Work() > g.queueLimit()
 }
