--- a/pkg/app/cold_test.go
+++ b/pkg/app/cold_test.go
@@ -13,12 +13,12 @@
 
 // The limit of a cold target in these tests: its rate of requests per second, and the tolerance of the limit.
 const (
-	coldPerSecond = 20
-	coldOver      = 1.5
-	coldSlack     = 5
+	coldPerSecond = 20                                 // requests
+	coldOver      = 1.5                                // factor on coldPerSecond
+	coldSlack     = 5                                  // requests beyond that
 	coldMax       = coldPerSecond*coldOver + coldSlack // requests that may reach a cold target within a second
-	coldTargets   = 6
-	coldLoad      = 300 // requests per second of all callers; for each target two and a half times coldPerSecond
+	coldTargets   = 6                                  // in all failure domains together
+	coldLoad      = 300                                // requests per second of all callers; for each target two and a half times coldPerSecond
 )
 
 // coldBed is a test bed of complete entries in front of targets in three failure domains, which are cold after a start.
--- a/pkg/app/entry_drain_test.go
+++ b/pkg/app/entry_drain_test.go
@@ -223,7 +223,7 @@
 type drainReply struct {
 	status     int  // 0 if the connection was closed without a status
 	complete   bool // the answer was not broken off
-	retryAfter string
+	retryAfter string // the header Retry-After, empty without one
 }
 
 // call makes one request on a connection of its own, and sends the reply to the channel.
--- a/pkg/app/limit_bed_test.go
+++ b/pkg/app/limit_bed_test.go
@@ -91,7 +91,8 @@
 	}
 }
 
-// answerLimited counts a request that has reached a target, and reports the target's limit in the answer.
+// answerLimited counts a request that has reached a target, and reports the target's limit in the header of the answer,
+// whose rest it leaves to the target.
 func (b *limitBed) answerLimited(e *crashEngine, w http.ResponseWriter, r *http.Request) bool {
 	b.adviceMu.Lock()
 	entry := b.sent[wiretest.RequestID(r.Header)].entry
--- a/pkg/entry/admission.go
+++ b/pkg/entry/admission.go
@@ -187,6 +187,7 @@
 	keys    map[accountKey]bool // the idempotency keys of running requests
 }
 
+// accountKey is an idempotency key of one account; other accounts may use the same key.
 type accountKey struct {
 	account ids.Account
 	key     string
--- a/pkg/gate/grants.go
+++ b/pkg/gate/grants.go
@@ -122,7 +122,8 @@
 	g.Tick(now)
 }
 
-// closeUnusedUpTo closes the unused grants of a request for tickets up to an attempt number.
+// closeUnusedUpTo closes the unused grants of a request for tickets up to an attempt number. They stay in g.open, so
+// that the range over it is not disturbed.
 func (g *Gate) closeUnusedUpTo(now clock.Millis, request ids.Request, attempt int) {
 	for _, r := range g.open {
 		if r.open && r.request == request && r.attempt <= attempt {
--- a/pkg/view/view.go
+++ b/pkg/view/view.go
@@ -68,7 +68,7 @@
 	v.watch(&v.after, notify)
 }
 
-// watch adds a watcher to before or after.
+// watch adds a watcher to before or after, and calls it with the present directory, if there is one.
 func (v *View) watch(watchers *[]func(*routing.Directory), notify func(*routing.Directory)) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
