--- a/pkg/app/cold_test.go
+++ b/pkg/app/cold_test.go
@@ -18,7 +18,8 @@
 	coldSlack     = 5                                  // requests beyond that
 	coldMax       = coldPerSecond*coldOver + coldSlack // requests that may reach a cold target within a second
 	coldTargets   = 6                                  // in all failure domains together
-	coldLoad      = 300                                // requests per second of all callers; for each target two and a half times coldPerSecond
+	// coldLoad is the rate of requests per second of all callers: for each target two and a half times coldPerSecond.
+	coldLoad = 300
 )
 
 // coldBed is a test bed of complete entries in front of targets in three failure domains, which are cold after a start.
--- a/pkg/app/entry_drain_test.go
+++ b/pkg/app/entry_drain_test.go
@@ -221,8 +221,8 @@
 
 // drainReply is the result of a call.
 type drainReply struct {
-	status     int  // 0 if the connection was closed without a status
-	complete   bool // the answer was not broken off
+	status     int    // 0 if the connection was closed without a status
+	complete   bool   // the answer was not broken off
 	retryAfter string // the header Retry-After, empty without one
 }
 
--- a/pkg/app/fleet_test.go
+++ b/pkg/app/fleet_test.go
@@ -20,7 +20,7 @@
 	fleetWritesPerSecond = 200                    // per second, of one part of the store
 	fleetStoreDelay      = 4 * time.Millisecond   // of each answer of the store
 	fleetStartSpan       = 300 * time.Millisecond // all VMs start within this time
-	fleetTimeout         = 24 * time.Second       // longest wait until all serve: callers come that long after the first start
+	fleetTimeout         = 24 * time.Second       // from the first start until callers come
 )
 
 // fleetBed is a test bed of a whole fleet of entries that start at once, with a store that accepts
