--- a/pkg/agent/target_client.go
+++ b/pkg/agent/target_client.go
@@ -54,7 +54,7 @@
 	common.Common
 	transport *http.Transport
 	declared  atomic.Pointer[declaration.Target] // nil until the target has been declared
-	onBackoff func(remaining clock.Millis)
+	onBackoff func(remaining clock.Millis)       // called when the target asks for a back-off
 }
 
 // newTargetClient returns a client. It calls onBackoff when the target asks for a back-off.
@@ -130,6 +130,7 @@
 		err = p.copyFrom(response)
 	}
 	for err != nil && target.Resumes && ctx.Err() == nil {
+		// The last argument says that there was a connection on which the answer went on, so that its time counts.
 		breaks, again := streak.Broke(t.Clock.Now(), p.size, !errors.Is(err, errNotResumed) && !errors.Is(err, errBrokenOff))
 		if !again {
 			break
--- a/pkg/app/advice_test.go
+++ b/pkg/app/advice_test.go
@@ -108,7 +108,7 @@
 }
 
 // runBackoffScenario runs targets that reject requests, and checks that few requests reach them during the back-off and
-// that at least the given fraction of requests is served.
+// that at least the given fraction of requests is served. The scenarios in which all targets reject give 0.
 func runBackoffScenario(t *testing.T, length time.Duration, fault, reject func(b *adviceBed), minServed float64) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newAdviceBed(t)
@@ -150,7 +150,7 @@
 		answers := b.callers(ends)
 		b.check()
 		rejectedCalls := 0
-		returns := make(map[time.Duration]int)
+		returns := make(map[time.Duration]int) // callers by the 50 ms in which they come back
 		for _, a := range answers {
 			if a.at < time.Second || a.at > 2*time.Second {
 				continue
--- a/pkg/app/limit_test.go
+++ b/pkg/app/limit_test.go
@@ -50,7 +50,7 @@
 					if c.targets < crashTargets && fraction < 0.97 {
 						t.Errorf("served %.3f, want 0.97", fraction)
 					}
-					if c.minUse > 0 && used < c.minUse*6 {
+					if c.minUse > 0 && used < c.minUse*6 { // the only such case has limits of 6 a second
 						t.Errorf("a target with a limit of 6 a second got %.2f", used)
 					}
 				})
@@ -153,9 +153,10 @@
 func TestTargetGetsRequestsAfterLimitIsLifted(t *testing.T) {
 	const (
 		liftAt = 8 * time.Second
-		// A target with a limit of 0 gets one request per limitWindow.
+		// noticed is the time from liftAt within which the end of a limit must be noticed: a target with a limit of 0
+		// gets one request per limitWindow.
 		noticed = limitWindow + time.Second
-		// In this time a target without a limit gets 160 ± 13 requests.
+		// counted is the time after that in which requests are counted: a target without a limit gets 160 ± 13.
 		counted = 8 * time.Second
 	)
 	for _, idle := range []bool{false, true} {
--- a/pkg/app/process.go
+++ b/pkg/app/process.go
@@ -34,7 +34,7 @@
 	port     *operators.Port
 	stop     context.CancelFunc // ends the follower; set by Start
 	running  sync.WaitGroup     // the follower's goroutine
-	reserve  heapReserve
+	reserve  heapReserve        // kept reachable until Close
 }
 
 // NewProcess builds the components that the settings name, without starting them.
@@ -120,7 +120,7 @@
 }
 
 // Drain stops the process without breaking off a request: the entry first, so that
-// agents of the same process still serve it.
+// agents of the same process still serve it. After an error of the entry the agents are not drained.
 func (p *Process) Drain(ctx context.Context) error {
 	if p.entry != nil {
 		if err := p.entry.Drain(ctx); err != nil {
--- a/pkg/gate/grants.go
+++ b/pkg/gate/grants.go
@@ -82,7 +82,8 @@
 	g.fateExpiries = append(g.fateExpiries, fateExpiry{grant: r.grant, at: now + g.limits.FateRetention})
 }
 
-// closeUnused closes an unused grant for good: it leaves a tombstone and frees the slot.
+// closeUnused closes an unused grant for good: it leaves a tombstone and frees the slot. The grant stays in g.open,
+// from which Tick removes it later.
 func (g *Gate) closeUnused(now clock.Millis, r *grantState) {
 	r.open = false
 	r.fate = control.FateNever
@@ -111,7 +112,7 @@
 }
 
 // WithdrawUpTo takes back the tickets of a request up to an attempt number, and unused grants for them. Later attempts
-// are kept, since messages of a session may overtake one another.
+// are kept, since messages of a session may overtake one another, and so are queued tickets of other sessions.
 func (g *Gate) WithdrawUpTo(now clock.Millis, session Session, request ids.Request, attempt int) {
 	if w := g.queue.byRequest[request]; w != nil && w.session == session && w.ticket.Turn <= attempt {
 		g.queue.remove(w)
@@ -121,7 +122,8 @@
 	g.Tick(now)
 }
 
-// closeUnusedUpTo closes the unused grants of a request for tickets up to an attempt number.
+// closeUnusedUpTo closes the unused grants of a request for tickets up to an attempt number. They stay in g.open, so
+// that the range over it is not disturbed.
 func (g *Gate) closeUnusedUpTo(now clock.Millis, request ids.Request, attempt int) {
 	for _, r := range g.open {
 		if r.open && r.request == request && r.attempt <= attempt {
