--- a/pkg/capacity/roles.go
+++ b/pkg/capacity/roles.go
@@ -10,7 +10,7 @@
 	megabyte            = 1e6
 	noticeWaitSeconds   = 30.0   // entry.noticeWait
 	pollIntervalSeconds = 2.0    // settings platform.poll_ms
-	maxTableReads       = 2000.0 // per second, for all uses
+	maxTableReads       = 2000.0 // reads of the platform's table per second, for all uses
 	// headerBytes are the TCP and IP headers of a message and of its reply, one packet each. Acknowledgements are
 	// sent with them.
 	headerBytes       = 2 * 40
@@ -20,7 +20,8 @@
 	ticketsPerRequest = 2 // settings entry.tickets_per_request
 )
 
-// idleSession returns the traffic of a session without waiting tickets, in bytes per second.
+// idleSession returns the traffic of a session without waiting tickets, in bytes per second: one empty Notices call
+// after another, each of which the agent holds for noticeWaitSeconds.
 func (m Measured) idleSession() float64 {
 	return (m.Sessions.Notices + headerBytes) / noticeWaitSeconds
 }
@@ -29,7 +30,7 @@
 func (m Measured) fleetTable(t DeploymentSize) string {
 	engines := float64(t.Engines)
 	processes := engines + float64(t.VMs)
-	perSession := m.Sessions.Memory.PerUnit / 2
+	perSession := m.Sessions.Memory.PerUnit / 2 // the slope is that of both sides
 	reads := processes * (1/pollIntervalSeconds + t.ChangesPerSecond())
 	var b strings.Builder
 	b.WriteString("## What grows with the whole fleet in a single node\n\n")
@@ -66,6 +67,7 @@
 // roleHead is the head of each role's table.
 const roleHead = "| what | figure | mechanism |\n| --- | --- | --- |\n"
 
+// entryTable lists what one entry needs for its share of the load.
 func (m Measured) entryTable(t DeploymentSize) string {
 	requests, tokens := t.EntryRequests(), t.EntryTokens()
 	ticketBytes := m.Sessions.Tickets.PerUnit * ticketsPerRequest
@@ -82,8 +84,9 @@
 	return b.String()
 }
 
+// agentTable lists what one agent needs for its share of the load.
 func (m Measured) agentTable(t DeploymentSize) string {
-	const fateRetentionSeconds = 30
+	const fateRetentionSeconds = 30 // settings agents.remember_ms
 	requests, tokens := t.AgentRequests(), t.AgentTokens()
 	var b strings.Builder
 	fmt.Fprintf(&b, "## An agent: %.0f requests/s, %.0f tokens/s\n\n%s", requests, tokens, roleHead)
@@ -99,6 +102,7 @@
 	return b.String()
 }
 
+// platformTable lists the reads and writes that the platform's table gets from all processes.
 func (m Measured) platformTable(t DeploymentSize) string {
 	processes := float64(t.Engines + t.VMs)
 	var b strings.Builder
--- a/pkg/capacity/sessions.go
+++ b/pkg/capacity/sessions.go
@@ -70,7 +70,7 @@
 // countingNetwork counts the bytes of the connections that it dials.
 type countingNetwork struct {
 	network.Network
-	bytes *atomic.Int64
+	bytes *atomic.Int64 // of all these connections, in both directions
 }
 
 // Dial connects to address and counts the bytes of the connection.
--- a/pkg/capacity/slopes.go
+++ b/pkg/capacity/slopes.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// sweep measures the cost at each size and fits a line.
+// sweep measures the cost at each size, in the given unit, and fits a line.
 func sweep(name, unit string, sizes []int, cost func(size int) float64) Slope {
 	var points []Point
 	for _, n := range sizes {
@@ -87,7 +87,7 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// chooseSlope measures the time to order candidate targets, by their number.
+// chooseSlope measures the time to order candidate targets, of which two are to be queried, by their number.
 func chooseSlope() Slope {
 	random := rand.New(rand.NewPCG(1, 1))
 	return sweep("ordering candidate targets (`balance.Order`)", "ns", []int{1, 10, 100, 1000, 4000}, func(n int) float64 {
--- a/pkg/declaration/change.go
+++ b/pkg/declaration/change.go
@@ -41,6 +41,7 @@
 	Target  ids.Target  `json:"target"`
 }
 
+// By these keys, diffList and applyList recognize a declaration in two revisions as the same one.
 func accountKey(a Account) ids.Account      { return a.Name }
 func serviceKey(s Service) ids.Service      { return s.Name }
 func targetKey(t Target) ids.Target         { return t.Name }
--- a/pkg/declaration/check.go
+++ b/pkg/declaration/check.go
@@ -13,10 +13,10 @@
 	"github.com/juju/errors"
 )
 
-// FaultError holds all faults found in a document, each with its path.
+// FaultError holds all faults found in a document.
 type FaultError struct {
-	Document string
-	Faults   []string
+	Document string   // what kind of document it is, such as "settings"
+	Faults   []string // each as "PATH: FAULT", or "line N: FAULT" for one of the JSON
 }
 
 // Error lists the faults, one per line.
@@ -31,7 +31,7 @@
 
 // Faults collects the faults of one document.
 type Faults struct {
-	found []string
+	found []string // as in FaultError.Faults
 }
 
 // Add records a fault at path.
@@ -78,7 +78,7 @@
 	return faults.Err("declarations")
 }
 
-// checkUnique records a fault for an empty or repeated name.
+// checkUnique records a fault for an empty name and for one that is in seen, and adds the name to seen.
 func checkUnique[N ~string](faults *Faults, seen map[N]bool, path string, name N) {
 	faults.Unless(name != "", path, "a name is required")
 	faults.Unless(!seen[name], path, "%q is declared twice", name)
--- a/pkg/declaration/declaration.go
+++ b/pkg/declaration/declaration.go
@@ -48,7 +48,9 @@
 
 // The kinds of service.
 const (
+	// ServiceModel: the OpenAI API, in which a call's body names the service as its model.
 	ServiceModel ServiceKind = "model"
+	// ServicePlain: any HTTP calls, whose path names the service and which are passed on with the rest of the path.
 	ServicePlain ServiceKind = "plain"
 )
 
--- a/pkg/declaration/index.go
+++ b/pkg/declaration/index.go
@@ -24,7 +24,7 @@
 	services map[ids.Service]*Service
 	targets  map[ids.Target]*Target
 	serving  map[ids.Service][]*Target  // the targets that each service is placed on
-	placed   map[ids.Target][]Placement // the placements on each target
+	placed   map[ids.Target][]Placement // the placements on each target, each of another service
 }
 
 // NewIndex checks and indexes set. Its error names every fault in the set.
@@ -46,6 +46,8 @@
 	return x, nil
 }
 
+// index fills the maps from the set, which has passed its checks: names are unique and each name that is referred to
+// is declared.
 func (x *Index) index() {
 	for i, t := range x.set.Tiers {
 		x.ranks[t.Name] = ids.TierRank(i)
@@ -67,6 +69,7 @@
 	}
 }
 
+// indexKeys makes an account the one that its API keys belong to.
 func (x *Index) indexKeys(a *Account) {
 	for _, h := range a.KeyHashes {
 		sum, _ := hex.DecodeString(h) // checked by Set.Check
@@ -104,17 +107,19 @@
 	return x.set.Targets
 }
 
-// Serving returns the targets that service is placed on.
+// Serving returns the targets that service is placed on, nil if there are none or the service is unknown. The caller
+// must not change the list.
 func (x *Index) Serving(service ids.Service) []*Target {
 	return x.serving[service]
 }
 
-// Placements returns what is placed on target.
+// Placements returns what is placed on target, nil if there is nothing or the target is unknown. The caller must not
+// change the list.
 func (x *Index) Placements(target ids.Target) []Placement {
 	return x.placed[target]
 }
 
-// Rank returns the rank of a tier, and whether the tier is known.
+// Rank returns the rank of a tier, 0 being the highest, and whether the tier is declared.
 func (x *Index) Rank(tier ids.Tier) (ids.TierRank, bool) {
 	rank, known := x.ranks[tier]
 	return rank, known
--- a/pkg/experiment/run.go
+++ b/pkg/experiment/run.go
@@ -20,6 +20,7 @@
 }
 
 const (
+	// lateBinding is the policy of the system itself; all others are baselines to compare it with.
 	lateBinding = "late-binding"
 	// unlimitedSlots is the slot count of targets under a baseline policy: there the engine queues requests itself.
 	unlimitedSlots = 1 << 20
--- a/pkg/experiment/scenario.go
+++ b/pkg/experiment/scenario.go
@@ -20,7 +20,7 @@
 	Entries int    `json:"entries"`
 	// DurationMS is the time within which requests arrive.
 	DurationMS clock.Millis `json:"duration_ms"`
-	// Load is the offered work as a fraction of the capacity of all engines.
+	// Load is the offered work as a fraction of the capacity of all engines; above 1 they are overloaded.
 	Load    float64       `json:"load"`
 	Engines []EngineGroup `json:"engines"`
 	Classes []Class       `json:"classes"`
--- a/pkg/load/generator.go
+++ b/pkg/load/generator.go
@@ -121,10 +121,10 @@
 // caller is one caller. It has its own measurements, so that callers need no lock.
 type caller struct {
 	*generator
-	sent, failed int64
-	latency      *hdrhistogram.Histogram
+	sent, failed int64                   // requests, as in Result
+	latency      *hdrhistogram.Histogram // in microseconds, as are those of firstByte
 	firstByte    *hdrhistogram.Histogram
-	buffer       []byte
+	buffer       []byte // takes the parts of an answer, which are discarded
 }
 
 // readBytes is how much of an answer one read takes at most.
--- a/pkg/loadmodel/caller.go
+++ b/pkg/loadmodel/caller.go
@@ -23,8 +23,8 @@
 // caller sends one request, and repeats it if it is refused.
 type caller struct {
 	kind       *Kind
-	prompt     ids.Tokens
-	events     int
+	prompt     ids.Tokens   // the length of its prompt
+	events     int          // of a complete answer
 	size       float64      // relative to the median of its kind
 	firstTryAt clock.Millis // time of its first try
 	tries      int
@@ -32,10 +32,10 @@
 
 	triedAt      clock.Millis  // time of its latest try
 	id           planner.JobID // of its latest try
-	grantedAt    clock.Millis
-	firstEventAt clock.Millis // 0 until the first event
-	target       *target      // nil unless its latest try is running
-	heldFor      clock.Millis // total waiting time of tries that were not granted
+	grantedAt    clock.Millis  // time of the latest grant; 0 before the first
+	firstEventAt clock.Millis  // 0 until the first event
+	target       *target       // nil unless its latest try is running
+	heldFor      clock.Millis  // total waiting time of tries that were not granted
 }
 
 // job returns the caller's latest try as the planner is told of it.
--- a/pkg/loadmodel/events.go
+++ b/pkg/loadmodel/events.go
@@ -18,6 +18,7 @@
 
 func (e events) Len() int { return len(e) }
 
+// Less orders events by time, and those of the same time as they were added.
 func (e events) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].number < e[j].number
 }
@@ -32,7 +33,7 @@
 	return last
 }
 
-// schedule schedules do for a time of the simulation.
+// schedule schedules do for a time of the simulation, at which it is called with that time.
 func (s *simulation) schedule(moment clock.Millis, do func(now clock.Millis)) {
 	s.scheduled++
 	heap.Push(&s.events, event{moment, s.scheduled, do})
--- a/pkg/loadmodel/load.go
+++ b/pkg/loadmodel/load.go
@@ -57,7 +57,7 @@
 	Event float64 `json:"event_ms"`
 }
 
-// Burst multiplies the rate of callers of a kind, or of all kinds, for a time.
+// Burst multiplies the rate of callers of a kind, or of all kinds if Kind is empty, by Factor for a time.
 type Burst struct {
 	// At is the time since the start of the simulation.
 	At     clock.Millis `json:"at_ms"`
@@ -85,7 +85,8 @@
 	Outages []Outage      `json:"outages"`
 	// Restarts are the times, since the start of the simulation, at which the planner is replaced.
 	Restarts []clock.Millis `json:"planner_restarts_ms"`
-	Seed     uint64         `json:"seed"`
+	// Seed determines all random draws; the same seed gives the same results.
+	Seed uint64 `json:"seed"`
 }
 
 // Read reads and checks a description of a load in JSON. Unknown fields are rejected.
--- a/pkg/loadmodel/simulation.go
+++ b/pkg/loadmodel/simulation.go
@@ -28,7 +28,7 @@
 const (
 	// tickEvery is how often the planner's Tick is called.
 	tickEvery = 25 * clock.Millisecond
-	// resubmitEvery is how often entries submit waiting tries again.
+	// resubmitEvery is how often entries submit waiting tries again, which keeps them in the planner's queue.
 	resubmitEvery = 60 * clock.Millisecond
 	// service is the service of all simulated targets.
 	service = ids.Service("modelled")
--- a/pkg/loadmodel/targets.go
+++ b/pkg/loadmodel/targets.go
@@ -20,6 +20,7 @@
 	down       bool                      // stopped by an outage
 }
 
+// buildTargets creates the targets of all groups, under the ids t0, t1 and so on.
 func (s *simulation) buildTargets() {
 	for _, group := range s.load.Targets {
 		for range group.Count {
@@ -75,7 +76,7 @@
 	s.applyDecisions(now)
 }
 
-// release frees the slot of a try.
+// release takes a try off its target, which frees the slot there. The planner is not told.
 func (s *simulation) release(c *caller) {
 	if c.firstEventAt == 0 {
 		c.target.prefilling -= c.prompt
@@ -85,7 +86,8 @@
 	c.target = nil
 }
 
-// startOutage stops random targets and schedules the end of the outage.
+// startOutage stops random targets, as many as the fraction of the outage rounded up, and schedules its end. Their
+// callers are lost.
 func (s *simulation) startOutage(now clock.Millis, o Outage) {
 	n := int(math.Ceil(o.Fraction * float64(len(s.targets))))
 	stopped := slices.Clone(s.targets)
--- a/pkg/loadmodel/upper_bound.go
+++ b/pkg/loadmodel/upper_bound.go
@@ -8,15 +8,16 @@
 	"quaydock/pkg/clock"
 )
 
-// window is the time within which the upper bound may reorder work.
+// window is the time within which the upper bound may reorder work, and which a request must have arrived in to be
+// answered in time.
 const window = 2 * clock.Second
 
 // UpperBound estimates the best result of a scheduler that knows the whole load beforehand. In
 // each window the slots go to the requests that arrive in it, by tier and then shortest run
 // first; what is left goes to requests that wait from earlier windows, whose answers are late. Returning
 // callers, runs that extend into another window and the time to start runs cost it nothing. But requests
-// that arrive at the end of a window get no slot in the next one, so that a simulation may earn up to 0.005
-// more than this bound.
+// that arrive at the end of a window get no slot in the next one, so that the EarnedFraction of a simulation may be
+// up to 0.005 above that of this bound.
 func UpperBound(load Load) Result {
 	s := newSimulation(&load, Observer{})
 	s.drawAll()
--- a/pkg/losses/losses.go
+++ b/pkg/losses/losses.go
@@ -18,14 +18,14 @@
 	messageLeftOut  = "log lines left out in a second, by kind"
 	messageStarted  = "started"
 
-	fieldCause   = "cause"
-	fieldLate    = "late_by"
+	fieldCause   = "cause"   // why a request was not answered
+	fieldLate    = "late_by" // why an answer was late; absent if it was in time
 	fieldAccount = "account"
-	fieldTier    = "tier"
-	fieldDomain  = "domain"
+	fieldTier    = "tier"   // the rank
+	fieldDomain  = "domain" // the process's failure domain, in the line of its start
 	fieldPrompt  = "prompt_tokens"
-	fieldHeld    = "held_ms"
-	fieldBefore  = "before_ms"
+	fieldHeld    = "held_ms"   // from the arrival of a request to its end
+	fieldBefore  = "before_ms" // from the caller's first try to this one; absent for a first try
 )
 
 // unknown replaces a value that a line does not have.
@@ -121,7 +121,8 @@
 	return loss
 }
 
-// suppressedLosses returns the losses whose log lines were suppressed, one for each cause.
+// suppressedLosses returns the losses whose log lines were suppressed, one for each cause. The line has a field with
+// their number for each kind of suppressed line: the cause, "answered" or "answered_late".
 func suppressedLosses(l requestlog.Line) []Loss {
 	var list []Loss
 	for _, name := range l.Names() {
--- a/pkg/losses/table.go
+++ b/pkg/losses/table.go
@@ -18,7 +18,7 @@
 	Counts [][]int
 }
 
-// maxWindows limits the size of a table: logs whose clocks differ by that much can't usefully be shown in
+// maxWindows limits the number of windows of a table: logs whose clocks differ by that much can't usefully be shown in
 // one table.
 const maxWindows = 10_000
 
--- a/pkg/network/faults.go
+++ b/pkg/network/faults.go
@@ -44,7 +44,7 @@
 	// Message is the number of the affected message, from 0.
 	Message int
 	Effect  Effect
-	// Length is the time by which Delay delays the message.
+	// Length is the time by which Delay delays the message; the other effects ignore it.
 	Length clock.Millis
 }
 
@@ -54,7 +54,7 @@
 	mu        sync.Mutex
 	faults    []Fault
 	counts    map[messageKey]int // messages so far, which is the number of the next one
-	triggered int                // messages that a fault was found for
+	triggered int                // messages that a fault was found for, whether or not it had an effect
 }
 
 // messageKey identifies the messages that are counted together.
@@ -77,7 +77,8 @@
 	f.faults = append(f.faults, fault)
 }
 
-// Triggered returns how many faults have taken effect.
+// Triggered returns how many messages had a fault. It includes faults without effect, of messages that wait behind
+// a delayed one.
 func (f *Faults) Triggered() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/pkg/network/memory.go
+++ b/pkg/network/memory.go
@@ -77,6 +77,7 @@
 	return listener, nil
 }
 
+// memoryListener accepts the connections that Memory.Dial makes to an address.
 type memoryListener struct {
 	address memoryAddr
 	pending chan net.Conn // connections not yet accepted
--- a/pkg/network/memory_conn.go
+++ b/pkg/network/memory_conn.go
@@ -129,7 +129,7 @@
 // memoryConn is one side of an in-memory connection.
 type memoryConn struct {
 	in, out *stream
-	address memoryAddr
+	address memoryAddr // of the listener; both sides give it as their own address and as the other's
 }
 
 // memoryAddr is the address of a listener in a Memory network.
--- a/pkg/network/transport.go
+++ b/pkg/network/transport.go
@@ -36,6 +36,7 @@
 	}
 }
 
+// dial makes a connection within DialTimeout. A failure wraps DialError if that is set.
 func (o *TransportOptions) dial(ctx context.Context, network Network, address string) (net.Conn, error) {
 	if o.DialTimeout > 0 {
 		var cancel context.CancelFunc
--- a/pkg/network/write_limit.go
+++ b/pkg/network/write_limit.go
@@ -15,6 +15,7 @@
 	return &writeLimitConn{Conn: conn, limit: limit}
 }
 
+// writeLimitConn is a connection whose writes are limited in time; see LimitWrites.
 type writeLimitConn struct {
 	net.Conn
 	limit clock.Millis
--- a/pkg/prefix/cache_estimate.go
+++ b/pkg/prefix/cache_estimate.go
@@ -17,7 +17,7 @@
 // CacheEstimate keeps the blocks most recently sent to each target in an LRU cache, like the
 // target's own prompt cache. It is safe for concurrent use.
 type CacheEstimate struct {
-	mu      sync.Mutex
+	mu      sync.Mutex // guards targets
 	targets map[ids.Target]*lru.Cache[Fingerprint, struct{}]
 }
 
--- a/pkg/settings/check.go
+++ b/pkg/settings/check.go
@@ -60,6 +60,7 @@
 	f.Unless(s.Trace.Ratio >= 0 && s.Trace.Ratio <= 1, "trace.ratio", "must be from 0 to 1")
 }
 
+// check records the faults of an entry's settings, under the path that they have in the settings of a process.
 func (e *Entry) check(f *declaration.Faults) {
 	f.Address("entry.listen", e.Listen)
 	positive(f, "entry.tickets_per_request", e.TicketsPerRequest)
@@ -88,6 +89,7 @@
 	}
 }
 
+// check records the faults of an agent's settings, which are at path in the settings of a process.
 func (a *Agent) check(f *declaration.Faults, path string) {
 	f.Unless(a.Target != "", path+".target", "is required")
 	f.Address(path+".control", a.Control)
--- a/pkg/standin/batch.go
+++ b/pkg/standin/batch.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// run executes steps until no sequence is active or queued.
+// run executes a step after each step time, until no sequence is active or queued.
 func (e *Engine) run() {
 	for {
 		time.Sleep(e.stepTime())
--- a/pkg/standin/engine.go
+++ b/pkg/standin/engine.go
@@ -36,15 +36,15 @@
 	queued      []*sequence          // waiting for room in the batch, in order of arrival
 	slowdown    int                  // factor by which steps take longer
 	firstTokens map[string]time.Time // by request id
-	computed    int                  // prompt tokens computed
+	computed    int                  // prompt tokens computed, without those found in the cache
 	cache       *promptCache
 	sequences   map[string]*sequence // kept for resuming their answers, by request id
-	order       []string             // the request ids of these calls, the oldest first; at most maxSequences
+	order       []string             // the request ids of the calls in these maps, the oldest first; at most maxSequences
 	runs        map[string]int       // calls that were not rejected, by request id
 	retryAfter  time.Duration        // if above 0, all calls are rejected with this Retry-After
-	rejected    int
-	stepping    bool           // run is running
-	steps       sync.WaitGroup // by it Close waits for the end of run
+	rejected    int                  // calls that were rejected
+	stepping    bool                 // run is running
+	steps       sync.WaitGroup       // by it Close waits for the end of run
 }
 
 // NewEngine returns an idle engine.
@@ -184,7 +184,8 @@
 	return e.sequences[r.PathValue("id")]
 }
 
-// resume sends an answer again from the byte on that the Range header names.
+// resume sends an answer again from the byte on that the Range header names. Without a valid header or for an unknown
+// request it answers 404.
 func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
 	s := e.find(r)
 	text, _ := strings.CutPrefix(r.Header.Get("Range"), "bytes=")
@@ -197,7 +198,7 @@
 	s.serve(w, offset, http.StatusPartialContent)
 }
 
-// cancel aborts the answer of a request; an unknown request is no error.
+// cancel aborts the answer of a request and answers 204, also for an unknown request.
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
 	if s := e.find(r); s != nil {
 		s.abort()
@@ -211,7 +212,8 @@
 	e.steps.Wait()
 }
 
-// ComputedPromptTokens returns the number of prompt tokens that the engine has computed.
+// ComputedPromptTokens returns the number of prompt tokens that the engine has computed. Those found in its prompt
+// cache do not count.
 func (e *Engine) ComputedPromptTokens() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/standin/sequence.go
+++ b/pkg/standin/sequence.go
@@ -23,7 +23,7 @@
 	changed sync.Cond  // of mu; any change of the fields below
 	out     []byte     // the body of the answer so far
 	done    bool       // the answer is complete or aborted
-	aborted bool
+	aborted bool       // it ended before it was complete; its connection is then closed
 }
 
 // ended reports whether the answer is complete or aborted.
--- a/pkg/standin/table.go
+++ b/pkg/standin/table.go
@@ -14,10 +14,10 @@
 type Table struct {
 	mu   sync.Mutex
 	rows map[table.Key]table.Row
-	down bool
+	down bool // calls are broken off without an answer
 	// While lagging is set, reads return the saved rows.
 	lagging bool
-	saved   map[table.Key]table.Row
+	saved   map[table.Key]table.Row // the rows at the last SaveState
 }
 
 // NewTable returns an empty table.
--- a/pkg/telemetry/metrics.go
+++ b/pkg/telemetry/metrics.go
@@ -9,10 +9,10 @@
 // Metrics holds the counters of one process. They are expvar variables that are
 // not published globally, so that a test can run several processes in one.
 type Metrics struct {
-	root expvar.Map
+	root expvar.Map // all that ServeHTTP writes, by name
 	// Requests counts requests at an entry by how they ended.
 	Requests *expvar.Map
-	// Refusals counts refusals at an entry by code.
+	// Refusals counts refusals at an entry by error code.
 	Refusals *expvar.Map
 	// Tickets counts the tickets that an entry placed, as "placed", and the agents' verdicts on them by kind.
 	Tickets *expvar.Map
--- a/pkg/telemetry/prometheus.go
+++ b/pkg/telemetry/prometheus.go
@@ -28,7 +28,7 @@
 	Tier int
 	// Outcome is "answered", "answered_late", or the reason why there was no answer.
 	Outcome string
-	// FirstEvent is the time to the first event or answer, 0 without one. Held is how
+	// FirstEvent is the time from the request's arrival to the first event or answer, 0 without one. Held is how
 	// long the request was at the entry.
 	FirstEvent clock.Millis
 	Held       clock.Millis
--- a/pkg/telemetry/tracing.go
+++ b/pkg/telemetry/tracing.go
@@ -26,7 +26,7 @@
 
 // Tracing creates spans and exports them as the settings determine.
 type Tracing struct {
-	Tracer   trace.Tracer
+	Tracer   trace.Tracer             // without an exporter, one that discards all spans
 	provider *sdktrace.TracerProvider // nil without an exporter
 	file     *os.File                 // nil unless spans go to a file
 }
--- a/pkg/testbed/bed.go
+++ b/pkg/testbed/bed.go
@@ -51,12 +51,13 @@
 	Entries int
 	Engines []settings.EngineStandIn
 	Plain   bool
-	Slots   int // of each target; 0 means 1
+	Slots   int // how many requests each target runs concurrently; 0 means 1
 	// CoalesceMS is the agents' setting. 0 sends each token in a message of its own, which gives faults the most
 	// messages to affect.
 	CoalesceMS clock.Millis
 	// Seed makes the random choices of a run repeatable.
-	Seed   uint64
+	Seed uint64
+	// Faults, if set, makes connections of the testbed fail.
 	Faults *network.Faults
 	// Wrap may replace the dialling side of connections; it is ignored if Faults is set.
 	Wrap network.WrapFunc
