--- a/pkg/capacity/roles.go
+++ b/pkg/capacity/roles.go
@@ -14,8 +14,8 @@
 	// headerBytes are the TCP and IP headers of a message and of its reply, one packet each. Acknowledgements are
 	// sent with them.
 	headerBytes       = 2 * 40
-	percent           = 100 // times a fraction
-	nanosecond        = 1e-9
+	percent           = 100  // a fraction times this is a percentage
+	nanosecond        = 1e-9 // in seconds, as is microsecond
 	microsecond       = 1e-6
 	ticketsPerRequest = 2 // settings entry.tickets_per_request
 )
--- a/pkg/declaration/change_test.go
+++ b/pkg/declaration/change_test.go
@@ -21,7 +21,8 @@
 	os.Exit(m.Run())
 }
 
-// TestDiffAndApply checks that a change turns one set into the other, up to the order of lists.
+// TestDiffAndApply checks that a change turns one set into the other, up to the order of lists, and that the change is
+// empty exactly if the one in the other direction is.
 func TestDiffAndApply(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		from, to := drawSet(r), drawSet(r)
--- a/pkg/declaration/check.go
+++ b/pkg/declaration/check.go
@@ -187,8 +187,8 @@
 	return set, nil
 }
 
-// lineOf returns a prefix with the line of the document on which decoding failed. If err names no offset,
-// that is where the decoder stopped, decoded bytes from the beginning.
+// lineOf returns a prefix with the number of the line, from 1, on which decoding failed. It is the line of the offset
+// that err names. If err names none, it is the line where the decoder stopped, which had then read decoded bytes.
 func lineOf(document []byte, decoded int64, err error) string {
 	offset := decoded
 	var syntax *json.SyntaxError
--- a/pkg/experiment/experiment_test.go
+++ b/pkg/experiment/experiment_test.go
@@ -18,7 +18,8 @@
 
 const scenariosDir = "../../examples/experiments/"
 
-// TestExperiment prints the table of results of a scenario. It checks only invariants, never a measured value.
+// TestExperiment prints the table of results of a scenario. It checks only the invariants that Result.Violations
+// counts, never a measured value.
 func TestExperiment(t *testing.T) {
 	names := []string{scenariosDir + *scenarioName + ".json"}
 	if *scenarioName == "all" {
--- a/pkg/experiment/result.go
+++ b/pkg/experiment/result.go
@@ -13,7 +13,7 @@
 const (
 	maxFirstTokenMS   = 600_000 // longer times count as this one
 	significantDigits = 3       // digits of the times in histograms
-	percent           = 100     // times a fraction
+	percent           = 100     // a fraction times this is a percentage
 )
 
 // Result is the outcome of a scenario under one policy.
--- a/pkg/experiment/scenario.go
+++ b/pkg/experiment/scenario.go
@@ -49,7 +49,9 @@
 	SharedBytes int `json:"shared_bytes,omitempty"`
 	SharedTexts int `json:"families,omitempty"`
 	// Tokens is the mean length of an answer; lengths are distributed exponentially.
-	Tokens     float64      `json:"tokens"`
+	Tokens float64 `json:"tokens"`
+	// DeadlineMS is the deadline that callers set, from the sending of the request. Only answers within it count as
+	// in time.
 	DeadlineMS clock.Millis `json:"deadline_ms"`
 }
 
--- a/pkg/experiment/workload.go
+++ b/pkg/experiment/workload.go
@@ -40,7 +40,8 @@
 	return random.IntN(c.SharedTexts)
 }
 
-// prompt returns the prompt of the i-th request.
+// prompt returns the prompt of the i-th request. Its number makes it differ from all others, after the shared text if
+// there is one.
 func (a *arrival) prompt(i int, c *Class) string {
 	if a.textIndex < 0 {
 		return fmt.Sprint("request ", i, " ") + strings.Repeat("x", c.PromptBytes)
--- a/pkg/ids/ids_test.go
+++ b/pkg/ids/ids_test.go
@@ -15,6 +15,7 @@
 	// Output: ab-10
 }
 
+// TestParseGrant: a text that is not a grant gives an error of kind NotValid and the zero grant.
 func TestParseGrant(t *testing.T) {
 	scenarios := []struct {
 		name  string
--- a/pkg/loadmodel/caller.go
+++ b/pkg/loadmodel/caller.go
@@ -27,7 +27,7 @@
 	events     int          // of a complete answer
 	size       float64      // relative to the median of its kind
 	firstTryAt clock.Millis // time of its first try
-	tries      int
+	tries      int          // so far, refused ones included
 	status     status
 
 	triedAt      clock.Millis  // time of its latest try
--- a/pkg/loadmodel/load.go
+++ b/pkg/loadmodel/load.go
@@ -34,7 +34,8 @@
 	Patience clock.Millis `json:"patience_ms"`
 	// MaxReturns is how often a refused caller tries again at most.
 	MaxReturns int `json:"returns"`
-	// Worth is the value of an answer of median size within the objective, LateWorth that of a later one.
+	// Worth is the value of an answer of median size within the objective, LateWorth that of a later one, in any unit
+	// that all kinds share.
 	Worth     float64 `json:"worth"`
 	LateWorth float64 `json:"late_worth"`
 }
--- a/pkg/loadmodel/result.go
+++ b/pkg/loadmodel/result.go
@@ -16,8 +16,8 @@
 	InTime, Late, Refused, RefusedAgain, Lost int
 	// Worth is the value of the answers, MaxWorth what it would be if all were in time.
 	Worth, MaxWorth float64
-	// Cost is the cost to callers that got no answer: a constant for returning in vain, and an amount that grows
-	// with the time that they waited.
+	// Cost is the cost to callers that got no answer, in the unit of Worth: a fraction of the worth for returning in
+	// vain, and an amount that grows with the time that they waited.
 	Cost float64
 	// Served is the fraction of the callers that were answered, LargestServed that of the tenth with the largest
 	// prompts.
--- a/pkg/network/memory.go
+++ b/pkg/network/memory.go
@@ -64,7 +64,8 @@
 	return conn, nil
 }
 
-// Listen accepts connections at address and replaces any earlier listener there.
+// Listen accepts connections at address and replaces any earlier listener there, which gets no further connections.
+// It never fails.
 func (m *Memory) Listen(address string) (net.Listener, error) {
 	listener := &memoryListener{
 		address: memoryAddr(address),
--- a/pkg/operators/port.go
+++ b/pkg/operators/port.go
@@ -37,7 +37,8 @@
 	// is served as PathRollouts is.
 	PathDomains = "/domains"
 	// PathProfile records a CPU profile for ?seconds=N.
-	PathProfile    = "/debug/pprof/profile"
+	PathProfile = "/debug/pprof/profile"
+	// PathHeap returns a profile of the heap, PathGoroutines the stacks of all goroutines.
 	PathHeap       = "/debug/pprof/heap"
 	PathGoroutines = "/debug/pprof/goroutine"
 )
@@ -45,7 +46,7 @@
 // Port is the HTTP server for operators.
 type Port struct {
 	common.Common
-	address string
+	address string // to listen at, an IP address and a port
 	server  *http.Server
 }
 
--- a/pkg/prefix/prefix_test.go
+++ b/pkg/prefix/prefix_test.go
@@ -17,6 +17,8 @@
 	// Output: true false
 }
 
+// TestCachedBlocks: only blocks from the beginning of a prompt on count as cached, and only at the target that got
+// them.
 func TestCachedBlocks(t *testing.T) {
 	estimate := prefix.NewCacheEstimate()
 	estimate.Record("a", []prefix.Fingerprint{1, 2, 3})
--- a/pkg/telemetry/telemetry_test.go
+++ b/pkg/telemetry/telemetry_test.go
@@ -49,7 +49,7 @@
 		close(out.release)
 		w.Close()
 		text := out.got.String()
-		if n := strings.Count(text, "line\n"); n < 1000 || n > 1100 {
+		if n := strings.Count(text, "line\n"); n < 1000 || n > 1100 { // 1,024 in the queue, and one being written
 			t.Errorf("%d lines written, want 1000 to 1100", n)
 		}
 		if !strings.Contains(text, "left out") {
--- a/pkg/testbed/breakable_conns_test.go
+++ b/pkg/testbed/breakable_conns_test.go
@@ -39,7 +39,7 @@
 	return len(broken)
 }
 
-// hold delays everything that is sent to an address, until length has passed.
+// hold delays everything that the dialling side writes to an address, until length has passed from now on.
 func (b *breakableConns) hold(address string, length clock.Millis) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/testbed/broken_connections_test.go
+++ b/pkg/testbed/broken_connections_test.go
@@ -21,8 +21,8 @@
 	return list
 }
 
-// checkInvariants checks what must hold whatever has failed: no request runs twice, a request that was reported as
-// not run has not run, and no request gets the answer of another.
+// checkInvariants checks what must hold whatever has failed, for an answer and for all runs so far: no request runs
+// twice, a request that was reported as not run has not run, and no request gets the answer of another.
 func checkInvariants(t *testing.T, bed *testbed.Bed, answer testbed.Answer) {
 	t.Helper()
 	runs := bed.Runs(answer.Request)
@@ -92,7 +92,8 @@
 	}
 }
 
-// maxMessages limits the messages of a link at which its connection is broken.
+// maxMessages limits the messages of a link at which its connection is broken, one in each run.
+// breakEachMessage stops earlier at a link that has fewer.
 const maxMessages = 60
 
 // breakEachMessage applies the fault at message 0, 1 and so on, each time in a new test bed, until it no longer takes
--- a/pkg/testbed/claim_test.go
+++ b/pkg/testbed/claim_test.go
@@ -117,7 +117,8 @@
 	}
 }
 
-// TestRefusedAttemptReleasesClaim: an attempt that is refused as not run releases its claim.
+// TestRefusedAttemptReleasesClaim: an attempt that is refused as not run, because the only slot is taken
+// until after its deadline, releases its claim, so that the repeat runs.
 func TestRefusedAttemptReleasesClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		bed := startTestbed(t, testbed.Options{Entries: 2, Engines: engines(1), Slots: 1})
--- a/pkg/testbed/grant_test.go
+++ b/pkg/testbed/grant_test.go
@@ -42,7 +42,7 @@
 // requestGrant places a ticket and returns the agent's verdict on it.
 func (c *agentClient) requestGrant(id ids.Request) control.Verdict {
 	c.t.Helper()
-	ticket := control.Ticket{Request: id, Service: testbed.Model, Remaining: 10_000, Decode: 10}
+	ticket := control.Ticket{Request: id, Service: testbed.Model, Remaining: 10_000, Decode: 10} // 10 s, 10 tokens
 	reply, err := c.control.Place(context.Background(), &control.PlaceArgs{Tickets: []control.Ticket{ticket}})
 	if err != nil {
 		c.t.Fatal(err)
@@ -192,7 +192,7 @@
 	})
 }
 
-// TestDelayedMessages delays each message in turn for longer than every time-out. Each request still
+// TestDelayedMessages delays each message in turn by 25 s, which is longer than every time-out. Each request still
 // gets its own complete answer and runs once, or is refused with a true outcome.
 func TestDelayedMessages(t *testing.T) {
 	for _, address := range []string{testbed.ControlAddress(0), testbed.DataAddress(0), testbed.TargetAddress(0)} {
--- a/pkg/testbed/large_event_test.go
+++ b/pkg/testbed/large_event_test.go
@@ -57,7 +57,7 @@
 				case c.truncateAt > 0 && strings.Contains(answer.Body, "[DONE]"):
 					t.Error("a truncated answer looks complete")
 				case c.truncateAt > 0 && answer.Ending != testbed.Truncated && !strings.Contains(answer.Body, `"code":"answer_cut"`):
-					t.Errorf("truncated answer ended %v with %q", answer.Ending, tail(answer.Body))
+					t.Errorf("truncated answer ended %v with %q", answer.Ending, lastLine(answer.Body))
 				}
 			})
 		})
--- a/pkg/testbed/lost_target_test.go
+++ b/pkg/testbed/lost_target_test.go
@@ -16,8 +16,8 @@
 func TestLossIsReportedInTime(t *testing.T) {
 	cases := []struct {
 		name  string
-		act   func(*scenario)
-		limit time.Duration // from the failure to the end of the answer
+		act   func(*scenario) // makes the failure
+		limit time.Duration   // from the failure to the end of the answer
 	}{
 		{"target ends", func(s *scenario) { s.bed.EndTarget(0) }, 1600 * time.Millisecond},
 		{"target loses its answers", func(s *scenario) { s.bed.Engines[0].AbortAll() }, 1600 * time.Millisecond},
--- a/pkg/testbed/malformed_test.go
+++ b/pkg/testbed/malformed_test.go
@@ -99,7 +99,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 2, Adjust: func(s *settings.Settings) {
 			for i := range s.Agents {
-				s.Agents[i].QueueMinTokens = 100
+				s.Agents[i].QueueMinTokens = 100 // short queues, so that requests are shed
 				s.Agents[i].QueueTimeMS = 1
 			}
 		}})
@@ -108,7 +108,7 @@
 		answers := parallel(40, func(i int) testbed.Answer {
 			tier := tiers[i%2]
 			if i >= 14 {
-				tier = "tag"
+				tier = "tag" // the 7 of tier pilot among the first 14 must all be served
 			}
 			return caller.Chat(context.Background(), "x", 20, true, http.Header{"Quaydock-Tier": {tier}})
 		})
--- a/pkg/testbed/random_test.go
+++ b/pkg/testbed/random_test.go
@@ -62,7 +62,7 @@
 		Faults: faults,
 		Adjust: func(s *settings.Settings) {
 			for i := range s.Agents {
-				s.Agents[i].QueueMinTokens = 200
+				s.Agents[i].QueueMinTokens = 200 // short queues, so that requests are shed
 				s.Agents[i].QueueTimeMS = 100
 			}
 		},
@@ -82,7 +82,8 @@
 	return endings
 }
 
-// faults draws messages, on any link, at which the connection breaks or which are delayed.
+// faults draws 12 messages, on any link to an agent or target, at which the connection breaks or which are delayed by
+// up to 20 s.
 func (h *randomHistory) faults() []network.Fault {
 	var addresses []string
 	for i := range randomEngines {
@@ -101,7 +102,8 @@
 	return faults
 }
 
-// injectFailures breaks streams, slows down engines and replaces agents while requests run.
+// injectFailures breaks the streams of an engine, slows it down or replaces its agent, five times within
+// historyLength. At its end no engine is slowed down.
 func (h *randomHistory) injectFailures() {
 	random := rand.New(rand.NewPCG(h.seed, 3))
 	for range 5 {
@@ -127,7 +129,8 @@
 	}
 }
 
-// burst sends n requests of all tiers, some of which are cancelled by their callers.
+// burst sends n requests of all tiers within historyLength and returns their answers. Some are cancelled by their
+// callers.
 func (h *randomHistory) burst(n int) []testbed.Answer {
 	tiers := []string{"pilot", "notice", "summary", "tag"}
 	callers := make([]*testbed.Caller, randomEntries)
--- a/pkg/testbed/running_answers_test.go
+++ b/pkg/testbed/running_answers_test.go
@@ -214,7 +214,7 @@
 					s.actions.Wait()
 					checkInvariants(t, bed, answer)
 					if answer.Ending != testbed.Complete {
-						t.Errorf("ended %v with %d of %d tokens, code %q, end %q", answer.Ending, answer.Tokens, tokens, answer.Code, tail(answer.Body))
+						t.Errorf("ended %v with %d of %d tokens, code %q, end %q", answer.Ending, answer.Tokens, tokens, answer.Code, lastLine(answer.Body))
 					}
 				})
 			})
@@ -241,7 +241,7 @@
 				body := s.readSlowly(tokens, piece, pause)
 				s.actions.Wait()
 				if !strings.HasSuffix(body, "data: [DONE]\n\n") || strings.Count(body, `"delta"`) != tokens {
-					t.Errorf("%d of %d tokens after %v, end %q", strings.Count(body, `"delta"`), tokens, time.Since(start), tail(body))
+					t.Errorf("%d of %d tokens after %v, end %q", strings.Count(body, `"delta"`), tokens, time.Since(start), lastLine(body))
 				}
 			})
 		})
@@ -280,8 +280,8 @@
 	}
 }
 
-// tail returns the beginning of a text's last line.
-func tail(text string) string {
+// lastLine returns the first 300 bytes of a text's last line.
+func lastLine(text string) string {
 	lines := strings.Split(strings.TrimSpace(text), "\n")
 	last := lines[len(lines)-1]
 	return last[:min(len(last), 300)]
--- a/pkg/testbed/shedding_test.go
+++ b/pkg/testbed/shedding_test.go
@@ -18,7 +18,7 @@
 	answer testbed.Answer
 	tier   int       // its rank
 	first  time.Time // zero if there is none
-	end    time.Time
+	end    time.Time // when the caller had the whole answer or refusal
 }
 
 // TestNoRequestIsShedBeforeLowerTier overloads several entries and engines with all tiers at once. At the
@@ -30,7 +30,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			bed := startTestbed(t, testbed.Options{Entries: 3, Engines: engines(3), Slots: 2, Seed: seed, Adjust: func(s *settings.Settings) {
 				for i := range s.Agents {
-					s.Agents[i].QueueMinTokens = 150
+					s.Agents[i].QueueMinTokens = 150 // short queues, so that requests are shed
 					s.Agents[i].QueueTimeMS = 100
 				}
 			}})
@@ -71,8 +71,8 @@
 	return time.Time{}
 }
 
-// checkShedding compares each shed request with all that were being served at that
-// moment. It returns the number of shed requests above the lowest tier.
+// checkShedding checks the invariants, and that no request of a lower tier was being served at the moment at which a
+// request was shed. It returns the number of shed requests above the lowest tier, whose rank is 3.
 func checkShedding(t *testing.T, bed *testbed.Bed, all []served) int {
 	t.Helper()
 	shed := 0
--- a/pkg/testbed/unusable_grant_test.go
+++ b/pkg/testbed/unusable_grant_test.go
@@ -92,7 +92,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		bed := startTestbed(t, testbed.Options{Entries: 1, Engines: engines(2), Slots: 1, Adjust: func(s *settings.Settings) {
 			for i := range s.Agents {
-				s.Agents[i].QueueMinTokens = 120
+				s.Agents[i].QueueMinTokens = 120 // a short queue, which a few calls fill
 				s.Agents[i].QueueTimeMS = 1
 			}
 		}})
