--- a/pkg/capacity/sessions.go
+++ b/pkg/capacity/sessions.go
@@ -42,7 +42,7 @@
 	Tickets Slope
 	// Memory is the heap and stacks of both sides together, in bytes by number of sessions.
 	Memory Slope
-	// Poll is the size of a read of the head row with its answer, in bytes.
+	// Poll is the size of a read of the table's head row with its answer, in bytes.
 	Poll float64
 }
 
--- a/pkg/experiment/result.go
+++ b/pkg/experiment/result.go
@@ -57,8 +57,8 @@
 	return percent * float64(t.InTime) / float64(max(1, t.Offered))
 }
 
-// TokenGoodput returns the percentage of requested answer tokens, over all tiers, whose answers were complete in
-// time.
+// TokenGoodput returns which percentage of all answer tokens that requests of all tiers asked for belonged to answers
+// that were complete in time.
 func (r *Result) TokenGoodput() float64 {
 	var good, offered int
 	for _, t := range r.Tiers {
--- a/pkg/loadmodel/result.go
+++ b/pkg/loadmodel/result.go
@@ -69,7 +69,7 @@
 	return r
 }
 
-// outcome adds up what the callers of a kind got. Served of the largest tenth is 0 for fewer than ten callers.
+// outcome adds up what the callers of a kind got. LargestServed is 0 for fewer than ten callers.
 func (s *simulation) outcome(k *Kind) Outcome {
 	o := Outcome{Kind: k.Name, Tier: k.Tier}
 	var callers []*caller
--- a/pkg/loadmodel/simulation.go
+++ b/pkg/loadmodel/simulation.go
@@ -139,7 +139,8 @@
 	}
 }
 
-// leave ends the try id if it is the caller's latest and has seen no event yet, or at the deadline in any case.
+// leave is scheduled for the end of the caller's patience and for its deadline. It ends the try id if that is still the
+// caller's latest, unless the first event has come; at the deadline it ends it in any case. The caller is then lost.
 func (s *simulation) leave(now clock.Millis, c *caller, id planner.JobID) {
 	if c.id != id || c.status != unfinished || c.firstEventAt > 0 && now < c.deadline() {
 		return
@@ -176,7 +177,8 @@
 	}
 }
 
-// refuse ends a try. The caller returns if it has a return left and would be back before its deadline.
+// refuse ends a try that the planner refused with a Retry-After of after. The caller returns if it has a return left
+// and would be back before its deadline.
 func (s *simulation) refuse(now clock.Millis, c *caller, after clock.Millis) {
 	delete(s.waiting, c.id)
 	c.heldFor += now - c.triedAt
--- a/pkg/network/faults.go
+++ b/pkg/network/faults.go
@@ -70,7 +70,7 @@
 	return &Faults{faults: faults, counts: make(map[messageKey]int)}
 }
 
-// Add adds a fault. Its message number counts from the first message of all, not from now on.
+// Add adds a fault. Its message number counts from the first message since NewFaults, not from now on.
 func (f *Faults) Add(fault Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -118,7 +118,7 @@
 type faultyConn struct {
 	net.Conn
 	faults  *Faults
-	address string
+	address string // that was dialled, whose faults apply
 	// sem guards pending and holding. It is a channel because virtual
 	// time does not advance while a goroutine waits for a mutex.
 	sem     chan struct{}
--- a/pkg/prefix/cache_estimate.go
+++ b/pkg/prefix/cache_estimate.go
@@ -11,7 +11,8 @@
 	"quaydock/pkg/ids"
 )
 
-// blocksPerTarget limits the blocks kept per target; the least recently sent ones are dropped.
+// blocksPerTarget limits the fingerprints kept per target, each of one block of BlockBytes; the least recently sent
+// ones are dropped.
 const blocksPerTarget = 4096
 
 // CacheEstimate keeps the blocks most recently sent to each target in an LRU cache, like the
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -37,7 +37,7 @@
 
 // Log has the settings of the log.
 type Log struct {
-	// Level is a logrus level: "debug", "info", "warning" or "error".
+	// Level is a logrus level: "debug", "info", "warning" or "error". Lines below it are not logged.
 	Level string `json:"level"`
 }
 
@@ -57,6 +57,7 @@
 // Operators has the settings of the operators' port, which serves health, metrics
 // and state.
 type Operators struct {
+	// Listen is the address of the port.
 	Listen string `json:"listen"`
 }
 
@@ -137,7 +138,7 @@
 	ResumeWaitMS clock.Millis `json:"resume_wait_ms"`
 }
 
-// StandIns are simulated outside systems.
+// StandIns are simulated outside systems. Listen of each is the address that it serves at, an IP address and a port.
 type StandIns struct {
 	Platform *PlatformStandIn `json:"platform,omitempty"`
 	Engines  []EngineStandIn  `json:"engines,omitempty"`
--- a/pkg/testbed/caller.go
+++ b/pkg/testbed/caller.go
@@ -40,7 +40,7 @@
 	Status     int    // 0 if no answer began
 	Code       string // the error code of a refusal
 	RetryAfter string // the Retry-After header
-	Body       string // what arrived of it, or the error if no answer began
+	Body       string // what arrived of the body, or the error if no answer began
 	Tokens     int    // counted by Chat in a whole answer of status 200
 }
 
@@ -70,8 +70,8 @@
 	return answer
 }
 
-// Do makes one call with Key. It does not check the content of a complete body. A call that got no answer ends as
-// Truncated.
+// Do makes one call with Key and the given header, whose fields replace those that it sets itself. It does not check
+// the content of a complete body. A call that got no answer ends as Truncated.
 func (c *Caller) Do(ctx context.Context, method, path, body string, header http.Header) Answer {
 	call, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader([]byte(body)))
 	if err != nil {
