--- a/pkg/loadmodel/events.go
+++ b/pkg/loadmodel/events.go
@@ -25,6 +25,7 @@
 
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
+// Push and Pop are for container/heap only: they add and remove the last element and keep no order.
 func (e *events) Push(x any) { *e = append(*e, x.(event)) }
 
 func (e *events) Pop() any {
