--- a/pkg/capacity/sessions.go
+++ b/pkg/capacity/sessions.go
@@ -42,7 +42,7 @@
 	Tickets Slope
 	// Memory is the heap and stacks of both sides together, in bytes by number of sessions.
 	Memory Slope
-	// Poll is the size of a read of the head row with its answer, in bytes.
+	// Poll is the size of a read of the table's head row with its answer, in bytes.
 	Poll float64
 }
 
@@ -70,7 +70,7 @@
 // countingNetwork counts the bytes of the connections that it dials.
 type countingNetwork struct {
 	network.Network
-	bytes *atomic.Int64
+	bytes *atomic.Int64 // of all these connections, in both directions
 }
 
 // Dial connects to address and counts the bytes of the connection.
--- a/pkg/experiment/result.go
+++ b/pkg/experiment/result.go
@@ -13,7 +13,7 @@
 const (
 	maxFirstTokenMS   = 600_000 // longer times count as this one
 	significantDigits = 3       // digits of the times in histograms
-	percent           = 100     // times a fraction
+	percent           = 100     // a fraction times this is a percentage
 )
 
 // Result is the outcome of a scenario under one policy.
@@ -57,8 +57,8 @@
 	return percent * float64(t.InTime) / float64(max(1, t.Offered))
 }
 
-// TokenGoodput returns the percentage of requested answer tokens, over all tiers, whose answers were complete in
-// time.
+// TokenGoodput returns which percentage of all answer tokens that requests of all tiers asked for belonged to answers
+// that were complete in time.
 func (r *Result) TokenGoodput() float64 {
 	var good, offered int
 	for _, t := range r.Tiers {
--- a/pkg/experiment/scenario.go
+++ b/pkg/experiment/scenario.go
@@ -20,7 +20,7 @@
 	Entries int    `json:"entries"`
 	// DurationMS is the time within which requests arrive.
 	DurationMS clock.Millis `json:"duration_ms"`
-	// Load is the offered work as a fraction of the capacity of all engines.
+	// Load is the offered work as a fraction of the capacity of all engines; above 1 they are overloaded.
 	Load    float64       `json:"load"`
 	Engines []EngineGroup `json:"engines"`
 	Classes []Class       `json:"classes"`
@@ -49,7 +49,9 @@
 	SharedBytes int `json:"shared_bytes,omitempty"`
 	SharedTexts int `json:"families,omitempty"`
 	// Tokens is the mean length of an answer; lengths are distributed exponentially.
-	Tokens     float64      `json:"tokens"`
+	Tokens float64 `json:"tokens"`
+	// DeadlineMS is the deadline that callers set, from the sending of the request. Only answers within it count as
+	// in time.
 	DeadlineMS clock.Millis `json:"deadline_ms"`
 }
 
--- a/pkg/loadmodel/events.go
+++ b/pkg/loadmodel/events.go
@@ -18,12 +18,14 @@
 
 func (e events) Len() int { return len(e) }
 
+// Less orders events by time, and those of the same time as they were added.
 func (e events) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].number < e[j].number
 }
 
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
+// Push and Pop are for container/heap only: they add and remove the last element and keep no order.
 func (e *events) Push(x any) { *e = append(*e, x.(event)) }
 
 func (e *events) Pop() any {
@@ -32,7 +34,7 @@
 	return last
 }
 
-// schedule schedules do for a time of the simulation.
+// schedule schedules do for a time of the simulation, at which it is called with that time.
 func (s *simulation) schedule(moment clock.Millis, do func(now clock.Millis)) {
 	s.scheduled++
 	heap.Push(&s.events, event{moment, s.scheduled, do})
--- a/pkg/loadmodel/result.go
+++ b/pkg/loadmodel/result.go
@@ -16,8 +16,8 @@
 	InTime, Late, Refused, RefusedAgain, Lost int
 	// Worth is the value of the answers, MaxWorth what it would be if all were in time.
 	Worth, MaxWorth float64
-	// Cost is the cost to callers that got no answer: a constant for returning in vain, and an amount that grows
-	// with the time that they waited.
+	// Cost is the cost to callers that got no answer, in the unit of Worth: a fraction of the worth for returning in
+	// vain, and an amount that grows with the time that they waited.
 	Cost float64
 	// Served is the fraction of the callers that were answered, LargestServed that of the tenth with the largest
 	// prompts.
@@ -69,7 +69,7 @@
 	return r
 }
 
-// outcome adds up what the callers of a kind got. Served of the largest tenth is 0 for fewer than ten callers.
+// outcome adds up what the callers of a kind got. LargestServed is 0 for fewer than ten callers.
 func (s *simulation) outcome(k *Kind) Outcome {
 	o := Outcome{Kind: k.Name, Tier: k.Tier}
 	var callers []*caller
--- a/pkg/network/faults.go
+++ b/pkg/network/faults.go
@@ -44,7 +44,7 @@
 	// Message is the number of the affected message, from 0.
 	Message int
 	Effect  Effect
-	// Length is the time by which Delay delays the message.
+	// Length is the time by which Delay delays the message; the other effects ignore it.
 	Length clock.Millis
 }
 
@@ -54,7 +54,7 @@
 	mu        sync.Mutex
 	faults    []Fault
 	counts    map[messageKey]int // messages so far, which is the number of the next one
-	triggered int                // messages that a fault was found for
+	triggered int                // messages that a fault was found for, whether or not it had an effect
 }
 
 // messageKey identifies the messages that are counted together.
@@ -70,14 +70,15 @@
 	return &Faults{faults: faults, counts: make(map[messageKey]int)}
 }
 
-// Add adds a fault. Its message number counts from the first message of all, not from now on.
+// Add adds a fault. Its message number counts from the first message since NewFaults, not from now on.
 func (f *Faults) Add(fault Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults = append(f.faults, fault)
 }
 
-// Triggered returns how many faults have taken effect.
+// Triggered returns how many messages had a fault. It includes faults without effect, of messages that wait behind
+// a delayed one.
 func (f *Faults) Triggered() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -117,7 +118,7 @@
 type faultyConn struct {
 	net.Conn
 	faults  *Faults
-	address string
+	address string // that was dialled, whose faults apply
 	// sem guards pending and holding. It is a channel because virtual
 	// time does not advance while a goroutine waits for a mutex.
 	sem     chan struct{}
--- a/pkg/prefix/cache_estimate.go
+++ b/pkg/prefix/cache_estimate.go
@@ -11,13 +11,14 @@
 	"quaydock/pkg/ids"
 )
 
-// blocksPerTarget limits the blocks kept per target; the least recently sent ones are dropped.
+// blocksPerTarget limits the fingerprints kept per target, each of one block of BlockBytes; the least recently sent
+// ones are dropped.
 const blocksPerTarget = 4096
 
 // CacheEstimate keeps the blocks most recently sent to each target in an LRU cache, like the
 // target's own prompt cache. It is safe for concurrent use.
 type CacheEstimate struct {
-	mu      sync.Mutex
+	mu      sync.Mutex // guards targets
 	targets map[ids.Target]*lru.Cache[Fingerprint, struct{}]
 }
 
