--- a/pkg/dispatch/owner_estimates.go
+++ b/pkg/dispatch/owner_estimates.go
@@ -9,7 +9,9 @@
 )
 
 // adoptEstimates starts a planner with the estimates of a former owner; the caller holds the lock. If no
-// former owner has sent any to this entry, they are read from the store, once in the life of this process.
+// former owner has sent any to this entry, they are read from the store, once in the life of this process. That
+// read runs in the background, serves all services, and is not repeated if it fails. Until estimates arrive, the
+// planner works without them.
 func (owner *Owner) adoptEstimates(g *servicePlanner, service ids.Service) {
 	if l := owner.estimates.get(service); l != nil {
 		g.planner.AdoptEstimates(l)
--- a/pkg/ingress/watch.go
+++ b/pkg/ingress/watch.go
@@ -229,7 +229,9 @@
 	w.endExchange(errRedispatched)
 }
 
-// add adds what a search has used. The exchange that has taken over is counted as sent when it ends.
+// add adds what a search has used: sends are exchanges that reached a target, sent those that may have run there. The
+// exchange that has taken over is counted as sent when it ends. The search's list of tried targets begins with those
+// tried before it, which are left out here; its trail begins empty.
 func (u *searchUsage) add(s *search) {
 	u.sends += s.q.sends - s.began.sends
 	u.sent += s.q.sent - s.began.sent
--- a/pkg/metering/meter.go
+++ b/pkg/metering/meter.go
@@ -157,7 +157,7 @@
 	replyOrder        []uint64                        // the numbers in sentReplies, oldest first; used like it
 }
 
-// New returns a meter without usage.
+// New returns a meter without usage. A window of the bounds that is shorter than minWindow is lengthened to it.
 func New(c common.Common, bounds Bounds, v *view.View, members *membership.Members, link *packets.Link) *Meter {
 	m := &Meter{
 		Common: c, bounds: bounds.withMinWindow(), view: v, members: members, link: link,
--- a/pkg/planner/cold.go
+++ b/pkg/planner/cold.go
@@ -36,6 +36,9 @@
 }
 
 // SetColdLimit sets the service of the targets, nil if unknown, and how many jobs per second one cold target may get.
+// A target is cold until its ColdUntil, or for the service's ColdTime from its RestoredAt; without a service only
+// ColdUntil counts, and none is cold if the service's ColdPerSecond is 0. With a rate of 0 a cold target gets no jobs
+// beyond the tokens that its bucket still has.
 func (p *Planner) SetColdLimit(s *routing.Service, perSecond float64) {
 	p.cold = coldLimit{service: s, perSecond: perSecond}
 }
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -97,8 +97,8 @@
 }
 
 // Tick performs the work that depends on time alone: stuck targets, expired jobs and jobs that can no longer be in
-// time. It is to be called periodically. Jobs that are past their deadline, or that no Submit has repeated for
-// pollTimeout, are dropped without a decision.
+// time. It is to be called periodically; the owner of a service does so about every 25 ms (tickInterval in dispatch).
+// Jobs that are past their deadline, or that no Submit has repeated for pollTimeout, are dropped without a decision.
 func (p *Planner) Tick(now clock.Millis) {
 	for _, t := range p.eligible {
 		if t.stuck(now, &p.timings) {
--- a/pkg/quarantine/guard.go
+++ b/pkg/quarantine/guard.go
@@ -176,7 +176,8 @@
 }
 
 // await waits until a request may run that is suspected or quarantined, or whose account is suspected. Its results are
-// those of Enter.
+// those of Enter: if both are nil, nothing is recorded any more and the request runs without a permit. If ctx ends
+// first, the request is refused.
 func (g *Guard) await(ctx context.Context, r Request) (*Permit, *Refused) {
 	var run *exclusiveRun
 	defer func() { g.runs.release(run) }()
@@ -191,6 +192,8 @@
 			return nil, &Refused{RetryAfter: s.wait}
 		}
 		run = g.runFor(run, r, s)
+		// A suspected request also waits until settleTime has passed since the last target end under it. A quarantined
+		// one needs a retrial, and an exclusive run only if its account is suspected; all others need an exclusive run.
 		if g.settled(now, r, s) && (s.verdict == Held && !s.accountRun || g.runs.acquire(ctx, run)) {
 			if s.verdict == Held && !g.permitRetrial(ctx, r.Digest) {
 				return nil, g.refusedHeld(now, r.Digest)
@@ -227,7 +230,8 @@
 
 // permitRetrial permits one more run of a quarantined request if one is due: targets may have ended beside it for
 // another reason. The store counts these runs, so that the entries together don't exceed their number, even when they
-// restart: without the store's confirmation it is not permitted.
+// restart: without the store's confirmation it is not permitted. A returned retrial is one that was permitted at this
+// entry but did not run; the store has counted it already, so it is used without another write.
 func (g *Guard) permitRetrial(ctx context.Context, d Digest) bool {
 	if g.register.TakeReturnedRetrial(d) {
 		return true
@@ -302,8 +306,10 @@
 // HeldReports lists the quarantined requests.
 func (g *Guard) HeldReports() []Report { return g.register.HeldReports(g.Clock.Now()) }
 
-// Release releases a request from quarantine at all entries on an operator's order. It reports whether anything was
-// recorded against it.
+// Release releases a request from quarantine on an operator's order. It reports whether any target end that was not
+// excused yet was recorded against it at this entry; if not, it does nothing. The release is reported to the other
+// entries reportSends times without confirmation; one that gets none of these reports keeps its record, also when the
+// row is removed from the store.
 func (g *Guard) Release(d Digest) bool {
 	c := g.register.Completed(g.Clock.Now(), d)
 	g.publish(c)
--- a/pkg/testbed/bed.go
+++ b/pkg/testbed/bed.go
@@ -227,8 +227,9 @@
 	return p, nil
 }
 
-// StartAgent starts an agent beside target i and takes over the addresses of an earlier one. Agents stays as it is, so
-// that Close does not close the new one.
+// StartAgent starts an agent beside target i and takes over the addresses of an earlier one. The network does not
+// require that the earlier one is closed first; one that still runs gets no further connections. Agents stays as it is,
+// so that Close does not close the new one; the caller closes it, or stores it in Agents.
 func (b *Bed) StartAgent(i int) (*app.Process, error) {
 	return b.startProcess(fmt.Sprintf("agent-%d", i+1), func(s *settings.Settings) {
 		a := settings.DefaultAgent()
@@ -240,8 +241,9 @@
 	})
 }
 
-// StartEntry starts entry i and takes over the address of an earlier one. Entries stays as it is, so that Close does
-// not close the new one.
+// StartEntry starts entry i and takes over the address of an earlier one. The network does not require that the earlier
+// one is closed first; one that still runs gets no further connections. Entries stays as it is, so that Close
+// does not close the new one; the caller closes it, or stores it in Entries.
 func (b *Bed) StartEntry(i int) (*app.Process, error) {
 	return b.startProcess(fmt.Sprintf("entry-%d", i+1), func(s *settings.Settings) {
 		e := settings.DefaultEntry()
