--- a/pkg/app/entry_process.go
+++ b/pkg/app/entry_process.go
@@ -64,8 +64,7 @@
 	minWeight = 0.01
 	// headerTimeout limits reading a request's headers at the ports for metrics and readiness.
 	headerTimeout = 10 * clock.Second
-	// idleTimeout is not used: idle connections to those ports are kept without a limit.
-	idleTimeout = 60 * clock.Second
+	idleTimeout   = 60 * clock.Second // not used: idle connections to those ports are kept without a limit
 )
 
 // entryProcess is an entry on the platform with all its components.
