--- a/pkg/app/rollout_play_test.go
+++ b/pkg/app/rollout_play_test.go
@@ -66,6 +66,8 @@
 	do   func(b *rolloutBed) // begins the fault, and ends it before it returns
 }
 
+// The size of a play, that is, of one simulated roll-out: its entries, its targets, and the requests to all entries
+// together.
 const (
 	playEntries = 4
 	playEngines = 9     // of each version
--- a/pkg/ingress/advice_test.go
+++ b/pkg/ingress/advice_test.go
@@ -30,8 +30,9 @@
 // partitioned or has just started goes on assigning the same target, as the scheduler of this test does. No request
 // may be sent to the target then. The test covers the first try, a try after one that did not run, a retry of one that
 // may have run, the remainder of a stream that broke off, and a stream that its caller resumes, on routes of each
-// kind, also if the advice arrives only after the assignment. The advice was in the answer to another request,
-// "earlier", on a connection of unknown age.
+// kind, also if the advice arrives only after the assignment. The advice is one of blockingAdvice: the target is
+// leaving, or asked for a back-off. It was in the answer to another request, "earlier", on a connection of unknown age:
+// the test passes 0 as the time at which the connection was made.
 func TestNoRequestSentToTargetWithBlockingAdvice(t *testing.T) {
 	complete := strings.Join(events(10), "")
 	scenarios := []struct {
--- a/pkg/quarantine/record.go
+++ b/pkg/quarantine/record.go
@@ -133,9 +133,10 @@
 	return count, again
 }
 
-// verdict returns what may be done with the request; with strict, the first end is enough. Otherwise a request is
-// quarantined once a target has ended in a run that began when an earlier end was known. The earlier end may belong to
-// the same incarnation as far as the target list shows: while the store is unavailable, a restart is not reported.
+// verdict returns what may be done with the request, by its target ends that are not excused: each is the end of a
+// target's process while it ran the request. With strict, the first end is enough for quarantine. Otherwise a request
+// is quarantined once a target has ended in a run that began when an earlier end was known. The earlier end may belong
+// to the same incarnation as far as the target list shows: while the store is unavailable, a restart is not reported.
 // Waiting for a third end would cost one more target. If two ends of concurrent runs were enough, innocent requests
 // would be quarantined wherever many targets end at once.
 func (r *Record) verdict(strict bool) Verdict {
--- a/pkg/quarantine/register.go
+++ b/pkg/quarantine/register.go
@@ -160,7 +160,8 @@
 	return count
 }
 
-// join merges a record from a report or a row. One without target ends has no effect. The caller holds the lock.
+// join merges a record from a report or a row. One without target ends has no effect; a target end is the end of a
+// target's process while it ran the request. The caller holds the lock.
 func (r *Register) join(now clock.Millis, report *Record) Change {
 	if len(report.Ends) == 0 {
 		return Change{}
@@ -179,7 +180,8 @@
 }
 
 // updateVerdict sets whether a record counts as quarantined, by its present verdict. Before the store has been read
-// none does, as one target end is then enough for Held and the verdict may be revoked. The caller holds the lock.
+// none does, as one target end, of a target's process while it ran the request, is then enough for Held and the verdict
+// may be revoked. The caller holds the lock.
 func (r *Register) updateVerdict(now clock.Millis, e *trackedRecord, isNew bool, before Verdict) Change {
 	after := r.verdict(e)
 	held := after == Held && r.storeRead
--- a/pkg/quarantine/register_retrials.go
+++ b/pkg/quarantine/register_retrials.go
@@ -86,7 +86,8 @@
 }
 
 // ReadyIn returns the time until a quarantined request may run once more, at least a second. After the first retrial it
-// is the whole nextRetrialDelay, whatever part of it is over, and also if no retrial is left.
+// is the whole nextRetrialDelay, whatever part of it is over, and also if no retrial is left. For a request that has no
+// record, or does not count as quarantined, it is firstRetrialDelay.
 func (r *Register) ReadyIn(now clock.Millis, d Digest) clock.Millis {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/quota/retry_budget.go
+++ b/pkg/quota/retry_budget.go
@@ -15,8 +15,8 @@
 	Window clock.Millis
 }
 
-// usableFraction is the fraction of the bounds in use: retries are counted at the target,
-// where one window may contain what entries sent in two of theirs.
+// usableFraction is the fraction of the bounds in use, that is, of both Ratio and Slack of RetryBounds: retries are
+// counted at the target, where one window may contain what entries sent in two of theirs.
 const usableFraction = 0.7
 
 // windowSteps is the number of steps into which a RetryBudget divides the window of its bounds.
--- a/pkg/rollout/exposure.go
+++ b/pkg/rollout/exposure.go
@@ -7,10 +7,12 @@
 )
 
 // Exposure limits what one entry sends to canaries such that the limit on the sum over all entries holds without
-// coordination: each entry sends a fraction of its own requests, counted from the order on. An entry that restarts
-// counts from zero, both the requests it sends to the canary and those they are in proportion to, so nothing is spent
-// twice. Only half of the slack is handed out, a few requests for each entry, and only to entries that observed the
-// order from its start.
+// coordination: each entry sends a fraction of its own requests, counted from the order on, that is, the operators'
+// order to move a service to a version. An entry that restarts counts from zero, both the requests it sends to the
+// canary and those they are in proportion to, so nothing is spent twice. Bounds.Slack allows some requests beyond the
+// fraction, in total. Only half of it is handed out, a few requests for each entry, and only to entries that observed
+// the order from its start. The other half covers entries that take one another for gone, each of which then counts
+// itself among the few that get a share.
 type Exposure struct {
 	mu       sync.Mutex
 	services map[ids.Service]*serviceExposure
--- a/pkg/rollout/order.go
+++ b/pkg/rollout/order.go
@@ -74,7 +74,9 @@
 // rest is for detecting that a version is bad and for propagating the decision.
 const graceFraction = 0.5
 
-// Grace returns how long after its last confirmation by the store an entry relies on what it knows.
+// Grace returns how long an entry relies on the orders and roll-out records that it holds, counted from the moment at
+// which the store last confirmed that both were current. An entry whose copy is older sends no further requests to
+// the canary. The result is graceFraction of Stop.
 func (b Bounds) Grace() clock.Millis {
 	return clock.Millis(graceFraction * float64(b.Stop))
 }
--- a/pkg/testbed/grant_test.go
+++ b/pkg/testbed/grant_test.go
@@ -193,7 +193,9 @@
 }
 
 // TestDelayedMessages delays each message in turn by 25 s, which is longer than every time-out. Each request still
-// gets its own complete answer and runs once, or is refused with a true outcome.
+// gets its own complete answer and runs once, or is refused with a true outcome: one that is reported as not run has
+// not run. Of this, checkAnswers checks that none runs twice, gets the answer of another or is wrongly reported as not
+// run; it accepts a refusal with an unknown outcome, and a truncated answer.
 func TestDelayedMessages(t *testing.T) {
 	for _, address := range []string{testbed.ControlAddress(0), testbed.DataAddress(0), testbed.TargetAddress(0)} {
 		for _, direction := range []network.Direction{network.Request, network.Reply} {
