--- a/pkg/rollout/binomial.go
+++ b/pkg/rollout/binomial.go
@@ -2,45 +2,45 @@
 
 import "math"
 
-// normalFrom is from how many expected events on the normal distribution stands for the
-// binomial one, whose terms would be too small to be added up.
-const normalFrom = 200
+// normalApproximationMin is the expected number of events above which the normal distribution approximates the
+// binomial one: there the binomial terms underflow and can no longer be summed.
+const normalApproximationMin = 200
 
-// suspectFrom is how many bad answers of n make a target suspect: so many that an ordinary one has
-// them with suspectChance at the most.
-func suspectFrom(n int, rate float64) int {
-	if float64(n)*rate > normalFrom {
-		const sigmas = 1.2816 // beyond which a tenth of the normal distribution lies
+// worseThreshold returns the number of bad answers out of n from which on a target looks worse than the old version's
+// targets. An ordinary target reaches it with at most worseProbability.
+func worseThreshold(n int, rate float64) int {
+	if float64(n)*rate > normalApproximationMin {
+		const sigmas = 1.2816 // the upper tenth of the normal distribution lies beyond this
 		return int(math.Ceil(float64(n)*rate + sigmas*math.Sqrt(float64(n)*rate*(1-rate))))
 	}
-	left := 1.0
+	tail := 1.0
 	term := math.Exp(float64(n) * math.Log1p(-rate))
 	for bad := range n {
-		if bad > 0 && left <= suspectChance {
+		if bad > 0 && tail <= worseProbability {
 			return bad
 		}
-		left -= term
-		term *= nextTerm(n, bad, rate)
+		tail -= term
+		term *= termRatio(n, bad, rate)
 	}
 	return n
 }
 
-// atLeast is the chance of at least k of n, each with the chance p.
-func atLeast(n int, p float64, k int) float64 {
-	if float64(n)*p > normalFrom {
+// binomialTail returns the probability of at least k events in n trials with probability p each.
+func binomialTail(n int, p float64, k int) float64 {
+	if float64(n)*p > normalApproximationMin {
 		const half = 0.5
 		return half * math.Erfc((float64(k)-half-float64(n)*p)/math.Sqrt(2*float64(n)*p*(1-p)))
 	}
-	left := 1.0
+	tail := 1.0
 	term := math.Exp(float64(n) * math.Log1p(-p))
 	for i := range k {
-		left -= term
-		term *= nextTerm(n, i, p)
+		tail -= term
+		term *= termRatio(n, i, p)
 	}
-	return max(0, left)
+	return max(0, tail)
 }
 
-// nextTerm is by how much the chance of k+1 of n differs from that of k.
-func nextTerm(n, k int, p float64) float64 {
+// termRatio returns the ratio of the binomial probability of k+1 events to that of k events.
+func termRatio(n, k int, p float64) float64 {
 	return float64(n-k) / float64(k+1) * p / (1 - p)
 }
--- a/pkg/rollout/book.go
+++ b/pkg/rollout/book.go
@@ -8,48 +8,46 @@
 	"quaydock/pkg/routing"
 )
 
-// Book is what one process knows of orders and of what was decided of them. By it each
-// entry tells for itself which targets may get work.
-//
-// A target whose version no order names is told from one of an order that this process has
-// not heard of yet by revisions: an order is placed before its targets are started, so that
-// who has read the orders up to a revision at or after the target's first row knows whether
-// there is one.
+// Tracker holds what this process knows of roll-out orders and of the records that hold decisions on them. Each entry
+// derives from it which targets may receive work.
+// If no known order names a target's version, revisions tell whether an order exists that this process has not read
+// yet: an order is written before its targets are started, so orders read up to a revision at or after the target's
+// first row include any order for that target.
 type Book struct {
 	mu      sync.Mutex
 	orders  map[ids.Service]Order
 	records map[ids.Service]Record
-	// ordered lists the versions for which this process has ever seen an order.
+	// ordered lists the versions for which this process has ever read an order.
 	ordered map[ids.Service]map[ids.Version]bool
-	// usual lists the versions that were in use without an order, or were completed.
-	usual map[ids.Service]map[ids.Version]bool
-	// read is up to which revision the orders are known, and first the one of the first read.
-	read, first Revision
-	// ordersAt and recordsAt are moments at which orders and records were surely the newest.
+	// alreadyInUse lists the versions that ran without an order, or whose roll-out was completed.
+	alreadyInUse map[ids.Service]map[ids.Version]bool
+	// ordersUpTo is the revision up to which orders are known, firstOrdersUpTo that of the first read.
+	ordersUpTo, firstOrdersUpTo Revision
+	// ordersAt and recordsAt are the latest moments at which orders and records are known to have been current.
 	ordersAt, recordsAt clock.Millis
-	// placed is between which moments an order was placed.
-	placed map[ids.Service]span
-	// ahead is by how much this process's clock is ahead of the store's.
-	ahead clock.Millis
+	// placedBetween is the interval in which an order was written.
+	placedBetween map[ids.Service]interval
+	// clockOffset is this process's clock minus the store's clock.
+	clockOffset clock.Millis
 }
 
-// NewBook returns a book that knows nothing.
+// NewTracker returns a tracker without orders or records.
 func NewBook() *Book {
 	return &Book{
 		orders: make(map[ids.Service]Order), records: make(map[ids.Service]Record),
-		placed: make(map[ids.Service]span), ordered: make(map[ids.Service]map[ids.Version]bool), usual: make(map[ids.Service]map[ids.Version]bool),
+		placedBetween: make(map[ids.Service]interval), ordered: make(map[ids.Service]map[ids.Version]bool), alreadyInUse: make(map[ids.Service]map[ids.Version]bool),
 	}
 }
 
-// Proof says up to when and to which revision something read was the newest.
+// Freshness says at which moment and up to which revision data that was read is known to have been current.
 type Proof struct {
 	At    clock.Millis // by this process's clock
-	Store clock.Millis // by the store's, at that moment
+	Store clock.Millis // the same moment by the store's clock
 	Read  clock.Millis // when it was read, by this process's clock
 	Up    Revision
 }
 
-// PutOrders takes orders that were read; if all, others are gone.
+// PutOrders adds orders that were read and removes those in gone. With all, it replaces all known orders.
 func (b *Book) PutOrders(orders []Order, gone []ids.Service, all bool, proof Proof) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -62,84 +60,85 @@
 	}
 	for _, o := range orders {
 		if known[o.Service].Placed != o.Placed {
-			b.placed[o.Service] = span{b.placedAfter(o, proof), proof.Read + overSpare}
+			b.placedBetween[o.Service] = interval{b.placedAfter(o, proof), proof.Read + endMargin}
 		}
 		b.orders[o.Service] = o
-		remember(b.ordered, o.Service, o.Version)
+		addVersion(b.ordered, o.Service, o.Version)
 	}
-	if b.first == 0 {
-		b.first = proof.Up
+	if b.firstOrdersUpTo == 0 {
+		b.firstOrdersUpTo = proof.Up
 	}
-	b.read = max(b.read, proof.Up)
+	b.ordersUpTo = max(b.ordersUpTo, proof.Up)
 	b.ordersAt = max(b.ordersAt, proof.At)
 	if proof.Store > 0 {
-		b.ahead = proof.At - proof.Store
+		b.clockOffset = proof.At - proof.Store
 	}
 }
 
 const (
-	// quickNews is within what time an order is read while the store is in reach: questions
-	// are held, and the next one comes after a tenth of a second.
-	quickNews = 150 * clock.Millisecond
-	// overSpare is kept from the latest end of an order: what waits for it comes at once, and
-	// clocks tell whole milliseconds.
-	overSpare = 20 * clock.Millisecond
-	// steadyNews is between two reads that were not held up: a held question, and the news of it
-	// to other entries.
-	steadyNews = 2 * clock.Second
+	// promptReadDelay is the time within which an order is read while the store is reachable: queries are long polls,
+	// and the next one follows after a tenth of a second.
+	promptReadDelay = 150 * clock.Millisecond
+	// endMargin is added to the latest end of an order, since waiting requests arrive at that very moment and clocks
+	// have a resolution of one millisecond.
+	endMargin = 20 * clock.Millisecond
+	// steadyReadInterval is the longest time between two reads without a delay: one long poll, and the relay of its
+	// result to the other entries.
+	steadyReadInterval = 2 * clock.Second
 )
 
-// placedAfter is a moment before an order that has just been read was placed; if nothing was
-// read before it, it is taken to have been placed when it was read.
+// placedAfter returns a moment before the order was written. If nothing was read before the order, it is taken to have
+// been written when it was read.
 func (b *Book) placedAfter(o Order, proof Proof) clock.Millis {
 	switch {
-	case b.ordersAt == 0 || b.first >= o.Placed:
+	case b.ordersAt == 0 || b.firstOrdersUpTo >= o.Placed:
 		return proof.Read
-	case proof.At-b.ordersAt <= steadyNews:
-		return max(b.ordersAt, proof.At-quickNews)
+	case proof.At-b.ordersAt <= steadyReadInterval:
+		return max(b.ordersAt, proof.At-promptReadDelay)
 	}
 	return b.ordersAt
 }
 
-// span is between two moments.
-type span struct{ from, to clock.Millis }
+// interval is the time between two moments.
+type interval struct{ from, to clock.Millis }
 
-// Times are the moments of an open order.
+// Times returns the start and end times of an open order, by this process's clock.
 func (b *Book) Times(o Order, r Record) Times {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r.State != Pending {
-		return Times{r.Started + b.ahead, r.Ends + b.ahead, r.Over + b.ahead}
+		return Times{r.Started + b.clockOffset, r.Ends + b.clockOffset, r.Over + b.clockOffset}
 	}
-	placed := b.placed[o.Service]
+	placed := b.placedBetween[o.Service]
 	return Times{placed.from, placed.from + o.Within, placed.to + o.Within}
 }
 
-// clocksApart is by how much processes may differ on a moment of the store's clock, which
-// some know through others only.
-const clocksApart = 250 * clock.Millisecond
+// maxClockSkew is by how much processes may differ on a moment of the store's clock, which some of them know only
+// through other entries.
+const maxClockSkew = 250 * clock.Millisecond
 
-// Opens is when a completed version of a service gets all requests, if it does not yet, at the
-// home of an id: the one that told the order's times knows the moment by its own clock.
+// OpensAt returns when a completed version of a service starts to receive all requests, and whether that moment is
+// still ahead. The owner that recorded the order's times knows the moment by its own clock; any other owner adds
+// maxClockSkew.
 func (b *Book) Opens(service ids.Service, home uint64, now clock.Millis) (clock.Millis, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.records[service]
-	at := r.Over + b.ahead
+	at := r.Over + b.clockOffset
 	if r.TimedBy != home {
-		at += clocksApart
+		at += maxClockSkew
 	}
 	return at, r.State == Completed && now < at
 }
 
-func remember(of map[ids.Service]map[ids.Version]bool, service ids.Service, version ids.Version) {
-	if of[service] == nil {
-		of[service] = make(map[ids.Version]bool)
+func addVersion(sets map[ids.Service]map[ids.Version]bool, service ids.Service, version ids.Version) {
+	if sets[service] == nil {
+		sets[service] = make(map[ids.Version]bool)
 	}
-	of[service][version] = true
+	sets[service][version] = true
 }
 
-// PutRecords takes records that were read. Older ones than known are passed over.
+// PutRecords adds records that were read. Records older than the known ones are ignored.
 func (b *Book) PutRecords(records []Record, proof Proof) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -148,14 +147,14 @@
 			b.records[r.Service] = r
 		}
 		if r.State == Completed {
-			remember(b.usual, r.Service, r.Version) // also while the next version is on trial
+			addVersion(b.alreadyInUse, r.Service, r.Version) // it stays in use while the next version is on trial
 		}
 	}
 	b.recordsAt = max(b.recordsAt, proof.At)
 }
 
-// Open returns the order of a service that waits for its end, and the record of it, which is
-// Pending if none was written yet.
+// OpenOrder returns a service's order that awaits a decision, and its record, which is Pending if none has been
+// written yet.
 func (b *Book) Open(service ids.Service) (Order, Record, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -166,28 +165,28 @@
 	o, ordered := b.orders[service]
 	r := b.records[service]
 	switch {
-	case !ordered && r.State == Running && b.read >= r.Written:
-		// The order is gone before its end: nobody wants the version any more.
+	case !ordered && r.State == Running && b.ordersUpTo >= r.Written:
+		// The order was removed before its end: the version is no longer wanted.
 		return Order{Service: service, Version: r.Version, Placed: r.Order}, r, true
-	case !ordered, o.Placed < r.Order: // the record is of an order that this process has not read yet
+	case !ordered, o.Placed < r.Order: // the record belongs to an order that this process has not read yet
 		return Order{}, r, false
 	case r.Order != o.Placed:
-		return o, r.follows(o), true
+		return o, r.next(o), true
 	}
 	return o, r, !r.State.Final()
 }
 
-// Knows reports whether an order has been read already.
+// Knows reports whether an order has already been read.
 func (b *Book) Knows(o Order) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.orders[o.Service].Placed == o.Placed
 }
 
-// Withdrawn reports whether an open order's row is gone.
+// Withdrawn reports whether the row of an open order has been removed.
 func (o *Order) Withdrawn() bool { return o.Within == 0 }
 
-// Order returns the order of a service that is known, if there is one.
+// Order returns the known order of a service, if any.
 func (b *Book) Order(service ids.Service) (Order, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -195,7 +194,7 @@
 	return o, known
 }
 
-// Record returns what was decided of a service's newest order.
+// Record returns the record of a service's newest order, if any.
 func (b *Book) Record(service ids.Service) (Record, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -203,7 +202,7 @@
 	return r, known
 }
 
-// Services lists the services of which there is an order or a record.
+// Services lists the services that have an order or a record.
 func (b *Book) Services() []ids.Service {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -219,87 +218,85 @@
 	return list
 }
 
-// Witnessed reports whether this process knew that there was no such order before it came:
-// then it has surely sent nothing to its version yet.
+// ObservedFromStart reports whether this process had read the orders before this one was written. In that case it has
+// certainly sent nothing to the order's version yet.
 func (b *Book) Witnessed(o Order) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.first > 0 && b.first < o.Placed
+	return b.firstOrdersUpTo > 0 && b.firstOrdersUpTo < o.Placed
 }
 
-// Age is how long ago orders and records were surely the newest.
+// Age returns the time since orders and records were last known to be current.
 func (b *Book) Age(now clock.Millis) clock.Millis {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return now - min(b.ordersAt, b.recordsAt)
 }
 
-// StoreTime puts a moment on the store's clock.
+// StoreTime converts a moment to the store's clock.
 func (b *Book) StoreTime(at clock.Millis) clock.Millis {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return at - b.ahead
+	return at - b.clockOffset
 }
 
-// Admission says whether a target may get work; mixed says that its service has targets of
-// several versions. A service that ran the ordered version alone before the order has nothing to
-// try.
+// Admission reports whether a target may receive work; mixed says that its service has targets of several versions. If
+// the service ran only the ordered version before the order, there is nothing to try and the target is admitted.
 func (b *Book) Admission(t *routing.Target, mixed bool) routing.Admission {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r, decided := b.records[t.Service]
 	o, current, open := b.open(t.Service)
 	switch {
-	case open && o.Version == t.Version && !mixed && b.usual[t.Service][t.Version]:
+	case open && o.Version == t.Version && !mixed && b.alreadyInUse[t.Service][t.Version]:
 		return routing.Admitted
 	case open && o.Version == t.Version:
 		if current.State == Running && !o.Withdrawn() {
 			return routing.OnTrial
 		}
 		return routing.Withheld
-	case decided && r.bars(t.Version):
+	case decided && r.blocks(t.Version):
 		return routing.Withheld
 	case decided && r.State == Completed && r.Version == t.Version:
 		return routing.Admitted
 	case decided && r.State == Completed && Revision(t.Listed) < r.Written:
 		return routing.Withheld // it stopped when the other version had taken over
-	case b.usual[t.Service][t.Version]:
+	case b.alreadyInUse[t.Service][t.Version]:
 		return routing.Admitted
-	case Revision(t.Listed) <= b.read && !b.ordered[t.Service][t.Version]:
-		b.noteUse(t)
+	case Revision(t.Listed) <= b.ordersUpTo && !b.ordered[t.Service][t.Version]:
+		b.markInUse(t)
 		return routing.Admitted
 	}
 	return routing.Withheld
 }
 
-// mostServices and mostVersions bound what is remembered as in use, in services and in versions
-// of one, far above the 32 models of the largest deployment that is planned for: targets' rows may come from another writer, who names new ones each time. Where one is
-// not remembered it is used as well, but an order for it begins with a trial.
+// maxServices and maxVersions limit the services, and the versions of each service, that are remembered as in use.
+// They are far above the 32 models of the largest planned deployment: target rows may come from another writer that
+// names new ones each time. A version beyond the limit is used as well, but an order for it begins with a trial.
 const (
-	mostServices = 1000
-	mostVersions = 64
+	maxServices = 1000
+	maxVersions = 64
 )
 
-// noteUse remembers that a target's version is in use; the lock is held.
-func (b *Book) noteUse(t *routing.Target) {
-	if len(b.usual) < mostServices && len(b.usual[t.Service]) < mostVersions {
-		remember(b.usual, t.Service, t.Version)
+// markInUse records that a target's version is in use. The caller holds the lock.
+func (b *Book) markInUse(t *routing.Target) {
+	if len(b.alreadyInUse) < maxServices && len(b.alreadyInUse[t.Service]) < maxVersions {
+		addVersion(b.alreadyInUse, t.Service, t.Version)
 	}
 }
 
-// Usual reports whether a version of a service was in use before an order named it, or was
-// completed.
+// AlreadyInUse reports whether a version of a service was in use before an order named it, or was completed.
 func (b *Book) Usual(service ids.Service, version ids.Version) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.usual[service][version]
+	return b.alreadyInUse[service][version]
 }
 
-// decided reports whether a target that is withheld is so by an order or a record, and not
-// because it is unknown whether there is one.
-func (b *Book) decided(t *routing.Target) bool {
+// withheldByDecision reports whether a target is withheld because of an order or a record, and not because it is
+// unknown whether an order exists.
+func (b *Book) withheldByDecision(t *routing.Target) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r, has := b.records[t.Service]
-	return b.ordered[t.Service][t.Version] || has && (r.bars(t.Version) || r.State == Completed && Revision(t.Listed) < r.Written)
+	return b.ordered[t.Service][t.Version] || has && (r.blocks(t.Version) || r.State == Completed && Revision(t.Listed) < r.Written)
 }
--- a/pkg/rollout/evidence.go
+++ b/pkg/rollout/evidence.go
@@ -8,25 +8,24 @@
 	"quaydock/pkg/ids"
 )
 
-// Observation is what became of one request at a target.
+// Observation is the outcome of one request at a target.
 type Observation struct {
 	At    clock.Millis
 	Life  ids.Life // of its target
 	Route ids.Route
-	// Failed says that the target failed it; Ratio is how much longer it took than such a
-	// request takes at an ordinary target, and Factor how much slower than such a one the target
-	// is; 0 if that is not known.
+	// Failed says that the target failed the request. Ratio is its duration relative to the same request on an
+	// ordinary target, and Factor the target's slowdown relative to an ordinary one; 0 if unknown.
 	Failed        bool
 	Ratio, Factor float64
-	// Loaded says that most places of its target were taken.
+	// Loaded says that most slots of the target were taken.
 	Loaded bool
 }
 
-// recentFor is the span of the recent evidence: badness that comes later is not to be
-// hidden by what was good before.
-const recentFor = 6 * clock.Second
+// recentWindow is the span of recent evidence, which is judged separately so that earlier good answers don't mask a
+// version that turns bad later.
+const recentWindow = 6 * clock.Second
 
-// tally counts answers.
+// tally counts answers and how many of them were bad.
 type tally struct{ n, bad int }
 
 func (t *tally) add(bad bool) {
@@ -36,13 +35,13 @@
 	}
 }
 
-// history counts answers over the whole trial and of late.
+// history counts answers since the start of the trial, and keeps the recent ones.
 type history struct {
 	all    tally
 	recent []answer
 }
 
-// answer is one answer of late.
+// answer is one recent answer.
 type answer struct {
 	at  clock.Millis
 	bad bool
@@ -53,7 +52,7 @@
 	h.recent = append(h.recent, answer{at, bad})
 }
 
-func (h *history) forget(before clock.Millis) {
+func (h *history) dropBefore(before clock.Millis) {
 	i := 0
 	for i < len(h.recent) && h.recent[i].at < before {
 		i++
@@ -61,8 +60,8 @@
 	h.recent = slices.Delete(h.recent, 0, i)
 }
 
-// over counts the answers of a span.
-func (h *history) over(recent bool) tally {
+// tally counts the recent answers, or all of them.
+func (h *history) tally(recent bool) tally {
 	if !recent {
 		return h.all
 	}
@@ -73,25 +72,25 @@
 	return t
 }
 
-// cell is where an answer is counted.
-type cell struct {
-	life   ids.Life
-	route  ids.Route
-	loaded bool
+// historyKey identifies the counter to which an answer is added.
+type historyKey struct {
+	incarnation ids.Life
+	route       ids.Route
+	loaded      bool
 }
 
-// slice is a part of the evidence: of one route if that is set, and of loaded targets only.
-type slice struct {
+// subset selects a part of the evidence: one route if that is set, or loaded targets only.
+type subset struct {
 	route  ids.Route
 	loaded bool
 }
 
-func (s slice) has(c cell) bool {
+func (s subset) contains(c historyKey) bool {
 	return (s.route == "" || s.route == c.route) && (!s.loaded || c.loaded)
 }
 
-// String names a slice for logs.
-func (s slice) String() string {
+// String names the subset for logs.
+func (s subset) String() string {
 	switch {
 	case s.loaded:
 		return "loaded targets"
@@ -101,130 +100,131 @@
 	return "all routes"
 }
 
-// group is the evidence of one version, by target and route.
-type group struct {
-	cells map[cell]*history
+// versionHistory holds the answers of one version by target, route and load.
+type versionHistory struct {
+	histories map[historyKey]*history
 }
 
-func newGroup() group { return group{cells: make(map[cell]*history)} }
+func newVersionHistory() versionHistory {
+	return versionHistory{histories: make(map[historyKey]*history)}
+}
 
-func (g *group) add(o Observation, bad bool) {
-	c := cell{o.Life, o.Route, o.Loaded}
-	h := g.cells[c]
+func (g *versionHistory) add(o Observation, bad bool) {
+	c := historyKey{o.Life, o.Route, o.Loaded}
+	h := g.histories[c]
 	if h == nil {
 		h = &history{}
-		g.cells[c] = h
+		g.histories[c] = h
 	}
 	h.add(o.At, bad)
 }
 
-func (g *group) forget(before clock.Millis) {
-	for _, h := range g.cells {
-		h.forget(before)
+func (g *versionHistory) dropBefore(before clock.Millis) {
+	for _, h := range g.histories {
+		h.dropBefore(before)
 	}
 }
 
-// byTarget sums the answers of a slice by target, each of its lives for itself.
-func (g *group) byTarget(of slice, recent bool) map[ids.Life]tally {
-	return sumBy(g, of, recent, func(c cell) ids.Life { return c.life })
+// byTarget sums the answers of a subset by target; each incarnation of a target counts separately.
+func (g *versionHistory) byTarget(part subset, recent bool) map[ids.Life]tally {
+	return sumBy(g, part, recent, func(c historyKey) ids.Life { return c.incarnation })
 }
 
 // byRoute sums all answers by route.
-func (g *group) byRoute() map[ids.Route]tally {
-	return sumBy(g, slice{}, false, func(c cell) ids.Route { return c.route })
+func (g *versionHistory) byRoute() map[ids.Route]tally {
+	return sumBy(g, subset{}, false, func(c historyKey) ids.Route { return c.route })
 }
 
-// sumBy sums the answers of a slice by a part of where they are counted.
-func sumBy[K comparable](g *group, of slice, recent bool, key func(cell) K) map[K]tally {
+// sumBy sums the answers of a subset, grouped by key.
+func sumBy[K comparable](g *versionHistory, part subset, recent bool, key func(historyKey) K) map[K]tally {
 	sums := make(map[K]tally)
-	for c, h := range g.cells {
-		if !of.has(c) {
+	for c, h := range g.histories {
+		if !part.contains(c) {
 			continue
 		}
-		t := h.over(recent)
+		t := h.tally(recent)
 		sum := sums[key(c)]
 		sums[key(c)] = tally{sum.n + t.n, sum.bad + t.bad}
 	}
 	return sums
 }
 
-// Evidence gathers what is known of a version on trial and of the old one meanwhile.
+// Evidence collects the answers of the canary and, over the same time, of the old version.
 type Evidence struct {
-	// answers are those of the version on trial. Which of them were slow is told anew each time
-	// they are judged, since a target's first ones say little until there are more.
-	answers    []paced
-	fresh, old group
-	pace       pace
-	// loaded and oldLoaded count the answers of targets most of whose places were taken.
+	// answers are those of the canary. Which of them were slow is determined again at each evaluation, since the first
+	// answers of a target say little until there are more.
+	answers                []timedObservation
+	newVersion, oldVersion versionHistory
+	latency                latencies
+	// loaded and oldLoaded count answers of targets that had most of their slots taken.
 	loaded, oldLoaded int
 	oldAnswers        int
-	// carried is what an earlier home had gathered.
-	carried Summary
-	// excused are lives that ended under a request that ends targets whatever their version.
+	// inherited is the evidence that earlier owners had collected.
+	inherited Summary
+	// excused are incarnations that ended under a request that ends targets whatever their version.
 	excused map[ids.Life]bool
 }
 
-// paced is an answer of the version on trial, and how long it took beside others of its route.
-type paced struct {
+// timedObservation is an answer of the canary with its duration relative to other answers of its route.
+type timedObservation struct {
 	Observation
-	took float64
+	relative float64
 }
 
-// mostAnswers bounds the answers of the version on trial that are kept: beyond some hundred
-// more of them tell no more.
-const mostAnswers = 4000
+// maxAnswers limits the canary's answers that are kept: beyond some hundred, more answers add no information.
+const maxAnswers = 4000
 
-// NewEvidence returns evidence that begins with what an earlier home had gathered.
+// NewEvidence returns evidence that starts with what an earlier owner had collected.
 func NewEvidence(carried Summary) *Evidence {
-	return &Evidence{fresh: newGroup(), old: newGroup(), pace: newPace(), carried: carried}
+	return &Evidence{newVersion: newVersionHistory(), oldVersion: newVersionHistory(), latency: newLatencies(), inherited: carried}
 }
 
-// mostExcused is how many lives are excused at the most: two such requests end so many targets. A version
-// whose targets end by themselves has them end under one request or another, and more of them.
-const mostExcused = 6
+// maxExcused limits the excused incarnations: two requests that end their targets account for so many. If targets of a
+// version end by themselves, they end under various requests, and there are more of them.
+const maxExcused = 6
 
-// Excuse has what these lives failed count neither against the version on trial nor against the old one.
-// A request that ends its targets fails with all that runs beside it; which one it was is known
-// with the second target that it ends, when the first has been noted already.
+// Excuse ignores the failures of these incarnations for both versions. A request that ends its target also fails
+// everything that runs beside it. Which request it was is known only when a second target ends under it, and by then
+// the failures at the first one have been recorded.
 func (e *Evidence) Excuse(lives []ids.Life) {
 	for _, life := range lives {
-		if e.excused[life] || len(e.excused) >= mostExcused {
+		if e.excused[life] || len(e.excused) >= maxExcused {
 			continue
 		}
 		if e.excused == nil {
 			e.excused = make(map[ids.Life]bool)
 		}
 		e.excused[life] = true
-		maps.DeleteFunc(e.old.cells, func(c cell, _ *history) bool { return c.life == life })
-		e.forgetCutShort(life)
+		maps.DeleteFunc(e.oldVersion.histories, func(c historyKey, _ *history) bool { return c.incarnation == life })
+		e.dropTruncated(life)
 	}
 }
 
-// forgetCutShort takes what an excused life failed out of what its answers usually take: beside answers that
-// its end cut short its whole ones would look slow.
-func (e *Evidence) forgetCutShort(life ids.Life) {
-	delete(e.pace.old, life)
-	delete(e.pace.fresh, life)
+// dropTruncated removes the failed answers of an excused incarnation from its typical durations: compared with answers
+// that the target end cut short, complete ones would look slow.
+func (e *Evidence) dropTruncated(life ids.Life) {
+	delete(e.latency.oldTargets, life)
+	delete(e.latency.newTargets, life)
 	for _, a := range e.answers {
-		if a.Life == life && !a.Failed && a.took > 0 {
-			get(e.pace.fresh, life).add(a.took)
+		if a.Life == life && !a.Failed && a.relative > 0 {
+			sampleFor(e.latency.newTargets, life).add(a.relative)
 		}
 	}
 }
 
-// Note takes an answer of the version on trial, or of the old one.
+// Note adds an answer of the canary or of the old version.
 func (e *Evidence) Note(onTrial bool, o Observation) {
 	if o.Failed && e.excused[o.Life] {
 		return
 	}
-	took := e.pace.note(onTrial, o)
+	relative := e.latency.add(onTrial, o)
 	loaded := &e.oldLoaded
 	if onTrial {
 		loaded = &e.loaded
-		e.answers = append(e.answers, paced{o, took})
-		e.answers = e.answers[max(0, len(e.answers)-mostAnswers):]
+		e.answers = append(e.answers, timedObservation{o, relative})
+		e.answers = e.answers[max(0, len(e.answers)-maxAnswers):]
 	} else {
-		e.old.add(o, o.Failed || e.pace.slow(false, o.Life, took))
+		e.oldVersion.add(o, o.Failed || e.latency.slow(false, o.Life, relative))
 		e.oldAnswers++
 	}
 	if o.Loaded {
@@ -232,55 +232,55 @@
 	}
 }
 
-// sort tells which answers of the version on trial were bad.
-func (e *Evidence) sort() {
-	e.fresh = newGroup()
+// classify determines which answers of the canary were bad.
+func (e *Evidence) classify() {
+	e.newVersion = newVersionHistory()
 	for _, a := range e.answers {
 		if a.Failed && e.excused[a.Life] {
 			continue
 		}
-		e.fresh.add(a.Observation, a.Failed || e.pace.slow(true, a.Life, a.took))
+		e.newVersion.add(a.Observation, a.Failed || e.latency.slow(true, a.Life, a.relative))
 	}
 }
 
-// SetFactors takes how much slower than ordinary ones the old version's targets are, as far
-// as that is known, also of those that get few requests.
+// SetFactors sets how much slower than ordinary ones the old version's targets are, as far as known, including targets
+// that get few requests.
 func (e *Evidence) SetFactors(factors []float64) {
-	e.pace.setFactors(factors)
+	e.latency.setFactors(factors)
 }
 
-// Summary describes the evidence.
+// Summary returns the counts of the evidence, including those of earlier owners.
 func (e *Evidence) Summary() Summary {
-	e.sort()
+	e.classify()
 	own := Summary{}
-	for route, t := range e.fresh.byRoute() {
+	for route, t := range e.newVersion.byRoute() {
 		own.Requests += t.n
 		own.Bad += t.bad
 		own.Routes = append(own.Routes, RouteSummary{Route: route, Requests: t.n, Bad: t.bad})
 	}
 	old := Summary{}
-	for route, t := range e.old.byRoute() {
+	for route, t := range e.oldVersion.byRoute() {
 		old.Routes = append(old.Routes, RouteSummary{Route: route, Old: t.n, OldBad: t.bad})
 	}
-	s := e.carried.plus(own, 1).plus(old, 1)
-	all := e.compare(slice{}, false)
-	s.Targets, s.Suspect = all.targets, all.suspect
+	s := e.inherited.plus(own, 1).plus(old, 1)
+	all := e.compare(subset{}, false)
+	s.Targets, s.Suspect = all.targets, all.worse
 	return s
 }
 
-// oldUnderLoad reports whether the old version's targets are loaded for a good part of the time.
+// oldUnderLoad reports whether the old version's targets are loaded for a considerable fraction of the time.
 func (e *Evidence) oldUnderLoad() bool {
-	return e.oldLoaded >= enoughLoaded && float64(e.oldLoaded) >= loadedPart*float64(e.oldAnswers)
+	return e.oldLoaded >= oldLoadedAnswers && float64(e.oldLoaded) >= oldLoadedFraction*float64(e.oldAnswers)
 }
 
-// own is how many answers of the version on trial this home has seen itself.
-func (e *Evidence) own() int { return len(e.answers) }
+// ownAnswers returns the number of canary answers that this owner has seen itself.
+func (e *Evidence) ownAnswers() int { return len(e.answers) }
 
-// slices lists the parts of the evidence that are judged by themselves.
-func (e *Evidence) slices() []slice {
-	list := []slice{{}, {loaded: true}}
-	for _, route := range slices.Sorted(maps.Keys(e.fresh.byRoute())) {
-		list = append(list, slice{route: route})
+// subsets lists the parts of the evidence that are judged separately.
+func (e *Evidence) subsets() []subset {
+	list := []subset{{}, {loaded: true}}
+	for _, route := range slices.Sorted(maps.Keys(e.newVersion.byRoute())) {
+		list = append(list, subset{route: route})
 	}
 	return list
 }
--- a/pkg/rollout/exposure.go
+++ b/pkg/rollout/exposure.go
@@ -6,106 +6,104 @@
 	"quaydock/pkg/ids"
 )
 
-// Exposure bounds what one entry sends to versions on trial, so that the sum over all
-// entries holds without any of them knowing of the others: each sends a part of its own
-// requests, counted from the order on. An entry that begins anew counts from zero, of both
-// what it sends and of what it sends it in proportion to, so that nothing is given out twice. Of the
-// slack only half is given out, a few requests an entry, and only to entries that knew that
-// there was no order before it came.
+// Exposure limits what one entry sends to canaries such that the limit on the sum over all entries holds without
+// coordination: each entry sends a fraction of its own requests, counted from the order on. An entry that restarts
+// counts from zero, both the requests it sends to the canary and those they are in proportion to, so nothing is spent
+// twice. Only half of the slack is handed out, a few requests for each entry, and only to entries that observed the
+// order from its start.
 type Exposure struct {
 	mu       sync.Mutex
-	services map[ids.Service]*exposed
+	services map[ids.Service]*serviceExposure
 }
 
-// exposed is the account of one service.
-type exposed struct {
+// serviceExposure counts the requests of one service.
+type serviceExposure struct {
 	order Order
-	// reached counts this entry's requests that reached the service since the order, sent
-	// and asked those that were sent to the version on trial and that may be.
-	reached, sent, asked int
-	credit               int
+	// reached counts this entry's requests that reached the service since the order, sent those sent to the canary,
+	// and reserved those that may still be sent to it.
+	reached, sent, reserved int
+	credit                  int
 }
 
-// exposedPart of the bound is used: requests that had reached the service by an entry's
+// usedLimitFraction is the fraction of the limit that is used: requests that had reached the service by one entry's
 // count may not have by another's.
-const exposedPart = 0.9
+const usedLimitFraction = 0.9
 
-// slackPart of the bound's slack is given out. The rest is for entries that take one another
-// for gone, and each itself for one of the few that get a part.
-const slackPart = 0.5
+// usedSlackFraction is the fraction of the slack that is handed out. The rest covers entries that take one another for
+// gone, each of which then counts itself among the few that get a share.
+const usedSlackFraction = 0.5
 
-// NewExposure returns an account that has sent nothing.
+// NewExposure returns an Exposure without counts.
 func NewExposure() *Exposure {
-	return &Exposure{services: make(map[ids.Service]*exposed)}
+	return &Exposure{services: make(map[ids.Service]*serviceExposure)}
 }
 
-// mostCredit bounds what one entry gets of the slack: it may take itself for one of a few
-// while it hears nobody.
-const mostCredit = 5
+// maxCredit limits the slack that one entry gets: while it hears from no other entry, it may count itself among a few.
+const maxCredit = 5
 
-// Credit is how many requests an entry may send beyond its part, being the nth of so many by
-// some order that all agree on.
+// SlackCredit returns how many requests an entry may send beyond its fraction. The entry is the nth of entries, in an
+// order on which all agree.
 func Credit(b Bounds, nth, entries int) int {
-	given := int(slackPart * b.Slack)
+	given := int(usedSlackFraction * b.Slack)
 	if nth >= given {
 		return 0
 	}
-	return min(mostCredit, max(1, given/max(1, entries)))
+	return min(maxCredit, max(1, given/max(1, entries)))
 }
 
-// Begin starts the account of an order, unless it has begun.
+// Begin starts counting for an order, unless that has already been done.
 func (e *Exposure) Begin(o Order, credit int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if x := e.services[o.Service]; x == nil || x.order.Placed != o.Placed {
-		e.services[o.Service] = &exposed{order: o, credit: credit}
+		e.services[o.Service] = &serviceExposure{order: o, credit: credit}
 	}
 }
 
-// End closes the account of a service.
+// End stops counting for a service.
 func (e *Exposure) End(service ids.Service) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	delete(e.services, service)
 }
 
-// Ask reports whether one more request may go to the version on trial, and sets it aside.
-// Each is followed by Give or Send.
+// Reserve reports whether one more request may go to the canary, and reserves it. Each reservation is followed by
+// Release or Commit.
 func (e *Exposure) Ask(service ids.Service, b Bounds) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	x := e.services[service]
-	if x == nil || float64(x.sent+x.asked+1) > exposedPart*b.Share*float64(x.reached)+float64(x.credit) {
+	if x == nil || float64(x.sent+x.reserved+1) > usedLimitFraction*b.Share*float64(x.reached)+float64(x.credit) {
 		return false
 	}
-	x.asked++
+	x.reserved++
 	return true
 }
 
-// Give takes back what Ask has set aside.
+// Release cancels a reservation.
 func (e *Exposure) Give(service ids.Service) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if x := e.services[service]; x != nil && x.asked > 0 {
-		x.asked--
+	if x := e.services[service]; x != nil && x.reserved > 0 {
+		x.reserved--
 	}
 }
 
-// Send turns what Ask has set aside into a request that is sent to a version; it reports
-// whether that is still the one on trial.
+// Commit turns a reservation into a request that is sent to a version. It reports whether that version is still the
+// canary.
 func (e *Exposure) Send(service ids.Service, version ids.Version) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	x := e.services[service]
-	if x == nil || x.order.Version != version || x.asked == 0 {
+	if x == nil || x.order.Version != version || x.reserved == 0 {
 		return false
 	}
-	x.asked--
+	x.reserved--
 	x.sent++
 	return true
 }
 
-// Placed is the order during which a request is sent to a service, or 0.
+// Placed returns the revision of the order in force when a request is sent to a service, or 0.
 func (e *Exposure) Placed(service ids.Service) Revision {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -115,7 +113,7 @@
 	return 0
 }
 
-// Reached counts a request that has reached a service, and was sent during an order.
+// Reached counts a request that was sent during an order and has reached the service.
 func (e *Exposure) Reached(service ids.Service, placed Revision) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -124,8 +122,7 @@
 	}
 }
 
-// Counts returns how many requests have reached a service since its order, and how many
-// were sent to the version on trial.
+// Counts returns how many requests have reached a service since its order, and how many were sent to the canary.
 func (e *Exposure) Counts(service ids.Service) (reached, sent int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/rollout/order.go
+++ b/pkg/rollout/order.go
@@ -1,13 +1,10 @@
-// Package rollout decides how a service's traffic moves to a new version of its targets:
-// what a version on trial may get, whether it is good, when the old version may stop, and
-// what each entry may send it meanwhile. It does no I/O and reads no clock: the time is an
-// argument, and what it decides is taken from it.
-//
-// The trial of a version goes through phases. While it is observed, a small part of the
-// service's requests goes to it. Near the end of the time that the operators gave, work
-// that could not be taken up elsewhere leaves the old version first, and once none of it
-// runs there the roll-out is completed. A version that is bad, or of which too little is
-// known in time, is rolled back.
+// Package rollout decides how a service's traffic moves to a new version of its targets: what the canary may receive,
+// whether it is good, when the old version may stop, and what each entry may send to the canary meanwhile. It does no
+// I/O and reads no clock: callers pass the time as an argument and carry out the decisions.
+// The trial of a version has several phases. During observation a small fraction of the service's requests goes to the
+// canary. Near the end of the time that the operators set, work that can't be re-dispatched is drained from the old
+// version, and once none of it runs there the roll-out is completed. A version that is bad, or of which too little is
+// known by then, is rolled back.
 package rollout
 
 import (
@@ -17,15 +14,14 @@
 	"quaydock/pkg/ids"
 )
 
-// Revision numbers the changes of the store: a row with a higher one was written later,
-// whatever table it is in.
+// Revision numbers the changes of the store: a row with a higher revision was written later, whatever its table.
 type Revision int64
 
-// Order is the operators' wish to move a service to a version.
+// Order is the operators' request to move a service to a version.
 type Order struct {
 	Service ids.Service
 	Version ids.Version
-	// Within is the time in which it is to be done, from the moment of the order on.
+	// Within is the time allowed for the roll-out, counted from the order.
 	Within clock.Millis
 	// Placed is the revision of the order's row.
 	Placed Revision
@@ -39,12 +35,12 @@
 	case o.Version == "":
 		return errors.New("order without a version")
 	case o.Within <= 0:
-		return errors.New("order without a time")
+		return errors.New("order without a time limit")
 	}
 	return nil
 }
 
-// State is how far a roll-out has come.
+// State is the progress of a roll-out.
 type State int
 
 //go:generate stringer -type=State -linecomment -output=state_string.go
@@ -57,30 +53,30 @@
 	RolledBack              // rolled back
 )
 
-// Final reports whether nothing follows a state.
+// Final reports whether no other state follows.
 func (s State) Final() bool { return s == Completed || s == RolledBack }
 
-// Bounds are what a version on trial may get.
+// Limits are the limits on what a canary may receive.
 type Bounds struct {
-	// Share is the part of a service's requests, between the order and the end of its
-	// time, that a bad version may get, and Slack how many more.
+	// Fraction is the fraction of a service's requests, between the order and the end of its time, that a bad version
+	// may receive, and Slack the number of further requests.
 	Share float64
 	Slack float64
-	// Stop is how long after its fiftieth bad answer a bad version may still get requests.
+	// Stop is how long after its fiftieth bad answer a bad version may still receive requests.
 	Stop clock.Millis
 }
 
-// Enabled reports whether roll-outs are part of the deployment.
+// Enabled reports whether the deployment uses roll-outs.
 func (b Bounds) Enabled() bool { return b.Share > 0 }
 
-// trustPart is the part of Bounds.Stop for which an entry relies on what it has last heard
-// of a roll-out; the rest is for the way of the news, and for finding out that it is bad.
-const trustPart = 0.5
+// graceFraction is the fraction of Limits.Stop for which an entry relies on the roll-out state it received last. The
+// rest is for detecting that a version is bad and for propagating the decision.
+const graceFraction = 0.5
 
-// Trust is for how long after a proof from the store an entry relies on it.
+// Grace returns how long after its last confirmation by the store an entry relies on what it knows.
 func (b Bounds) Trust() clock.Millis {
-	return clock.Millis(trustPart * float64(b.Stop))
+	return clock.Millis(graceFraction * float64(b.Stop))
 }
 
-// ErrOvertaken is returned by a store in which the record has changed meanwhile.
-var ErrOvertaken = errors.New("the record of the roll-out has changed meanwhile")
+// ErrOvertaken is returned by a store if the record has changed since it was read.
+var ErrOvertaken = errors.New("roll-out record has changed since it was read")
--- a/pkg/rollout/pace.go
+++ b/pkg/rollout/pace.go
@@ -7,192 +7,190 @@
 	"quaydock/pkg/ids"
 )
 
-// Machines differ in speed, and calm planners use the fast ones: a new version on all kinds of
-// machines looks slow beside the old one on the fast ones. So an answer counts as slow beside what its own
-// target does, and a target's level beside those of all of the old version's targets, used or
-// not.
+// VMs differ in speed, and planners without much load use the fast ones: a new version on all kinds of VMs looks slow
+// compared with the old one on the fast ones. An answer therefore counts as slow in comparison with other answers of
+// its own target, and a target's level is compared with those of all targets of the old version, whether they are used
+// or not.
 
 const (
-	// slowTimes is how much longer than its target's usual answers one takes at the least to
-	// count as slow: bad versions take several times as long.
-	slowTimes = 2.5
-	// usualQuantile of a target's answers is its usual one: a part of them may be slow.
-	usualQuantile = 0.3
-	// highMargin is by how much a target's usual answers may exceed those of the slowest old
-	// targets before these count instead.
-	highMargin = 1.2
-	// usualKnown is how many answers of a target tell its usual one, levelKnown how many its level, routeKnown how many of the old
-	// version what such a request takes on a route; answersKept of each are kept.
-	usualKnown  = 2
-	levelKnown  = 4
-	routeKnown  = 20
-	answersKept = 200
-	// levelTimes is by how much the targets of the new version together have to be slower than
-	// the old ones for it to count as slow.
-	levelTimes = 2.0
-	// slowSigmas is from how many standard deviations on that is no luck, among at least
-	// slowTargets targets, and doubtSigmas at the end of a trial among doubtTargets. A version that
-	// is as quick as the old one lies some two below zero.
-	slowSigmas   = 1.5
-	slowTargets  = 5
-	doubtSigmas  = 1.0
-	doubtTargets = 3
-	// beyondSlowest is by how much a target has to be slower than the slowest old one to look as if
-	// no machine were the reason, and ailingSlow the part of targets that are so for reasons of
-	// their own.
-	beyondSlowest = 1.5
-	ailingSlow    = 0.07
-	beyondBad     = 1e-3
-	beyondDoubt   = 3e-2
+	// slowAnswerRatio is the duration relative to its target's typical answers from which on an answer counts as slow:
+	// bad versions take several times as long.
+	slowAnswerRatio = 2.5
+	// typicalQuantile of a target's answers is its typical duration, since some of them may be slow.
+	typicalQuantile = 0.3
+	// slowestMargin is the factor by which a target's typical duration may exceed that of the slowest old target; a
+	// longer one is capped there.
+	slowestMargin = 1.2
+	// minTypicalSamples is the number of answers required for a target's typical duration, minLevelSamples for its
+	// level, and minRouteSamples of the old version for the typical duration on a route. sampleSize is the number of
+	// values kept for each.
+	minTypicalSamples = 2
+	minLevelSamples   = 4
+	minRouteSamples   = 20
+	sampleSize        = 200
+	// slowLevelRatio is by how much the targets of the new version together must be slower than the old ones to count
+	// as slow.
+	slowLevelRatio = 2.0
+	// slowSigmas is the number of standard deviations, among at least slowTargets targets, from which on a slowdown is
+	// not due to chance. possiblyBadSigmas and possiblyBadTargets apply at the end of a trial. A version as fast as
+	// the old one is about two standard deviations below zero.
+	slowSigmas         = 1.5
+	slowTargets        = 5
+	possiblyBadSigmas  = 1.0
+	possiblyBadTargets = 3
+	// outlierRatio is by how much a target must be slower than the slowest old one for its VM not to be the
+	// explanation. outlierBaseRate is the fraction of targets that are so for reasons of their own.
+	outlierRatio                  = 1.5
+	outlierBaseRate               = 0.07
+	outlierBadProbability         = 1e-3
+	outlierPossiblyBadProbability = 3e-2
 )
 
-// sample keeps the last values of something.
+// sample keeps the last sampleSize values.
 type sample struct {
-	kept []float64
-	next int
-	// sorted is kept in order, as it was when fresh values ago.
-	sorted []float64
-	fresh  int
+	values []float64
+	next   int
+	// sorted holds the values in order, without the last addedSinceSort ones.
+	sorted         []float64
+	addedSinceSort int
 }
 
-// resortPart is which part of the values may be new before they are put in order again:
-// quantiles move little by so few, and are asked for with each answer.
-const resortPart = 10
+// resortDivisor sets the fraction of new values, one in resortDivisor, at which the sample is sorted again: fewer
+// hardly move the quantiles, which are read with each answer.
+const resortDivisor = 10
 
 func (s *sample) add(x float64) {
-	s.fresh++
-	if len(s.kept) < answersKept {
-		s.kept = append(s.kept, x)
+	s.addedSinceSort++
+	if len(s.values) < sampleSize {
+		s.values = append(s.values, x)
 		return
 	}
-	s.kept[s.next] = x
-	s.next = (s.next + 1) % answersKept
+	s.values[s.next] = x
+	s.next = (s.next + 1) % sampleSize
 }
 
-// quantile is 0 while nothing is known.
+// quantile returns 0 for an empty sample.
 func (s *sample) quantile(part float64) float64 {
-	if len(s.kept) == 0 {
+	if len(s.values) == 0 {
 		return 0
 	}
-	if s.sorted == nil || s.fresh*resortPart > len(s.kept) {
-		s.sorted = slices.AppendSeq(s.sorted[:0], slices.Values(s.kept))
+	if s.sorted == nil || s.addedSinceSort*resortDivisor > len(s.values) {
+		s.sorted = slices.AppendSeq(s.sorted[:0], slices.Values(s.values))
 		slices.Sort(s.sorted)
-		s.fresh = 0
+		s.addedSinceSort = 0
 	}
 	return s.sorted[min(len(s.sorted)-1, int(part*float64(len(s.sorted))))]
 }
 
-const middle = 0.5
+const medianQuantile = 0.5
 
-// pace knows how long answers take.
-type pace struct {
-	routes  map[ids.Route]*sample // ratios of the old version
-	used    sample                // factors of the old targets, one for each of their answers
-	fresh   map[ids.Life]*sample
-	old     map[ids.Life]*sample
-	factors []float64 // of the old version's targets, beside those that are used most
-	high    float64   // of the slowest of these
+// latencies holds relative durations of answers, by route and by target.
+type latencies struct {
+	routeRatios   map[ids.Route]*sample // ratios of the old version
+	usedFactors   sample                // factors of the old targets, one for each of their answers
+	newTargets    map[ids.Life]*sample
+	oldTargets    map[ids.Life]*sample
+	oldFactors    []float64 // of the old version's targets, relative to those used most
+	slowestFactor float64   // of the slowest of these
 }
 
-func newPace() pace {
-	return pace{routes: make(map[ids.Route]*sample), fresh: make(map[ids.Life]*sample), old: make(map[ids.Life]*sample), high: 1}
+func newLatencies() latencies {
+	return latencies{routeRatios: make(map[ids.Route]*sample), newTargets: make(map[ids.Life]*sample), oldTargets: make(map[ids.Life]*sample), slowestFactor: 1}
 }
 
-func (p *pace) setFactors(factors []float64) {
-	usual := p.used.quantile(middle)
-	if usual == 0 || len(factors) == 0 {
+func (p *latencies) setFactors(factors []float64) {
+	median := p.usedFactors.quantile(medianQuantile)
+	if median == 0 || len(factors) == 0 {
 		return
 	}
-	p.factors = p.factors[:0]
+	p.oldFactors = p.oldFactors[:0]
 	for _, f := range factors {
-		p.factors = append(p.factors, f/usual)
+		p.oldFactors = append(p.oldFactors, f/median)
 	}
-	p.high = max(1, slices.Max(p.factors))
+	p.slowestFactor = max(1, slices.Max(p.oldFactors))
 }
 
-// note takes how long an answer took, and returns that beside what answers of its route
-// usually take, 0 if it is not known.
-func (p *pace) note(onTrial bool, o Observation) float64 {
+// add records the duration of an answer. It returns the duration relative to the typical one of the route, 0 if that
+// is not known.
+func (p *latencies) add(onTrial bool, o Observation) float64 {
 	if o.Ratio <= 0 {
 		return 0
 	}
-	route := get(p.routes, o.Route)
-	known := len(route.kept) >= routeKnown
-	usual := route.quantile(middle)
-	of := p.fresh
+	route := sampleFor(p.routeRatios, o.Route)
+	known := len(route.values) >= minRouteSamples
+	median := route.quantile(medianQuantile)
+	targets := p.newTargets
 	if !onTrial {
-		of = p.old
+		targets = p.oldTargets
 		route.add(o.Ratio)
-		p.used.add(o.Factor)
+		p.usedFactors.add(o.Factor)
 	}
-	if !known || usual <= 0 {
+	if !known || median <= 0 {
 		return 0
 	}
-	took := o.Ratio / usual
-	get(of, o.Life).add(took)
-	return took
+	relative := o.Ratio / median
+	sampleFor(targets, o.Life).add(relative)
+	return relative
 }
 
-// slow reports whether an answer took several times as long as its target's usually do.
-func (p *pace) slow(onTrial bool, life ids.Life, took float64) bool {
-	of := p.old
+// slow reports whether an answer took several times as long as is typical for its target.
+func (p *latencies) slow(onTrial bool, life ids.Life, relative float64) bool {
+	targets := p.oldTargets
 	if onTrial {
-		of = p.fresh
+		targets = p.newTargets
 	}
-	return took > 0 && took > slowTimes*p.usual(get(of, life))
+	return relative > 0 && relative > slowAnswerRatio*p.typical(sampleFor(targets, life))
 }
 
-func get[K comparable](of map[K]*sample, key K) *sample {
-	s := of[key]
+func sampleFor[K comparable](samples map[K]*sample, key K) *sample {
+	s := samples[key]
 	if s == nil {
 		s = &sample{}
-		of[key] = s
+		samples[key] = s
 	}
 	return s
 }
 
-// usual is what a target's answers usually take, but no more than those of the slowest old
-// targets do.
-func (p *pace) usual(target *sample) float64 {
-	if len(target.kept) < usualKnown {
-		return highMargin * p.high
+// typical returns the typical duration on a target, capped near that of the slowest old targets.
+func (p *latencies) typical(target *sample) float64 {
+	if len(target.values) < minTypicalSamples {
+		return slowestMargin * p.slowestFactor
 	}
-	return min(target.quantile(usualQuantile), highMargin*p.high)
+	return min(target.quantile(typicalQuantile), slowestMargin*p.slowestFactor)
 }
 
-// levels lists how long answers take at each target of the new version that tells.
-func (p *pace) levels() []float64 {
+// levels lists the median duration on each target of the new version that has enough answers.
+func (p *latencies) levels() []float64 {
 	var list []float64
-	for _, s := range p.fresh {
-		if len(s.kept) >= levelKnown {
-			list = append(list, s.quantile(middle))
+	for _, s := range p.newTargets {
+		if len(s.values) >= minLevelSamples {
+			list = append(list, s.quantile(medianQuantile))
 		}
 	}
 	return list
 }
 
-// beyond counts the targets of the new version that are slower than any old one, those that
-// tell at all, and the chance of so many by luck.
-func (p *pace) beyond() (slow, targets int, chance float64) {
-	var chances []float64
+// outliers counts the targets of the new version that are slower than any old one and the targets with enough answers,
+// and returns the probability of so many outliers by chance.
+func (p *latencies) outliers() (slow, targets int, probability float64) {
+	var probabilities []float64
 	for _, level := range p.levels() {
-		chances = append(chances, ailingSlow)
-		if level > beyondSlowest*p.high {
+		probabilities = append(probabilities, outlierBaseRate)
+		if level > outlierRatio*p.slowestFactor {
 			slow++
 		}
 	}
-	return slow, len(chances), chanceOf(chances, slow)
+	return slow, len(probabilities), poissonBinomialTail(probabilities, slow)
 }
 
-// slower is by how many standard deviations the targets of the new version are more than
-// levelTimes slower than the old ones, by the ranks of both together, and how many of them
-// tell.
-func (p *pace) slower() (sigmas float64, targets int) {
+// rankTest returns by how many standard deviations the targets of the new version are more than slowLevelRatio slower
+// than the old ones, by the ranks of both together, and the number of targets with enough answers.
+func (p *latencies) rankTest() (sigmas float64, targets int) {
 	greater, pairs := 0.0, 0
 	for _, level := range p.levels() {
 		targets++
-		level /= levelTimes
-		for _, f := range p.factors {
+		level /= slowLevelRatio
+		for _, f := range p.oldFactors {
 			pairs++
 			switch {
 			case level > f:
@@ -205,7 +203,7 @@
 	if pairs == 0 {
 		return 0, targets
 	}
-	m, n := float64(targets), float64(len(p.factors))
+	m, n := float64(targets), float64(len(p.oldFactors))
 	const half, twelve = 0.5, 12
 	deviation := math.Sqrt((m + n + 1) / (twelve * m * n))
 	return (greater/float64(pairs) - half) / deviation, targets
--- a/pkg/rollout/report.go
+++ b/pkg/rollout/report.go
@@ -11,27 +11,26 @@
 	Version ids.Version `json:"version"`
 	State   string      `json:"state"`
 	Why     string      `json:"why,omitempty"`
-	// Barred lists the versions that get nothing without a new order.
+	// Barred lists the versions that receive nothing without a new order.
 	Barred []ids.Version `json:"barred,omitempty"`
-	// Evidence is that of the record, or, at the entry that judges, the newest.
+	// Evidence is that of the record or, at the entry that judges, the current one.
 	Evidence Summary `json:"evidence"`
-	// Judges says that this entry judges the version. Only then Missing, Doubt and Share are
-	// told: what evidence is still missing, what speaks against the version, and which part of the
-	// requests it gets now.
+	// Judges says that this entry judges the version. Only then are Missing, Suspicion and Fraction set: the evidence
+	// that is still missing, what counts against the version, and the fraction of the requests that it gets now.
 	Judges  bool     `json:"judges"`
 	Missing []string `json:"missing,omitempty"`
 	Doubt   string   `json:"doubt,omitempty"`
 	Share   float64  `json:"share"`
-	// EndsIn is the time left until the order's end, NewsAge how long ago this entry's news were
-	// surely the newest, in ms.
+	// EndsIn is the time left until the order's end, and FeedAge the time since this entry's data was last known to be
+	// current, both in ms.
 	EndsIn  clock.Millis `json:"ends_in_ms"`
 	NewsAge clock.Millis `json:"news_age_ms"`
-	// Reached and Sent count this entry's requests since the order, of all and to the version.
+	// Reached and Sent count this entry's requests since the order: all of them, and those sent to the version.
 	Reached int `json:"reached"`
 	Sent    int `json:"sent"`
 }
 
-// Report describes what is known of a service's roll-out; false if there is none.
+// Report describes a service's roll-out. It returns false if there is none.
 func (b *Book) Report(now clock.Millis, service ids.Service) (Report, bool) {
 	order, r, open := b.Open(service)
 	if !open {
@@ -49,7 +48,7 @@
 	return report, true
 }
 
-// Describe adds to a report what the trial at this home knows.
+// Describe adds to a report what the trial at this owner knows.
 func (t *Trial) Describe(r *Report, p Plan) {
 	r.Judges = true
 	r.Evidence = t.Evidence.Summary()
--- a/pkg/rollout/screen.go
+++ b/pkg/rollout/screen.go
@@ -7,65 +7,65 @@
 	"quaydock/pkg/routing"
 )
 
-// Screen sorts the list of targets by what their versions may get, anew whenever the list
-// or what is known of roll-outs changes.
+// Filter sets the admission of each target by its version, and does so again whenever the target list or the known
+// orders and records change.
 type Screen struct {
-	book   *Book
-	sorted func(*routing.Directory)
+	tracker  *Book
+	onUpdate func(*routing.Directory)
 
-	mu  sync.Mutex
-	raw []*routing.Target
-	// unsure says that a target is withheld only because it is not known yet whether there is
-	// an order for its version.
-	unsure bool
+	mu     sync.Mutex
+	listed []*routing.Target
+	// undecided says that some target is withheld only because it is not known yet whether an order for its version
+	// exists.
+	undecided bool
 }
 
-// NewScreen returns a screen without targets; sorted is told of each new list.
+// NewFilter returns a filter without targets that calls onUpdate with each new directory.
 func NewScreen(book *Book, sorted func(*routing.Directory)) *Screen {
-	return &Screen{book: book, sorted: sorted}
+	return &Screen{tracker: book, onUpdate: sorted}
 }
 
-// SetDirectory takes a new list.
+// SetDirectory replaces the target list.
 func (s *Screen) SetDirectory(d *routing.Directory) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.raw = d.All()
-	s.sort()
+	s.listed = d.All()
+	s.update()
 }
 
-// Changed sorts the list anew, as orders or records have changed.
+// Changed evaluates the list again after orders or records have changed.
 func (s *Screen) Changed() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.raw != nil {
-		s.sort()
+	if s.listed != nil {
+		s.update()
 	}
 }
 
-// Proven sorts the list anew if a target waits for the orders to be known up to its start.
+// Confirmed evaluates the list again if a target waits for the orders to be known up to its start.
 func (s *Screen) Proven() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.unsure {
-		s.sort()
+	if s.undecided {
+		s.update()
 	}
 }
 
-func (s *Screen) sort() {
+func (s *Screen) update() {
 	versions := make(map[ids.Service]ids.Version)
 	mixed := make(map[ids.Service]bool)
-	for _, t := range s.raw {
+	for _, t := range s.listed {
 		if other, seen := versions[t.Service]; seen && other != t.Version {
 			mixed[t.Service] = true
 		}
 		versions[t.Service] = t.Version
 	}
-	s.unsure = false
-	list := make([]*routing.Target, 0, len(s.raw))
-	for _, t := range s.raw {
-		admission := s.book.Admission(t, mixed[t.Service])
-		if admission == routing.Withheld && !s.book.decided(t) {
-			s.unsure = true
+	s.undecided = false
+	list := make([]*routing.Target, 0, len(s.listed))
+	for _, t := range s.listed {
+		admission := s.tracker.Admission(t, mixed[t.Service])
+		if admission == routing.Withheld && !s.tracker.withheldByDecision(t) {
+			s.undecided = true
 		}
 		if admission != t.Admission {
 			sorted := *t
@@ -74,5 +74,5 @@
 		}
 		list = append(list, t)
 	}
-	s.sorted(routing.NewDirectory(list))
+	s.onUpdate(routing.NewDirectory(list))
 }
--- a/pkg/rollout/summary.go
+++ b/pkg/rollout/summary.go
@@ -8,17 +8,16 @@
 	"quaydock/pkg/ids"
 )
 
-// Summary is the evidence of a trial in short.
+// Summary is a short form of the evidence of a trial.
 type Summary struct {
-	// Requests and Bad count the answers of the version on trial, and those that failed or
-	// took far too long.
+	// Requests counts the answers of the canary, and Bad those that failed or took far too long.
 	Requests int `json:"requests"`
 	Bad      int `json:"bad"`
-	// Targets is how many of its targets have answered, Suspect how many of these look worse
+	// Targets is the number of its targets that have answered, and WorseTargets the number of those that look worse
 	// than the old version's.
 	Targets int `json:"targets"`
 	Suspect int `json:"suspect"`
-	// Routes counts by route.
+	// Routes holds the counts by route.
 	Routes []RouteSummary `json:"routes,omitempty"`
 }
 
@@ -27,11 +26,11 @@
 	Route    ids.Route `json:"route"`
 	Requests int       `json:"requests"`
 	Bad      int       `json:"bad"`
-	Old      int       `json:"old"` // requests to the old version meanwhile
+	Old      int       `json:"old"` // answers of the old version over the same time
 	OldBad   int       `json:"old_bad"`
 }
 
-// plus adds what another summary counts, times times: 1, or -1 to take it away.
+// plus adds the counts of another summary, multiplied by times: 1 to add, -1 to subtract.
 func (s Summary) plus(other Summary, times int) Summary {
 	sum := Summary{Requests: s.Requests + times*other.Requests, Bad: s.Bad + times*other.Bad, Targets: s.Targets, Suspect: s.Suspect}
 	routes := make(map[ids.Route]RouteSummary)
@@ -52,16 +51,15 @@
 	return sum
 }
 
-// doubt says what speaks against the version in these counts, which those of earlier homes
-// are part of.
-func (s *Summary) doubt() string {
+// objection returns what counts against the version in these counts, which include those of earlier owners.
+func (s *Summary) objection() string {
 	for _, r := range s.Routes {
-		if r.Bad < pooledBad || r.Requests <= 0 {
+		if r.Bad < pooledMinBad || r.Requests <= 0 {
 			continue
 		}
 		rate := badRate(map[ids.Life]tally{{}: {max(0, r.Old), max(0, r.OldBad)}})
-		if luck := atLeast(r.Requests, rate, r.Bad); luck <= pooledDoubt {
-			return fmt.Sprintf("%d of %d answers bad on route %s since the order, %d of %d of the old version (chance %.1g)", r.Bad, r.Requests, r.Route, r.OldBad, r.Old, luck)
+		if probability := binomialTail(r.Requests, rate, r.Bad); probability <= pooledPossiblyBadProbability {
+			return fmt.Sprintf("%d of %d answers bad on route %s since the order, %d of %d of the old version (chance %.1g)", r.Bad, r.Requests, r.Route, r.OldBad, r.Old, probability)
 		}
 	}
 	return ""
