--- a/pkg/rollout/binomial.go
+++ b/pkg/rollout/binomial.go
@@ -7,10 +7,11 @@
 const normalApproximationMin = 200
 
 // worseThreshold returns the number of bad answers out of n from which on a target looks worse than the old version's
-// targets. An ordinary target reaches it with at most worseProbability.
+// targets, which give bad answers at the given rate. An ordinary target reaches it with at most worseProbability; if no
+// number of bad answers below n is that unlikely, it is n.
 func worseThreshold(n int, rate float64) int {
 	if float64(n)*rate > normalApproximationMin {
-		const sigmas = 1.2816 // the upper tenth of the normal distribution lies beyond this
+		const sigmas = 1.2816 // the upper tenth, which is worseProbability, of the normal distribution lies beyond this
 		return int(math.Ceil(float64(n)*rate + sigmas*math.Sqrt(float64(n)*rate*(1-rate))))
 	}
 	tail := 1.0
--- a/pkg/rollout/evaluate.go
+++ b/pkg/rollout/evaluate.go
@@ -11,12 +11,12 @@
 	"quaydock/pkg/ids"
 )
 
-// A version is evaluated by how many of its targets look worse than the old version's, not by the number of bad answers.
-// A single target that fails, crashes or is slow for reasons of its own counts once, however bad it is, while a bad
-// version shows on most of its targets.
+// A version is evaluated by how many of its targets look worse than the old version's, not by the number of bad
+// answers. A single target that fails, crashes or is slow for reasons of its own counts once, however bad it is, while
+// a bad version shows on most of its targets.
 
 const (
-	// worseProbability is the probability that an ordinary target looks worse by chance.
+	// worseProbability is the highest probability that an ordinary target looks worse by chance.
 	worseProbability = 0.1
 	// minAilingRate is the lowest assumed fraction of targets that ail for reasons of their own.
 	minAilingRate = 0.05
@@ -61,22 +61,27 @@
 
 // comparison holds how the canary's targets compare with the old version's.
 type comparison struct {
+	// targets counts the canary's targets with at least minAnswersPerTarget answers, worse those of them that look
+	// worse.
 	targets, worse int
-	// probability is that of so many targets looking worse by chance.
+	// probability is that of at least so many targets looking worse by chance.
 	probability float64
 	// answers counts the canary's answers, and expected is the number of bad ones that the old version would have
 	// given in their place.
-	answers   tally
-	expected  float64
-	rate      float64 // of bad answers of the old version
+	answers  tally
+	expected float64
+	rate     float64 // fraction of bad answers of the old version
+	// excess is the number of bad answers beyond expected. Unless halfWorse, a target that looks worse adds at most
+	// maxExcessPerTarget to it.
 	excess    float64
 	halfWorse bool // at least half of the targets look worse
-	// trimmedProbability is that of so many bad answers by chance without the worst targets, 1 if there are too few
-	// targets to leave one out.
+	// trimmedProbability is that of at least so many bad answers by chance without the worst targets, 1 if there are
+	// too few targets to leave one out.
 	trimmedProbability float64
 }
 
-// compare compares the versions on a subset of the evidence.
+// compare compares the versions on a subset of the evidence, with recent only on the answers of the last recentWindow.
+// If the old version has too few answers from loaded targets, all of its answers stand for them.
 func (e *Evidence) compare(sub subset, recent bool) comparison {
 	old := e.oldVersion.byTarget(sub, recent)
 	if sub.loaded && e.oldLoaded < oldLoadedAnswers {
@@ -126,7 +131,8 @@
 	return c
 }
 
-// trimmedTail returns the probability of the number of bad answers on all targets but the worst.
+// trimmedTail returns the probability of at least so many bad answers on all targets but the worst: those with the most
+// bad answers, and among equals those with the fewest answers.
 func trimmedTail(tallies []tally, rate float64) float64 {
 	slices.SortFunc(tallies, func(a, b tally) int { return cmp.Or(cmp.Compare(b.bad, a.bad), cmp.Compare(a.n, b.n)) })
 	var rest tally
@@ -140,7 +146,8 @@
 // minAnswersPerTarget is the number of answers below which a target is not evaluated.
 const minAnswersPerTarget = 2
 
-// badRate returns the rate of bad answers of the old version, with a prior that dominates while few answers are known.
+// badRate returns the fraction of bad answers of the old version, with a prior that dominates while few answers are
+// known.
 func badRate(tallies map[ids.TargetIncarnation]tally) float64 {
 	const priorBad, priorAll = 0.5, 50
 	var sum tally
@@ -193,6 +200,8 @@
 	return finding
 }
 
+// finding returns the conclusion from a comparison; targets is the number of canary targets that could be used. The
+// version counts as possibly bad wherever it counts as bad.
 func (c *comparison) finding(sub subset, recent bool, targets int) Finding {
 	few := targets < minTargets
 	bad := c.halfWorse && c.worse >= minTargets && c.probability <= badProbability
@@ -217,7 +226,8 @@
 		c.worse, c.targets, sub, span, c.answers.bad, c.answers.n, c.expected, c.probability, c.trimmedProbability)}
 }
 
-// finding reports whether the canary is slower on all of its targets.
+// finding reports whether the canary is slow: several of its targets are far slower than any old one, or all together
+// are much slower than the old ones. It finds nothing while the factors of the old targets are unknown.
 func (p *latencies) finding() Finding {
 	if len(p.oldFactors) == 0 {
 		return Finding{}
@@ -233,16 +243,17 @@
 	return Finding{Bad: bad, PossiblyBad: true, Why: fmt.Sprintf("%d targets are more than %.0f times as slow as the old ones (%.1f standard deviations)", targets, slowLevelRatio, sigmas)}
 }
 
-// pooledProbability returns the probability of so many bad answers in total if the old version had given them.
+// pooledProbability returns the probability of at least so many bad answers in total if the old version had given them.
 func (c *comparison) pooledProbability() float64 {
 	return binomialTail(c.answers.n, c.expected/float64(max(1, c.answers.n)), c.answers.bad)
 }
 
-// checkExcess ends a trial after too many bad answers, whatever their pattern.
+// checkExcess finds the version bad after too many bad answers, whatever their pattern. Those that earlier owners
+// counted are included. If they are not enough by themselves, this owner's own answers must also be unlikely by chance.
 func (e *Evidence) checkExcess() Finding {
 	c := e.compare(subset{}, false)
-	carried := max(0, float64(e.inherited.Bad)-c.rate*float64(e.inherited.Requests))
-	if c.excess+carried < maxExcessBad || carried < maxExcessBad && c.pooledProbability() > possiblyBadProbability {
+	inheritedExcess := max(0, float64(e.inherited.Bad)-c.rate*float64(e.inherited.Requests))
+	if c.excess+inheritedExcess < maxExcessBad || inheritedExcess < maxExcessBad && c.pooledProbability() > possiblyBadProbability {
 		return Finding{}
 	}
 	return Finding{Bad: true, PossiblyBad: true, Why: fmt.Sprintf("%d of %d answers bad where %.1f were expected, %d of %d before this entry took over",
--- a/pkg/rollout/evidence.go
+++ b/pkg/rollout/evidence.go
@@ -10,14 +10,14 @@
 
 // Observation is the outcome of one request at a target.
 type Observation struct {
-	At          clock.Millis
+	At          clock.Millis          // when the owner recorded it, by its own clock
 	Incarnation ids.TargetIncarnation // of its target
 	Route       ids.Route
 	// Failed says that the target failed the request. Ratio is its duration relative to the same request on an
 	// ordinary target, and Factor the target's slowdown relative to an ordinary one; 0 if unknown.
 	Failed        bool
 	Ratio, Factor float64
-	// Loaded says that most slots of the target were taken.
+	// Loaded says that most slots of the target were taken when the request was granted to it.
 	Loaded bool
 }
 
@@ -35,7 +35,8 @@
 	}
 }
 
-// history counts answers since the start of the trial, and keeps the recent ones.
+// history counts answers since the start of the trial, and keeps those of the last recentWindow before the newest
+// evaluation and later ones, the oldest first.
 type history struct {
 	all    tally
 	recent []answer
@@ -52,6 +53,7 @@
 	h.recent = append(h.recent, answer{at, bad})
 }
 
+// dropBefore drops answers recorded before a moment from the recent ones; the counts stay.
 func (h *history) dropBefore(before clock.Millis) {
 	i := 0
 	for i < len(h.recent) && h.recent[i].at < before {
@@ -149,14 +151,16 @@
 	return sums
 }
 
-// Evidence collects the answers of the canary and, over the same time, of the old version.
+// Evidence collects the answers of the canary and, over the same time, of the old version. It has no lock: the owner of
+// the service calls it under its own.
 type Evidence struct {
-	// answers are those of the canary. Which of them were slow is determined again at each evaluation, since the first
-	// answers of a target say little until there are more.
+	// answers are the last maxAnswers of the canary, the oldest first. Which of them were slow is determined again at
+	// each evaluation, since the first answers of a target say little until there are more.
 	answers                []timedObservation
 	newVersion, oldVersion versionHistory
 	latency                latencies
-	// loaded and oldLoaded count answers of targets that had most of their slots taken.
+	// loaded and oldLoaded count the answers of the canary and of the old version from targets that had most of their
+	// slots taken, oldAnswers all answers of the old version.
 	loaded, oldLoaded int
 	oldAnswers        int
 	// inherited is the evidence that earlier owners had collected.
@@ -165,7 +169,8 @@
 	excused map[ids.TargetIncarnation]bool
 }
 
-// timedObservation is an answer of the canary with its duration relative to other answers of its route.
+// timedObservation is an answer of the canary with its duration relative to the typical one of its route, 0 if that is
+// not known.
 type timedObservation struct {
 	Observation
 	relative float64
@@ -175,8 +180,8 @@
 const maxAnswers = 4000
 
 // NewEvidence returns evidence that starts with what an earlier owner had collected.
-func NewEvidence(carried Summary) *Evidence {
-	return &Evidence{newVersion: newVersionHistory(), oldVersion: newVersionHistory(), latency: newLatencies(), inherited: carried}
+func NewEvidence(inherited Summary) *Evidence {
+	return &Evidence{newVersion: newVersionHistory(), oldVersion: newVersionHistory(), latency: newLatencies(), inherited: inherited}
 }
 
 // maxExcused limits the excused incarnations: two requests that end their targets account for so many. If targets of a
@@ -212,7 +217,8 @@
 	}
 }
 
-// Add adds an answer of the canary or of the old version.
+// Add adds an answer of the canary, with onTrial, or of the old version. Failures of excused incarnations are ignored.
+// Whether the old version's answer was slow is decided here, for the canary's only at each evaluation.
 func (e *Evidence) Add(onTrial bool, o Observation) {
 	if o.Failed && e.excused[o.Incarnation] {
 		return
@@ -232,7 +238,7 @@
 	}
 }
 
-// classify determines which answers of the canary were bad.
+// classify rebuilds the canary's counts: an answer is bad if it failed or was slow by what is known now.
 func (e *Evidence) classify() {
 	e.newVersion = newVersionHistory()
 	for _, a := range e.answers {
@@ -244,7 +250,7 @@
 }
 
 // SetFactors sets how much slower than ordinary ones the old version's targets are, as far as known, including targets
-// that get few requests.
+// that get few requests. It has no effect before the first answer of the old version with a known duration.
 func (e *Evidence) SetFactors(factors []float64) {
 	e.latency.setFactors(factors)
 }
@@ -268,15 +274,16 @@
 	return s
 }
 
-// oldUnderLoad reports whether the old version's targets are loaded for a considerable fraction of the time.
+// oldUnderLoad reports whether a considerable fraction of the old version's answers comes from loaded targets.
 func (e *Evidence) oldUnderLoad() bool {
 	return e.oldLoaded >= oldLoadedAnswers && float64(e.oldLoaded) >= oldLoadedFraction*float64(e.oldAnswers)
 }
 
-// ownAnswers returns the number of canary answers that this owner has seen itself.
+// ownAnswers returns the number of canary answers that this owner has seen itself, at most maxAnswers.
 func (e *Evidence) ownAnswers() int { return len(e.answers) }
 
-// subsets lists the parts of the evidence that are evaluated separately.
+// subsets lists the parts of the evidence that are evaluated separately: everything, loaded targets, and each route on
+// which the canary has answered.
 func (e *Evidence) subsets() []subset {
 	list := []subset{{}, {loaded: true}}
 	for _, route := range slices.Sorted(maps.Keys(e.newVersion.byRoute())) {
--- a/pkg/rollout/exposure.go
+++ b/pkg/rollout/exposure.go
@@ -22,14 +22,15 @@
 	// reached counts this entry's requests that reached the service since the order, sent those sent to the canary,
 	// and reserved those that may still be sent to it.
 	reached, sent, reserved int
-	credit                  int
+	// credit is the number of requests, from the slack, that this entry may send beyond its fraction.
+	credit int
 }
 
-// usedLimitFraction is the fraction of the limit that is used: requests that had reached the service by one entry's
+// usedLimitFraction is the fraction of Bounds.Fraction that is used: requests that had reached the service by one entry's
 // count may not have by another's.
 const usedLimitFraction = 0.9
 
-// usedSlackFraction is the fraction of the slack that is handed out. The rest covers entries that take one another for
+// usedSlackFraction is the fraction of Bounds.Slack that is handed out. The rest covers entries that take one another for
 // gone, each of which then counts itself among the few that get a share.
 const usedSlackFraction = 0.5
 
@@ -41,8 +42,8 @@
 // maxCredit limits the slack that one entry gets: while it hears from no other entry, it may count itself among a few.
 const maxCredit = 5
 
-// SlackCredit returns how many requests an entry may send beyond its fraction. The entry is the nth of entries, in an
-// order on which all agree.
+// SlackCredit returns how many requests an entry may send beyond its fraction. The entry is the nth of entries, counted
+// from 0, in an order on which all agree.
 func SlackCredit(b Bounds, nth, entries int) int {
 	given := int(usedSlackFraction * b.Slack)
 	if nth >= given {
@@ -51,7 +52,8 @@
 	return min(maxCredit, max(1, given/max(1, entries)))
 }
 
-// Begin starts counting for an order, unless that has already been done.
+// Begin starts counting for an order from zero, unless the order is being counted already. credit is what SlackCredit
+// returned for it, or 0.
 func (e *Exposure) Begin(o Order, credit int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -67,8 +69,8 @@
 	delete(e.services, service)
 }
 
-// Reserve reports whether one more request may go to the canary, and reserves it. Each reservation is followed by
-// Release or Commit.
+// Reserve reports whether one more request may go to the canary, and reserves it. It returns false if the entry's limit
+// is reached or no order is counted. Each reservation is followed by Release or Commit.
 func (e *Exposure) Reserve(service ids.Service, b Bounds) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -89,8 +91,8 @@
 	}
 }
 
-// Commit turns a reservation into a request that is sent to a version. It reports whether that version is still the
-// canary.
+// Commit turns a reservation into a request that is sent to a version. If that version is no longer
+// the canary, it returns false and the reservation stays.
 func (e *Exposure) Commit(service ids.Service, version ids.Version) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -103,7 +105,7 @@
 	return true
 }
 
-// CurrentOrder returns the revision of the order in force when a request is sent to a service, or 0.
+// CurrentOrder returns the revision of the order that is counted for a service, 0 if there is none.
 func (e *Exposure) CurrentOrder(service ids.Service) Revision {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -113,7 +115,8 @@
 	return 0
 }
 
-// CountReached counts a request that was sent during an order and has reached the service.
+// CountReached counts a request that has reached the service. placed is the revision of the order in force when it was
+// sent: if that is not the one counted now, the request is ignored.
 func (e *Exposure) CountReached(service ids.Service, placed Revision) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/pkg/rollout/filter.go
+++ b/pkg/rollout/filter.go
@@ -11,10 +11,10 @@
 // orders and records change.
 type Filter struct {
 	tracker  *Tracker
-	onUpdate func(*routing.Directory)
+	onUpdate func(*routing.Directory) // called with the lock held, so in order
 
 	mu     sync.Mutex
-	listed []*routing.Target
+	listed []*routing.Target // as last set, before the filter; nil until then
 	// undecided says that some target is withheld only because it is not known yet whether an order for its version
 	// exists.
 	undecided bool
@@ -42,7 +42,8 @@
 	}
 }
 
-// Confirmed evaluates the list again if a target waits for the orders to be known up to its start.
+// Confirmed evaluates the list again if a target is undecided. It is called when the store has confirmed, without a
+// change, that the orders are known up to a later revision.
 func (f *Filter) Confirmed() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -51,6 +52,7 @@
 	}
 }
 
+// update sets the admission of each listed target and passes on the directory. The caller holds the lock.
 func (f *Filter) update() {
 	versions := make(map[ids.Service]ids.Version)
 	mixed := make(map[ids.Service]bool)
@@ -68,9 +70,9 @@
 			f.undecided = true
 		}
 		if admission != t.Admission {
-			sorted := *t
-			sorted.Admission = admission
-			t = &sorted
+			copied := *t
+			copied.Admission = admission
+			t = &copied
 		}
 		list = append(list, t)
 	}
--- a/pkg/rollout/latencies.go
+++ b/pkg/rollout/latencies.go
@@ -13,7 +13,7 @@
 // or not.
 
 const (
-	// slowAnswerRatio is the duration relative to its target's typical answers from which on an answer counts as slow:
+	// slowAnswerRatio is the duration relative to its target's typical answers above which an answer counts as slow:
 	// bad versions take several times as long.
 	slowAnswerRatio = 2.5
 	// typicalQuantile of a target's answers is its typical duration, since some of them may be slow.
@@ -40,8 +40,10 @@
 	possiblyBadTargets = 3
 	// outlierRatio is by how much a target must be slower than the slowest old one for its VM not to be the
 	// explanation. outlierBaseRate is the fraction of targets that are so for reasons of their own.
-	outlierRatio                  = 1.5
-	outlierBaseRate               = 0.07
+	outlierRatio    = 1.5
+	outlierBaseRate = 0.07
+	// outlierBadProbability and outlierPossiblyBadProbability are the probabilities by chance up to which the number of
+	// such targets makes a version bad or possibly bad.
 	outlierBadProbability         = 1e-3
 	outlierPossiblyBadProbability = 3e-2
 )
@@ -49,7 +51,7 @@
 // sample keeps the last sampleSize values.
 type sample struct {
 	values []float64
-	next   int
+	next   int // index of the oldest value once there are sampleSize
 	// sorted holds the values in order, without the last addedSinceSort ones.
 	sorted         []float64
 	addedSinceSort int
@@ -69,7 +71,8 @@
 	s.next = (s.next + 1) % sampleSize
 }
 
-// quantile returns 0 for an empty sample.
+// quantile returns the value below which the given fraction of the sample lies, 0 for an empty sample. Up to one in
+// resortDivisor of the values, the newest, may not be taken into account yet.
 func (s *sample) quantile(fraction float64) float64 {
 	if len(s.values) == 0 {
 		return 0
@@ -84,20 +87,23 @@
 
 const medianQuantile = 0.5
 
-// latencies holds relative durations of answers, by route and by target.
+// latencies holds durations of answers as ratios: on each route, to what is expected on an ordinary target; on each
+// target, to the typical duration on the route with the old version.
 type latencies struct {
-	routeRatios   map[ids.Route]*sample // ratios of the old version
-	usedFactors   sample                // factors of the old targets, one for each of their answers
+	routeRatios   map[ids.Route]*sample // Observation.Ratio of the old version's answers
+	usedFactors   sample                // Observation.Factor of the old version's answers
 	newTargets    map[ids.TargetIncarnation]*sample
 	oldTargets    map[ids.TargetIncarnation]*sample
-	oldFactors    []float64 // of the old version's targets, relative to those used most
-	slowestFactor float64   // of the slowest of these
+	oldFactors    []float64 // of the old version's targets, relative to the median of usedFactors
+	slowestFactor float64   // the highest of these, at least 1
 }
 
 func newLatencies() latencies {
 	return latencies{routeRatios: make(map[ids.Route]*sample), newTargets: make(map[ids.TargetIncarnation]*sample), oldTargets: make(map[ids.TargetIncarnation]*sample), slowestFactor: 1}
 }
 
+// setFactors sets the factors of the old version's targets, relative to the median of those that answered, since the
+// durations on targets are relative to these answers too. Without such answers it does nothing.
 func (p *latencies) setFactors(factors []float64) {
 	median := p.usedFactors.quantile(medianQuantile)
 	if median == 0 || len(factors) == 0 {
@@ -133,7 +139,8 @@
 	return relative
 }
 
-// slow reports whether an answer took several times as long as is typical for its target.
+// slow reports whether an answer took several times as long as is typical for its target. An unknown duration, 0, is
+// not slow.
 func (p *latencies) slow(onTrial bool, incarnation ids.TargetIncarnation, relative float64) bool {
 	targets := p.oldTargets
 	if onTrial {
@@ -142,6 +149,7 @@
 	return relative > 0 && relative > slowAnswerRatio*p.typical(sampleFor(targets, incarnation))
 }
 
+// sampleFor returns the sample of a key, and creates it if necessary.
 func sampleFor[K comparable](samples map[K]*sample, key K) *sample {
 	s := samples[key]
 	if s == nil {
@@ -151,7 +159,8 @@
 	return s
 }
 
-// typical returns the typical duration on a target, capped near that of the slowest old targets.
+// typical returns the typical duration on a target, relative to that of its routes and capped near that of the slowest
+// old target. With too few answers it is the cap.
 func (p *latencies) typical(target *sample) float64 {
 	if len(target.values) < minTypicalSamples {
 		return slowestMargin * p.slowestFactor
@@ -159,7 +168,8 @@
 	return min(target.quantile(typicalQuantile), slowestMargin*p.slowestFactor)
 }
 
-// levels lists the median duration on each target of the new version that has enough answers.
+// levels lists the median relative duration on each target of the new version that has at least minLevelSamples
+// answers.
 func (p *latencies) levels() []float64 {
 	var list []float64
 	for _, s := range p.newTargets {
@@ -171,7 +181,7 @@
 }
 
 // outliers counts the targets of the new version that are slower than any old one and the targets with enough answers,
-// and returns the probability of so many outliers by chance.
+// and returns the probability of at least so many outliers by chance.
 func (p *latencies) outliers() (slow, targets int, probability float64) {
 	var probabilities []float64
 	for _, level := range p.levels() {
@@ -184,7 +194,8 @@
 }
 
 // rankTest returns by how many standard deviations the targets of the new version are more than slowLevelRatio slower
-// than the old ones, by the ranks of both together, and the number of targets with enough answers.
+// than the old ones, and the number of targets with enough answers. It is the Mann-Whitney test: the fraction of pairs
+// in which the new target is the slower one is compared with a half. Below zero the new targets are the faster ones.
 func (p *latencies) rankTest() (sigmas float64, targets int) {
 	greater, pairs := 0.0, 0
 	for _, level := range p.levels() {
--- a/pkg/rollout/order.go
+++ b/pkg/rollout/order.go
@@ -22,13 +22,13 @@
 type Order struct {
 	Service ids.Service
 	Version ids.Version
-	// Within is the time allowed for the roll-out, counted from the order.
+	// Within is the time allowed for the roll-out, counted from the order; 0 in an order that was withdrawn.
 	Within clock.Millis
 	// Placed is the revision of the order's row.
 	Placed Revision
 }
 
-// Check reports what is wrong with an order.
+// Check returns an error if the operators' order lacks its service, its version or a time.
 func (o *Order) Check() error {
 	switch {
 	case o.Service == "":
@@ -46,7 +46,7 @@
 
 //go:generate stringer -type=State -linecomment -output=state_string.go
 
-// The states. Completed and RolledBack are final.
+// The states. Pending means that no record of the order has been written; Completed and RolledBack are final.
 const (
 	Pending    State = iota // pending
 	Running                 // running
--- a/pkg/rollout/record.go
+++ b/pkg/rollout/record.go
@@ -29,17 +29,19 @@
 	// Evidence is what the decision is based on, or would be based on now.
 	Evidence Summary `json:"evidence"`
 	Why      string  `json:"why,omitempty"`
-	// Owner tells the records of one owner from another's, and TimedByOwner names the owner that recorded the order's times.
+	// Owner tells the records of one owner from another's, and TimedByOwner names the owner that recorded the order's
+	// times.
 	Owner        uint64 `json:"by"`
 	TimedByOwner uint64 `json:"timed_by"`
 	// Written is the revision of the row.
 	Written Revision `json:"-"`
 }
 
-// maxBarred limits the barred versions that are remembered.
+// maxBarred limits the barred versions that are remembered; the oldest are dropped.
 const maxBarred = 16
 
-// next returns the record of a newer order of the same service, including the versions that the earlier record blocks.
+// next returns the Pending record of a newer order of the same service. It keeps the versions that the earlier record
+// blocks, except the ordered one, and the revision of the row that it is to replace.
 func (r *Record) next(o Order) Record {
 	next := Record{Service: o.Service, Version: o.Version, Order: o.Placed, Barred: slices.Clone(r.Barred), Written: r.Written}
 	if r.Version != "" && r.State != Completed && r.Version != o.Version {
--- a/pkg/rollout/report.go
+++ b/pkg/rollout/report.go
@@ -15,14 +15,15 @@
 	Barred []ids.Version `json:"barred,omitempty"`
 	// Evidence is that of the record or, at the entry that evaluates the version, the current one.
 	Evidence Summary `json:"evidence"`
-	// Evaluates says that this entry evaluates the version. Only then are Missing, Suspicion and Fraction set: the evidence
-	// that is still missing, what counts against the version, and the fraction of the requests that it gets now.
+	// Evaluates says that this entry evaluates the version. Only then are Missing, Suspicion and Fraction set: the
+	// evidence that is still missing, what counts against the version, and the fraction of the requests that it gets
+	// now.
 	Evaluates bool     `json:"judges"`
 	Missing   []string `json:"missing,omitempty"`
 	Suspicion string   `json:"doubt,omitempty"`
 	Fraction  float64  `json:"share"`
-	// EndsIn is the time left until the order's end, and FeedAge the time since this entry's data was last known to be
-	// current, both in ms.
+	// EndsIn is the time left until the earliest end of an open order, 0 after the decision, and FeedAge the time since
+	// this entry's data was last known to be current, both in ms.
 	EndsIn  clock.Millis `json:"ends_in_ms"`
 	FeedAge clock.Millis `json:"news_age_ms"`
 	// Reached and Sent count this entry's requests since the order: all of them, and those sent to the version.
--- a/pkg/rollout/summary.go
+++ b/pkg/rollout/summary.go
@@ -24,7 +24,7 @@
 // RouteSummary is the evidence on one route.
 type RouteSummary struct {
 	Route    ids.Route `json:"route"`
-	Requests int       `json:"requests"`
+	Requests int       `json:"requests"` // answers of the canary
 	Bad      int       `json:"bad"`
 	Old      int       `json:"old"` // answers of the old version over the same time
 	OldBad   int       `json:"old_bad"`
@@ -51,7 +51,8 @@
 	return sum
 }
 
-// objection returns what counts against the version in these counts, which include those of earlier owners.
+// objection returns the first route on which the canary has so many more bad answers than the old version that it may
+// be bad, or an empty text. The counts include those of earlier owners.
 func (s *Summary) objection() string {
 	for _, r := range s.Routes {
 		if r.Bad < pooledMinBad || r.Requests <= 0 {
--- a/pkg/rollout/tracker.go
+++ b/pkg/rollout/tracker.go
@@ -22,13 +22,13 @@
 	ordered map[ids.Service]map[ids.Version]bool
 	// alreadyInUse lists the versions that ran without an order, or whose roll-out was completed.
 	alreadyInUse map[ids.Service]map[ids.Version]bool
-	// ordersUpTo is the revision up to which orders are known, firstOrdersUpTo that of the first read.
+	// ordersUpTo is the revision up to which orders are known, firstOrdersUpTo that of the first read; 0 before it.
 	ordersUpTo, firstOrdersUpTo Revision
 	// ordersAt and recordsAt are the latest moments at which orders and records are known to have been current.
 	ordersAt, recordsAt clock.Millis
-	// placedBetween is the interval in which an order was written.
+	// placedBetween is the interval in which each service's order was written, by this process's clock.
 	placedBetween map[ids.Service]interval
-	// clockOffset is this process's clock minus the store's clock.
+	// clockOffset is this process's clock minus the store's clock, by the last read that gave the store's time.
 	clockOffset clock.Millis
 }
 
@@ -48,7 +48,8 @@
 	Revision  Revision
 }
 
-// PutOrders adds orders that were read and removes those in gone. With all, it replaces all known orders.
+// PutOrders adds orders that were read and removes those of the services in gone. With all, it replaces all known
+// orders.
 func (tr *Tracker) PutOrders(orders []Order, gone []ids.Service, all bool, freshness Freshness) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -83,13 +84,14 @@
 	// endMargin is added to the latest end of an order, since waiting requests arrive at that very moment and clocks
 	// have a resolution of one millisecond.
 	endMargin = 20 * clock.Millisecond
-	// steadyReadInterval is the longest time between two reads without a delay: one long poll, and the relay of its
-	// result to the other entries.
+	// steadyReadInterval is the longest time between two moments at which the orders were known to be current while
+	// neither the store nor the relay is delayed: one long poll, and the relay of its result to the other entries.
 	steadyReadInterval = 2 * clock.Second
 )
 
-// placedAfter returns a moment before the order was written. If nothing was read before the order, it is taken to have
-// been written when it was read.
+// placedAfter returns a moment before the order was written: when the orders were last known to be current without it,
+// or, while reads are steady, at most promptReadDelay before they were current with it. If nothing was read before the
+// order, it is taken to have been written when it was read.
 func (tr *Tracker) placedAfter(o Order, freshness Freshness) clock.Millis {
 	switch {
 	case tr.ordersAt == 0 || tr.firstOrdersUpTo >= o.Placed:
@@ -100,7 +102,7 @@
 	return tr.ordersAt
 }
 
-// interval is the time between two moments.
+// interval is the time between two moments of this process's clock.
 type interval struct{ from, to clock.Millis }
 
 // Times returns the start and end times of an open order, by this process's clock: those in its record, or while the
@@ -119,9 +121,9 @@
 // through other entries.
 const maxClockSkew = 250 * clock.Millisecond
 
-// OpensAt returns when a completed version of a service starts to receive all requests, and whether that moment is
-// still ahead. The owner that recorded the order's times knows the moment by its own clock; any other owner adds
-// maxClockSkew.
+// OpensAt returns when a completed version of a service starts to receive all requests, by this process's clock, and
+// whether that moment is still ahead; it is false for a version that is not completed. The owner that recorded the
+// order's times knows the moment by its own clock; any other owner adds maxClockSkew.
 func (tr *Tracker) OpensAt(service ids.Service, owner uint64, now clock.Millis) (clock.Millis, bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -133,6 +135,7 @@
 	return at, r.State == Completed && now < at
 }
 
+// addVersion adds a version to the set of a service, and creates the set if necessary.
 func addVersion(sets map[ids.Service]map[ids.Version]bool, service ids.Service, version ids.Version) {
 	if sets[service] == nil {
 		sets[service] = make(map[ids.Version]bool)
@@ -156,13 +159,14 @@
 }
 
 // OpenOrder returns a service's order that awaits a decision, and its record, which is Pending if none has been
-// written yet.
+// written yet. It returns false if the service has no such order, or if the record belongs to an order not read yet.
 func (tr *Tracker) OpenOrder(service ids.Service) (Order, Record, bool) {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	return tr.open(service)
 }
 
+// open is OpenOrder for a caller that holds the lock.
 func (tr *Tracker) open(service ids.Service) (Order, Record, bool) {
 	o, ordered := tr.orders[service]
 	r := tr.records[service]
@@ -178,14 +182,15 @@
 	return o, r, !r.State.Final()
 }
 
-// Knows reports whether an order has already been read.
+// Knows reports whether this very order, by its revision, is the known one of its service.
 func (tr *Tracker) Knows(o Order) bool {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	return tr.orders[o.Service].Placed == o.Placed
 }
 
-// Withdrawn reports whether the row of an open order has been removed.
+// Withdrawn reports whether the row of an open order was removed before the decision; OpenOrder returns such orders
+// without their time.
 func (o *Order) Withdrawn() bool { return o.Within == 0 }
 
 // Order returns the known order of a service, if any.
@@ -220,8 +225,8 @@
 	return list
 }
 
-// ObservedFromStart reports whether this process had read the orders before this one was written. In that case it has
-// certainly sent nothing to the order's version yet.
+// ObservedFromStart reports whether this process's first read of the orders was from before this one was written. In
+// that case it has certainly sent nothing to the order's version yet.
 func (tr *Tracker) ObservedFromStart(o Order) bool {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
@@ -235,15 +240,16 @@
 	return now - min(tr.ordersAt, tr.recordsAt)
 }
 
-// StoreTime converts a moment to the store's clock.
+// StoreTime converts a moment of this process's clock to the store's clock.
 func (tr *Tracker) StoreTime(at clock.Millis) clock.Millis {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
 	return at - tr.clockOffset
 }
 
-// Admission reports whether a target may receive work; mixed says that its service has targets of several versions. If
-// the service ran only the ordered version before the order, there is nothing to try and the target is admitted.
+// Admission returns whether a target may receive work; mixed says that its service has targets of several versions. If
+// the service ran only the ordered version before the order, there is nothing to try and the target is admitted. A
+// target of an unknown version is withheld until the orders are known up to its first row.
 func (tr *Tracker) Admission(t *routing.Target, mixed bool) routing.Admission {
 	tr.mu.Lock()
 	defer tr.mu.Unlock()
